--- a/modules/heatherridge_coordination/groups/rankgate.h
+++ b/modules/heatherridge_coordination/groups/rankgate.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "heatherridge_coordination/groups/ballotbox.h"
+#include "heatherridge_coordination/groups/votetallyhistory.h"
 #include "heatherridge_protocol/engineorder.h"
 
 #include <set>
--- a/modules/heatherridge_coordination/groups/ballot.cpp
+++ b/modules/heatherridge_coordination/groups/votetally.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_coordination/groups/ballot.h"
+#include "heatherridge_coordination/groups/votetally.h"
 
 #include <algorithm>
 
--- a/modules/heatherridge_coordination/groups/ballotbox.cpp
+++ b/modules/heatherridge_coordination/groups/votetallyhistory.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_coordination/groups/ballotbox.h"
+#include "heatherridge_coordination/groups/votetallyhistory.h"
 
 namespace Heatherridge
 {
--- a/modules/heatherridge_coordination/groups/ballotbox.h
+++ b/modules/heatherridge_coordination/groups/votetallyhistory.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "heatherridge_coordination/groups/ballot.h"
+#include "heatherridge_coordination/groups/votetally.h"
 
 namespace Heatherridge
 {
--- a/tests/groups/switchworld.cpp
+++ b/tests/groups/switchsimulation.cpp
@@ -1,4 +1,4 @@
-#include "groups/switchworld.h"
+#include "groups/switchsimulation.h"
 
 #include <algorithm>
 
