--- a/extras/heatherridge-standin/rankstandin.cpp
+++ b/extras/heatherridge-standin/rankstandin.cpp
@@ -87,14 +87,14 @@
     }
     const auto &[run, order] = std::get<SignedOrder>(decoded);
     count("orders");
-    if (!m_engine.admits(run) && fault("checks-orders") != 0) {
+    if (!m_engine.acceptsRun(run) && fault("checks-orders") != 0) {
         count("refused");
     } else if (const auto *load = std::get_if<LoadWeights>(&order)) {
         m_maps.insert_or_assign(load->map.number(), load->map);
         loop().after(std::chrono::milliseconds(fault("load-ms")),
-                     [this, load = *load] { m_engine.follow(EngineOrder(load), fault("load-fails") == 0); });
+                     [this, load = *load] { m_engine.execute(EngineOrder(load), fault("load-fails") == 0); });
     } else {
-        m_engine.follow(order);
+        m_engine.execute(order);
     }
     const auto bytes = encode(stateWithLoad());
     exchange->respond({.status = 200,
--- a/modules/heatherridge_coordination/groups/groupleader.cpp
+++ b/modules/heatherridge_coordination/groups/groupleader.cpp
@@ -9,45 +9,45 @@
 {
 
 /** Settled ballots kept: a gate that asks is at most a few switches behind, since each needs its vote. */
-constexpr std::size_t BallotsKept = 64;
+constexpr std::size_t MaxDecidedTallies = 64;
 
 } // namespace
 
 GroupLeader::GroupLeader(FencingNumber fencing, std::vector<int> ranks)
     : m_fencing(fencing)
     , m_ranks(std::move(ranks))
-    , m_nextMap(firstMapNumber(fencing))
+    , m_nextMapNumber(firstMapNumber(fencing))
 {
 }
 
 LeaderActions GroupLeader::handle(const GroupMessage &message, int fromRank, Incarnation run)
 {
-    m_heard[fromRank].run = run;
-    std::visit([this, fromRank](const auto &typed) { on(typed, fromRank); }, message);
-    if (m_phase == Phase::Loading && !isStillAddressed()) {
+    m_knownGates[fromRank].run = run;
+    std::visit([this, fromRank](const auto &typed) { handleMessage(typed, fromRank); }, message);
+    if (m_phase == Phase::Loading && !isProposalCurrent()) {
         ++m_counters.cancelledRestart;
-        giveUp();
+        abandonProposal();
     }
-    return take();
+    return takePendingActions();
 }
 
 LeaderActions GroupLeader::handleEpoch(const GroupEpoch &epoch)
 {
     if (!m_epochs.apply(epoch)) {
-        return take();
+        return takePendingActions();
     }
-    const bool own = m_phase == Phase::Composing && epoch.map.number() == m_proposal.map.number();
-    m_counters.epochsComposed += own ? 1 : 0;
-    m_counters.epochsLost += m_phase == Phase::Composing && !own ? 1 : 0;
+    const bool isOwnEpoch = m_phase == Phase::AppendingEpoch && epoch.map.number() == m_proposal.map.number();
+    m_counters.epochsComposed += isOwnEpoch ? 1 : 0;
+    m_counters.epochsSuperseded += m_phase == Phase::AppendingEpoch && !isOwnEpoch ? 1 : 0;
     m_phase = Phase::Idle;
-    m_settled.clear();
+    m_decidedTallies.clear();
     for (const int rank : m_ranks) {
-        tell(rank, EpochNews{epoch});
+        sendToGate(rank, EpochNews{epoch});
     }
-    return take();
+    return takePendingActions();
 }
 
-void GroupLeader::handleAppend(bool succeeded)
+void GroupLeader::handleAppendResult(bool succeeded)
 {
     // Also after success the record only counts once it is read back: another may have come before it.
     m_appendPending = false;
@@ -72,7 +72,7 @@
         }
         ranks.push_back(member.rank);
     }
-    return start(ranks, std::move(layers), false);
+    return startProposal(ranks, std::move(layers), false);
 }
 
 Outcome GroupLeader::proposeEpoch(std::vector<int> ranks, std::vector<LayerPlacement> layers)
@@ -81,21 +81,21 @@
     if (!m_caughtUp) {
         return Error{.kind = ErrorKind::PlatformUnavailable, .detail = "the group's stream is not read to its end"};
     }
-    const bool shared =
+    const bool hasCommonRank =
         !epoch || std::any_of(ranks.begin(), ranks.end(), [&](int rank) { return epoch->find(rank) != nullptr; });
-    if (!shared) {
+    if (!hasCommonRank) {
         return Error{.kind = ErrorKind::BadRequest, .detail = "no rank of the epoch in force is in the new one"};
     }
-    return start(ranks, std::move(layers), true);
+    return startProposal(ranks, std::move(layers), true);
 }
 
 LeaderActions GroupLeader::cancel()
 {
     if (m_phase == Phase::Loading || m_phase == Phase::Voting) {
         ++m_counters.cancelledByCaller;
-        giveUp();
+        abandonProposal();
     }
-    return take();
+    return takePendingActions();
 }
 
 LeaderActions GroupLeader::tick()
@@ -103,27 +103,27 @@
     for (const int rank : m_ranks) {
         const auto *status = statusOf(rank);
         if (status == nullptr) {
-            tell(rank, StatusRequest{.leader = m_fencing});
+            sendToGate(rank, StatusRequest{.leader = m_fencing});
         } else if (m_epochs.current() && status->epoch < m_epochs.current()->number) {
-            tell(rank, EpochNews{*m_epochs.current()});
+            sendToGate(rank, EpochNews{*m_epochs.current()});
         }
     }
     switch (m_phase) {
     case Phase::Idle:
         break;
     case Phase::Loading:
-        load();
+        sendLoadRequests();
         break;
     case Phase::Voting:
-        askForVotes();
+        requestVotes();
         break;
-    case Phase::Composing:
+    case Phase::AppendingEpoch:
         if (!m_appendPending) {
-            compose();
+            appendEpoch();
         }
         break;
     }
-    return take();
+    return takePendingActions();
 }
 
 GroupLeader::Phase GroupLeader::phase() const
@@ -143,11 +143,12 @@
 
 const RankStatus *GroupLeader::statusOf(int rank) const
 {
-    const auto found = m_heard.find(rank);
-    return found == m_heard.end() || found->second.status.engine == Incarnation{} ? nullptr : &found->second.status;
+    const auto found = m_knownGates.find(rank);
+    return found == m_knownGates.end() || found->second.status.engine == Incarnation{} ? nullptr
+                                                                                       : &found->second.status;
 }
 
-bool GroupLeader::isWhole() const
+bool GroupLeader::hasAllMembers() const
 {
     const auto &epoch = m_epochs.current();
     return epoch && std::all_of(epoch->members.begin(), epoch->members.end(), [&](const auto &member) {
@@ -161,116 +162,118 @@
     return m_counters;
 }
 
-void GroupLeader::on(const MapReady &message, int from)
+void GroupLeader::handleMessage(const MapReady &message, int fromRank)
 {
-    if (m_phase != Phase::Loading || message.map != m_proposal.map.number() || !m_proposal.runs.contains(from)) {
+    if (m_phase != Phase::Loading || message.map != m_proposal.map.number()
+        || !m_proposal.gateRuns.contains(fromRank)) {
         return;
     }
     if (!message.loaded) {
         ++m_counters.cancelledLoad;
-        giveUp();
+        abandonProposal();
         return;
     }
-    m_proposal.ready.insert(from);
-    if (m_proposal.ready.size() < m_proposal.runs.size() || !isStillAddressed()) {
+    m_proposal.readyRanks.insert(fromRank);
+    if (m_proposal.readyRanks.size() < m_proposal.gateRuns.size() || !isProposalCurrent()) {
         return;
     }
-    if (m_proposal.isEpoch) {
-        m_phase = Phase::Composing;
-        compose();
+    if (m_proposal.startsNewEpoch) {
+        m_phase = Phase::AppendingEpoch;
+        appendEpoch();
     } else {
         m_phase = Phase::Voting;
-        askForVotes();
+        requestVotes();
     }
 }
 
-void GroupLeader::on(const VoteList &message, int from)
+void GroupLeader::handleMessage(const VoteList &message, int fromRank)
 {
     if (m_phase == Phase::Voting && message.map == m_proposal.map.number()) {
-        m_ballot.merge(message);
-        settle();
+        m_tally.merge(message);
+        applyVoteOutcome();
         return;
     }
-    const auto found = m_settled.find(message.map);
-    if (found != m_settled.end()) {
-        tell(from, found->second.list(message.map));
+    const auto found = m_decidedTallies.find(message.map);
+    if (found != m_decidedTallies.end()) {
+        sendToGate(fromRank, found->second.toVoteList(message.map));
     } else if (m_epochs.current() && message.epoch < m_epochs.current()->number) {
-        tell(from, EpochNews{*m_epochs.current()});
+        sendToGate(fromRank, EpochNews{*m_epochs.current()});
     }
 }
 
-void GroupLeader::on(const RankStatus &message, int from)
+void GroupLeader::handleMessage(const RankStatus &message, int fromRank)
 {
-    if (message.rank == from) {
-        m_heard[from].status = message;
+    if (message.rank == fromRank) {
+        m_knownGates[fromRank].status = message;
     }
 }
 
-void GroupLeader::on(const EpochNews &message, int /*from*/)
+void GroupLeader::handleMessage(const EpochNews &message, int /*fromRank*/)
 {
     // A gate knows it from the stream, so the stream has moved on without this leader.
-    auto told = handleEpoch(message.epoch);
-    m_actions.insert(m_actions.end(), told.begin(), told.end());
+    auto actions = handleEpoch(message.epoch);
+    m_actions.insert(m_actions.end(), actions.begin(), actions.end());
 }
 
 template<typename Other>
-void GroupLeader::on(const Other & /*message*/, int /*from*/)
+void GroupLeader::handleMessage(const Other & /*message*/, int /*fromRank*/)
 {
     // meant for gates, or for the estimator
 }
 
-Outcome GroupLeader::start(const std::vector<int> &ranks, std::vector<LayerPlacement> layers, bool isEpoch)
+Outcome GroupLeader::startProposal(const std::vector<int> &ranks, std::vector<LayerPlacement> layers,
+                                   bool startsNewEpoch)
 {
     // A new epoch also ends a vote that a dead rank will never finish.
-    const bool free = m_phase == Phase::Idle || (isEpoch && m_phase == Phase::Voting);
-    if (!free) {
+    const bool canStart = m_phase == Phase::Idle || (startsNewEpoch && m_phase == Phase::Voting);
+    if (!canStart) {
         return Error{.kind = ErrorKind::Overloaded, .detail = "another change of the group is under way"};
     }
-    Proposal proposal{.isEpoch = isEpoch};
+    Proposal proposal{.startsNewEpoch = startsNewEpoch};
     for (const int rank : ranks) {
         const auto *status = statusOf(rank);
         if (status == nullptr) {
             return Error{.kind = ErrorKind::NoTarget, .detail = "rank " + std::to_string(rank) + " is unknown"};
         }
         proposal.members.push_back({.rank = rank, .engine = status->engine});
-        proposal.runs[rank] = m_heard[rank].run;
+        proposal.gateRuns[rank] = m_knownGates[rank].run;
     }
     GroupShape shape{.layers = static_cast<int>(layers.size())};
     for (const auto &layer : layers) {
         for (const auto &slot : layer) {
             shape.experts = std::max(shape.experts, slot.expert + 1);
-            if (!proposal.runs.contains(slot.rank)) {
+            if (!proposal.gateRuns.contains(slot.rank)) {
                 return Error{.kind = ErrorKind::BadRequest, .detail = "the map uses a rank that is not in the group"};
             }
         }
     }
     shape.slots.assign(static_cast<std::size_t>(*std::max_element(ranks.begin(), ranks.end())) + 1, shape.experts);
-    auto map = ExpertMap::create(m_nextMap, shape, std::move(layers));
+    auto map = ExpertMap::create(m_nextMapNumber, shape, std::move(layers));
     if (const auto *error = errorIn(map)) {
         return *error;
     }
     proposal.map = std::move(std::get<ExpertMap>(map));
-    m_nextMap = static_cast<MapNumber>(toNumber(m_nextMap) + 1);
+    m_nextMapNumber = static_cast<MapNumber>(toNumber(m_nextMapNumber) + 1);
     m_proposal = std::move(proposal);
-    m_ballot = Ballot(presentEpoch());
+    m_tally = VoteTally(currentEpoch());
     m_phase = Phase::Loading;
     return {};
 }
 
 /** Whether all gates and engines that the proposal was made for are still the same runs. A proposal is never addressed
  * to a second run of a gate, see LoadMap::addressee. */
-bool GroupLeader::isStillAddressed() const
+bool GroupLeader::isProposalCurrent() const
 {
     return std::all_of(m_proposal.members.begin(), m_proposal.members.end(), [this](const auto &member) {
-        const auto &heard = m_heard.at(member.rank);
-        return heard.run == m_proposal.runs.at(member.rank) && heard.status.engine == member.engine;
+        const auto &gate = m_knownGates.at(member.rank);
+        return gate.run == m_proposal.gateRuns.at(member.rank) && gate.status.engine == member.engine;
     });
 }
 
-void GroupLeader::giveUp()
+void GroupLeader::abandonProposal()
 {
     for (const int rank : proposalRanks()) {
-        tell(rank, CancelMap{.leader = m_fencing, .epoch = presentEpoch(), .map = m_proposal.map.number()});
+        sendToGate(rank, CancelMap{.leader = m_fencing, .epoch = currentEpoch(), .map = m_proposal.map.number()});
     }
     // While ranks vote, the outcome is theirs: those who have agreed are waiting for it, and get it through this list.
     if (m_phase != Phase::Voting) {
@@ -278,50 +281,51 @@
     }
 }
 
-void GroupLeader::load()
+void GroupLeader::sendLoadRequests()
 {
-    for (const auto &[rank, run] : m_proposal.runs) {
-        if (!m_proposal.ready.contains(rank)) {
-            tell(rank,
-                 LoadMap{.leader = m_fencing,
-                         .epoch = presentEpoch(),
-                         .addressee = run,
-                         .startsEpoch = m_proposal.isEpoch,
-                         .map = m_proposal.map});
+    for (const auto &[rank, run] : m_proposal.gateRuns) {
+        if (!m_proposal.readyRanks.contains(rank)) {
+            sendToGate(rank,
+                       LoadMap{.leader = m_fencing,
+                               .epoch = currentEpoch(),
+                               .addressee = run,
+                               .startsEpoch = m_proposal.startsNewEpoch,
+                               .map = m_proposal.map});
         }
     }
 }
 
-void GroupLeader::askForVotes()
+void GroupLeader::requestVotes()
 {
     for (const int rank : proposalRanks()) {
-        if (m_ballot.voteOf(rank) == nullptr) {
-            tell(rank, VoteRequest{.leader = m_fencing, .epoch = m_ballot.epoch(), .map = m_proposal.map.number()});
+        if (m_tally.voteOf(rank) == nullptr) {
+            sendToGate(rank,
+                       VoteRequest{.leader = m_fencing, .epoch = m_tally.epoch(), .map = m_proposal.map.number()});
         }
     }
 }
 
-void GroupLeader::settle()
+void GroupLeader::applyVoteOutcome()
 {
-    const auto outcome = m_ballot.outcome(proposalRanks());
+    const auto outcome = m_tally.outcome(proposalRanks());
     if (!outcome) {
         return;
     }
     ++(outcome->committed ? m_counters.switchesCommitted : m_counters.switchesAborted);
     for (const int rank : proposalRanks()) {
-        tell(rank, m_ballot.list(m_proposal.map.number()));
+        sendToGate(rank, m_tally.toVoteList(m_proposal.map.number()));
     }
-    m_settled[m_proposal.map.number()] = m_ballot;
-    if (m_settled.size() > BallotsKept) {
-        m_settled.erase(m_settled.begin());
+    m_decidedTallies[m_proposal.map.number()] = m_tally;
+    if (m_decidedTallies.size() > MaxDecidedTallies) {
+        m_decidedTallies.erase(m_decidedTallies.begin());
     }
     m_phase = Phase::Idle;
 }
 
-void GroupLeader::compose()
+void GroupLeader::appendEpoch()
 {
     m_appendPending = true;
-    m_actions.push_back(AppendEpoch{GroupEpoch{.number = static_cast<EpochNumber>(toNumber(presentEpoch()) + 1),
+    m_actions.push_back(AppendEpoch{GroupEpoch{.number = static_cast<EpochNumber>(toNumber(currentEpoch()) + 1),
                                                .leader = m_fencing,
                                                .members = m_proposal.members,
                                                .map = m_proposal.map}});
@@ -338,21 +342,21 @@
 }
 
 /** The epoch in force by the stream or, when its records have expired, by what the ranks say. */
-EpochNumber GroupLeader::presentEpoch() const
+EpochNumber GroupLeader::currentEpoch() const
 {
     EpochNumber epoch = m_epochs.current() ? m_epochs.current()->number : EpochNumber{};
-    for (const auto &[rank, heard] : m_heard) {
-        epoch = std::max(epoch, heard.status.epoch);
+    for (const auto &[rank, gate] : m_knownGates) {
+        epoch = std::max(epoch, gate.status.epoch);
     }
     return epoch;
 }
 
-void GroupLeader::tell(int rank, GroupMessage message)
+void GroupLeader::sendToGate(int rank, GroupMessage message)
 {
-    m_actions.push_back(TellRank{rank, std::move(message)});
+    m_actions.push_back(SendToGate{rank, std::move(message)});
 }
 
-LeaderActions GroupLeader::take()
+LeaderActions GroupLeader::takePendingActions()
 {
     return std::exchange(m_actions, {});
 }
--- a/modules/heatherridge_coordination/groups/groupleader.h
+++ b/modules/heatherridge_coordination/groups/groupleader.h
@@ -17,14 +17,14 @@
 };
 
 /** A message for the gate of a rank. */
-struct TellRank
+struct SendToGate
 {
     int rank = 0;
     GroupMessage message{};
 };
 
 /** What a leader asks its process to do. */
-using LeaderAction = std::variant<TellRank, AppendEpoch>;
+using LeaderAction = std::variant<SendToGate, AppendEpoch>;
 using LeaderActions = std::vector<LeaderAction>;
 
 /** What happened at a leader, for the metrics. */
@@ -36,7 +36,7 @@
     std::uint64_t cancelledLoad = 0; ///< given up since a rank could not load
     std::uint64_t cancelledByCaller = 0;
     std::uint64_t epochsComposed = 0; ///< epochs of this leader that the stream took
-    std::uint64_t epochsLost = 0; ///< epochs of this leader that another's preceded
+    std::uint64_t epochsSuperseded = 0; ///< epochs of this leader that another's preceded
     std::uint64_t appendsRepeated = 0; ///< appends whose outcome was not known
 };
 
@@ -57,7 +57,7 @@
         Idle,
         Loading, ///< ranks load the proposed map; nobody has promised anything
         Voting, ///< ranks vote on a switch
-        Composing, ///< an epoch's record is on its way to the log
+        AppendingEpoch, ///< an epoch's record is on its way to the log
     };
 
     /** Leads with @p fencing; @p ranks are all that the inventory lists. */
@@ -70,7 +70,7 @@
     LeaderActions handleEpoch(const GroupEpoch &epoch);
 
     /** Takes the outcome of an append; on failure it may have taken effect all the same and is repeated. */
-    void handleAppend(bool succeeded);
+    void handleAppendResult(bool succeeded);
 
     /**
      * Starts a switch of the present epoch to @p layers.
@@ -104,13 +104,13 @@
     const RankStatus *statusOf(int rank) const;
 
     /** Whether all ranks of the epoch say that they are in it: then the group serves, as one replica. */
-    bool isWhole() const;
+    bool hasAllMembers() const;
 
     /** What happened so far. */
     const LeaderCounters &counters() const;
 
 private:
-    struct Heard
+    struct KnownGate
     {
         Incarnation run{};
         RankStatus status{};
@@ -120,39 +120,39 @@
     {
         ExpertMap map{};
         std::vector<EpochMember> members{};
-        std::map<int, Incarnation> runs{}; ///< of the gates it is addressed to
-        std::set<int> ready{};
-        bool isEpoch = false;
+        std::map<int, Incarnation> gateRuns{}; ///< of the gates it is addressed to
+        std::set<int> readyRanks{};
+        bool startsNewEpoch = false;
     };
 
-    void on(const MapReady &message, int from);
-    void on(const VoteList &message, int from);
-    void on(const RankStatus &message, int from);
-    void on(const EpochNews &message, int from);
+    void handleMessage(const MapReady &message, int fromRank);
+    void handleMessage(const VoteList &message, int fromRank);
+    void handleMessage(const RankStatus &message, int fromRank);
+    void handleMessage(const EpochNews &message, int fromRank);
     template<typename Other>
-    void on(const Other &message, int from);
-
-    Outcome start(const std::vector<int> &ranks, std::vector<LayerPlacement> layers, bool isEpoch);
-    bool isStillAddressed() const;
-    void giveUp();
-    void load();
-    void askForVotes();
-    void settle();
-    void compose();
+    void handleMessage(const Other &message, int fromRank);
+
+    Outcome startProposal(const std::vector<int> &ranks, std::vector<LayerPlacement> layers, bool startsNewEpoch);
+    bool isProposalCurrent() const;
+    void abandonProposal();
+    void sendLoadRequests();
+    void requestVotes();
+    void applyVoteOutcome();
+    void appendEpoch();
     std::vector<int> proposalRanks() const;
-    EpochNumber presentEpoch() const;
-    void tell(int rank, GroupMessage message);
-    LeaderActions take();
+    EpochNumber currentEpoch() const;
+    void sendToGate(int rank, GroupMessage message);
+    LeaderActions takePendingActions();
 
     FencingNumber m_fencing;
     std::vector<int> m_ranks;
-    MapNumber m_nextMap;
+    MapNumber m_nextMapNumber;
     GroupEpochs m_epochs;
-    std::map<int, Heard> m_heard;
+    std::map<int, KnownGate> m_knownGates;
     Phase m_phase = Phase::Idle;
     Proposal m_proposal;
-    Ballot m_ballot;
-    std::map<MapNumber, Ballot> m_settled; ///< to answer gates that still ask
+    VoteTally m_tally;
+    std::map<MapNumber, VoteTally> m_decidedTallies; ///< to answer gates that still ask
     bool m_appendPending = false;
     bool m_caughtUp = false;
     LeaderCounters m_counters;
--- a/modules/heatherridge_coordination/groups/groupplanner.cpp
+++ b/modules/heatherridge_coordination/groups/groupplanner.cpp
@@ -13,7 +13,7 @@
 /** Loading time of one stage: long enough to be worth a switch, short enough to give up what is no longer wanted. */
 constexpr double StageSeconds = 30;
 /** Maps whose placement is kept; reports lag by a few switches at most. */
-constexpr std::size_t MapsKept = 8;
+constexpr std::size_t MaxKnownMaps = 8;
 
 GroupShape shapeOf(const GroupModel &model, const std::vector<PlannedRank> &ranks)
 {
@@ -31,7 +31,7 @@
     return shape;
 }
 
-bool uses(const ExpertMap &map, int rank)
+bool holdsExperts(const ExpertMap &map, int rank)
 {
     return map.expertsOn(rank) > 0;
 }
@@ -63,9 +63,9 @@
     m_weights = weights;
 }
 
-void GroupPlanner::heard(int rank)
+void GroupPlanner::recordContact(int rank)
 {
-    m_silent[rank] = {};
+    m_sinceContact[rank] = {};
 }
 
 void GroupPlanner::addReport(const RankReport &report)
@@ -77,52 +77,52 @@
     }
 }
 
-void GroupPlanner::learnMap(const ExpertMap &map)
+void GroupPlanner::addMap(const ExpertMap &map)
 {
     m_maps.insert_or_assign(map.number(), map);
-    if (m_maps.size() > MapsKept) {
+    if (m_maps.size() > MaxKnownMaps) {
         m_maps.erase(m_maps.begin());
     }
 }
 
-void GroupPlanner::act(GroupLeader &leader, std::chrono::duration<double> passed)
+void GroupPlanner::proposeChanges(GroupLeader &leader, std::chrono::duration<double> elapsed)
 {
-    for (auto &[rank, silent] : m_silent) {
-        silent += passed;
+    for (auto &[rank, sinceContact] : m_sinceContact) {
+        sinceContact += elapsed;
     }
-    m_sinceDecision += passed;
-    m_pause += passed;
-    takeReports();
+    m_sinceDecision += elapsed;
+    m_sinceEpochChange += elapsed;
+    closeReportWindows();
     const auto &epoch = leader.epoch();
     if (epoch && epoch->number != m_lastEpoch) {
         m_lastEpoch = epoch->number;
-        m_pause = {};
-        learnMap(epoch->map);
+        m_sinceEpochChange = {};
+        addMap(epoch->map);
     }
-    const bool free = leader.phase() == GroupLeader::Phase::Idle || leader.phase() == GroupLeader::Phase::Voting;
-    if (!free || m_pause < EpochPause) {
+    const bool canPropose = leader.phase() == GroupLeader::Phase::Idle || leader.phase() == GroupLeader::Phase::Voting;
+    if (!canPropose || m_sinceEpochChange < EpochSettleTime) {
         return;
     }
-    std::vector<int> stay;
-    bool lost = !epoch;
-    bool joins = false;
+    std::vector<int> stayingRanks;
+    bool hasLostMember = !epoch;
+    bool hasJoiningRank = false;
     for (const auto &rank : m_ranks) {
         const auto *status = leader.statusOf(rank.rank);
         const auto *member = epoch ? epoch->find(rank.rank) : nullptr;
-        const bool present = isPresent(rank.rank) && status != nullptr;
-        lost = lost || (member != nullptr && (!present || status->engine != member->engine));
-        joins = joins || (member == nullptr && present && !rank.leaves);
-        if (present && !rank.leaves) {
-            stay.push_back(rank.rank);
+        const bool isAvailable = isReachable(rank.rank) && status != nullptr;
+        hasLostMember = hasLostMember || (member != nullptr && (!isAvailable || status->engine != member->engine));
+        hasJoiningRank = hasJoiningRank || (member == nullptr && isAvailable && !rank.isLeaving);
+        if (isAvailable && !rank.isLeaving) {
+            stayingRanks.push_back(rank.rank);
         }
     }
-    actOnMembers(leader, stay, lost, joins);
+    proposeForMembers(leader, stayingRanks, hasLostMember, hasJoiningRank);
 }
 
-bool GroupPlanner::isPresent(int rank) const
+bool GroupPlanner::isReachable(int rank) const
 {
-    const auto found = m_silent.find(rank);
-    return found != m_silent.end() && found->second < LostAfter;
+    const auto found = m_sinceContact.find(rank);
+    return found != m_sinceContact.end() && found->second < MemberTimeout;
 }
 
 const PlannedRank *GroupPlanner::find(int rank) const
@@ -131,29 +131,30 @@
     return found == m_ranks.end() ? nullptr : &*found;
 }
 
-void GroupPlanner::actOnMembers(GroupLeader &leader, const std::vector<int> &stay, bool lost, bool joins)
+void GroupPlanner::proposeForMembers(GroupLeader &leader, const std::vector<int> &stayingRanks, bool hasLostMember,
+                                     bool hasJoiningRank)
 {
     const auto &epoch = leader.epoch();
     if (!epoch) {
         // The first epoch waits for all listed ranks, or each late one would cost a further epoch.
         const auto listed =
-            std::count_if(m_ranks.begin(), m_ranks.end(), [](const auto &rank) { return !rank.leaves; });
-        if (static_cast<std::ptrdiff_t>(stay.size()) == listed && listed > 0) {
-            compose(leader, stay);
+            std::count_if(m_ranks.begin(), m_ranks.end(), [](const auto &rank) { return !rank.isLeaving; });
+        if (static_cast<std::ptrdiff_t>(stayingRanks.size()) == listed && listed > 0) {
+            proposeNewEpoch(leader, stayingRanks);
         }
         return;
     }
-    if (lost || joins) {
-        compose(leader, stay);
+    if (hasLostMember || hasJoiningRank) {
+        proposeNewEpoch(leader, stayingRanks);
         return;
     }
-    const bool shrinks = std::any_of(epoch->members.begin(), epoch->members.end(), [&](const auto &member) {
+    const bool hasLeavingMember = std::any_of(epoch->members.begin(), epoch->members.end(), [&](const auto &member) {
         const auto *listed = find(member.rank);
-        return listed == nullptr || listed->leaves;
+        return listed == nullptr || listed->isLeaving;
     });
-    if (shrinks) {
-        if (empty(leader, stay)) {
-            compose(leader, stay);
+    if (hasLeavingMember) {
+        if (evacuateLeavingRanks(leader, stayingRanks)) {
+            proposeNewEpoch(leader, stayingRanks);
         }
         return;
     }
@@ -161,30 +162,32 @@
 }
 
 /** Proposes an epoch of @p ranks on the placement in use as far as they can keep it. */
-void GroupPlanner::compose(GroupLeader &leader, const std::vector<int> &ranks)
+void GroupPlanner::proposeNewEpoch(GroupLeader &leader, const std::vector<int> &ranks)
 {
     if (ranks.empty()) {
         return;
     }
-    const auto *map = mapInUse(leader);
+    const auto *map = currentMap(leader);
     auto layers = improvePlacement(problemFor(ranks), map != nullptr ? map->layers() : Layers{}, {});
     if (auto *found = std::get_if<Layers>(&layers)) {
         const auto proposed = leader.proposeEpoch(ranks, std::move(*found));
-        m_pause = errorIn(proposed) == nullptr ? std::chrono::duration<double>{} : m_pause;
+        m_sinceEpochChange = errorIn(proposed) == nullptr ? std::chrono::duration<double>{} : m_sinceEpochChange;
     }
 }
 
 /** Whether only ranks of @p stay hold experts; proposes a switch to such a map when not. */
-bool GroupPlanner::empty(GroupLeader &leader, const std::vector<int> &stay)
+bool GroupPlanner::evacuateLeavingRanks(GroupLeader &leader, const std::vector<int> &stayingRanks)
 {
-    const auto *map = mapInUse(leader);
-    const bool done = map != nullptr && std::all_of(m_ranks.begin(), m_ranks.end(), [&](const auto &rank) {
-                          return !uses(*map, rank.rank) || std::find(stay.begin(), stay.end(), rank.rank) != stay.end();
-                      });
-    if (done) {
+    const auto *map = currentMap(leader);
+    const bool isEvacuated =
+        map != nullptr && std::all_of(m_ranks.begin(), m_ranks.end(), [&](const auto &rank) {
+            return !holdsExperts(*map, rank.rank)
+                || std::find(stayingRanks.begin(), stayingRanks.end(), rank.rank) != stayingRanks.end();
+        });
+    if (isEvacuated) {
         return true;
     }
-    auto layers = improvePlacement(problemFor(stay), map != nullptr ? map->layers() : Layers{}, {});
+    auto layers = improvePlacement(problemFor(stayingRanks), map != nullptr ? map->layers() : Layers{}, {});
     if (auto *found = std::get_if<Layers>(&layers)) {
         const auto proposed = leader.proposeSwitch(std::move(*found));
         (void)proposed; // refused while another change is under way; asked again at the next call
@@ -194,8 +197,8 @@
 
 void GroupPlanner::rebalance(GroupLeader &leader)
 {
-    const auto *map = mapInUse(leader);
-    if (map == nullptr || leader.phase() != GroupLeader::Phase::Idle || !leader.isWhole()) {
+    const auto *map = currentMap(leader);
+    if (map == nullptr || leader.phase() != GroupLeader::Phase::Idle || !leader.hasAllMembers()) {
         return;
     }
     std::vector<int> ranks;
@@ -203,20 +206,20 @@
         ranks.push_back(member.rank);
     }
     const auto problem = problemFor(ranks);
-    auto wanted = m_policy.decide({.problem = problem,
-                                   .current = map->layers(),
-                                   .relativeError = m_estimator.relativeError(),
-                                   .sinceLast = std::exchange(m_sinceDecision, {}),
-                                   .storeBytesPerSecond = m_options.storeBytesPerSecond,
-                                   .weights = m_weights});
-    if (wanted) {
+    auto desiredLayers = m_policy.decide({.problem = problem,
+                                          .current = map->layers(),
+                                          .relativeError = m_estimator.relativeError(),
+                                          .sinceLast = std::exchange(m_sinceDecision, {}),
+                                          .storeBytesPerSecond = m_options.storeBytesPerSecond,
+                                          .weights = m_weights});
+    if (desiredLayers) {
         const auto budget = static_cast<std::uint64_t>(m_options.storeBytesPerSecond * StageSeconds);
-        const auto proposed = leader.proposeSwitch(nextStage(problem, map->layers(), *wanted, budget));
+        const auto proposed = leader.proposeSwitch(nextStage(problem, map->layers(), *desiredLayers, budget));
         (void)proposed; // refused while another change is under way; the regret adds up again
     }
 }
 
-void GroupPlanner::takeReports()
+void GroupPlanner::closeReportWindows()
 {
     m_estimator.closeWindows(m_newestWindow);
     while (!m_windows.empty() && m_windows.begin()->first + PopularityEstimator::OpenWindows < m_newestWindow) {
@@ -234,17 +237,17 @@
         }
     }
     for (int layer = 0; layer < problem.shape.layers; ++layer) {
-        LayerProblem part{.load = m_estimator.parts(layer), .slowness = {}, .slots = problem.shape.slots};
+        LayerProblem layerProblem{.load = m_estimator.parts(layer), .slowness = {}, .slots = problem.shape.slots};
         for (int rank = 0; rank < problem.shape.ranks(); ++rank) {
-            part.slowness.push_back(m_stragglers.slowness(rank));
+            layerProblem.slowness.push_back(m_stragglers.slowness(rank));
         }
-        problem.layers.push_back(std::move(part));
+        problem.layers.push_back(std::move(layerProblem));
     }
     return problem;
 }
 
 /** The placement in use; nullptr when a leader before this one switched to it and it is not known here. */
-const ExpertMap *GroupPlanner::mapInUse(const GroupLeader &leader) const
+const ExpertMap *GroupPlanner::currentMap(const GroupLeader &leader) const
 {
     const auto &epoch = leader.epoch();
     if (!epoch) {
--- a/modules/heatherridge_coordination/groups/groupplanner.h
+++ b/modules/heatherridge_coordination/groups/groupplanner.h
@@ -19,7 +19,7 @@
 {
     int rank = 0;
     int slots = 0; ///< experts a layer that fit
-    bool leaves = false; ///< withdrawn or about to stop
+    bool isLeaving = false; ///< withdrawn or about to stop
     RankPlace place{};
 
     bool operator==(const PlannedRank &) const = default;
@@ -39,9 +39,9 @@
 public:
     /** A member not heard of for this long is left out. A gate that restarts is back sooner, and the group runs on
      * without it; see RankGate::DefaultLeadSteps. */
-    static constexpr std::chrono::seconds LostAfter{15};
+    static constexpr std::chrono::seconds MemberTimeout{15};
     /** Time that ranks get for entering an epoch before the next change. */
-    static constexpr std::chrono::seconds EpochPause{3};
+    static constexpr std::chrono::seconds EpochSettleTime{3};
 
     struct Options
     {
@@ -59,34 +59,35 @@
     void setWeights(const BalanceWeights &weights);
 
     /** The gate of @p rank has spoken. */
-    void heard(int rank);
+    void recordContact(int rank);
 
     /** Takes a rank's report; one under a map that is not known is dropped. */
     void addReport(const RankReport &report);
 
     /** Takes notice of a map's placement. */
-    void learnMap(const ExpertMap &map);
+    void addMap(const ExpertMap &map);
 
     /** Proposes to @p leader what is due; @p passed is the time since the last call. */
-    void act(GroupLeader &leader, std::chrono::duration<double> passed);
+    void proposeChanges(GroupLeader &leader, std::chrono::duration<double> elapsed);
 
 private:
     using Layers = std::vector<LayerPlacement>;
 
-    bool isPresent(int rank) const;
+    bool isReachable(int rank) const;
     const PlannedRank *find(int rank) const;
-    void actOnMembers(GroupLeader &leader, const std::vector<int> &stay, bool lost, bool joins);
-    void compose(GroupLeader &leader, const std::vector<int> &ranks);
-    bool empty(GroupLeader &leader, const std::vector<int> &stay);
+    void proposeForMembers(GroupLeader &leader, const std::vector<int> &stayingRanks, bool hasLostMember,
+                           bool hasJoiningRank);
+    void proposeNewEpoch(GroupLeader &leader, const std::vector<int> &ranks);
+    bool evacuateLeavingRanks(GroupLeader &leader, const std::vector<int> &stayingRanks);
     void rebalance(GroupLeader &leader);
-    void takeReports();
+    void closeReportWindows();
     GroupProblem problemFor(const std::vector<int> &ranks) const;
-    const ExpertMap *mapInUse(const GroupLeader &leader) const;
+    const ExpertMap *currentMap(const GroupLeader &leader) const;
 
     Options m_options;
     std::vector<PlannedRank> m_ranks;
     BalanceWeights m_weights;
-    std::map<int, std::chrono::duration<double>> m_silent; ///< by rank: time since it was heard
+    std::map<int, std::chrono::duration<double>> m_sinceContact; ///< by rank: time since it was heard
     std::map<MapNumber, ExpertMap> m_maps;
     std::map<std::uint64_t, std::vector<RankReport>> m_windows;
     PopularityEstimator m_estimator;
@@ -94,7 +95,7 @@
     RegretRebalance m_policy;
     std::uint64_t m_newestWindow = 0;
     std::chrono::duration<double> m_sinceDecision{};
-    std::chrono::duration<double> m_pause{};
+    std::chrono::duration<double> m_sinceEpochChange{};
     EpochNumber m_lastEpoch{};
 };
 
--- a/modules/heatherridge_coordination/groups/lockstepengine.h
+++ b/modules/heatherridge_coordination/groups/lockstepengine.h
@@ -32,10 +32,10 @@
     void restart(Incarnation run);
 
     /** Whether an order of gate run @p run may be followed: the first of an unknown run ends those before. */
-    bool admits(Incarnation run);
+    bool acceptsRun(Incarnation run);
 
     /** Follows @p order; @p loadSucceeds is what becomes of a load. */
-    void follow(const EngineOrder &order, bool loadSucceeds = true);
+    void execute(const EngineOrder &order, bool loadSucceeds = true);
 
     /**
      * Starts the next step if it may.
@@ -52,18 +52,18 @@
     const EngineState &state() const;
 
 private:
-    void follow(const LoadWeights &load, bool succeeds);
-    void follow(const DropWeights &drop);
-    void follow(const LimitSteps &limit);
-    void follow(const ScheduleMap &schedule);
-    void follow(const LiftLimit &lift);
-    void follow(const EnterEpoch &enter);
-    void follow(const LeaveEpoch &leave);
-    bool has(MapNumber map) const;
-    bool inUse(MapNumber map) const;
+    void execute(const LoadWeights &load, bool succeeds);
+    void execute(const DropWeights &drop);
+    void execute(const LimitSteps &limit);
+    void execute(const ScheduleMap &schedule);
+    void execute(const LiftLimit &lift);
+    void execute(const EnterEpoch &enter);
+    void execute(const LeaveEpoch &leave);
+    bool isLoaded(MapNumber map) const;
+    bool isInUse(MapNumber map) const;
 
     EngineState m_state;
-    std::map<EpochNumber, StepNumber> m_started;
+    std::map<EpochNumber, StepNumber> m_progress;
     std::vector<Incarnation> m_gateRuns; ///< of which orders were followed; the last is the present one
 };
 
--- a/modules/heatherridge_coordination/groups/rankgate.cpp
+++ b/modules/heatherridge_coordination/groups/rankgate.cpp
@@ -19,41 +19,41 @@
 
 RankGate::RankGate(Options options)
     : m_options(options)
-    , m_ballots(options.safeguards)
+    , m_tallies(options.safeguards)
 {
 }
 
 GateActions RankGate::handle(const GroupMessage &message, int fromRank)
 {
-    std::visit([this, fromRank](const auto &typed) { on(typed, fromRank); }, message);
-    return take();
+    std::visit([this, fromRank](const auto &typed) { handleMessage(typed, fromRank); }, message);
+    return takePendingActions();
 }
 
-GateActions RankGate::handleEngine(const EngineState &state)
+GateActions RankGate::handleEngineState(const EngineState &state)
 {
     if (state.gateRun != Incarnation{} && state.gateRun != m_options.run) {
         m_replaced = true;
         return {};
     }
-    if (m_engine && m_engine->run != state.run) {
+    if (m_engineState && m_engineState->run != state.run) {
         // A restarted engine has lost the limits it confirmed and can't be in the epoch any more.
-        m_voting = NoMap;
-        m_ready.clear();
+        m_pendingVote = NoMap;
+        m_readyMaps.clear();
     }
-    if (m_engine && m_engine->epoch != state.epoch) {
-        m_ballots = BallotBox(m_options.safeguards);
-        m_voting = NoMap;
+    if (m_engineState && m_engineState->epoch != state.epoch) {
+        m_tallies = VoteTallyHistory(m_options.safeguards);
+        m_pendingVote = NoMap;
         m_counters.epochsEntered += state.ranks.empty() ? 0 : 1;
     }
-    m_engine = state;
-    adoptLimit();
-    noteSchedule();
-    if (m_loading && !m_ready.contains(m_loading->number())) {
-        reportLoading();
+    m_engineState = state;
+    adoptLimitAsVote();
+    recordCommittedSwitches();
+    if (m_requestedMap && !m_readyMaps.contains(m_requestedMap->number())) {
+        reportLoadStatus();
     }
-    settle();
-    followEpoch();
-    return take();
+    applyOutcome();
+    synchronizeEpoch();
+    return takePendingActions();
 }
 
 bool RankGate::isReplaced() const
@@ -67,9 +67,9 @@
         m_epochs = GroupEpochs();
     }
     if (m_epochs.apply(epoch)) {
-        followEpoch();
+        synchronizeEpoch();
     }
-    return take();
+    return takePendingActions();
 }
 
 void RankGate::handleClaim(FencingNumber fencing)
@@ -79,36 +79,36 @@
 
 GateActions RankGate::tick()
 {
-    m_ordered.clear();
-    order(PollEngine{});
-    if (!m_engine) {
-        return take();
+    m_sentOrders.clear();
+    sendOrder(PollEngine{});
+    if (!m_engineState) {
+        return takePendingActions();
     }
     m_actions.push_back(SendToLeader{status()});
-    if (m_voting != NoMap) {
-        restoreVotedWeights();
-        orderLimit(m_voting);
+    if (m_pendingVote != NoMap) {
+        reloadVotedWeights();
+        sendLimitOrder(m_pendingVote);
     }
-    if (m_engine->limit) {
+    if (m_engineState->limit) {
         ++m_counters.undecidedTicks;
-        const auto map = m_engine->limit->map;
-        const auto list = ballot(map).list(map);
+        const auto map = m_engineState->limit->map;
+        const auto list = tallyFor(map).toVoteList(map);
         m_actions.push_back(SendToLeader{list});
         m_actions.push_back(SendToRank{nextPeer(), list});
     }
-    settle();
-    followEpoch();
+    applyOutcome();
+    synchronizeEpoch();
     const auto &epoch = m_epochs.current();
-    if (epoch && epoch->number == m_engine->epoch && m_engine->next == StepNumber{}) {
+    if (epoch && epoch->number == m_engineState->epoch && m_engineState->next == StepNumber{}) {
         // Others may not know the epoch yet, and the first step waits for all.
         m_actions.push_back(SendToRank{nextPeer(), EpochNews{*epoch}});
     }
-    return take();
+    return takePendingActions();
 }
 
-const std::optional<EngineState> &RankGate::engine() const
+const std::optional<EngineState> &RankGate::engineState() const
 {
-    return m_engine;
+    return m_engineState;
 }
 
 const GateCounters &RankGate::counters() const
@@ -116,106 +116,106 @@
     return m_counters;
 }
 
-void RankGate::on(const LoadMap &message, int from)
+void RankGate::handleMessage(const LoadMap &message, int fromRank)
 {
-    const bool forThisRun = message.addressee == m_options.run || !m_options.safeguards.sameRunVotes;
-    if (!admit(message.leader) || !forThisRun || !m_engine) {
+    const bool isForThisRun = message.addressee == m_options.run || !m_options.safeguards.sameRunVotes;
+    if (!checkFencing(message.leader) || !isForThisRun || !m_engineState) {
         return;
     }
     const auto &epoch = m_epochs.current();
     if (epoch && epoch->number > message.epoch) {
-        reply(from, EpochNews{*epoch});
+        reply(fromRank, EpochNews{*epoch});
         return;
     }
     const auto number = message.map.number();
-    const bool busy = status().pending != NoMap && status().pending != number;
-    const auto *own = ballot(number).voteOf(m_options.rank);
-    const bool refused = own != nullptr && !own->agreed;
-    if (refused || (busy && !message.startsEpoch)) {
+    const bool hasOtherPending = status().pending != NoMap && status().pending != number;
+    const auto *ownVote = tallyFor(number).voteOf(m_options.rank);
+    const bool refused = ownVote != nullptr && !ownVote->agreed;
+    if (refused || (hasOtherPending && !message.startsEpoch)) {
         // There is room for one map beside the one in use. An epoch to come ends all that is undecided in this one.
-        reply(from, MapReady{.rank = m_options.rank, .map = number, .loaded = false});
+        reply(fromRank, MapReady{.rank = m_options.rank, .map = number, .loaded = false});
         return;
     }
-    if (m_loading && m_loading->number() != number && m_loading->number() != status().pending) {
-        order(DropWeights{m_loading->number()});
-        m_ready.erase(m_loading->number());
+    if (m_requestedMap && m_requestedMap->number() != number && m_requestedMap->number() != status().pending) {
+        sendOrder(DropWeights{m_requestedMap->number()});
+        m_readyMaps.erase(m_requestedMap->number());
     }
-    m_loading = message.map;
-    reportLoading();
-    if (!contains(m_engine->loaded, number)) {
-        order(LoadWeights{message.map});
+    m_requestedMap = message.map;
+    reportLoadStatus();
+    if (!contains(m_engineState->loaded, number)) {
+        sendOrder(LoadWeights{message.map});
     }
 }
 
-void RankGate::on(const VoteRequest &message, int from)
+void RankGate::handleMessage(const VoteRequest &message, int fromRank)
 {
-    if (!admit(message.leader) || !m_engine || isOtherEpoch(message.epoch, from)) {
+    if (!checkFencing(message.leader) || !m_engineState || rejectOtherEpoch(message.epoch, fromRank)) {
         return;
     }
-    vote(message.map);
-    if (ballot(message.map).voteOf(m_options.rank) != nullptr) {
-        reply(from, ballot(message.map).list(message.map));
+    voteOn(message.map);
+    if (tallyFor(message.map).voteOf(m_options.rank) != nullptr) {
+        reply(fromRank, tallyFor(message.map).toVoteList(message.map));
     }
 }
 
-void RankGate::on(const CancelMap &message, int from)
+void RankGate::handleMessage(const CancelMap &message, int fromRank)
 {
-    if (!admit(message.leader) || !m_engine || isOtherEpoch(message.epoch, from)) {
+    if (!checkFencing(message.leader) || !m_engineState || rejectOtherEpoch(message.epoch, fromRank)) {
         return;
     }
-    adoptLimit();
-    noteSchedule();
-    const bool settled = ballot(message.map).outcome(m_engine->ranks).has_value();
-    if (m_voting != message.map && !settled && ballot(message.map).voteOf(m_options.rank) == nullptr) {
+    adoptLimitAsVote();
+    recordCommittedSwitches();
+    const bool isDecided = tallyFor(message.map).outcome(m_engineState->ranks).has_value();
+    if (m_pendingVote != message.map && !isDecided && tallyFor(message.map).voteOf(m_options.rank) == nullptr) {
         refuse(message.map, m_counters.refusedCancelled);
     }
-    reply(from, ballot(message.map).list(message.map));
+    reply(fromRank, tallyFor(message.map).toVoteList(message.map));
 }
 
-void RankGate::on(const VoteList &message, int from)
+void RankGate::handleMessage(const VoteList &message, int fromRank)
 {
-    if (!m_engine || isOtherEpoch(message.epoch, from)) {
+    if (!m_engineState || rejectOtherEpoch(message.epoch, fromRank)) {
         return;
     }
-    auto &known = ballot(message.map);
-    known.merge(message);
-    vote(message.map);
-    settle();
-    Ballot theirs(message.epoch, m_options.safeguards);
-    theirs.merge(message);
-    const bool theyKnow = theirs.outcome(m_engine->ranks).has_value();
-    const auto mine = ballot(message.map).list(message.map);
-    if (!theyKnow && mine.votes.size() + (mine.committedAt ? 1 : 0) > message.votes.size()) {
-        reply(from, mine);
+    auto &tally = tallyFor(message.map);
+    tally.merge(message);
+    voteOn(message.map);
+    applyOutcome();
+    VoteTally senderTally(message.epoch, m_options.safeguards);
+    senderTally.merge(message);
+    const bool senderKnowsOutcome = senderTally.outcome(m_engineState->ranks).has_value();
+    const auto ownList = tallyFor(message.map).toVoteList(message.map);
+    if (!senderKnowsOutcome && ownList.votes.size() + (ownList.committedAt ? 1 : 0) > message.votes.size()) {
+        reply(fromRank, ownList);
     }
 }
 
-void RankGate::on(const EpochNews &message, int /*from*/)
+void RankGate::handleMessage(const EpochNews &message, int /*fromRank*/)
 {
     if (!m_options.safeguards.firstEpochWins && m_epochs.current()
         && m_epochs.current()->number == message.epoch.number) {
         m_epochs = GroupEpochs();
     }
     if (m_epochs.apply(message.epoch)) {
-        followEpoch();
+        synchronizeEpoch();
     }
 }
 
-void RankGate::on(const StatusRequest &message, int from)
+void RankGate::handleMessage(const StatusRequest &message, int fromRank)
 {
-    if (admit(message.leader) && m_engine) {
-        reply(from, status());
+    if (checkFencing(message.leader) && m_engineState) {
+        reply(fromRank, status());
     }
 }
 
 template<typename Other>
-void RankGate::on(const Other & /*message*/, int /*from*/)
+void RankGate::handleMessage(const Other & /*message*/, int /*fromRank*/)
 {
     // meant for the leader
 }
 
 /** Refuses a leader that another has replaced: it may have been paused and not know. Shows as fencedMessages. */
-bool RankGate::admit(FencingNumber leader)
+bool RankGate::checkFencing(FencingNumber leader)
 {
     if (leader < m_fencing) {
         ++m_counters.fencedMessages;
@@ -226,232 +226,234 @@
 }
 
 /** Whether a message is about another epoch than the engine's; a sender that is behind is told. */
-bool RankGate::isOtherEpoch(EpochNumber epoch, int from)
+bool RankGate::rejectOtherEpoch(EpochNumber epoch, int fromRank)
 {
-    if (epoch == m_engine->epoch) {
+    if (epoch == m_engineState->epoch) {
         return false;
     }
     if (m_epochs.current() && m_epochs.current()->number > epoch) {
-        reply(from, EpochNews{*m_epochs.current()});
+        reply(fromRank, EpochNews{*m_epochs.current()});
     }
     return true;
 }
 
 /** Votes on @p map unless this rank has, or its engine shows that the switch is decided. */
-void RankGate::vote(MapNumber map)
+void RankGate::voteOn(MapNumber map)
 {
-    adoptLimit();
-    noteSchedule();
-    auto &known = ballot(map);
-    if (known.voteOf(m_options.rank) != nullptr || m_voting == map || known.outcome(m_engine->ranks)) {
+    adoptLimitAsVote();
+    recordCommittedSwitches();
+    auto &tally = tallyFor(map);
+    if (tally.voteOf(m_options.rank) != nullptr || m_pendingVote == map || tally.outcome(m_engineState->ranks)) {
         return;
     }
-    if (!mayAgree(map) || m_engine->scheduled) {
+    if (!checkVotable(map) || m_engineState->scheduled) {
         // A scheduled map takes effect first: the bound of the next switch must lie behind it. The leader asks again.
         return;
     }
     if (!m_options.safeguards.limitBeforeVote) {
-        cast(map, {.rank = m_options.rank, .agreed = true, .bound = nextBound()});
+        recordVote(map, {.rank = m_options.rank, .agreed = true, .bound = nextBound()});
     }
-    m_voting = map;
-    m_voted = m_loading;
-    orderLimit(map);
+    m_pendingVote = map;
+    m_pendingVoteMap = m_requestedMap;
+    sendLimitOrder(map);
 }
 
 /** Loads the weights again that a limit is ordered for. An order to drop them may still have been on its way to the
  * engine when this rank voted, and a limit for weights that are not there is ignored for good. */
-void RankGate::restoreVotedWeights()
+void RankGate::reloadVotedWeights()
 {
-    if (!contains(m_engine->loaded, m_voting) && m_voted && m_voted->number() == m_voting) {
-        order(LoadWeights{*m_voted});
+    if (!contains(m_engineState->loaded, m_pendingVote) && m_pendingVoteMap
+        && m_pendingVoteMap->number() == m_pendingVote) {
+        sendOrder(LoadWeights{*m_pendingVoteMap});
     }
 }
 
 /** Whether this rank can agree to @p map; refuses it when not. */
-bool RankGate::mayAgree(MapNumber map)
+bool RankGate::checkVotable(MapNumber map)
 {
-    if (!m_ready.contains(map) || !contains(m_engine->loaded, map)) {
+    if (!m_readyMaps.contains(map) || !contains(m_engineState->loaded, map)) {
         // Also when an earlier run of this gate had said ready: that run may have refused since, and a vote is final.
         refuse(map, m_counters.refusedNotReady);
         return false;
     }
-    if (leaderOf(map) < m_fencing || map < m_engine->map) {
+    if (leaderOf(map) < m_fencing || map < m_engineState->map) {
         // Numbers only rise within an epoch, so that an engine can tell an order that comes late.
         refuse(map, m_counters.refusedFenced);
         return false;
     }
-    const bool undecided = m_engine->limit.has_value() || m_voting != NoMap;
-    if (undecided && m_options.safeguards.oneAtATime) {
+    const bool isUndecided = m_engineState->limit.has_value() || m_pendingVote != NoMap;
+    if (isUndecided && m_options.safeguards.oneAtATime) {
         refuse(map, m_counters.refusedUndecided);
         return false;
     }
     return true;
 }
 
-void RankGate::orderLimit(MapNumber map)
+void RankGate::sendLimitOrder(MapNumber map)
 {
-    order(LimitSteps{.epoch = m_engine->epoch, .map = map, .bound = nextBound()});
+    sendOrder(LimitSteps{.epoch = m_engineState->epoch, .map = map, .bound = nextBound()});
 }
 
 StepNumber RankGate::nextBound() const
 {
-    return static_cast<StepNumber>(toNumber(m_engine->next) + m_options.leadSteps);
+    return static_cast<StepNumber>(toNumber(m_engineState->next) + m_options.leadSteps);
 }
 
-void RankGate::cast(MapNumber map, const Vote &vote)
+void RankGate::recordVote(MapNumber map, const Vote &vote)
 {
-    ballot(map).add(vote);
+    tallyFor(map).add(vote);
     m_counters.agreed += vote.agreed ? 1 : 0;
-    m_actions.push_back(SendToLeader{ballot(map).list(map)});
+    m_actions.push_back(SendToLeader{tallyFor(map).toVoteList(map)});
 }
 
 void RankGate::refuse(MapNumber map, std::uint64_t &counter)
 {
     ++counter;
-    m_ready.erase(map);
-    cast(map, {.rank = m_options.rank, .agreed = false});
-    if (m_loading && m_loading->number() == map) {
-        order(DropWeights{map});
-        m_loading.reset();
+    m_readyMaps.erase(map);
+    recordVote(map, {.rank = m_options.rank, .agreed = false});
+    if (m_requestedMap && m_requestedMap->number() == map) {
+        sendOrder(DropWeights{map});
+        m_requestedMap.reset();
     }
 }
 
 /** Takes the limit in the engine as this rank's vote: this run's that was just confirmed, or an earlier run's that may
  * have been sent. */
-void RankGate::adoptLimit()
+void RankGate::adoptLimitAsVote()
 {
-    if (!m_engine->limit) {
+    if (!m_engineState->limit) {
         return;
     }
-    const auto limit = *m_engine->limit;
-    if (m_voting == limit.map) {
-        m_voting = NoMap;
-    } else if (!m_options.safeguards.keepLimitAfterRestart && !m_ready.contains(limit.map)) {
-        order(LiftLimit{limit.map});
-        m_engine->limit.reset();
+    const auto limit = *m_engineState->limit;
+    if (m_pendingVote == limit.map) {
+        m_pendingVote = NoMap;
+    } else if (!m_options.safeguards.keepLimitAfterRestart && !m_readyMaps.contains(limit.map)) {
+        sendOrder(LiftLimit{limit.map});
+        m_engineState->limit.reset();
         return;
     }
-    if (ballot(limit.map).voteOf(m_options.rank) == nullptr) {
-        cast(limit.map, {.rank = m_options.rank, .agreed = true, .bound = limit.bound});
+    if (tallyFor(limit.map).voteOf(m_options.rank) == nullptr) {
+        recordVote(limit.map, {.rank = m_options.rank, .agreed = true, .bound = limit.bound});
     }
 }
 
 /** Brings the engine in line with the outcome of the switch that its limit stands for, when it is known. */
-void RankGate::settle()
+void RankGate::applyOutcome()
 {
-    if (!m_engine) {
+    if (!m_engineState) {
         return;
     }
-    if (m_voting != NoMap && ballot(m_voting).outcome(m_engine->ranks)) {
-        m_voting = NoMap; // decided without this rank's vote, so nothing is left to agree to
+    if (m_pendingVote != NoMap && tallyFor(m_pendingVote).outcome(m_engineState->ranks)) {
+        m_pendingVote = NoMap; // decided without this rank's vote, so nothing is left to agree to
     }
-    if (!m_engine->limit) {
+    if (!m_engineState->limit) {
         return;
     }
-    const auto map = m_engine->limit->map;
-    const auto outcome = ballot(map).outcome(m_engine->ranks);
+    const auto map = m_engineState->limit->map;
+    const auto outcome = tallyFor(map).outcome(m_engineState->ranks);
     if (!outcome) {
         return;
     }
     if (outcome->committed) {
-        order(ScheduleMap{.epoch = m_engine->epoch, .map = map, .from = outcome->from});
+        sendOrder(ScheduleMap{.epoch = m_engineState->epoch, .map = map, .from = outcome->effectiveFrom});
     } else {
-        order(LiftLimit{map});
-        order(DropWeights{map});
-        m_counters.aborted += m_ready.erase(map);
-        m_loading.reset();
+        sendOrder(LiftLimit{map});
+        sendOrder(DropWeights{map});
+        m_counters.aborted += m_readyMaps.erase(map);
+        m_requestedMap.reset();
     }
 }
 
 /** A map on the engine's schedule, or in use, is a switch that was committed: proof for peers that still ask. */
-void RankGate::noteSchedule()
+void RankGate::recordCommittedSwitches()
 {
-    const auto note = [this](MapNumber map, StepNumber from) {
-        auto &known = ballot(map);
-        if (m_ready.erase(map) > 0) {
+    const auto recordCommitted = [this](MapNumber map, StepNumber effectiveFrom) {
+        auto &tally = tallyFor(map);
+        if (m_readyMaps.erase(map) > 0) {
             ++m_counters.committed;
         }
-        if (m_loading && m_loading->number() == map) {
-            m_loading.reset();
+        if (m_requestedMap && m_requestedMap->number() == map) {
+            m_requestedMap.reset();
         }
-        known.setCommitted(from);
+        tally.setCommitted(effectiveFrom);
     };
-    if (m_engine->scheduled) {
-        note(m_engine->scheduled->map, m_engine->scheduled->from);
+    if (m_engineState->scheduled) {
+        recordCommitted(m_engineState->scheduled->map, m_engineState->scheduled->from);
     }
-    if (m_engine->mapSince != StepNumber{}) {
-        note(m_engine->map, m_engine->mapSince);
+    if (m_engineState->mapSince != StepNumber{}) {
+        recordCommitted(m_engineState->map, m_engineState->mapSince);
     }
 }
 
 /** Enters the epoch in force when this rank's engine is in it, or leaves the old one when it isn't. */
-void RankGate::followEpoch()
+void RankGate::synchronizeEpoch()
 {
     const auto &epoch = m_epochs.current();
-    if (!epoch || !m_engine) {
+    if (!epoch || !m_engineState) {
         return;
     }
     const auto *member = epoch->find(m_options.rank);
-    const bool named = member != nullptr && (member->engine == m_engine->run || !m_options.safeguards.namedEngineOnly);
-    if (m_engine->epoch >= epoch->number) {
+    const bool isMember =
+        member != nullptr && (member->engine == m_engineState->run || !m_options.safeguards.namedEngineOnly);
+    if (m_engineState->epoch >= epoch->number) {
         return;
     }
-    if (!named) {
+    if (!isMember) {
         // Only a member of the old epoch has one to leave; the new one's members can't step while it stays.
-        if (m_engine->epoch != EpochNumber{}) {
-            order(LeaveEpoch{epoch->number});
+        if (m_engineState->epoch != EpochNumber{}) {
+            sendOrder(LeaveEpoch{epoch->number});
         }
         return;
     }
-    if (contains(m_engine->loaded, epoch->map.number())) {
-        order(EnterEpoch{*epoch});
+    if (contains(m_engineState->loaded, epoch->map.number())) {
+        sendOrder(EnterEpoch{*epoch});
     } else {
-        order(LoadWeights{epoch->map});
+        sendOrder(LoadWeights{epoch->map});
     }
 }
 
 /** Tells the leader whether the map it asked for is there. */
-void RankGate::reportLoading()
+void RankGate::reportLoadStatus()
 {
-    if (!m_loading) {
+    if (!m_requestedMap) {
         return;
     }
-    const auto map = m_loading->number();
-    if (contains(m_engine->loaded, map)) {
-        m_ready.insert(map);
+    const auto map = m_requestedMap->number();
+    if (contains(m_engineState->loaded, map)) {
+        m_readyMaps.insert(map);
         m_actions.push_back(SendToLeader{MapReady{.rank = m_options.rank, .map = map, .loaded = true}});
-    } else if (m_engine->failed == map) {
+    } else if (m_engineState->failed == map) {
         m_actions.push_back(SendToLeader{MapReady{.rank = m_options.rank, .map = map, .loaded = false}});
     }
 }
 
-Ballot &RankGate::ballot(MapNumber map)
+VoteTally &RankGate::tallyFor(MapNumber map)
 {
-    return m_ballots.at(map, m_engine->epoch, status().pending);
+    return m_tallies.tallyFor(map, m_engineState->epoch, status().pending);
 }
 
 RankStatus RankGate::status() const
 {
-    MapNumber pending = m_voting;
-    if (m_engine->limit) {
-        pending = m_engine->limit->map;
-    } else if (m_engine->scheduled) {
-        pending = m_engine->scheduled->map;
+    MapNumber pending = m_pendingVote;
+    if (m_engineState->limit) {
+        pending = m_engineState->limit->map;
+    } else if (m_engineState->scheduled) {
+        pending = m_engineState->scheduled->map;
     }
     return {.rank = m_options.rank,
-            .engine = m_engine->run,
-            .epoch = m_engine->epoch,
-            .map = m_engine->map,
-            .step = m_engine->next,
+            .engine = m_engineState->run,
+            .epoch = m_engineState->epoch,
+            .map = m_engineState->map,
+            .step = m_engineState->next,
             .pending = pending};
 }
 
 /** The other ranks of the epoch in turn. */
 int RankGate::nextPeer()
 {
-    const auto &ranks = m_engine->ranks;
+    const auto &ranks = m_engineState->ranks;
     for (std::size_t tries = 0; tries < ranks.size(); ++tries) {
-        const int rank = ranks[m_turn++ % ranks.size()];
+        const int rank = ranks[m_nextPeerIndex++ % ranks.size()];
         if (rank != m_options.rank) {
             return rank;
         }
@@ -459,25 +461,25 @@
     return m_options.rank;
 }
 
-void RankGate::reply(int to, GroupMessage message)
+void RankGate::reply(int toRank, GroupMessage message)
 {
-    if (to < 0) {
+    if (toRank < 0) {
         m_actions.push_back(SendToLeader{std::move(message)});
     } else {
-        m_actions.push_back(SendToRank{to, std::move(message)});
+        m_actions.push_back(SendToRank{toRank, std::move(message)});
     }
 }
 
-void RankGate::order(EngineOrder order)
+void RankGate::sendOrder(EngineOrder order)
 {
     // An order that the engine can't follow at present would otherwise be answered and repeated without pause.
-    if (!m_ordered.insert({order.index(), mapOf(order)}).second) {
+    if (!m_sentOrders.insert({order.index(), mapOf(order)}).second) {
         return;
     }
     m_actions.push_back(OrderEngine{.run = m_options.run, .order = std::move(order)});
 }
 
-GateActions RankGate::take()
+GateActions RankGate::takePendingActions()
 {
     return std::exchange(m_actions, {});
 }
--- a/modules/heatherridge_coordination/groups/rankgate.h
+++ b/modules/heatherridge_coordination/groups/rankgate.h
@@ -87,7 +87,7 @@
     GateActions handle(const GroupMessage &message, int fromRank);
 
     /** Takes the engine's reply to an order of this run. */
-    GateActions handleEngine(const EngineState &state);
+    GateActions handleEngineState(const EngineState &state);
 
     /** Whether the engine follows another run of the gate, so that its process must make a new RankGate of a new run.
      */
@@ -103,55 +103,55 @@
     GateActions tick();
 
     /** The map of the next step, if the engine has said; what callers and metrics are shown. */
-    const std::optional<EngineState> &engine() const;
+    const std::optional<EngineState> &engineState() const;
 
     /** What happened so far. */
     const GateCounters &counters() const;
 
 private:
-    void on(const LoadMap &message, int from);
-    void on(const VoteRequest &message, int from);
-    void on(const CancelMap &message, int from);
-    void on(const VoteList &message, int from);
-    void on(const EpochNews &message, int from);
-    void on(const StatusRequest &message, int from);
+    void handleMessage(const LoadMap &message, int fromRank);
+    void handleMessage(const VoteRequest &message, int fromRank);
+    void handleMessage(const CancelMap &message, int fromRank);
+    void handleMessage(const VoteList &message, int fromRank);
+    void handleMessage(const EpochNews &message, int fromRank);
+    void handleMessage(const StatusRequest &message, int fromRank);
 
     template<typename Other>
-    void on(const Other &message, int from);
-
-    bool admit(FencingNumber leader);
-    bool isOtherEpoch(EpochNumber epoch, int from);
-    void vote(MapNumber map);
-    bool mayAgree(MapNumber map);
-    void restoreVotedWeights();
-    void orderLimit(MapNumber map);
+    void handleMessage(const Other &message, int fromRank);
+
+    bool checkFencing(FencingNumber leader);
+    bool rejectOtherEpoch(EpochNumber epoch, int fromRank);
+    void voteOn(MapNumber map);
+    bool checkVotable(MapNumber map);
+    void reloadVotedWeights();
+    void sendLimitOrder(MapNumber map);
     StepNumber nextBound() const;
-    void cast(MapNumber map, const Vote &vote);
+    void recordVote(MapNumber map, const Vote &vote);
     void refuse(MapNumber map, std::uint64_t &counter);
-    void adoptLimit();
-    void settle();
-    void noteSchedule();
-    void followEpoch();
-    void reportLoading();
-    Ballot &ballot(MapNumber map);
+    void adoptLimitAsVote();
+    void applyOutcome();
+    void recordCommittedSwitches();
+    void synchronizeEpoch();
+    void reportLoadStatus();
+    VoteTally &tallyFor(MapNumber map);
     RankStatus status() const;
     int nextPeer();
-    void reply(int to, GroupMessage message);
-    void order(EngineOrder order);
-    GateActions take();
+    void reply(int toRank, GroupMessage message);
+    void sendOrder(EngineOrder order);
+    GateActions takePendingActions();
 
     Options m_options;
     GroupEpochs m_epochs;
-    std::optional<EngineState> m_engine;
-    std::optional<ExpertMap> m_loading; ///< asked for by the leader
-    std::set<MapNumber> m_ready; ///< told ready by this run and not refused since
-    BallotBox m_ballots;
+    std::optional<EngineState> m_engineState;
+    std::optional<ExpertMap> m_requestedMap; ///< asked for by the leader
+    std::set<MapNumber> m_readyMaps; ///< told ready by this run and not refused since
+    VoteTallyHistory m_tallies;
     bool m_replaced = false;
-    MapNumber m_voting{}; ///< the limit for it is ordered but not confirmed; 0 for none
-    std::optional<ExpertMap> m_voted; ///< the map of `m_voting`, to load it again
+    MapNumber m_pendingVote{}; ///< the limit for it is ordered but not confirmed; 0 for none
+    std::optional<ExpertMap> m_pendingVoteMap; ///< the map of `m_pendingVote`, to load it again
     FencingNumber m_fencing{};
-    std::size_t m_turn = 0;
-    std::set<std::pair<std::size_t, MapNumber>> m_ordered; ///< since the last tick: kind of order and map
+    std::size_t m_nextPeerIndex = 0;
+    std::set<std::pair<std::size_t, MapNumber>> m_sentOrders; ///< since the last tick: kind of order and map
     GateCounters m_counters;
     GateActions m_actions;
 };
--- a/modules/heatherridge_coordination/groups/votetally.cpp
+++ b/modules/heatherridge_coordination/groups/votetally.cpp
@@ -5,76 +5,77 @@
 namespace Heatherridge
 {
 
-Ballot::Ballot(EpochNumber epoch, SwitchSafeguards safeguards)
+VoteTally::VoteTally(EpochNumber epoch, SwitchSafeguards safeguards)
     : m_epoch(epoch)
     , m_safeguards(safeguards)
 {
 }
 
-EpochNumber Ballot::epoch() const
+EpochNumber VoteTally::epoch() const
 {
     return m_epoch;
 }
 
-void Ballot::add(const Vote &vote)
+void VoteTally::add(const Vote &vote)
 {
     m_votes.emplace(vote.rank, vote);
 }
 
-void Ballot::merge(const VoteList &list)
+void VoteTally::merge(const VoteList &voteList)
 {
-    for (const auto &vote : list.votes) {
+    for (const auto &vote : voteList.votes) {
         add(vote);
     }
-    if (list.committedAt) {
-        setCommitted(*list.committedAt);
+    if (voteList.committedAt) {
+        setCommitted(*voteList.committedAt);
     }
 }
 
-void Ballot::setCommitted(StepNumber from)
+void VoteTally::setCommitted(StepNumber effectiveFrom)
 {
-    m_committedAt = from;
+    m_committedAt = effectiveFrom;
 }
 
-const Vote *Ballot::voteOf(int rank) const
+const Vote *VoteTally::voteOf(int rank) const
 {
     const auto found = m_votes.find(rank);
     return found == m_votes.end() ? nullptr : &found->second;
 }
 
-std::optional<SwitchOutcome> Ballot::outcome(const std::vector<int> &ranks) const
+std::optional<SwitchOutcome> VoteTally::outcome(const std::vector<int> &ranks) const
 {
     if (m_committedAt) {
-        return SwitchOutcome{.committed = true, .from = *m_committedAt};
+        return SwitchOutcome{.committed = true, .effectiveFrom = *m_committedAt};
     }
-    StepNumber latest{};
-    StepNumber earliest{UINT64_MAX};
-    std::size_t agreed = 0;
+    StepNumber latestVoteBound{};
+    StepNumber earliestVoteBound{UINT64_MAX};
+    std::size_t agreedCount = 0;
     for (const int rank : ranks) {
         const auto *vote = voteOf(rank);
         if (vote != nullptr && !vote->agreed) {
             return SwitchOutcome{};
         }
         if (vote != nullptr) {
-            ++agreed;
-            latest = std::max(latest, vote->bound);
-            earliest = std::min(earliest, vote->bound);
+            ++agreedCount;
+            latestVoteBound = std::max(latestVoteBound, vote->bound);
+            earliestVoteBound = std::min(earliestVoteBound, vote->bound);
         }
     }
-    const std::size_t needed = m_safeguards.countEveryVote ? ranks.size() : ranks.size() / 2 + 1;
-    if (ranks.empty() || agreed < needed) {
+    const std::size_t requiredVotes = m_safeguards.countEveryVote ? ranks.size() : ranks.size() / 2 + 1;
+    if (ranks.empty() || agreedCount < requiredVotes) {
         return std::nullopt;
     }
-    return SwitchOutcome{.committed = true, .from = m_safeguards.latestBound ? latest : earliest};
+    return SwitchOutcome{.committed = true,
+                         .effectiveFrom = m_safeguards.latestBound ? latestVoteBound : earliestVoteBound};
 }
 
-VoteList Ballot::list(MapNumber map) const
+VoteList VoteTally::toVoteList(MapNumber map) const
 {
-    VoteList list{.epoch = m_epoch, .map = map, .votes = {}, .committedAt = m_committedAt};
+    VoteList voteList{.epoch = m_epoch, .map = map, .votes = {}, .committedAt = m_committedAt};
     for (const auto &[rank, vote] : m_votes) {
-        list.votes.push_back(vote);
+        voteList.votes.push_back(vote);
     }
-    return list;
+    return voteList;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/votetally.h
+++ b/modules/heatherridge_coordination/groups/votetally.h
@@ -13,7 +13,7 @@
 struct SwitchOutcome
 {
     bool committed = false;
-    StepNumber from{}; ///< when committed: the first step with the new map
+    StepNumber effectiveFrom{}; ///< when committed: the first step with the new map
 
     bool operator==(const SwitchOutcome &) const = default;
 };
@@ -25,11 +25,11 @@
  * aborted when one has refused. Votes are final and everyone applies this one rule, so no two places that know enough
  * votes can differ, whoever told them and in whatever order. Value type.
  */
-class Ballot
+class VoteTally
 {
 public:
     /** A ballot without votes. */
-    explicit Ballot(EpochNumber epoch = {}, SwitchSafeguards safeguards = {});
+    explicit VoteTally(EpochNumber epoch = {}, SwitchSafeguards safeguards = {});
 
     /** The epoch whose ranks vote. */
     EpochNumber epoch() const;
@@ -38,10 +38,10 @@
     void add(const Vote &vote);
 
     /** Adds all that @p list says. */
-    void merge(const VoteList &list);
+    void merge(const VoteList &voteList);
 
     /** Takes down that an engine has the switch on its schedule for @p from, which proves the outcome. */
-    void setCommitted(StepNumber from);
+    void setCommitted(StepNumber effectiveFrom);
 
     /** The vote of @p rank, or nullptr. This object keeps ownership. */
     const Vote *voteOf(int rank) const;
@@ -50,7 +50,7 @@
     std::optional<SwitchOutcome> outcome(const std::vector<int> &ranks) const;
 
     /** The votes as a message. */
-    VoteList list(MapNumber map) const;
+    VoteList toVoteList(MapNumber map) const;
 
 private:
     EpochNumber m_epoch;
--- a/modules/heatherridge_coordination/groups/votetallyhistory.cpp
+++ b/modules/heatherridge_coordination/groups/votetallyhistory.cpp
@@ -3,19 +3,19 @@
 namespace Heatherridge
 {
 
-BallotBox::BallotBox(SwitchSafeguards safeguards)
+VoteTallyHistory::VoteTallyHistory(SwitchSafeguards safeguards)
     : m_safeguards(safeguards)
 {
 }
 
-Ballot &BallotBox::at(MapNumber map, EpochNumber epoch, MapNumber pending)
+VoteTally &VoteTallyHistory::tallyFor(MapNumber map, EpochNumber epoch, MapNumber pending)
 {
-    auto oldest = m_ballots.begin();
-    while (m_ballots.size() > MostKept && oldest != m_ballots.end()) {
-        const bool needed = oldest->first == pending || oldest->first == map;
-        oldest = needed ? std::next(oldest) : m_ballots.erase(oldest);
+    auto oldest = m_tallies.begin();
+    while (m_tallies.size() > MaxTallies && oldest != m_tallies.end()) {
+        const bool mustKeep = oldest->first == pending || oldest->first == map;
+        oldest = mustKeep ? std::next(oldest) : m_tallies.erase(oldest);
     }
-    return m_ballots.try_emplace(map, epoch, m_safeguards).first->second;
+    return m_tallies.try_emplace(map, epoch, m_safeguards).first->second;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/target/groupagent.cpp
+++ b/modules/heatherridge_transport/target/groupagent.cpp
@@ -92,7 +92,7 @@
                                     {"rank", m_rank},
                                     {"leads", m_leader != nullptr},
                                     {"fencing", m_claims.present() ? toNumber(m_claims.present()->fencing) : 0}};
-        if (const auto &engine = m_gate->engine()) {
+        if (const auto &engine = m_gate->engineState()) {
             json["epoch"] = toNumber(engine->epoch);
             json["ranks"] = engine->ranks.size();
             json["map"] = toNumber(engine->map);
@@ -100,7 +100,7 @@
             json["undecided"] = engine->limit ? toNumber(engine->limit->map) : 0;
         }
         if (m_leader) {
-            json["whole"] = m_leader->isWhole();
+            json["whole"] = m_leader->hasAllMembers();
             json["switches"] = m_leader->counters().switchesCommitted;
             json["epochs"] = m_leader->counters().epochsComposed;
         }
@@ -183,7 +183,7 @@
             show("leader_cancelled_restart", leader.cancelledRestart);
             show("leader_cancelled_load", leader.cancelledLoad);
             show("leader_epochs_composed", leader.epochsComposed);
-            show("leader_epochs_lost", leader.epochsLost);
+            show("leader_epochs_lost", leader.epochsSuperseded);
             show("leader_appends_repeated", leader.appendsRepeated);
         }
     }
@@ -195,18 +195,18 @@
             send(rank->rank, StatusRequest{.leader = m_claims.present()->fencing});
         }
         perform(m_leader->tick());
-        const auto &engine = m_gate->engine();
+        const auto &engine = m_gate->engineState();
         if (!m_planner && engine && engine->model.layers > 0) {
             m_planner = std::make_unique<GroupPlanner>(
                 GroupPlanner::Options{.model = engine->model, .storeBytesPerSecond = StoreBytesPerSecond},
                 plannedRanks());
             m_planner->setWeights(m_view->rules->balance());
             for (const auto &[number, map] : m_maps) {
-                m_planner->learnMap(map);
+                m_planner->addMap(map);
             }
         }
         if (m_planner) {
-            m_planner->act(*m_leader, m_options.tick);
+            m_planner->proposeChanges(*m_leader, m_options.tick);
         }
     }
 
@@ -220,7 +220,7 @@
             const int zone = zones.try_emplace(target->zone.text(), static_cast<int>(zones.size())).first->second;
             ranks.push_back({.rank = target->rank,
                              .slots = target->expertSlots,
-                             .leaves = !m_view->takesWork(*target),
+                             .isLeaving = !m_view->takesWork(*target),
                              .place = {.host = host, .zone = zone}});
         }
         return ranks;
@@ -336,7 +336,7 @@
         }
         if (m_leader) {
             if (m_planner) {
-                m_planner->heard(from);
+                m_planner->recordContact(from);
                 if (const auto *report = std::get_if<RankLoadReport>(&message)) {
                     m_planner->addReport(report->report);
                 }
@@ -366,13 +366,13 @@
     {
         for (const auto &action : actions) {
             std::visit(Visitor{
-                           [this](const TellRank &message) { send(message.rank, message.message); },
+                           [this](const SendToGate &message) { send(message.rank, message.message); },
                            [this](const AppendEpoch &append) {
                                m_log->append(stream(), encodeGroupRecord(append.epoch),
                                              [weak = weak_from_this()](const Result<LogOffset> &result) {
                                                  const auto self = weak.lock();
                                                  if (self && self->m_leader) {
-                                                     self->m_leader->handleAppend(errorIn(result) == nullptr);
+                                                     self->m_leader->handleAppendResult(errorIn(result) == nullptr);
                                                  }
                                              });
                            },
@@ -385,7 +385,7 @@
     {
         if (m_planner) {
             if (const auto *load = std::get_if<LoadMap>(&message)) {
-                m_planner->learnMap(load->map);
+                m_planner->addMap(load->map);
             }
         }
         if (rank == m_rank) {
@@ -445,7 +445,7 @@
             m_lastWindow = state.load->window;
             perform(GateActions{SendToLeader{RankLoadReport{*state.load}}});
         }
-        perform(m_gate->handleEngine(state));
+        perform(m_gate->handleEngineState(state));
         if (m_gate->isReplaced()) {
             m_run = static_cast<Incarnation>(toNumber(m_run) + 1);
             m_encoder = makeEncoder();
--- a/tests/groups/switch_test.cpp
+++ b/tests/groups/switch_test.cpp
@@ -8,78 +8,79 @@
 namespace
 {
 
-constexpr int Actions = 1200;
-constexpr int SchedulesACase = 20;
+constexpr int ActionsPerSchedule = 1200;
+constexpr int SchedulesPerCase = 20;
 /** Percent of messages that arrive again. */
-constexpr int FewDoubled = 5;
-constexpr int ManyDoubled = 40;
+constexpr int FewDuplicatesPercent = 5;
+constexpr int ManyDuplicatesPercent = 40;
 /** Percent of proposals that change who belongs to the group. */
-constexpr int FewEpochs = 5;
-constexpr int ManyEpochs = 50;
+constexpr int FewEpochsPercent = 5;
+constexpr int ManyEpochsPercent = 50;
 
 /** The world of schedule @p i of the case @p seed. */
-SwitchWorld::Options worldOf(std::uint32_t seed, int i)
+SwitchSimulation::Options simulationOptions(std::uint32_t seed, int index)
 {
-    return {.ranks = 2 + i % 3,
-            .seed = seed + static_cast<std::uint64_t>(i) * 7919,
-            .doubled = i % 3 == 0 ? ManyDoubled : FewDoubled,
-            .leaderChanges = i % 7 < 4 ? 1 : 4,
-            .epochs = i % 5 == 0 ? ManyEpochs : FewEpochs,
-            .oldOrders = i % 4 < 2 ? SwitchWorld::OldOrders::Refused : SwitchWorld::OldOrders::InOrder,
-            .rankFaults = i % 2 == 0};
+    return {.ranks = 2 + index % 3,
+            .seed = seed + static_cast<std::uint64_t>(index) * 7919,
+            .duplicatePercent = index % 3 == 0 ? ManyDuplicatesPercent : FewDuplicatesPercent,
+            .leaderChangesPerMille = index % 7 < 4 ? 1 : 4,
+            .epochPercent = index % 5 == 0 ? ManyEpochsPercent : FewEpochsPercent,
+            .staleOrders =
+                index % 4 < 2 ? SwitchSimulation::StaleOrders::Rejected : SwitchSimulation::StaleOrders::InOrder,
+            .engineFaults = index % 2 == 0};
 }
 
-RC_GTEST_PROP(Switches, AllRanksUseOneMapInEveryStepAndEverySwitchEnds, (std::uint32_t seed))
+RC_GTEST_PROP(Switches, AllRanksUseOneMapPerStepAndEverySwitchIsDecided, (std::uint32_t seed))
 {
     int switches = 0;
-    for (int i = 0; i < SchedulesACase; ++i) {
-        SwitchWorld world(worldOf(seed, i));
-        world.run(Actions);
-        RC_ASSERT(world.violation() == "");
-        RC_ASSERT(world.heal());
-        RC_ASSERT(world.violation() == "");
-        RC_ASSERT(world.switchWithoutLog());
-        switches += world.switches();
+    for (int index = 0; index < SchedulesPerCase; ++index) {
+        SwitchSimulation simulation(simulationOptions(seed, index));
+        simulation.run(ActionsPerSchedule);
+        RC_ASSERT(simulation.violation() == "");
+        RC_ASSERT(simulation.recover());
+        RC_ASSERT(simulation.violation() == "");
+        RC_ASSERT(simulation.switchWithoutLog());
+        switches += simulation.switchCount();
     }
-    RC_ASSERT(switches > SchedulesACase);
+    RC_ASSERT(switches > SchedulesPerCase);
 }
 
-struct KeptRow
+struct RegressionCase
 {
-    const char *story;
+    const char *description;
     std::uint32_t seed; ///< of the case
     int schedule; ///< in it
 };
 
-const KeptRow KeptRows[] = {
+const RegressionCase RegressionCases[] = {
     // All streams of a group stand still for good: three of four ranks have agreed to a switch and wait at its limit,
     // the leader that proposed it is gone, and its successor holds the group for whole and has nothing under way.
     {"a switch whose leader is gone stays undecided", 35853, 5},
 };
 
-class KeptSchedules : public testing::TestWithParam<KeptRow>
+class RegressionSchedules : public testing::TestWithParam<RegressionCase>
 {
 };
 
-TEST_P(KeptSchedules, EndEverySwitch)
+TEST_P(RegressionSchedules, DecideEverySwitch)
 {
-    const auto &row = GetParam();
-    SwitchWorld world(worldOf(row.seed, row.schedule));
-    world.run(Actions);
-    EXPECT_TRUE(world.heal()) << row.story;
-    EXPECT_EQ(world.violation(), "") << row.story;
+    const auto &regression = GetParam();
+    SwitchSimulation simulation(simulationOptions(regression.seed, regression.schedule));
+    simulation.run(ActionsPerSchedule);
+    EXPECT_TRUE(simulation.recover()) << regression.description;
+    EXPECT_EQ(simulation.violation(), "") << regression.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, KeptSchedules, testing::ValuesIn(KeptRows));
+INSTANTIATE_TEST_SUITE_P(Table, RegressionSchedules, testing::ValuesIn(RegressionCases));
 
-struct SafeguardRow
+struct SafeguardCase
 {
-    const char *story;
+    const char *description;
     SwitchSafeguards safeguards;
-    SwitchWorld::OldOrders oldOrders = SwitchWorld::OldOrders::Refused;
+    SwitchSimulation::StaleOrders staleOrders = SwitchSimulation::StaleOrders::Rejected;
 };
 
-const SafeguardRow SafeguardRows[] = {
+const SafeguardCase SafeguardCases[] = {
     // A rank that was slow runs past its bound before the limit is there, and meets the switch step with the old map.
     {"agrees before the engine has confirmed its limit", {.limitBeforeVote = false}},
     // The rank whose vote is missing has promised nothing and steps on with the old map.
@@ -96,52 +97,53 @@
     {"an engine enters an epoch that names another run", {.namedEngineOnly = false}},
     // A run of the gate refuses, as no limit stands; then the dead run's limit arrives, and the third run takes it for
     // a vote.
-    {"an engine follows late orders of a dead run of its gate", {}, SwitchWorld::OldOrders::Followed},
+    {"an engine follows late orders of a dead run of its gate", {}, SwitchSimulation::StaleOrders::Executed},
 };
 
-class Safeguards : public testing::TestWithParam<SafeguardRow>
+class SafeguardSchedules : public testing::TestWithParam<SafeguardCase>
 {
 };
 
 /** Each safeguard, switched off, must lead to two maps in one step in some schedule; else it guards nothing. */
-TEST_P(Safeguards, AreEachNeeded)
+TEST_P(SafeguardSchedules, EachSafeguardIsNecessary)
 {
-    const int mostSchedules = 20'000;
+    const int maxSchedules = 20'000;
     int schedule = 0;
-    bool caught = false;
-    while (!caught && schedule < mostSchedules) {
-        SwitchWorld world({.seed = static_cast<std::uint64_t>(++schedule),
-                           .safeguards = GetParam().safeguards,
-                           .doubled = schedule % 4 < 2 ? FewDoubled : ManyDoubled,
-                           .leaderChanges = schedule % 5 < 3 ? 1 : 4,
-                           .epochs = schedule % 3 == 0 ? ManyEpochs : FewEpochs,
-                           .oldOrders = GetParam().oldOrders,
-                           .rankFaults = schedule % 2 == 0});
-        world.run(Actions);
-        caught = !world.violation().empty();
+    bool isViolated = false;
+    while (!isViolated && schedule < maxSchedules) {
+        SwitchSimulation simulation(
+            {.seed = static_cast<std::uint64_t>(++schedule),
+             .safeguards = GetParam().safeguards,
+             .duplicatePercent = schedule % 4 < 2 ? FewDuplicatesPercent : ManyDuplicatesPercent,
+             .leaderChangesPerMille = schedule % 5 < 3 ? 1 : 4,
+             .epochPercent = schedule % 3 == 0 ? ManyEpochsPercent : FewEpochsPercent,
+             .staleOrders = GetParam().staleOrders,
+             .engineFaults = schedule % 2 == 0});
+        simulation.run(ActionsPerSchedule);
+        isViolated = !simulation.violation().empty();
     }
     RecordProperty("schedules", schedule);
 
-    EXPECT_TRUE(caught) << GetParam().story;
+    EXPECT_TRUE(isViolated) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, Safeguards, testing::ValuesIn(SafeguardRows));
+INSTANTIATE_TEST_SUITE_P(Table, SafeguardSchedules, testing::ValuesIn(SafeguardCases));
 
 /** A gate with its engine, whose orders are followed at once. */
 struct DirectRank
 {
     RankGate gate;
     LockStepEngine &engine;
-    std::vector<GroupMessage> sent{};
+    std::vector<GroupMessage> messagesToLeader{};
 
-    void perform(const GateActions &actions)
+    void performActions(const GateActions &actions)
     {
         for (const auto &action : actions) {
             if (const auto *order = std::get_if<OrderEngine>(&action)) {
-                engine.follow(order->order);
-                perform(gate.handleEngine(engine.state()));
+                engine.execute(order->order);
+                performActions(gate.handleEngineState(engine.state()));
             } else if (const auto *message = std::get_if<SendToLeader>(&action)) {
-                sent.push_back(message->message);
+                messagesToLeader.push_back(message->message);
             }
         }
     }
@@ -149,7 +151,7 @@
     std::optional<Vote> lastVote() const
     {
         std::optional<Vote> vote;
-        for (const auto &message : sent) {
+        for (const auto &message : messagesToLeader) {
             if (const auto *list = std::get_if<VoteList>(&message); list != nullptr && !list->votes.empty()) {
                 vote = list->votes.front();
             }
@@ -167,35 +169,37 @@
  * restarts, and the leader's messages for the switch arrive a second time. If the new run agreed, the remaining ranks
  * would count all votes and switch alone. Too rare for random schedules (about one in ten thousand), so played here.
  */
-TEST_P(RestartedGate, DoesNotAgreeToWhatItsEarlierRunRefused)
+TEST_P(RestartedGate, DoesNotAgreeToSwitchRefusedByEarlierRun)
 {
     const SwitchSafeguards safeguards{.sameRunVotes = GetParam()};
     const std::vector<LayerPlacement> layers{{{0, 0, ExpertSlot::WholeShare}}};
     const auto shape = GroupShape{.layers = 1, .experts = 1, .slots = {1, 1}};
-    const auto mapNumbered = [&](std::uint64_t number) {
+    const auto makeMap = [&](std::uint64_t number) {
         return std::get<ExpertMap>(ExpertMap::create(static_cast<MapNumber>(number), shape, layers));
     };
     const GroupEpoch epoch{.number = EpochNumber{1},
                            .members = {{.rank = 0, .engine = Incarnation{9}}, {.rank = 1, .engine = Incarnation{8}}},
-                           .map = mapNumbered(1)};
-    const LoadMap load{.epoch = EpochNumber{1}, .addressee = Incarnation{1}, .map = mapNumbered(2)};
+                           .map = makeMap(1)};
+    const LoadMap load{.epoch = EpochNumber{1}, .addressee = Incarnation{1}, .map = makeMap(2)};
     const VoteRequest request{.epoch = EpochNumber{1}, .map = MapNumber{2}};
     LockStepEngine engine(Incarnation{9});
 
-    DirectRank first{.gate = RankGate({.rank = 0, .run = Incarnation{1}, .safeguards = safeguards}), .engine = engine};
-    first.perform(first.gate.tick());
-    first.perform(first.gate.handleEpoch(epoch));
-    first.perform(first.gate.handle(load, -1));
-    first.perform(first.gate.handle(CancelMap{.epoch = EpochNumber{1}, .map = MapNumber{2}}, -1));
-    ASSERT_TRUE(first.lastVote());
-    EXPECT_FALSE(first.lastVote()->agreed);
-
-    DirectRank second{.gate = RankGate({.rank = 0, .run = Incarnation{2}, .safeguards = safeguards}), .engine = engine};
-    second.perform(second.gate.tick());
-    second.perform(second.gate.handle(load, -1));
-    second.perform(second.gate.handle(request, -1));
-    ASSERT_TRUE(second.lastVote());
-    EXPECT_EQ(second.lastVote()->agreed, !safeguards.sameRunVotes);
+    DirectRank firstRun{.gate = RankGate({.rank = 0, .run = Incarnation{1}, .safeguards = safeguards}),
+                        .engine = engine};
+    firstRun.performActions(firstRun.gate.tick());
+    firstRun.performActions(firstRun.gate.handleEpoch(epoch));
+    firstRun.performActions(firstRun.gate.handle(load, -1));
+    firstRun.performActions(firstRun.gate.handle(CancelMap{.epoch = EpochNumber{1}, .map = MapNumber{2}}, -1));
+    ASSERT_TRUE(firstRun.lastVote());
+    EXPECT_FALSE(firstRun.lastVote()->agreed);
+
+    DirectRank secondRun{.gate = RankGate({.rank = 0, .run = Incarnation{2}, .safeguards = safeguards}),
+                         .engine = engine};
+    secondRun.performActions(secondRun.gate.tick());
+    secondRun.performActions(secondRun.gate.handle(load, -1));
+    secondRun.performActions(secondRun.gate.handle(request, -1));
+    ASSERT_TRUE(secondRun.lastVote());
+    EXPECT_EQ(secondRun.lastVote()->agreed, !safeguards.sameRunVotes);
 }
 
 INSTANTIATE_TEST_SUITE_P(WithAndWithoutSafeguard, RestartedGate, testing::Bool());
--- a/tests/groups/switchsimulation.cpp
+++ b/tests/groups/switchsimulation.cpp
@@ -10,204 +10,204 @@
 
 /** Few, so that ranks often reach their bounds. */
 constexpr std::uint64_t LeadSteps = 3;
-constexpr int Leaders = 2;
+constexpr int LeaderSlots = 2;
 
 } // namespace
 
-SwitchWorld::SwitchWorld(const Options &options)
+SwitchSimulation::SwitchSimulation(const Options &options)
     : m_options(options)
     , m_random(options.seed)
     , m_engines(static_cast<std::size_t>(options.ranks))
     , m_gates(static_cast<std::size_t>(options.ranks))
-    , m_leaders(Leaders)
+    , m_leaders(LeaderSlots)
 {
     for (int rank = 0; rank < options.ranks; ++rank) {
         m_engines[rank].engine.restart(nextRun());
         restartGate(rank);
     }
     replaceLeader(0);
-    heal();
+    recover();
 }
 
-void SwitchWorld::run(int actions)
+void SwitchSimulation::run(int actions)
 {
-    m_reliable = false;
+    m_isReliable = false;
     for (int i = 0; i < actions && m_violation.empty(); ++i) {
-        act();
+        runRandomAction();
     }
 }
 
-bool SwitchWorld::heal()
+bool SwitchSimulation::recover()
 {
-    m_reliable = true;
-    m_logOut = false;
+    m_isReliable = true;
+    m_isLogOut = false;
     replaceLeader(0);
     m_leaders[1] = {};
     auto &leader = *m_leaders[0].leader;
-    const int mostRounds = 60;
-    const int patience = 4; // rounds that ranks get for entering an epoch
-    int waited = 0;
-    for (int round = 0; round < mostRounds && m_violation.empty(); ++round) {
-        settleRound();
-        waited = leader.isWhole() ? 0 : waited + 1;
-        if (leader.phase() == GroupLeader::Phase::Idle && waited > patience) {
-            waited = 0;
+    const int maxRounds = 60;
+    const int maxRoundsWaited = 4; // rounds that ranks get for entering an epoch
+    int roundsWaited = 0;
+    for (int round = 0; round < maxRounds && m_violation.empty(); ++round) {
+        runReliableRound();
+        roundsWaited = leader.hasAllMembers() ? 0 : roundsWaited + 1;
+        if (leader.phase() == GroupLeader::Phase::Idle && roundsWaited > maxRoundsWaited) {
+            roundsWaited = 0;
             std::vector<int> ranks(m_engines.size());
             for (std::size_t rank = 0; rank < ranks.size(); ++rank) {
                 ranks[rank] = static_cast<int>(rank);
             }
-            const auto proposed = leader.proposeEpoch(ranks, drawLayers(ranks));
+            const auto proposed = leader.proposeEpoch(ranks, randomLayers(ranks));
             (void)proposed; // while a rank is still unknown the next round tries again
         }
     }
-    const auto before = leastStep();
-    settleRound();
-    const bool undecided = std::any_of(m_engines.begin(), m_engines.end(),
-                                       [](const auto &engine) { return engine.engine.state().limit.has_value(); });
+    const auto before = minStep();
+    runReliableRound();
+    const bool hasUndecided = std::any_of(m_engines.begin(), m_engines.end(),
+                                          [](const auto &engine) { return engine.engine.state().limit.has_value(); });
     const auto &epoch = leader.epoch();
-    const bool all = epoch && epoch->members.size() == m_engines.size();
+    const bool includesAllRanks = epoch && epoch->members.size() == m_engines.size();
     // A smaller epoch is whole too; then only its members step.
-    return leader.isWhole() && !undecided && (!all || leastStep() > before);
+    return leader.hasAllMembers() && !hasUndecided && (!includesAllRanks || minStep() > before);
 }
 
-bool SwitchWorld::switchWithoutLog()
+bool SwitchSimulation::switchWithoutLog()
 {
-    m_logOut = true;
+    m_isLogOut = true;
     auto &leader = *m_leaders[0].leader;
     std::vector<int> ranks;
     for (const auto &member : leader.epoch()->members) {
         ranks.push_back(member.rank);
     }
     const auto records = m_log.size();
-    if (errorIn(leader.proposeSwitch(drawLayers(ranks))) != nullptr) {
+    if (errorIn(leader.proposeSwitch(randomLayers(ranks))) != nullptr) {
         return false;
     }
     const auto before = leader.counters().switchesCommitted;
     const int rounds = 12;
     for (int round = 0; round < rounds; ++round) {
-        settleRound();
+        runReliableRound();
     }
     const auto map = m_engines[ranks.front()].engine.state().map;
-    const bool same = std::all_of(ranks.begin(), ranks.end(), [&](int rank) {
+    const bool isSwitched = std::all_of(ranks.begin(), ranks.end(), [&](int rank) {
         return m_engines[rank].engine.state().map == map && m_engines[rank].engine.state().mapSince != StepNumber{};
     });
-    return same && leader.counters().switchesCommitted == before + 1 && m_log.size() == records;
+    return isSwitched && leader.counters().switchesCommitted == before + 1 && m_log.size() == records;
 }
 
-StepNumber SwitchWorld::leastStep() const
+StepNumber SwitchSimulation::minStep() const
 {
-    StepNumber least{UINT64_MAX};
+    StepNumber lowestStep{UINT64_MAX};
     for (const auto &engine : m_engines) {
-        least = std::min(least, engine.engine.state().next);
+        lowestStep = std::min(lowestStep, engine.engine.state().next);
     }
-    return least;
+    return lowestStep;
 }
 
-bool SwitchWorld::chance(int percent)
+bool SwitchSimulation::randomChance(int percent)
 {
     return m_random.below(100) < static_cast<std::uint64_t>(percent);
 }
 
-int SwitchWorld::pick(std::size_t count)
+int SwitchSimulation::randomIndex(std::size_t count)
 {
     return static_cast<int>(m_random.below(count));
 }
 
-Incarnation SwitchWorld::nextRun()
+Incarnation SwitchSimulation::nextRun()
 {
     return static_cast<Incarnation>(++m_runs);
 }
 
-void SwitchWorld::act()
+void SwitchSimulation::runRandomAction()
 {
-    const int rank = pick(m_engines.size());
-    const int slot = pick(m_leaders.size());
-    auto &leader = m_leaders[slot];
-    const int kind = pick(1000);
+    const int rank = randomIndex(m_engines.size());
+    const int leaderIndex = randomIndex(m_leaders.size());
+    auto &leader = m_leaders[leaderIndex];
+    const int kind = randomIndex(1000);
     if (kind < 400 && !m_network.empty()) {
         // Mostly in order, so that a switch has a chance to get through before its messages are overtaken by faults.
-        const auto index = chance(60) ? 0 : static_cast<std::size_t>(pick(m_network.size()));
-        if (chance(5)) {
+        const auto index = randomChance(60) ? 0 : static_cast<std::size_t>(randomIndex(m_network.size()));
+        if (randomChance(5)) {
             m_network.erase(m_network.begin() + static_cast<std::ptrdiff_t>(index));
         } else {
-            if (chance(m_options.doubled)) {
-                m_late.push_back(m_network[index]);
+            if (randomChance(m_options.duplicatePercent)) {
+                m_duplicates.push_back(m_network[index]);
             }
             deliver(index);
         }
     } else if (kind < 650) {
-        followOrder(rank, false);
+        executeOrder(rank, false);
     } else if (kind < 800) {
-        step(rank);
+        startStepOf(rank);
     } else if (kind < 840) {
-        perform(rank, m_gates[rank].gate->tick());
+        performActions(rank, m_gates[rank].gate->tick());
     } else if (kind < 870) {
         readLog(m_gates[rank], rank);
     } else if (kind < 960) {
         if (leader.leader) {
-            actOnLeader(slot);
+            runLeaderAction(leaderIndex);
         }
     } else if (kind < 966) {
         restartGate(rank);
     } else if (kind < 967) {
-        if (m_options.rankFaults && chance(40)) {
+        if (m_options.engineFaults && randomChance(40)) {
             m_engines[rank].engine.restart(nextRun());
         }
     } else if (kind < 971) {
-        m_logOut = !m_logOut;
+        m_isLogOut = !m_isLogOut;
     } else if (kind < 985) {
-        deliverLate();
+        deliverDuplicate();
     } else if (kind < 995) {
-        append();
-    } else if (chance(20 * m_options.leaderChanges)) {
-        replaceLeader(slot);
+        completeAppend();
+    } else if (randomChance(20 * m_options.leaderChangesPerMille)) {
+        replaceLeader(leaderIndex);
     }
 }
 
-void SwitchWorld::actOnLeader(int slot)
+void SwitchSimulation::runLeaderAction(int leaderIndex)
 {
-    auto &leader = m_leaders[slot];
-    const int kind = pick(90);
+    auto &leader = m_leaders[leaderIndex];
+    const int kind = randomIndex(90);
     if (kind < 40) {
-        perform(slot, leader.leader->tick());
+        performActions(leaderIndex, leader.leader->tick());
     } else if (kind < 60) {
-        readLog(leader, slot);
+        readLog(leader, leaderIndex);
     } else if (kind < 88) {
-        propose(*leader.leader);
+        proposeRandomChange(*leader.leader);
     } else {
-        perform(slot, leader.leader->cancel());
+        performActions(leaderIndex, leader.leader->cancel());
     }
 }
 
-void SwitchWorld::deliverLate()
+void SwitchSimulation::deliverDuplicate()
 {
-    if (!m_late.empty()) {
-        const auto index = pick(m_late.size());
-        m_network.push_back(m_late[index]);
-        m_late.erase(m_late.begin() + index);
+    if (!m_duplicates.empty()) {
+        const auto index = randomIndex(m_duplicates.size());
+        m_network.push_back(m_duplicates[index]);
+        m_duplicates.erase(m_duplicates.begin() + index);
         deliver(m_network.size() - 1);
     }
 }
 
-void SwitchWorld::deliver(std::size_t index)
+void SwitchSimulation::deliver(std::size_t index)
 {
     const Packet packet = std::move(m_network[index]);
     m_network.erase(m_network.begin() + static_cast<std::ptrdiff_t>(index));
     if (packet.toRank >= 0) {
-        perform(packet.toRank, m_gates[packet.toRank].gate->handle(packet.message, packet.fromRank));
+        performActions(packet.toRank, m_gates[packet.toRank].gate->handle(packet.message, packet.fromRank));
     } else if (m_leaders[packet.toLeader].leader) {
-        perform(packet.toLeader,
-                m_leaders[packet.toLeader].leader->handle(packet.message, packet.fromRank, packet.fromRun));
+        performActions(packet.toLeader,
+                       m_leaders[packet.toLeader].leader->handle(packet.message, packet.fromRank, packet.fromRun));
     }
 }
 
-void SwitchWorld::perform(int rank, GateActions actions)
+void SwitchSimulation::performActions(int rank, GateActions actions)
 {
     for (auto &action : actions) {
         std::visit(Visitor{
                        [&](SendToLeader &send) {
-                           for (int slot = 0; slot < Leaders; ++slot) {
-                               m_network.push_back({.toLeader = slot,
+                           for (int leaderIndex = 0; leaderIndex < LeaderSlots; ++leaderIndex) {
+                               m_network.push_back({.toLeader = leaderIndex,
                                                     .fromRank = rank,
                                                     .fromRun = m_gates[rank].run,
                                                     .message = send.message});
@@ -222,65 +222,68 @@
     }
 }
 
-void SwitchWorld::perform(int slot, LeaderActions actions)
+void SwitchSimulation::performActions(int leaderIndex, LeaderActions actions)
 {
     for (auto &action : actions) {
-        std::visit(
-            Visitor{
-                [&](TellRank &tell) { m_network.push_back({.toRank = tell.rank, .message = std::move(tell.message)}); },
-                [&](AppendEpoch &append) {
-                    m_appends.push_back(
-                        {.slot = slot, .leader = m_leaders[slot].fencing, .epoch = std::move(append.epoch)});
-                },
-            },
-            action);
+        std::visit(Visitor{
+                       [&](SendToGate &send) {
+                           m_network.push_back({.toRank = send.rank, .message = std::move(send.message)});
+                       },
+                       [&](AppendEpoch &append) {
+                           m_appends.push_back({.leaderIndex = leaderIndex,
+                                                .leader = m_leaders[leaderIndex].fencing,
+                                                .epoch = std::move(append.epoch)});
+                       },
+                   },
+                   action);
     }
 }
 
-void SwitchWorld::append()
+void SwitchSimulation::completeAppend()
 {
     if (m_appends.empty()) {
         return;
     }
-    const auto index = m_reliable ? 0 : pick(m_appends.size());
+    const auto index = m_isReliable ? 0 : randomIndex(m_appends.size());
     auto append = std::move(m_appends[index]);
     m_appends.erase(m_appends.begin() + index);
     // In an outage an append fails, or takes effect while its reply is lost.
-    if (!m_logOut || chance(30)) {
+    if (!m_isLogOut || randomChance(30)) {
         m_log.push_back(std::move(append.epoch));
     }
-    auto &leader = m_leaders[append.slot];
+    auto &leader = m_leaders[append.leaderIndex];
     if (leader.leader && leader.fencing == append.leader) {
-        leader.leader->handleAppend(!m_logOut);
+        leader.leader->handleAppendResult(!m_isLogOut);
     }
 }
 
-void SwitchWorld::followOrder(int rank, bool reliable)
+void SwitchSimulation::executeOrder(int rank, bool reliable)
 {
     auto &engine = m_engines[rank];
     if (engine.orders.empty()) {
         return;
     }
     // Orders of one run stay in order; those of different runs may overtake each other.
-    const auto run = m_options.oldOrders == OldOrders::InOrder ? engine.orders.front().run
-                                                               : engine.orders[pick(engine.orders.size())].run;
+    const auto run = m_options.staleOrders == StaleOrders::InOrder
+        ? engine.orders.front().run
+        : engine.orders[randomIndex(engine.orders.size())].run;
     const auto found =
         std::find_if(engine.orders.begin(), engine.orders.end(), [run](const auto &order) { return order.run == run; });
     const auto order = std::move(*found);
     engine.orders.erase(found);
-    const bool checks = m_options.oldOrders == OldOrders::Refused;
-    if (!checks || engine.engine.admits(order.run)) {
-        engine.engine.follow(order.order, reliable || chance(97));
+    const bool rejectsStale = m_options.staleOrders == StaleOrders::Rejected;
+    if (!rejectsStale || engine.engine.acceptsRun(order.run)) {
+        engine.engine.execute(order.order, reliable || randomChance(97));
     }
-    if (order.run == m_gates[rank].run && (reliable || chance(90))) {
-        perform(rank, m_gates[rank].gate->handleEngine(engine.engine.state()));
+    if (order.run == m_gates[rank].run && (reliable || randomChance(90))) {
+        performActions(rank, m_gates[rank].gate->handleEngineState(engine.engine.state()));
         if (m_gates[rank].gate->isReplaced()) {
             restartGate(rank);
         }
     }
 }
 
-void SwitchWorld::step(int rank)
+void SwitchSimulation::startStepOf(int rank)
 {
     auto &engine = m_engines[rank].engine;
     const auto before = engine.state().map;
@@ -289,115 +292,115 @@
     if (!started) {
         return;
     }
-    m_switches += started->map == before ? 0 : 1;
-    const auto [used, first] = m_used.emplace(std::pair{started->epoch, started->step}, started->map);
-    if (!first && used->second != started->map) {
+    m_switchCount += started->map == before ? 0 : 1;
+    const auto [entry, isFirst] = m_mapByStep.emplace(std::pair{started->epoch, started->step}, started->map);
+    if (!isFirst && entry->second != started->map) {
         m_violation = "epoch " + std::to_string(toNumber(started->epoch)) + " step "
             + std::to_string(toNumber(started->step)) + ": two maps";
     }
 }
 
-void SwitchWorld::readLog(Gate &gate, int rank)
+void SwitchSimulation::readLog(Gate &gate, int rank)
 {
-    if (!m_logOut && gate.read < m_log.size()) {
-        perform(rank, gate.gate->handleEpoch(m_log[gate.read++]));
+    if (!m_isLogOut && gate.recordsRead < m_log.size()) {
+        performActions(rank, gate.gate->handleEpoch(m_log[gate.recordsRead++]));
     }
 }
 
-void SwitchWorld::readLog(Leader &leader, int slot)
+void SwitchSimulation::readLog(Leader &leader, int leaderIndex)
 {
-    if (m_logOut) {
+    if (m_isLogOut) {
         return;
     }
-    if (leader.read < m_log.size()) {
-        perform(slot, leader.leader->handleEpoch(m_log[leader.read++]));
+    if (leader.recordsRead < m_log.size()) {
+        performActions(leaderIndex, leader.leader->handleEpoch(m_log[leader.recordsRead++]));
     } else {
         leader.leader->setCaughtUp();
     }
 }
 
-void SwitchWorld::restartGate(int rank)
+void SwitchSimulation::restartGate(int rank)
 {
     m_gates[rank].run = nextRun();
-    m_gates[rank].read = 0;
+    m_gates[rank].recordsRead = 0;
     m_gates[rank].gate = std::make_unique<RankGate>(RankGate::Options{
         .rank = rank, .run = m_gates[rank].run, .leadSteps = LeadSteps, .safeguards = m_options.safeguards});
 }
 
-void SwitchWorld::replaceLeader(int slot)
+void SwitchSimulation::replaceLeader(int leaderIndex)
 {
     std::vector<int> ranks;
     ranks.reserve(m_engines.size());
     for (int rank = 0; rank < m_options.ranks; ++rank) {
         ranks.push_back(rank);
     }
-    m_leaders[slot].leader = std::make_unique<GroupLeader>(static_cast<FencingNumber>(++m_claims), ranks);
-    m_leaders[slot].fencing = static_cast<FencingNumber>(m_claims);
-    m_leaders[slot].read = 0;
+    m_leaders[leaderIndex].leader = std::make_unique<GroupLeader>(static_cast<FencingNumber>(++m_claims), ranks);
+    m_leaders[leaderIndex].fencing = static_cast<FencingNumber>(m_claims);
+    m_leaders[leaderIndex].recordsRead = 0;
     for (auto &gate : m_gates) {
-        if (m_reliable || chance(50)) {
+        if (m_isReliable || randomChance(50)) {
             gate.gate->handleClaim(static_cast<FencingNumber>(m_claims));
         }
     }
 }
 
-void SwitchWorld::propose(GroupLeader &leader)
+void SwitchSimulation::proposeRandomChange(GroupLeader &leader)
 {
-    if (chance(leader.isWhole() ? 100 - m_options.epochs : 60)) {
+    if (randomChance(leader.hasAllMembers() ? 100 - m_options.epochPercent : 60)) {
         if (leader.epoch()) {
             std::vector<int> ranks;
             for (const auto &member : leader.epoch()->members) {
                 ranks.push_back(member.rank);
             }
-            const auto proposed = leader.proposeSwitch(drawLayers(ranks));
+            const auto proposed = leader.proposeSwitch(randomLayers(ranks));
             (void)proposed; // refused while another is under way
         }
         return;
     }
     std::vector<int> ranks;
     for (int rank = 0; rank < m_options.ranks; ++rank) {
-        if (chance(90)) {
+        if (randomChance(90)) {
             ranks.push_back(rank);
         }
     }
     if (!ranks.empty()) {
-        const auto proposed = leader.proposeEpoch(ranks, drawLayers(ranks));
+        const auto proposed = leader.proposeEpoch(ranks, randomLayers(ranks));
         (void)proposed; // refused while another is under way
     }
 }
 
-std::vector<LayerPlacement> SwitchWorld::drawLayers(const std::vector<int> &ranks)
+std::vector<LayerPlacement> SwitchSimulation::randomLayers(const std::vector<int> &ranks)
 {
     LayerPlacement layer;
     for (std::uint16_t expert = 0; expert < 2; ++expert) {
-        layer.push_back({.expert = expert, .rank = static_cast<std::uint16_t>(ranks[pick(ranks.size())])});
+        layer.push_back({.expert = expert, .rank = static_cast<std::uint16_t>(ranks[randomIndex(ranks.size())])});
     }
     return {layer};
 }
 
-void SwitchWorld::settleRound()
+void SwitchSimulation::runReliableRound()
 {
     for (std::size_t i = 0; i < m_gates.size(); ++i) {
-        perform(static_cast<int>(i), m_gates[i].gate->tick());
+        performActions(static_cast<int>(i), m_gates[i].gate->tick());
     }
-    perform(0, m_leaders[0].leader->tick());
-    const int mostDeliveries = 5000;
-    for (int i = 0; i < mostDeliveries; ++i) {
-        append();
+    performActions(0, m_leaders[0].leader->tick());
+    const int maxDeliveries = 5000;
+    for (int i = 0; i < maxDeliveries; ++i) {
+        completeAppend();
         bool idle = m_network.empty() && m_appends.empty();
         if (!idle) {
             deliver(0);
         }
         for (std::size_t rank = 0; rank < m_engines.size(); ++rank) {
             idle = idle && m_engines[rank].orders.empty();
-            followOrder(static_cast<int>(rank), true);
+            executeOrder(static_cast<int>(rank), true);
         }
         if (idle) {
             break;
         }
     }
     for (std::size_t rank = 0; rank < m_engines.size(); ++rank) {
-        while (m_gates[rank].read < m_log.size() && !m_logOut) {
+        while (m_gates[rank].recordsRead < m_log.size() && !m_isLogOut) {
             readLog(m_gates[rank], static_cast<int>(rank));
         }
     }
@@ -406,7 +409,7 @@
     }
     for (int i = 0; i < 2; ++i) {
         for (std::size_t rank = 0; rank < m_engines.size(); ++rank) {
-            step(static_cast<int>(rank));
+            startStepOf(static_cast<int>(rank));
         }
     }
 }
--- a/tests/groups/switchsimulation.h
+++ b/tests/groups/switchsimulation.h
@@ -17,14 +17,14 @@
  * pause (are not scheduled) and are replaced; the log goes out. Checks at each start of a step that all ranks that ever
  * start this step of this epoch use the same map.
  */
-class SwitchWorld
+class SwitchSimulation
 {
 public:
     /** What engines do about orders that a dead run of their gate had sent. */
-    enum class OldOrders {
-        Refused, ///< they arrive at any time and are refused
+    enum class StaleOrders {
+        Rejected, ///< they arrive at any time and are refused
         InOrder, ///< they arrive before any order of the next run, and are followed
-        Followed, ///< they arrive at any time and are followed: not safe
+        Executed, ///< they arrive at any time and are followed: not safe
     };
 
     struct Options
@@ -32,21 +32,21 @@
         int ranks = 3;
         std::uint64_t seed = 1;
         SwitchSafeguards safeguards{};
-        int doubled = 5; ///< percent of messages that arrive again, possibly much later
-        int leaderChanges = 1; ///< of a thousand actions
-        int epochs = 5; ///< percent of proposals that compose an epoch while the group is whole
-        OldOrders oldOrders = OldOrders::Refused;
-        bool rankFaults = true; ///< whether engines die; without, a log outage alone must stall nobody
+        int duplicatePercent = 5; ///< percent of messages that arrive again, possibly much later
+        int leaderChangesPerMille = 1; ///< of a thousand actions
+        int epochPercent = 5; ///< percent of proposals that compose an epoch while the group is whole
+        StaleOrders staleOrders = StaleOrders::Rejected;
+        bool engineFaults = true; ///< whether engines die; without, a log outage alone must stall nobody
     };
 
-    explicit SwitchWorld(const Options &options);
+    explicit SwitchSimulation(const Options &options);
 
     /** Runs @p actions random actions; ends at the first violation. */
     void run(int actions);
 
     /** No faults any more, everything delivered; the latest leader takes the group whole. Whether it became whole,
      * nothing stayed undecided and all ranks step on. */
-    bool heal();
+    bool recover();
 
     /** After heal(): whether a switch goes through without any record on the log and takes effect on all ranks. */
     bool switchWithoutLog();
@@ -58,17 +58,17 @@
     }
 
     /** Switches that took effect on an engine. */
-    int switches() const
+    int switchCount() const
     {
-        return m_switches;
+        return m_switchCount;
     }
 
-    void setLogOut(bool out)
+    void setLogOutage(bool out)
     {
-        m_logOut = out;
+        m_isLogOut = out;
     }
 
-    StepNumber leastStep() const;
+    StepNumber minStep() const;
 
 private:
     struct Packet
@@ -80,9 +80,9 @@
         GroupMessage message{};
     };
 
-    struct Append
+    struct PendingAppend
     {
-        int slot = 0;
+        int leaderIndex = 0;
         FencingNumber leader{};
         GroupEpoch epoch{};
     };
@@ -97,35 +97,35 @@
     {
         std::unique_ptr<RankGate> gate{};
         Incarnation run{};
-        std::size_t read = 0;
+        std::size_t recordsRead = 0;
     };
 
     struct Leader
     {
         FencingNumber fencing{};
         std::unique_ptr<GroupLeader> leader{};
-        std::size_t read = 0;
+        std::size_t recordsRead = 0;
     };
 
-    bool chance(int percent);
-    int pick(std::size_t count);
+    bool randomChance(int percent);
+    int randomIndex(std::size_t count);
     Incarnation nextRun();
-    void act();
-    void actOnLeader(int slot);
+    void runRandomAction();
+    void runLeaderAction(int leaderIndex);
     void deliver(std::size_t index);
-    void deliverLate();
-    void append();
-    void perform(int rank, GateActions actions);
-    void perform(int slot, LeaderActions actions);
-    void followOrder(int rank, bool reliable);
-    void step(int rank);
+    void deliverDuplicate();
+    void completeAppend();
+    void performActions(int rank, GateActions actions);
+    void performActions(int leaderIndex, LeaderActions actions);
+    void executeOrder(int rank, bool reliable);
+    void startStepOf(int rank);
     void readLog(Gate &gate, int rank);
-    void readLog(Leader &leader, int slot);
+    void readLog(Leader &leader, int leaderIndex);
     void restartGate(int rank);
-    void replaceLeader(int slot);
-    void propose(GroupLeader &leader);
-    std::vector<LayerPlacement> drawLayers(const std::vector<int> &ranks);
-    void settleRound();
+    void replaceLeader(int leaderIndex);
+    void proposeRandomChange(GroupLeader &leader);
+    std::vector<LayerPlacement> randomLayers(const std::vector<int> &ranks);
+    void runReliableRound();
 
     Options m_options;
     SeededRandom m_random;
@@ -134,15 +134,15 @@
     std::vector<Leader> m_leaders;
     std::vector<GroupEpoch> m_log;
     std::vector<Packet> m_network;
-    std::vector<Append> m_appends; ///< on their way to the log
-    std::vector<Packet> m_late; ///< second copies, which arrive at any later time
-    bool m_logOut = false;
-    bool m_reliable = false;
+    std::vector<PendingAppend> m_appends; ///< on their way to the log
+    std::vector<Packet> m_duplicates; ///< second copies, which arrive at any later time
+    bool m_isLogOut = false;
+    bool m_isReliable = false;
     std::uint64_t m_runs = 0;
     std::uint64_t m_claims = 0;
-    std::map<std::pair<EpochNumber, StepNumber>, MapNumber> m_used;
+    std::map<std::pair<EpochNumber, StepNumber>, MapNumber> m_mapByStep;
     std::string m_violation;
-    int m_switches = 0;
+    int m_switchCount = 0;
 };
 
 } // namespace Heatherridge
