--- a/modules/heatherridge_coordination/answers/answerassembler.cpp
+++ b/modules/heatherridge_coordination/answers/answerassembler.cpp
@@ -20,62 +20,63 @@
 {
 }
 
-Result<Bytes> AnswerAssembler::take(std::uint64_t sequence, Bytes bytes)
+Result<Bytes> AnswerAssembler::addFrame(std::uint64_t sequence, Bytes bytes)
 {
-    if (m_broken) {
-        return *m_broken;
+    if (m_error) {
+        return *m_error;
     }
-    if (m_count && sequence >= *m_count) {
-        return broken("a frame past the end");
+    if (m_frameCount && sequence >= *m_frameCount) {
+        return fail("a frame past the end");
     }
-    if (sequence < m_next || m_waiting.contains(sequence)) {
-        return takeAgain(sequence, bytes);
+    if (sequence < m_nextSequence || m_bufferedFrames.contains(sequence)) {
+        return checkDuplicate(sequence, bytes);
     }
-    if (sequence > m_next) {
-        if (auto error = keepWaiting(sequence, std::move(bytes))) {
+    if (sequence > m_nextSequence) {
+        if (auto error = bufferFrame(sequence, std::move(bytes))) {
             return *error;
         }
         return Bytes{};
     }
-    Bytes ready;
-    handOut(ready, bytes);
-    for (auto first = m_waiting.begin(); first != m_waiting.end() && first->first == m_next;
-         first = m_waiting.erase(first)) {
-        m_waitingBytes -= first->second.size();
-        handOut(ready, first->second);
+    Bytes readyBytes;
+    deliverFrame(readyBytes, bytes);
+    for (auto nextFrame = m_bufferedFrames.begin();
+         nextFrame != m_bufferedFrames.end() && nextFrame->first == m_nextSequence;
+         nextFrame = m_bufferedFrames.erase(nextFrame)) {
+        m_bufferedBytes -= nextFrame->second.size();
+        deliverFrame(readyBytes, nextFrame->second);
     }
-    return ready;
+    return readyBytes;
 }
 
-Outcome AnswerAssembler::end(std::uint64_t count)
+Outcome AnswerAssembler::setFrameCount(std::uint64_t frameCount)
 {
-    if (m_broken) {
-        return *m_broken;
+    if (m_error) {
+        return *m_error;
     }
-    if (m_count && *m_count != count) {
-        return broken("two ends that differ");
+    if (m_frameCount && *m_frameCount != frameCount) {
+        return fail("two ends that differ");
     }
-    const auto seen = m_waiting.empty() ? m_next : m_waiting.rbegin()->first + 1;
-    if (seen > count) {
-        return broken("an end before frames that came");
+    const auto receivedFrames = m_bufferedFrames.empty() ? m_nextSequence : m_bufferedFrames.rbegin()->first + 1;
+    if (receivedFrames > frameCount) {
+        return fail("an end before frames that came");
     }
-    m_count = count;
+    m_frameCount = frameCount;
     return {};
 }
 
 bool AnswerAssembler::isComplete() const
 {
-    return !m_broken && m_count == m_next;
+    return !m_error && m_frameCount == m_nextSequence;
 }
 
 std::uint64_t AnswerAssembler::nextSequence() const
 {
-    return m_next;
+    return m_nextSequence;
 }
 
-std::size_t AnswerAssembler::waitingBytes() const
+std::size_t AnswerAssembler::bufferedBytes() const
 {
-    return m_waitingBytes;
+    return m_bufferedBytes;
 }
 
 const AssemblerCounters &AnswerAssembler::counters() const
@@ -83,49 +84,50 @@
     return m_counters;
 }
 
-Error AnswerAssembler::broken(const char *why)
+Error AnswerAssembler::fail(const char *reason)
 {
-    ++m_counters.refused;
-    m_broken = Error{.kind = ErrorKind::StreamBroken, .detail = why};
-    m_waiting.clear();
-    m_waitingBytes = 0;
-    return *m_broken;
+    ++m_counters.failures;
+    m_error = Error{.kind = ErrorKind::StreamBroken, .detail = reason};
+    m_bufferedFrames.clear();
+    m_bufferedBytes = 0;
+    return *m_error;
 }
 
 /** A frame whose number has come before: harmless when its bytes are the same, proof of a mix-up when they differ. */
-Result<Bytes> AnswerAssembler::takeAgain(std::uint64_t sequence, const Bytes &bytes)
+Result<Bytes> AnswerAssembler::checkDuplicate(std::uint64_t sequence, const Bytes &bytes)
 {
-    if (const auto waiting = m_waiting.find(sequence); waiting != m_waiting.end()) {
-        if (waiting->second != bytes) {
-            return broken("two frames of one number that differ");
+    if (const auto buffered = m_bufferedFrames.find(sequence); buffered != m_bufferedFrames.end()) {
+        if (buffered->second != bytes) {
+            return fail("two frames of one number that differ");
         }
-    } else if (const auto age = m_next - sequence; age <= m_handedOut.size()) {
-        if (m_handedOut[m_handedOut.size() - age] != hashOf(bytes)) {
-            return broken("two frames of one number that differ");
+    } else if (const auto age = m_nextSequence - sequence; age <= m_deliveredHashes.size()) {
+        if (m_deliveredHashes[m_deliveredHashes.size() - age] != hashOf(bytes)) {
+            return fail("two frames of one number that differ");
         }
     }
-    ++m_counters.doubled;
+    ++m_counters.duplicateFrames;
     return Bytes{};
 }
 
-std::optional<Error> AnswerAssembler::keepWaiting(std::uint64_t sequence, Bytes bytes)
+std::optional<Error> AnswerAssembler::bufferFrame(std::uint64_t sequence, Bytes bytes)
 {
-    if (m_waiting.size() >= m_options.maxWaitingFrames || m_waitingBytes + bytes.size() > m_options.maxWaitingBytes) {
-        return broken("too much waits for a missing frame");
+    if (m_bufferedFrames.size() >= m_options.maxBufferedFrames
+        || m_bufferedBytes + bytes.size() > m_options.maxBufferedBytes) {
+        return fail("too much waits for a missing frame");
     }
-    ++m_counters.late;
-    m_waitingBytes += bytes.size();
-    m_waiting.emplace(sequence, std::move(bytes));
+    ++m_counters.outOfOrderFrames;
+    m_bufferedBytes += bytes.size();
+    m_bufferedFrames.emplace(sequence, std::move(bytes));
     return std::nullopt;
 }
 
-void AnswerAssembler::handOut(Bytes &into, const Bytes &bytes)
+void AnswerAssembler::deliverFrame(Bytes &output, const Bytes &bytes)
 {
-    into.insert(into.end(), bytes.begin(), bytes.end());
-    ++m_next;
-    m_handedOut.push_back(hashOf(bytes));
-    if (m_handedOut.size() > m_options.rememberedFrames) {
-        m_handedOut.pop_front();
+    output.insert(output.end(), bytes.begin(), bytes.end());
+    ++m_nextSequence;
+    m_deliveredHashes.push_back(hashOf(bytes));
+    if (m_deliveredHashes.size() > m_options.maxRememberedHashes) {
+        m_deliveredHashes.pop_front();
     }
 }
 
--- a/modules/heatherridge_coordination/answers/answerassembler.h
+++ b/modules/heatherridge_coordination/answers/answerassembler.h
@@ -14,9 +14,9 @@
 /** What an assembler met, for counters. */
 struct AssemblerCounters
 {
-    std::uint64_t late = 0; ///< frames that arrived before one with a lower number
-    std::uint64_t doubled = 0; ///< frames that had come before
-    std::uint64_t refused = 0; ///< frames that ended the answer as broken
+    std::uint64_t outOfOrderFrames = 0; ///< frames that arrived before one with a lower number
+    std::uint64_t duplicateFrames = 0; ///< frames that had come before
+    std::uint64_t failures = 0; ///< frames that ended the answer as broken
 };
 
 /**
@@ -33,9 +33,9 @@
 public:
     struct Options
     {
-        std::size_t maxWaitingBytes = 256UL << 10U; ///< bytes that came early
-        std::size_t maxWaitingFrames = 256; ///< frames that came early
-        std::size_t rememberedFrames = 256; ///< handed-out frames whose doubles are still compared byte for byte
+        std::size_t maxBufferedBytes = 256UL << 10U; ///< bytes that came early
+        std::size_t maxBufferedFrames = 256; ///< frames that came early
+        std::size_t maxRememberedHashes = 256; ///< handed-out frames whose doubles are still compared byte for byte
     };
 
     /** An assembler that waits for frame 0. */
@@ -46,13 +46,13 @@
      * @returns the bytes that may be passed on now, in order (empty when the frame has to wait or was a double), or
      *          StreamBroken, after which every call yields the same error
      */
-    Result<Bytes> take(std::uint64_t sequence, Bytes bytes);
+    Result<Bytes> addFrame(std::uint64_t sequence, Bytes bytes);
 
     /**
      * Takes the end: the answer has @p count frames. Comes at most once, at any time, doubles aside.
      * @returns StreamBroken when frames beyond the end have come, or when another end came before
      */
-    Outcome end(std::uint64_t count);
+    Outcome setFrameCount(std::uint64_t frameCount);
 
     /** Whether every byte has been handed out and the end is known. */
     bool isComplete() const;
@@ -61,24 +61,24 @@
     std::uint64_t nextSequence() const;
 
     /** Bytes that wait for an earlier frame. */
-    std::size_t waitingBytes() const;
+    std::size_t bufferedBytes() const;
 
     /** What was met so far. */
     const AssemblerCounters &counters() const;
 
 private:
-    Error broken(const char *why);
-    Result<Bytes> takeAgain(std::uint64_t sequence, const Bytes &bytes);
-    std::optional<Error> keepWaiting(std::uint64_t sequence, Bytes bytes);
-    void handOut(Bytes &into, const Bytes &bytes);
+    Error fail(const char *reason);
+    Result<Bytes> checkDuplicate(std::uint64_t sequence, const Bytes &bytes);
+    std::optional<Error> bufferFrame(std::uint64_t sequence, Bytes bytes);
+    void deliverFrame(Bytes &output, const Bytes &bytes);
 
     Options m_options;
-    std::map<std::uint64_t, Bytes> m_waiting;
-    std::deque<std::uint64_t> m_handedOut; ///< hashes of the last frames handed out, newest last
-    std::optional<std::uint64_t> m_count;
-    std::optional<Error> m_broken;
-    std::uint64_t m_next = 0;
-    std::size_t m_waitingBytes = 0;
+    std::map<std::uint64_t, Bytes> m_bufferedFrames;
+    std::deque<std::uint64_t> m_deliveredHashes; ///< hashes of the last frames handed out, newest last
+    std::optional<std::uint64_t> m_frameCount;
+    std::optional<Error> m_error;
+    std::uint64_t m_nextSequence = 0;
+    std::size_t m_bufferedBytes = 0;
     AssemblerCounters m_counters;
 };
 
--- a/modules/heatherridge_coordination/answers/eventstreamsplitter.cpp
+++ b/modules/heatherridge_coordination/answers/eventstreamsplitter.cpp
@@ -10,16 +10,16 @@
 {
 
 /** Where the event that @p text begins with ends, behind its blank line; npos when it is not whole. */
-std::size_t endOfEvent(std::string_view text)
+std::size_t findEventEnd(std::string_view text)
 {
-    const auto plain = text.find("\n\n");
-    const auto withReturns = text.find("\r\n\r\n");
-    const auto afterPlain = plain == std::string_view::npos ? plain : plain + 2;
-    const auto afterReturns = withReturns == std::string_view::npos ? withReturns : withReturns + 4;
-    return std::min(afterPlain, afterReturns);
+    const auto lfBlankLine = text.find("\n\n");
+    const auto crlfBlankLine = text.find("\r\n\r\n");
+    const auto afterLfBlankLine = lfBlankLine == std::string_view::npos ? lfBlankLine : lfBlankLine + 2;
+    const auto afterCrlfBlankLine = crlfBlankLine == std::string_view::npos ? crlfBlankLine : crlfBlankLine + 4;
+    return std::min(afterLfBlankLine, afterCrlfBlankLine);
 }
 
-std::optional<std::uint64_t> idOf(std::string_view event)
+std::optional<std::uint64_t> parseEventId(std::string_view event)
 {
     while (!event.empty()) {
         auto line = event.substr(0, event.find('\n'));
@@ -41,23 +41,23 @@
 
 std::vector<StreamEvent> EventStreamSplitter::feed(std::string_view bytes)
 {
-    m_held.append(bytes);
+    m_buffer.append(bytes);
     std::vector<StreamEvent> events;
     std::size_t begin = 0;
-    for (auto size = endOfEvent(m_held); size != std::string_view::npos;
-         size = endOfEvent(std::string_view(m_held).substr(begin))) {
-        std::string text = m_held.substr(begin, size);
-        const auto id = idOf(text);
+    for (auto size = findEventEnd(m_buffer); size != std::string_view::npos;
+         size = findEventEnd(std::string_view(m_buffer).substr(begin))) {
+        std::string text = m_buffer.substr(begin, size);
+        const auto id = parseEventId(text);
         events.push_back({.id = id, .text = std::move(text)});
         begin += size;
     }
-    m_held.erase(0, begin);
+    m_buffer.erase(0, begin);
     return events;
 }
 
-bool EventStreamSplitter::isMidEvent() const
+bool EventStreamSplitter::hasPartialEvent() const
 {
-    return !m_held.empty();
+    return !m_buffer.empty();
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/answers/eventstreamsplitter.h
+++ b/modules/heatherridge_coordination/answers/eventstreamsplitter.h
@@ -29,10 +29,10 @@
     std::vector<StreamEvent> feed(std::string_view bytes);
 
     /** Whether bytes of an event that is not whole are held. */
-    bool isMidEvent() const;
+    bool hasPartialEvent() const;
 
 private:
-    std::string m_held;
+    std::string m_buffer;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/answers/resumepoint.cpp
+++ b/modules/heatherridge_coordination/answers/resumepoint.cpp
@@ -8,42 +8,43 @@
 {
 }
 
-void ResumePoint::passedOn(const Bytes &token)
+void ResumePoint::addDeliveredToken(const Bytes &token)
 {
-    ++m_tokens;
-    m_expected = m_tokens;
-    m_tailBytes += token.size();
-    m_tail.push_back(token);
-    while (m_tail.size() > m_options.overlapTokens || (m_tailBytes > m_options.maxOverlapBytes && m_tail.size() > 1)) {
-        m_tailBytes -= m_tail.front().size();
-        m_tail.pop_front();
+    ++m_deliveredTokens;
+    m_expectedPosition = m_deliveredTokens;
+    m_recentBytes += token.size();
+    m_recentTokens.push_back(token);
+    while (m_recentTokens.size() > m_options.overlapTokens
+           || (m_recentBytes > m_options.maxOverlapBytes && m_recentTokens.size() > 1)) {
+        m_recentBytes -= m_recentTokens.front().size();
+        m_recentTokens.pop_front();
     }
 }
 
-std::uint64_t ResumePoint::tokens() const
+std::uint64_t ResumePoint::deliveredTokens() const
 {
-    return m_tokens;
+    return m_deliveredTokens;
 }
 
 std::uint64_t ResumePoint::beginResume()
 {
-    m_expected = m_tokens - m_tail.size();
-    return m_expected;
+    m_expectedPosition = m_deliveredTokens - m_recentTokens.size();
+    return m_expectedPosition;
 }
 
-Result<std::optional<Bytes>> ResumePoint::take(std::uint64_t position, Bytes token)
+Result<std::optional<Bytes>> ResumePoint::acceptToken(std::uint64_t position, Bytes token)
 {
-    if (position != m_expected) {
+    if (position != m_expectedPosition) {
         return Error{.kind = ErrorKind::StreamBroken, .detail = "the resumed stream skips or repeats a token"};
     }
-    if (position < m_tokens) {
-        if (m_tail[m_tail.size() - (m_tokens - position)] != token) {
+    if (position < m_deliveredTokens) {
+        if (m_recentTokens[m_recentTokens.size() - (m_deliveredTokens - position)] != token) {
             return Error{.kind = ErrorKind::StreamBroken, .detail = "the resumed stream differs"};
         }
-        ++m_expected;
+        ++m_expectedPosition;
         return std::optional<Bytes>{};
     }
-    passedOn(token);
+    addDeliveredToken(token);
     return std::optional<Bytes>(std::move(token));
 }
 
--- a/modules/heatherridge_coordination/answers/resumepoint.h
+++ b/modules/heatherridge_coordination/answers/resumepoint.h
@@ -30,10 +30,10 @@
     explicit ResumePoint(Options options);
 
     /** Notes that the caller has got one more token. */
-    void passedOn(const Bytes &token);
+    void addDeliveredToken(const Bytes &token);
 
     /** How many tokens the caller has got. */
-    std::uint64_t tokens() const;
+    std::uint64_t deliveredTokens() const;
 
     /** The token from which the engine is to start again; the first is 0. Begins the comparison. */
     std::uint64_t beginResume();
@@ -43,14 +43,14 @@
      * @returns the token when it is the next new one, nothing when it was a repeated one and the same, or StreamBroken
      *          when it differs or is out of place
      */
-    Result<std::optional<Bytes>> take(std::uint64_t position, Bytes token);
+    Result<std::optional<Bytes>> acceptToken(std::uint64_t position, Bytes token);
 
 private:
     Options m_options;
-    std::deque<Bytes> m_tail;
-    std::size_t m_tailBytes = 0;
-    std::uint64_t m_tokens = 0;
-    std::uint64_t m_expected = 0;
+    std::deque<Bytes> m_recentTokens;
+    std::size_t m_recentBytes = 0;
+    std::uint64_t m_deliveredTokens = 0;
+    std::uint64_t m_expectedPosition = 0;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/logservice.h
+++ b/modules/heatherridge_coordination/logservice.h
@@ -52,11 +52,12 @@
     virtual void append(const StreamName &stream, Bytes payload, AppendDone done) = 0;
 
     /**
-     * Reads records of @p stream from offset @p from on, at most @p most of them. When there is none yet, waits up to
-     * @p wait for one. Reading below the oldest offset kept yields an empty page whose `first` says where to go on.
+     * Reads records of @p stream from offset @p from on, at most @p maxRecords of them. When there is none yet, waits
+     * up to
+     * @p maxWait for one. Reading below the oldest offset kept yields an empty page whose `first` says where to go on.
      */
-    virtual void read(const StreamName &stream, LogOffset from, std::size_t most, std::chrono::milliseconds wait,
-                      ReadDone done) = 0;
+    virtual void read(const StreamName &stream, LogOffset from, std::size_t maxRecords,
+                      std::chrono::milliseconds maxWait, ReadDone done) = 0;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/streamprogress.cpp
+++ b/modules/heatherridge_transport/direct/streamprogress.cpp
@@ -58,7 +58,7 @@
 
 bool StreamProgress::isBroken() const
 {
-    return m_isBroken || m_splitter.isMidEvent();
+    return m_isBroken || m_splitter.hasPartialEvent();
 }
 
 std::optional<std::uint64_t> StreamProgress::lastEvent() const
--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -362,7 +362,7 @@
 void EntryTraffic::takeChunk(const Call &call, const AnswerChunk &chunk)
 {
     auto ready = call->answerBegun
-        ? call->assembler.take(chunk.sequence, chunk.bytes)
+        ? call->assembler.addFrame(chunk.sequence, chunk.bytes)
         : Result<Bytes>(Error{.kind = ErrorKind::StreamBroken, .detail = "chunk before the head"});
     if (const auto *error = errorIn(ready)) {
         cancelAtTarget(call);
@@ -391,7 +391,7 @@
 
 void EntryTraffic::takeEnd(const Call &call, const AnswerEnd &end)
 {
-    auto outcome = call->answerBegun ? call->assembler.end(end.chunks)
+    auto outcome = call->answerBegun ? call->assembler.setFrameCount(end.chunks)
                                      : Outcome(Error{.kind = ErrorKind::StreamBroken, .detail = "end before the head"});
     if (const auto *error = errorIn(outcome)) {
         cancelAtTarget(call);
--- a/modules/heatherridge_transport/entry/streamresume.cpp
+++ b/modules/heatherridge_transport/entry/streamresume.cpp
@@ -34,7 +34,7 @@
                     m_pending.begin() + static_cast<std::ptrdiff_t>(end));
         const auto size = event.size();
         begin = end;
-        auto taken = m_point.take(m_position++, std::move(event));
+        auto taken = m_point.acceptToken(m_position++, std::move(event));
         if (const auto *error = errorIn(taken)) {
             return *error;
         }
