--- a/tests/groups/message_test.cpp
+++ b/tests/groups/message_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-GroupEpoch drawnEpoch(std::uint32_t seed)
+GroupEpoch randomEpoch(std::uint32_t seed)
 {
     SeededRandom random(seed);
     const auto problem = randomProblem(evenShape(3, 6, 4, 2), random, 2);
@@ -23,7 +23,7 @@
 
 std::vector<GroupMessage> allMessages(std::uint32_t seed)
 {
-    const auto epoch = drawnEpoch(seed);
+    const auto epoch = randomEpoch(seed);
     return {LoadMap{FencingNumber{3}, EpochNumber{7}, Incarnation{seed}, true, epoch.map},
             MapReady{2, MapNumber{seed}, true},
             VoteRequest{FencingNumber{3}, EpochNumber{7}, MapNumber{seed}},
@@ -36,59 +36,59 @@
             RankLoadReport{{.rank = 1, .window = seed, .map = MapNumber{8}, .tokens = {1, 2, seed}}}};
 }
 
-RC_GTEST_PROP(GroupMessages, ComeBackAsTheyWere, (std::uint32_t seed))
+RC_GTEST_PROP(GroupMessages, RoundTrip, (std::uint32_t seed))
 {
     for (const auto &message : allMessages(seed)) {
-        const auto back = decodeGroupFrame(encode(GroupFrame{.group = GroupName("g"), .message = message}));
-        const auto *frame = std::get_if<GroupFrame>(&back);
+        const auto decoded = decodeGroupFrame(encode(GroupFrame{.group = GroupName("g"), .message = message}));
+        const auto *frame = std::get_if<GroupFrame>(&decoded);
         RC_ASSERT(frame != nullptr);
         RC_ASSERT(frame->group == GroupName("g"));
         RC_ASSERT(frame->message == message);
     }
-    const auto epoch = drawnEpoch(seed);
+    const auto epoch = randomEpoch(seed);
     for (const GroupRecord &record :
          {GroupRecord(epoch), GroupRecord(GroupClaim{2, Incarnation{seed}, FencingNumber{4}})}) {
         RC_ASSERT(std::get<GroupRecord>(decodeGroupRecord(encodeGroupRecord(record))) == record);
     }
 }
 
-RC_GTEST_PROP(GroupMessages, HostileBytesAreRefusedAndNeverReadAsAnInvalidMap, (std::uint32_t seed))
+RC_GTEST_PROP(GroupMessages, CorruptBytesAreRejectedOrDecodeToAValidMap, (std::uint32_t seed))
 {
     SeededRandom random(seed);
     for (const auto &message : allMessages(seed)) {
         auto bytes = encode(GroupFrame{.group = GroupName("g"), .message = message});
         bytes[random.below(bytes.size())] ^= static_cast<std::uint8_t>(1 + random.below(255));
         bytes.resize(random.below(3) == 0 ? random.below(bytes.size()) : bytes.size());
-        const auto back = decodeGroupFrame(bytes);
-        if (const auto *error = errorIn(back)) {
+        const auto decoded = decodeGroupFrame(bytes);
+        if (const auto *error = errorIn(decoded)) {
             RC_ASSERT(error->kind == ErrorKind::MalformedFrame);
-        } else if (const auto *load = std::get_if<LoadMap>(&std::get<GroupFrame>(back).message)) {
-            for (const auto &layer : load->map.layers()) {
-                int shares = 0;
+        } else if (const auto *loadMap = std::get_if<LoadMap>(&std::get<GroupFrame>(decoded).message)) {
+            for (const auto &layer : loadMap->map.layers()) {
+                int shareSum = 0;
                 for (const auto &slot : layer) {
-                    shares += slot.share;
+                    shareSum += slot.share;
                 }
-                RC_ASSERT(shares % ExpertSlot::WholeShare == 0);
+                RC_ASSERT(shareSum % ExpertSlot::WholeShare == 0);
             }
         }
     }
 }
 
-TEST(GroupEpochs, TheFirstRecordOfANumberWinsAndEpochsShareARank)
+TEST(GroupEpochs, FirstRecordOfANumberWinsAndSuccessiveEpochsShareARank)
 {
     GroupEpochs epochs;
-    auto epoch = drawnEpoch(1);
+    auto epoch = randomEpoch(1);
     EXPECT_TRUE(epochs.apply(epoch));
-    auto other = epoch;
-    other.leader = FencingNumber{99};
-    EXPECT_FALSE(epochs.apply(other));
+    auto conflicting = epoch;
+    conflicting.leader = FencingNumber{99};
+    EXPECT_FALSE(epochs.apply(conflicting));
     EXPECT_EQ(epochs.ignored(), 1U);
-    auto strangers = epoch;
-    strangers.number = EpochNumber{8};
-    strangers.members = {{8, Incarnation{1}}};
-    EXPECT_FALSE(epochs.apply(strangers));
-    strangers.members = {{3, Incarnation{77}}, {8, Incarnation{1}}};
-    EXPECT_TRUE(epochs.apply(strangers));
+    auto successor = epoch;
+    successor.number = EpochNumber{8};
+    successor.members = {{8, Incarnation{1}}};
+    EXPECT_FALSE(epochs.apply(successor));
+    successor.members = {{3, Incarnation{77}}, {8, Incarnation{1}}};
+    EXPECT_TRUE(epochs.apply(successor));
 }
 
 } // namespace
