--- a/tests/groupsite/groupsite.cpp
+++ b/tests/groupsite/groupdeployment.cpp
@@ -1,4 +1,4 @@
-#include "groupsite/groupsite.h"
+#include "groupsite/groupdeployment.h"
 
 #include "heatherridge_protocol/controlrecordcodec.h"
 
