--- a/modules/heatherridge_coordination/groups/demandsurvey.cpp
+++ b/modules/heatherridge_coordination/groups/demandsurvey.cpp
@@ -17,13 +17,13 @@
 
 } // namespace
 
-DemandSurvey::DemandSurvey(RankControl &control, std::chrono::milliseconds period)
+DemandSampler::DemandSampler(RankControl &control, std::chrono::milliseconds period)
     : m_control(control)
     , m_period(period)
 {
 }
 
-void DemandSurvey::setShape(int sets, int experts)
+void DemandSampler::setShape(int sets, int experts)
 {
     if (m_demand && m_shape == std::pair(sets, experts)) {
         return;
@@ -36,7 +36,7 @@
     m_round.reset();
 }
 
-bool DemandSurvey::tick(SteadyTime now, const std::function<std::vector<TargetEntry>()> &ranks)
+bool DemandSampler::tick(SteadyTime now, const std::function<std::vector<TargetEntry>()> &ranks)
 {
     if (!m_demand) {
         return false;
@@ -60,17 +60,17 @@
     return false;
 }
 
-const std::vector<SetDemand> &DemandSurvey::bySet() const
+const std::vector<SetDemand> &DemandSampler::bySet() const
 {
     return m_demand->bySet();
 }
 
-double DemandSurvey::lastDistance() const
+double DemandSampler::lastDistance() const
 {
     return m_demand->lastDistance();
 }
 
-void DemandSurvey::begin(SteadyTime now, const std::vector<TargetEntry> &ranks)
+void DemandSampler::begin(SteadyTime now, const std::vector<TargetEntry> &ranks)
 {
     m_due = now + (m_demand->bySet().empty() ? m_period / FirstRoundsFactor : m_period);
     m_began = now;
@@ -91,7 +91,7 @@
     }
 }
 
-void DemandSurvey::take(const TargetName &rank, RankCounts counts)
+void DemandSampler::take(const TargetName &rank, RankCounts counts)
 {
     if (counts.chosen.size() != m_size) {
         return;
--- a/modules/heatherridge_coordination/groups/demandsurvey.h
+++ b/modules/heatherridge_coordination/groups/demandsurvey.h
@@ -18,11 +18,11 @@
  * Ranks count from their start on, so a reading is worth its difference to the one before of the same rank and epoch.
  * All ranks that are asked in one round make one window. One thread; moved on by tick().
  */
-class DemandSurvey
+class DemandSampler
 {
 public:
     /** Uses @p control, which must outlive it. @param period between rounds */
-    DemandSurvey(RankControl &control, std::chrono::milliseconds period);
+    DemandSampler(RankControl &control, std::chrono::milliseconds period);
 
     /** The sizes of the service's model; anything known is forgotten when they change. */
     void setShape(int sets, int experts);
--- a/modules/heatherridge_coordination/groups/groupkeeper.cpp
+++ b/modules/heatherridge_coordination/groups/groupkeeper.cpp
@@ -51,8 +51,8 @@
 
 } // namespace
 
-GroupKeeper::GroupKeeper(RankControl &control, GroupKeeperOptions options, KeeperEvents events, const Clock &clock,
-                         std::function<std::uint64_t()> drawBits)
+ExpertRebalancer::ExpertRebalancer(RankControl &control, ExpertRebalancerOptions options, ExpertRebalancerEvents events,
+                                   const Clock &clock, std::function<std::uint64_t()> drawBits)
     : m_control(control)
     , m_options(std::move(options))
     , m_events(std::move(events))
@@ -66,8 +66,8 @@
 {
 }
 
-void GroupKeeper::setTargets(const std::vector<TargetEntry> &targets, const EngineProfile &profile,
-                             std::chrono::milliseconds longestPause)
+void ExpertRebalancer::setTargets(const std::vector<TargetEntry> &targets, const EngineProfile &profile,
+                                  std::chrono::milliseconds longestPause)
 {
     m_longestPause = longestPause;
     m_survey.setShape(profile.layerSets, profile.experts);
@@ -75,7 +75,7 @@
     m_watch.setTargets(targets);
 }
 
-void GroupKeeper::setActive(bool isActive, bool isConfirmed)
+void ExpertRebalancer::setActive(bool isActive, bool isConfirmed)
 {
     m_isActive = isActive;
     if (m_isConfirmed && !isConfirmed) {
@@ -92,7 +92,7 @@
     m_watch.setThorough(isKeeping());
 }
 
-void GroupKeeper::rememberHighest()
+void ExpertRebalancer::rememberHighest()
 {
     m_sawOther = false;
     m_highestBefore = {};
@@ -101,12 +101,12 @@
     }
 }
 
-bool GroupKeeper::isKeeping() const
+bool ExpertRebalancer::isKeeping() const
 {
     return m_isActive || m_takeover.isUnderWay();
 }
 
-void GroupKeeper::considerTakeover(SteadyTime now)
+void ExpertRebalancer::considerTakeover(SteadyTime now)
 {
     if (m_isActive || !m_takeover.begins(m_watch.groups(), now)) {
         return;
@@ -116,7 +116,7 @@
     tell("keeper-takes-over", {}, "no keeper has asked for counts and the log gives its share to nobody");
 }
 
-void GroupKeeper::tick(SteadyTime now)
+void ExpertRebalancer::tick(SteadyTime now)
 {
     m_now = now;
     m_watch.tick(now);
@@ -137,12 +137,12 @@
     }
 }
 
-double GroupKeeper::lastSkew() const
+double ExpertRebalancer::lastSkew() const
 {
     return m_lastSkew;
 }
 
-void GroupKeeper::composed(const GroupName &name)
+void ExpertRebalancer::composed(const GroupName &name)
 {
     auto &group = m_groups[name];
     group.layout.reset();
@@ -151,7 +151,7 @@
     group.wanted.reset();
 }
 
-void GroupKeeper::spoke(const GroupName &name, const RankStatus &status)
+void ExpertRebalancer::spoke(const GroupName &name, const RankStatus &status)
 {
     noticeOthers(status);
     auto &group = m_groups[name];
@@ -162,7 +162,7 @@
     }
 }
 
-void GroupKeeper::noticeOthers(const RankStatus &status)
+void ExpertRebalancer::noticeOthers(const RankStatus &status)
 {
     const auto newest = std::max(status.map, status.prepared.value_or(MapNumber{}));
     if (!m_isConfirmed && newest > m_highestBefore && !m_ownNumbers.contains(newest)) {
@@ -170,20 +170,20 @@
     }
 }
 
-bool GroupKeeper::givesWay(SteadyTime now) const
+bool ExpertRebalancer::givesWay(SteadyTime now) const
 {
     // Two keepers that switch one group make each other fail, and each failure holds it for a second.
     return !m_isConfirmed && (m_sawOther || now - m_unconfirmedSince < GivingWay);
 }
 
-bool GroupKeeper::mayBeAnothers(const Group &group, SteadyTime now) const
+bool ExpertRebalancer::mayBeAnothers(const Group &group, SteadyTime now) const
 {
     // The log turns away this process alone, perhaps, and has given its share to another that has had nothing to do
     // yet. Without the pause both switched at the next shift of demand, and the group stood still for 1.3 s.
     return !m_isConfirmed && now - *group.unevenSince < UnconfirmedPause;
 }
 
-void GroupKeeper::followGroup(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::followGroup(const GroupName &name, Group &group, SteadyTime now)
 {
     const auto &seen = m_watch.group(name);
     if (!m_watch.isWhole(seen)) {
@@ -205,7 +205,7 @@
     }
 }
 
-void GroupKeeper::watchHold(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::watchHold(const GroupName &name, Group &group, SteadyTime now)
 {
     const auto &seen = m_watch.group(name);
     group.wanted.reset();
@@ -227,7 +227,7 @@
                                                     });
 }
 
-bool GroupKeeper::isLeftHeld(Group &group, const WatchedGroup &seen, SteadyTime now)
+bool ExpertRebalancer::isLeftHeld(Group &group, const MonitoredGroup &seen, SteadyTime now)
 {
     if (group.patienceDrawnFor != seen.heldSince) {
         group.patienceDrawnFor = seen.heldSince;
@@ -238,7 +238,7 @@
     return standsStill || now - seen.heldSince > ForeignHoldPatience + more;
 }
 
-void GroupKeeper::runRecovery(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::runRecovery(const GroupName &name, Group &group, SteadyTime now)
 {
     group.recovery->tick(now);
     const auto end = group.recovery->end();
@@ -260,7 +260,7 @@
     group.recovery.reset();
 }
 
-void GroupKeeper::runSwitch(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::runSwitch(const GroupName &name, Group &group, SteadyTime now)
 {
     group.mapSwitch->tick(now, !holdsAnother(group));
     const auto end = group.mapSwitch->end();
@@ -297,7 +297,7 @@
     group.mapSwitch.reset();
 }
 
-bool GroupKeeper::holdsAnother(const Group &group) const
+bool ExpertRebalancer::holdsAnother(const Group &group) const
 {
     // One at a time: if this process dies or is paused in the midst of its switches, no more than one group waits for
     // somebody to let it go. With two switched at once all engines stood still for 2 s and more.
@@ -306,7 +306,7 @@
     });
 }
 
-void GroupKeeper::readExperts(const GroupName &name, Group &group)
+void ExpertRebalancer::readExperts(const GroupName &name, Group &group)
 {
     if (group.isAskingExperts) {
         return;
@@ -335,7 +335,7 @@
     }
 }
 
-void GroupKeeper::assembleLayout(const GroupName &name, const ExpertReading &reading)
+void ExpertRebalancer::assembleLayout(const GroupName &name, const ExpertReading &reading)
 {
     const auto &seen = m_watch.group(name);
     if (!m_watch.isWhole(seen) || seen.ranks != reading.ranks) {
@@ -364,7 +364,7 @@
     }
 }
 
-std::vector<TargetEntry> GroupKeeper::surveyed() const
+std::vector<TargetEntry> ExpertRebalancer::surveyed() const
 {
     std::vector<TargetEntry> ranks;
     for (const auto &[name, seen] : m_watch.groups()) {
@@ -379,7 +379,7 @@
     return asked;
 }
 
-void GroupKeeper::addLeaders(std::vector<TargetEntry> &asked) const
+void ExpertRebalancer::addLeaders(std::vector<TargetEntry> &asked) const
 {
     for (const auto &[name, seen] : m_watch.groups()) {
         if (!m_watch.isWhole(seen)) {
@@ -394,7 +394,7 @@
     }
 }
 
-void GroupKeeper::noteDemand()
+void ExpertRebalancer::noteDemand()
 {
     m_lastSkew = 0;
     for (auto &[name, group] : m_groups) {
@@ -406,7 +406,7 @@
     }
 }
 
-void GroupKeeper::considerSwitch(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::considerSwitch(const GroupName &name, Group &group, SteadyTime now)
 {
     const auto &seen = m_watch.group(name);
     const bool isFree = !group.mapSwitch && !group.recovery && !group.wanted && !seen.heldStep;
@@ -451,14 +451,14 @@
         return;
     }
     group.unevenSince.reset();
-    group.wanted = SwitchPlan{.layout = std::move(stage.layout),
-                              .copyTime = std::chrono::duration_cast<milliseconds>(copyTime),
-                              .passTime = seen.passTime};
+    group.wanted = MapSwitchPlan{.layout = std::move(stage.layout),
+                                 .copyTime = std::chrono::duration_cast<milliseconds>(copyTime),
+                                 .passTime = seen.passTime};
     group.gatheredAt = now;
     m_watch.ask(seen, now);
 }
 
-RankSlowness GroupKeeper::slownessOf(const WatchedGroup &seen) const
+RankSlowness ExpertRebalancer::slownessOf(const MonitoredGroup &seen) const
 {
     RankSlowness slowness;
     for (const auto &id : seen.ranks) {
@@ -468,7 +468,7 @@
     return slowness;
 }
 
-void GroupKeeper::startSwitch(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::startSwitch(const GroupName &name, Group &group, SteadyTime now)
 {
     auto plan = *std::exchange(group.wanted, {});
     const auto &seen = m_watch.group(name);
@@ -501,7 +501,7 @@
     group.mapSwitch->tick(now);
 }
 
-bool GroupKeeper::isPassPending(const Group &group, const WatchedGroup &seen) const
+bool ExpertRebalancer::isPassPending(const Group &group, const MonitoredGroup &seen) const
 {
     // A switch ends when its pass is let go, and the pass may be several passes ahead: its ranks are as expected.
     return std::any_of(seen.ranks.begin(), seen.ranks.end(), [&](const auto &id) {
@@ -510,7 +510,7 @@
     });
 }
 
-MapNumber GroupKeeper::drawNumber(const GroupName &name)
+MapNumber ExpertRebalancer::drawNumber(const GroupName &name)
 {
     // Calendar time goes before: ranks refuse numbers below any that they had, also from keepers that are gone.
     const auto since = std::chrono::duration_cast<std::chrono::seconds>(m_clock.wallNow() - EpochStart);
@@ -526,7 +526,7 @@
     return number;
 }
 
-void GroupKeeper::tell(std::string_view what, const GroupName &group, const std::string &details) const
+void ExpertRebalancer::tell(std::string_view what, const GroupName &group, const std::string &details) const
 {
     if (m_events.decided) {
         m_events.decided(what, group, details);
--- a/modules/heatherridge_coordination/groups/groupkeeper.h
+++ b/modules/heatherridge_coordination/groups/groupkeeper.h
@@ -19,8 +19,8 @@
 namespace Heatherridge
 {
 
-/** How a GroupKeeper works; what is weighed differently by each deployment. */
-struct GroupKeeperOptions
+/** How a ExpertRebalancer works; what is weighed differently by each deployment. */
+struct ExpertRebalancerOptions
 {
     /** Between readings of what was chosen. Shorter follows a jump sooner; each reading is paid for and pauses its
      * group by half a millisecond a rank. */
@@ -42,7 +42,7 @@
 };
 
 /** What a keeper tells. */
-struct KeeperEvents
+struct ExpertRebalancerEvents
 {
     /** Statuses have come: all engines whose status is known. */
     std::function<void(std::vector<EngineView> engines)> watched{};
@@ -55,9 +55,9 @@
  *
  * Any number of keepers may be active: each switch is safe by itself. That one is active at a time only saves orders.
  * An inactive one only watches, lets go of passes that stay held, and takes over when the active one is gone and the
- * log out, see KeeperTakeover. One thread; tick() moves it on.
+ * log out, see RebalancerTakeover. One thread; tick() moves it on.
  */
-class GroupKeeper
+class ExpertRebalancer
 {
 public:
     /** A pass that stays held for so long without a switch of this keeper is let go: whole switches take half. */
@@ -81,8 +81,8 @@
      * same demand within a period of counts, and what it prepares is seen within a period of statuses. */
     static constexpr std::chrono::milliseconds UnconfirmedPause{900};
 
-    GroupKeeper(RankControl &control, GroupKeeperOptions options, KeeperEvents events, const Clock &clock,
-                std::function<std::uint64_t()> drawBits);
+    ExpertRebalancer(RankControl &control, ExpertRebalancerOptions options, ExpertRebalancerEvents events,
+                     const Clock &clock, std::function<std::uint64_t()> drawBits);
 
     /**
      * The targets of the service and how its engines work.
@@ -126,7 +126,7 @@
         bool isDue = false; ///< demand or layout have changed since a switch was last considered
         std::unique_ptr<MapSwitch> mapSwitch{};
         std::unique_ptr<HoldRecovery> recovery{};
-        std::optional<SwitchPlan> wanted{}; ///< a switch that waits for fresh statuses
+        std::optional<MapSwitchPlan> wanted{}; ///< a switch that waits for fresh statuses
         SteadyTime gatheredAt{}; ///< when fresh statuses were asked for
         SteadyTime notBefore{}; ///< no switch before
         std::optional<SteadyTime> unevenSince{}; ///< a switch is worth it, and has not begun
@@ -140,7 +140,7 @@
     void spoke(const GroupName &name, const RankStatus &status);
     void followGroup(const GroupName &name, Group &group, SteadyTime now);
     void watchHold(const GroupName &name, Group &group, SteadyTime now);
-    bool isLeftHeld(Group &group, const WatchedGroup &seen, SteadyTime now);
+    bool isLeftHeld(Group &group, const MonitoredGroup &seen, SteadyTime now);
     void runSwitch(const GroupName &name, Group &group, SteadyTime now);
     bool holdsAnother(const Group &group) const;
     void runRecovery(const GroupName &name, Group &group, SteadyTime now);
@@ -150,8 +150,8 @@
     std::vector<TargetEntry> surveyed() const;
     void addLeaders(std::vector<TargetEntry> &asked) const;
     void considerSwitch(const GroupName &name, Group &group, SteadyTime now);
-    bool isPassPending(const Group &group, const WatchedGroup &seen) const;
-    RankSlowness slownessOf(const WatchedGroup &seen) const;
+    bool isPassPending(const Group &group, const MonitoredGroup &seen) const;
+    RankSlowness slownessOf(const MonitoredGroup &seen) const;
     void startSwitch(const GroupName &name, Group &group, SteadyTime now);
     void considerTakeover(SteadyTime now);
     bool isKeeping() const;
@@ -163,18 +163,18 @@
     void tell(std::string_view what, const GroupName &group, const std::string &details) const;
 
     RankControl &m_control;
-    GroupKeeperOptions m_options;
-    KeeperEvents m_events;
+    ExpertRebalancerOptions m_options;
+    ExpertRebalancerEvents m_events;
     const Clock &m_clock;
     std::function<std::uint64_t()> m_drawBits;
     std::chrono::milliseconds m_longestPause{};
     EngineProfile m_profile;
-    RankWatch m_watch;
+    RankMonitor m_watch;
     std::map<GroupName, Group> m_groups;
-    DemandSurvey m_survey;
+    DemandSampler m_survey;
     bool m_isActive = false;
     bool m_isConfirmed = true;
-    KeeperTakeover m_takeover;
+    RebalancerTakeover m_takeover;
     SteadyTime m_now{}; ///< of the last tick
     SteadyTime m_unconfirmedSince{};
     bool m_sawOther = false; ///< another keeper's map was seen since then
--- a/modules/heatherridge_coordination/groups/holdrecovery.cpp
+++ b/modules/heatherridge_coordination/groups/holdrecovery.cpp
@@ -137,9 +137,9 @@
         return;
     }
     m_phase = Phase::Guarding;
-    m_round = std::make_unique<OrderRound>(
+    m_round = std::make_unique<OrderBatch>(
         m_control, m_plan.epoch,
-        std::vector<RoundItem>{{.target = m_plan.ranks[m_guard], .order = HoldStep{.step = m_plan.heldStep}}});
+        std::vector<OrderBatchItem>{{.target = m_plan.ranks[m_guard], .order = HoldStep{.step = m_plan.heldStep}}});
     m_round->tick(now);
 }
 
@@ -335,22 +335,23 @@
 
 void HoldRecovery::release(SteadyTime now)
 {
-    std::vector<RoundItem> items;
+    std::vector<OrderBatchItem> items;
     for (std::size_t index = 0; index < m_ranks.size(); ++index) {
         if (index == 0 || index == m_guard || m_ranks[index].status->heldStep == m_plan.heldStep) {
             items.push_back({.target = m_plan.ranks[index], .order = ReleaseStep{.step = m_plan.heldStep}});
         }
     }
     m_phase = Phase::Releasing;
-    m_round = std::make_unique<OrderRound>(m_control, m_plan.epoch, std::move(items));
+    m_round = std::make_unique<OrderBatch>(m_control, m_plan.epoch, std::move(items));
     m_round->tick(now);
 }
 
 void HoldRecovery::give(std::size_t index, RankOrder order, SteadyTime now)
 {
     auto &rank = m_ranks[index];
-    rank.orders = std::make_unique<OrderRound>(
-        m_control, m_plan.epoch, std::vector<RoundItem>{{.target = m_plan.ranks[index], .order = std::move(order)}});
+    rank.orders = std::make_unique<OrderBatch>(
+        m_control, m_plan.epoch,
+        std::vector<OrderBatchItem>{{.target = m_plan.ranks[index], .order = std::move(order)}});
     rank.orders->tick(now);
 }
 
--- a/modules/heatherridge_coordination/groups/holdrecovery.h
+++ b/modules/heatherridge_coordination/groups/holdrecovery.h
@@ -86,7 +86,7 @@
         bool isAsking = false;
         SteadyTime notBefore{};
         SteadyTime freshFrom{}; ///< a status that may be older tells nothing
-        std::unique_ptr<OrderRound> orders{}; ///< one order at a time
+        std::unique_ptr<OrderBatch> orders{}; ///< one order at a time
         std::optional<MapNumber> fence{}; ///< the map that it was made to prepare
         bool isFenced = false;
         std::optional<SteadyTime> armedSeen{}; ///< since when a map is seen armed that is to be taken back
@@ -122,7 +122,7 @@
     SteadyTime m_guardSeen{}; ///< until when this recovery's hold is known to have stood
     SteadyTime m_guardNotBefore{}; ///< the guard is not asked again before
     bool m_hasFencedAgain = false;
-    std::unique_ptr<OrderRound> m_round;
+    std::unique_ptr<OrderBatch> m_round;
     std::shared_ptr<int> m_alive; ///< answers that come after the end find it gone
     Phase m_phase = Phase::Looking;
     End m_end = End::Running;
--- a/modules/heatherridge_coordination/groups/keepertakeover.cpp
+++ b/modules/heatherridge_coordination/groups/keepertakeover.cpp
@@ -10,11 +10,11 @@
 {
 
 /** How long ago a keeper last asked any rank for counts; nothing when no rank has told of late. */
-std::optional<std::chrono::milliseconds> lastAskedAgo(const std::map<GroupName, WatchedGroup> &groups, SteadyTime now)
+std::optional<std::chrono::milliseconds> lastAskedAgo(const std::map<GroupName, MonitoredGroup> &groups, SteadyTime now)
 {
     std::optional<std::chrono::milliseconds> least;
     for (const auto &[name, seen] : groups) {
-        if (seen.surveyedAgo && now - seen.surveyToldAt <= KeeperTakeover::NewsAge) {
+        if (seen.surveyedAgo && now - seen.surveyToldAt <= RebalancerTakeover::NewsAge) {
             least = least ? std::min(*least, *seen.surveyedAgo) : *seen.surveyedAgo;
         }
     }
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void KeeperTakeover::setConfirmed(bool isConfirmed, std::uint64_t bits)
+void RebalancerTakeover::setConfirmed(bool isConfirmed, std::uint64_t bits)
 {
     if (m_isConfirmed && !isConfirmed) {
         m_draw = std::chrono::milliseconds(bits % DrawWidth.count());
@@ -32,7 +32,7 @@
     m_isUnderWay = m_isUnderWay && !isConfirmed;
 }
 
-bool KeeperTakeover::begins(const std::map<GroupName, WatchedGroup> &groups, SteadyTime now)
+bool RebalancerTakeover::begins(const std::map<GroupName, MonitoredGroup> &groups, SteadyTime now)
 {
     if (m_isConfirmed || m_isUnderWay) {
         return false;
@@ -42,12 +42,12 @@
     return m_isUnderWay;
 }
 
-void KeeperTakeover::end()
+void RebalancerTakeover::end()
 {
     m_isUnderWay = false;
 }
 
-bool KeeperTakeover::isUnderWay() const
+bool RebalancerTakeover::isUnderWay() const
 {
     return m_isUnderWay;
 }
--- a/modules/heatherridge_coordination/groups/keepertakeover.h
+++ b/modules/heatherridge_coordination/groups/keepertakeover.h
@@ -19,7 +19,7 @@
  * keeper that the log does not answer takes over when none has asked for long, each after a time of its own. Should two
  * take over, each sees the other's maps and gives way as around any change of the share. One thread.
  */
-class KeeperTakeover
+class RebalancerTakeover
 {
 public:
     /** None has asked for counts for so long, and a draw of the width below: the active one asks several times a
@@ -34,7 +34,7 @@
     void setConfirmed(bool isConfirmed, std::uint64_t bits);
 
     /** Whether to take over now, by what the ranks of @p groups have told. Once true, isUnderWay() is until end(). */
-    bool begins(const std::map<GroupName, WatchedGroup> &groups, SteadyTime now);
+    bool begins(const std::map<GroupName, MonitoredGroup> &groups, SteadyTime now);
 
     /** The share is this keeper's, or the log answers: it says who keeps the groups. */
     void end();
--- a/modules/heatherridge_coordination/groups/mapswitch.cpp
+++ b/modules/heatherridge_coordination/groups/mapswitch.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-MapSwitch::MapSwitch(RankControl &control, SwitchPlan plan)
+MapSwitch::MapSwitch(RankControl &control, MapSwitchPlan plan)
     : m_control(control)
     , m_plan(std::move(plan))
     , m_alive(std::make_shared<int>(0))
@@ -98,19 +98,19 @@
     return m_sends;
 }
 
-const SwitchPlan &MapSwitch::plan() const
+const MapSwitchPlan &MapSwitch::plan() const
 {
     return m_plan;
 }
 
 void MapSwitch::prepare()
 {
-    std::vector<RoundItem> items;
+    std::vector<OrderBatchItem> items;
     for (std::size_t rank = 0; rank < m_plan.ranks.size(); ++rank) {
         items.push_back(
             {.target = m_plan.ranks[rank], .order = PrepareMap{.map = m_plan.number, .layout = m_plan.layout}});
     }
-    m_round = std::make_unique<OrderRound>(m_control, m_plan.epoch, std::move(items), PreparesAtOnce);
+    m_round = std::make_unique<OrderBatch>(m_control, m_plan.epoch, std::move(items), PreparesAtOnce);
 }
 
 void MapSwitch::prepared(SteadyTime now)
@@ -160,9 +160,9 @@
     ++m_holds;
     m_phase = Phase::Holding;
     m_phaseBegan = now;
-    m_round = std::make_unique<OrderRound>(
+    m_round = std::make_unique<OrderBatch>(
         m_control, m_plan.epoch,
-        std::vector<RoundItem>{{.target = m_plan.ranks.front(), .order = HoldStep{.step = m_step}}});
+        std::vector<OrderBatchItem>{{.target = m_plan.ranks.front(), .order = HoldStep{.step = m_step}}});
     m_round->tick(now);
 }
 
@@ -193,11 +193,11 @@
 
 void MapSwitch::arm(SteadyTime now)
 {
-    std::vector<RoundItem> items;
+    std::vector<OrderBatchItem> items;
     for (std::size_t rank = 0; rank < m_plan.ranks.size(); ++rank) {
         items.push_back({.target = m_plan.ranks[rank], .order = ArmMap{.map = m_plan.number, .step = m_step}});
     }
-    m_round = std::make_unique<OrderRound>(m_control, m_plan.epoch, std::move(items));
+    m_round = std::make_unique<OrderBatch>(m_control, m_plan.epoch, std::move(items));
     m_phase = Phase::Arming;
     m_phaseBegan = now;
     m_round->tick(now);
@@ -236,9 +236,9 @@
 {
     m_phase = Phase::Releasing;
     m_phaseBegan = now;
-    m_round = std::make_unique<OrderRound>(
+    m_round = std::make_unique<OrderBatch>(
         m_control, m_plan.epoch,
-        std::vector<RoundItem>{{.target = m_plan.ranks.front(), .order = ReleaseStep{.step = m_step}}});
+        std::vector<OrderBatchItem>{{.target = m_plan.ranks.front(), .order = ReleaseStep{.step = m_step}}});
     m_round->tick(now);
 }
 
--- a/modules/heatherridge_coordination/groups/mapswitch.h
+++ b/modules/heatherridge_coordination/groups/mapswitch.h
@@ -11,7 +11,7 @@
 {
 
 /** Everything that a switch needs to know before its first order. */
-struct SwitchPlan
+struct MapSwitchPlan
 {
     std::vector<TargetEntry> ranks{}; ///< by rank
     std::uint64_t epoch = 0;
@@ -59,7 +59,7 @@
     /** How often a pass is chosen that the group turns out to have begun. */
     static constexpr int MostHolds = 3;
 
-    MapSwitch(RankControl &control, SwitchPlan plan);
+    MapSwitch(RankControl &control, MapSwitchPlan plan);
 
     /** Does what is due. @param mayHold false puts off the part in which the group is held */
     void tick(SteadyTime now, bool mayHold = true);
@@ -80,7 +80,7 @@
     int mostSends() const;
 
     /** What was asked for. */
-    const SwitchPlan &plan() const;
+    const MapSwitchPlan &plan() const;
 
 private:
     enum class Phase {
@@ -107,11 +107,11 @@
     std::uint64_t marginSteps() const;
 
     RankControl &m_control;
-    SwitchPlan m_plan;
+    MapSwitchPlan m_plan;
     Phase m_phase = Phase::Preparing;
     End m_end = End::Running;
     std::string m_reason;
-    std::unique_ptr<OrderRound> m_round;
+    std::unique_ptr<OrderBatch> m_round;
     std::shared_ptr<int> m_alive; ///< answers that come after the end find it gone
     SteadyTime m_began{};
     SteadyTime m_phaseBegan{};
--- a/modules/heatherridge_coordination/groups/orderround.cpp
+++ b/modules/heatherridge_coordination/groups/orderround.cpp
@@ -5,7 +5,8 @@
 namespace Heatherridge
 {
 
-OrderRound::OrderRound(RankControl &control, std::uint64_t epoch, std::vector<RoundItem> items, std::size_t mostOpen)
+OrderBatch::OrderBatch(RankControl &control, std::uint64_t epoch, std::vector<OrderBatchItem> items,
+                       std::size_t mostOpen)
     : m_state(std::make_shared<State>(State{.control = control, .epoch = epoch, .mostOpen = mostOpen}))
 {
     for (auto &item : items) {
@@ -13,18 +14,18 @@
     }
 }
 
-OrderRound::~OrderRound()
+OrderBatch::~OrderBatch()
 {
     m_state->isOver = true;
 }
 
-void OrderRound::tick(SteadyTime now)
+void OrderBatch::tick(SteadyTime now)
 {
     m_state->now = now;
     sendDue(m_state);
 }
 
-void OrderRound::sendDue(const std::shared_ptr<State> &state)
+void OrderBatch::sendDue(const std::shared_ptr<State> &state)
 {
     if (state->isSending) {
         return; // an answer came at once; whoever sends goes on
@@ -39,7 +40,7 @@
     state->isSending = false;
 }
 
-void OrderRound::send(const std::shared_ptr<State> &state, std::size_t index)
+void OrderBatch::send(const std::shared_ptr<State> &state, std::size_t index)
 {
     auto &slot = state->slots[index];
     slot.isWaiting = true;
@@ -60,40 +61,40 @@
     });
 }
 
-bool OrderRound::isDone() const
+bool OrderBatch::isDone() const
 {
     return std::all_of(m_state->slots.begin(), m_state->slots.end(), [](const auto &slot) { return slot.isAnswered; });
 }
 
-std::size_t OrderRound::size() const
+std::size_t OrderBatch::size() const
 {
     return m_state->slots.size();
 }
 
-bool OrderRound::isAnswered(std::size_t index) const
+bool OrderBatch::isAnswered(std::size_t index) const
 {
     return m_state->slots[index].isAnswered;
 }
 
-OrderReply OrderRound::reply(std::size_t index) const
+OrderReply OrderBatch::reply(std::size_t index) const
 {
     return m_state->slots[index].reply;
 }
 
-bool OrderRound::isAmbiguous(std::size_t index) const
+bool OrderBatch::isAmbiguous(std::size_t index) const
 {
     const auto &slot = m_state->slots[index];
     return slot.isAnswered && slot.reply == OrderReply::Refused && slot.lostAnswer;
 }
 
-void OrderRound::again(std::size_t index, SteadyTime notBefore)
+void OrderBatch::again(std::size_t index, SteadyTime notBefore)
 {
     auto &slot = m_state->slots[index];
     slot.isAnswered = false;
     slot.notBefore = notBefore;
 }
 
-int OrderRound::mostSends() const
+int OrderBatch::mostSends() const
 {
     int most = 0;
     for (const auto &slot : m_state->slots) {
--- a/modules/heatherridge_coordination/groups/orderround.h
+++ b/modules/heatherridge_coordination/groups/orderround.h
@@ -10,8 +10,8 @@
 namespace Heatherridge
 {
 
-/** One order of an OrderRound. */
-struct RoundItem
+/** One order of an OrderBatch. */
+struct OrderBatchItem
 {
     TargetEntry target{};
     RankOrder order{};
@@ -27,14 +27,14 @@
  * changes nothing, but an answer "refused" after an answer was lost does not tell whether an earlier copy was carried
  * out; see isAmbiguous(). One thread.
  */
-class OrderRound
+class OrderBatch
 {
 public:
     /** No bound on orders without an answer. */
     static constexpr std::size_t AllAtOnce = std::numeric_limits<std::size_t>::max();
 
     /** @param epoch in which alone the orders hold @param mostOpen orders that wait for an answer at a time */
-    OrderRound(RankControl &control, std::uint64_t epoch, std::vector<RoundItem> items,
+    OrderBatch(RankControl &control, std::uint64_t epoch, std::vector<OrderBatchItem> items,
                std::size_t mostOpen = AllAtOnce);
 
     /** Sends what has had no answer yet. */
@@ -61,15 +61,15 @@
     /** Most copies that any rank was sent. */
     int mostSends() const;
 
-    ~OrderRound();
+    ~OrderBatch();
 
-    OrderRound(const OrderRound &) = delete;
-    OrderRound &operator=(const OrderRound &) = delete;
+    OrderBatch(const OrderBatch &) = delete;
+    OrderBatch &operator=(const OrderBatch &) = delete;
 
 private:
     struct Slot
     {
-        RoundItem item{};
+        OrderBatchItem item{};
         OrderReply reply = OrderReply::NoAnswer;
         bool isWaiting = false;
         bool isAnswered = false;
--- a/modules/heatherridge_coordination/groups/rankwatch.cpp
+++ b/modules/heatherridge_coordination/groups/rankwatch.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-RankWatch::RankWatch(RankControl &control, Options options, Events events)
+RankMonitor::RankMonitor(RankControl &control, Options options, Events events)
     : m_control(control)
     , m_options(std::move(options))
     , m_events(std::move(events))
@@ -33,7 +33,7 @@
 {
 }
 
-void RankWatch::setTargets(const std::vector<TargetEntry> &targets)
+void RankMonitor::setTargets(const std::vector<TargetEntry> &targets)
 {
     for (const auto &target : targets) {
         m_members[target.id].target = target;
@@ -52,12 +52,12 @@
     m_farPeriod = m_options.budget.farPeriod(static_cast<std::size_t>(far), m_options.period);
 }
 
-void RankWatch::setThorough(bool isThorough)
+void RankMonitor::setThorough(bool isThorough)
 {
     m_isThorough = isThorough;
 }
 
-void RankWatch::tick(SteadyTime now)
+void RankMonitor::tick(SteadyTime now)
 {
     // A group that forms or is held takes no streams, and each moment in which nobody knows that it goes on is lost.
     const int hurry = isSettled() ? 1 : 2;
@@ -68,30 +68,30 @@
     }
 }
 
-bool RankWatch::isWatchedClosely(const Member &member) const
+bool RankMonitor::isWatchedClosely(const Member &member) const
 {
     const bool mayHold = member.status && member.status->rank <= LastHoldingRank;
     return m_isThorough || mayHold || m_options.budget.isNear(member.target);
 }
 
-milliseconds RankWatch::periodOf(const Member &member) const
+milliseconds RankMonitor::periodOf(const Member &member) const
 {
     return isWatchedClosely(member) ? m_options.period : m_farPeriod;
 }
 
-int RankWatch::missesToForget(const Member &member) const
+int RankMonitor::missesToForget(const Member &member) const
 {
     return std::max(LeastMissesToForget, static_cast<int>(MissesToForget * m_options.period / periodOf(member)));
 }
 
-bool RankWatch::isSettled() const
+bool RankMonitor::isSettled() const
 {
     return !m_groups.empty() && std::all_of(m_groups.begin(), m_groups.end(), [this](const auto &entry) {
         return isWhole(entry.second) && !entry.second.heldStep;
     });
 }
 
-void RankWatch::ask(const WatchedGroup &group, SteadyTime now)
+void RankMonitor::ask(const MonitoredGroup &group, SteadyTime now)
 {
     for (const auto &id : group.ranks) {
         if (const auto found = m_members.find(id); found != m_members.end()) {
@@ -100,32 +100,32 @@
     }
 }
 
-const std::map<GroupName, WatchedGroup> &RankWatch::groups() const
+const std::map<GroupName, MonitoredGroup> &RankMonitor::groups() const
 {
     return m_groups;
 }
 
-const WatchedGroup &RankWatch::group(const GroupName &name) const
+const MonitoredGroup &RankMonitor::group(const GroupName &name) const
 {
-    static const WatchedGroup NeverSeen;
+    static const MonitoredGroup NeverSeen;
     const auto found = m_groups.find(name);
     return found == m_groups.end() ? NeverSeen : found->second;
 }
 
-const RankStatus *RankWatch::statusOf(const TargetName &target) const
+const RankStatus *RankMonitor::statusOf(const TargetName &target) const
 {
     const auto found = m_members.find(target);
     return found != m_members.end() && found->second.status ? &*found->second.status : nullptr;
 }
 
-bool RankWatch::isWhole(const WatchedGroup &group) const
+bool RankMonitor::isWhole(const MonitoredGroup &group) const
 {
     return group.isOpen && !group.ranks.empty()
         && std::all_of(group.ranks.begin(), group.ranks.end(),
                        [this](const auto &id) { return !id.isEmpty() && m_members.contains(id); });
 }
 
-bool RankWatch::isFresh(const WatchedGroup &group, SteadyTime time) const
+bool RankMonitor::isFresh(const MonitoredGroup &group, SteadyTime time) const
 {
     return std::all_of(group.ranks.begin(), group.ranks.end(), [&](const auto &id) {
         const auto found = m_members.find(id);
@@ -133,7 +133,7 @@
     });
 }
 
-std::vector<TargetEntry> RankWatch::targetsOf(const WatchedGroup &group) const
+std::vector<TargetEntry> RankMonitor::targetsOf(const MonitoredGroup &group) const
 {
     std::vector<TargetEntry> targets;
     for (const auto &id : group.ranks) {
@@ -142,19 +142,19 @@
     return targets;
 }
 
-void RankWatch::noteNumber(const GroupName &name, MapNumber number)
+void RankMonitor::noteNumber(const GroupName &name, MapNumber number)
 {
     auto &group = m_groups[name];
     group.highest = std::max(group.highest, number);
 }
 
-void RankWatch::noteHeld(const GroupName &name, std::uint64_t step)
+void RankMonitor::noteHeld(const GroupName &name, std::uint64_t step)
 {
     auto &group = m_groups[name];
     group.lastHeld = std::max(group.lastHeld, step);
 }
 
-std::optional<std::vector<EngineView>> RankWatch::news()
+std::optional<std::vector<EngineView>> RankMonitor::news()
 {
     if (!std::exchange(m_hasNews, false)) {
         return std::nullopt;
@@ -183,7 +183,7 @@
     return engines;
 }
 
-void RankWatch::askOne(Member &member, SteadyTime now)
+void RankMonitor::askOne(Member &member, SteadyTime now)
 {
     if (member.isAsking) {
         return;
@@ -205,7 +205,7 @@
                      });
 }
 
-void RankWatch::miss(Member &member, const Error &error)
+void RankMonitor::miss(Member &member, const Error &error)
 {
     const bool isOther = error.kind == ErrorKind::NotFound;
     if (!member.status || (++member.misses < missesToForget(member) && !isOther)) {
@@ -218,7 +218,7 @@
     compose(group);
 }
 
-void RankWatch::take(Member &member, const RankStatus &status, SteadyTime now)
+void RankMonitor::take(Member &member, const RankStatus &status, SteadyTime now)
 {
     const bool isNew = !member.status || member.status->group != status.group || member.status->rank != status.rank
         || member.status->epoch != status.epoch || member.status->isOpen != status.isOpen;
@@ -245,7 +245,7 @@
     m_events.spoke(status.group, status);
 }
 
-void RankWatch::followHold(WatchedGroup &group, SteadyTime now) const
+void RankMonitor::followHold(MonitoredGroup &group, SteadyTime now) const
 {
     // Switches hold at rank 0 and recoveries at another, and either may have come late: any rank may hold.
     std::optional<std::uint64_t> held;
@@ -261,7 +261,7 @@
     }
 }
 
-void RankWatch::followPasses(WatchedGroup &group, const RankStatus &status, SteadyTime now)
+void RankMonitor::followPasses(MonitoredGroup &group, const RankStatus &status, SteadyTime now)
 {
     if (status.step > group.lastStep && group.lastStep > 0 && group.lastStepAt != SteadyTime{}) {
         const auto passes = static_cast<std::int64_t>(status.step - group.lastStep);
@@ -281,7 +281,7 @@
     }
 }
 
-void RankWatch::followSurvey(WatchedGroup &group, const RankStatus &status, SteadyTime now)
+void RankMonitor::followSurvey(MonitoredGroup &group, const RankStatus &status, SteadyTime now)
 {
     if (status.countsAskedAgo) {
         group.surveyedAgo = *status.countsAskedAgo;
@@ -289,7 +289,7 @@
     }
 }
 
-void RankWatch::compose(const GroupName &name)
+void RankMonitor::compose(const GroupName &name)
 {
     auto &group = m_groups[name];
     std::uint64_t epoch = 0;
@@ -317,7 +317,7 @@
     }
 }
 
-std::vector<TargetName> RankWatch::ranksOf(const GroupName &name, std::uint64_t epoch) const
+std::vector<TargetName> RankMonitor::ranksOf(const GroupName &name, std::uint64_t epoch) const
 {
     std::vector<TargetName> ranks;
     for (const auto &[id, member] : m_members) {
@@ -334,7 +334,7 @@
     return ranks;
 }
 
-bool RankWatch::takesStreams(const WatchedGroup &group) const
+bool RankMonitor::takesStreams(const MonitoredGroup &group) const
 {
     // One rank that says that its group does not work speaks for all: the one that died said last that it works, and
     // looks idle. It drew 577 attempts in a day that never reached it.
--- a/modules/heatherridge_coordination/groups/rankwatch.h
+++ b/modules/heatherridge_coordination/groups/rankwatch.h
@@ -27,7 +27,7 @@
 };
 
 /** One group as its ranks' statuses tell. */
-struct WatchedGroup
+struct MonitoredGroup
 {
     std::vector<TargetName> ranks{}; ///< by rank; null names where nobody has spoken
     std::uint64_t epoch = 0;
@@ -52,7 +52,7 @@
  * questions if these are further apart: its rank is empty until somebody speaks for it. Ranks of other zones are asked
  * as seldom as the budget has it, but for those at which passes are held. One thread; moved on by tick().
  */
-class RankWatch
+class RankMonitor
 {
 public:
     struct Events
@@ -70,7 +70,7 @@
     };
 
     /** Uses @p control, which must outlive it. */
-    RankWatch(RankControl &control, Options options, Events events);
+    RankMonitor(RankControl &control, Options options, Events events);
 
     /** The engines to watch. */
     void setTargets(const std::vector<TargetEntry> &targets);
@@ -82,25 +82,25 @@
     void tick(SteadyTime now);
 
     /** Asks the ranks of @p group at once. */
-    void ask(const WatchedGroup &group, SteadyTime now);
+    void ask(const MonitoredGroup &group, SteadyTime now);
 
     /** All groups that were ever seen. */
-    const std::map<GroupName, WatchedGroup> &groups() const;
+    const std::map<GroupName, MonitoredGroup> &groups() const;
 
     /** The group @p name; an empty one when it was never seen. */
-    const WatchedGroup &group(const GroupName &name) const;
+    const MonitoredGroup &group(const GroupName &name) const;
 
     /** The last status of @p target; null when there is none, or not any more. */
     const RankStatus *statusOf(const TargetName &target) const;
 
     /** Whether all ranks of @p group are known and work. */
-    bool isWhole(const WatchedGroup &group) const;
+    bool isWhole(const MonitoredGroup &group) const;
 
     /** Whether all statuses of @p group were asked for at @p time or later. */
-    bool isFresh(const WatchedGroup &group, SteadyTime time) const;
+    bool isFresh(const MonitoredGroup &group, SteadyTime time) const;
 
     /** The ranks of @p group, which must be whole. */
-    std::vector<TargetEntry> targetsOf(const WatchedGroup &group) const;
+    std::vector<TargetEntry> targetsOf(const MonitoredGroup &group) const;
 
     /** Keeps in mind that @p number was given to a map of @p name. */
     void noteNumber(const GroupName &name, MapNumber number);
@@ -128,20 +128,20 @@
     void miss(Member &member, const Error &error);
     void compose(const GroupName &name);
     std::vector<TargetName> ranksOf(const GroupName &name, std::uint64_t epoch) const;
-    void followHold(WatchedGroup &group, SteadyTime now) const;
-    static void followPasses(WatchedGroup &group, const RankStatus &status, SteadyTime now);
-    static void followSurvey(WatchedGroup &group, const RankStatus &status, SteadyTime now);
+    void followHold(MonitoredGroup &group, SteadyTime now) const;
+    static void followPasses(MonitoredGroup &group, const RankStatus &status, SteadyTime now);
+    static void followSurvey(MonitoredGroup &group, const RankStatus &status, SteadyTime now);
     bool isSettled() const;
     bool isWatchedClosely(const Member &member) const;
     std::chrono::milliseconds periodOf(const Member &member) const;
     int missesToForget(const Member &member) const;
-    bool takesStreams(const WatchedGroup &group) const;
+    bool takesStreams(const MonitoredGroup &group) const;
 
     RankControl &m_control;
     Options m_options;
     Events m_events;
     std::map<TargetName, Member> m_members;
-    std::map<GroupName, WatchedGroup> m_groups;
+    std::map<GroupName, MonitoredGroup> m_groups;
     std::chrono::milliseconds m_farPeriod{};
     bool m_isThorough = false;
     bool m_hasNews = false; ///< statuses that news() has not told of
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -244,7 +244,7 @@
         }
     }
 
-    std::unique_ptr<GroupKeeper> makeKeeper()
+    std::unique_ptr<ExpertRebalancer> makeKeeper()
     {
         const auto decided = [](std::string_view what, const GroupName &group, const std::string &details) {
             logEvent(Severity::Info, what, {{"group", group.text()}, {"details", details}});
@@ -252,9 +252,9 @@
         const auto watched = [this](std::vector<EngineView> engines) {
             m_trafficLoop.post([this, engines = std::move(engines)] { m_traffic.setEngines(engines); });
         };
-        return std::make_unique<GroupKeeper>(m_ranks, m_options.groups,
-                                             KeeperEvents{.watched = watched, .decided = decided}, m_clock,
-                                             [this] { return static_cast<std::uint64_t>(m_entropy()); });
+        return std::make_unique<ExpertRebalancer>(m_ranks, m_options.groups,
+                                                  ExpertRebalancerEvents{.watched = watched, .decided = decided},
+                                                  m_clock, [this] { return static_cast<std::uint64_t>(m_entropy()); });
     }
 
     void rulesChanged(std::shared_ptr<const RouteTable> table)
@@ -332,7 +332,7 @@
     WorkShare m_workShare;
     CrashFeed m_crashFeed;
     GatewayControl m_control;
-    std::map<ServiceName, std::unique_ptr<GroupKeeper>> m_keepers;
+    std::map<ServiceName, std::unique_ptr<ExpertRebalancer>> m_keepers;
     std::optional<double> m_budgetPart; ///< as the traffic thread was told
     std::set<ServiceName> m_activeKeepers; ///< services whose groups this gateway keeps even
 };
--- a/modules/heatherridge_transport/direct/gatewayserver.h
+++ b/modules/heatherridge_transport/direct/gatewayserver.h
@@ -32,7 +32,7 @@
         std::string readyPath{}; ///< what it asks
         Endpoint metricsListen{}; ///< port 0: no metrics are served
         FleetRetryBudgetOptions retryBudget{};
-        GroupKeeperOptions groups{};
+        ExpertRebalancerOptions groups{};
         int sidecarPort = 0; ///< where the processes beside model engines listen; 0: there are none
         GatewayControl::Options control{};
         int logPartitions = 1; ///< partitions of a topic of the platform's log
--- a/tests/heldgroups/heldworld.cpp
+++ b/tests/heldgroups/heldworld.cpp
@@ -179,7 +179,7 @@
 struct HeldWorld::KeeperProcess
 {
     std::unique_ptr<Way> way{};
-    std::unique_ptr<GroupKeeper> keeper{};
+    std::unique_ptr<ExpertRebalancer> keeper{};
     std::int64_t pausedUntil = 0;
     std::int64_t nextTick = 0;
 };
@@ -238,16 +238,17 @@
     for (int index = 0; index < m_options.keepers; ++index) {
         auto process = std::make_unique<KeeperProcess>();
         process->way = std::make_unique<Way>(*this);
-        process->keeper = std::make_unique<GroupKeeper>(
-            *process->way, GroupKeeperOptions{.countPeriod = milliseconds(400), .leastGainWhenCalm = 0.06},
-            KeeperEvents{.decided =
-                             [this, index](auto what, const auto &, const auto &details) {
-                                 if (m_options.isTraced) {
-                                     std::printf("%6lld keeper %d step %llu %.*s %s\n", static_cast<long long>(m_now),
-                                                 index, static_cast<unsigned long long>(m_step),
-                                                 static_cast<int>(what.size()), what.data(), details.c_str());
-                                 }
-                             }},
+        process->keeper = std::make_unique<ExpertRebalancer>(
+            *process->way, ExpertRebalancerOptions{.countPeriod = milliseconds(400), .leastGainWhenCalm = 0.06},
+            ExpertRebalancerEvents{.decided =
+                                       [this, index](auto what, const auto &, const auto &details) {
+                                           if (m_options.isTraced) {
+                                               std::printf("%6lld keeper %d step %llu %.*s %s\n",
+                                                           static_cast<long long>(m_now), index,
+                                                           static_cast<unsigned long long>(m_step),
+                                                           static_cast<int>(what.size()), what.data(), details.c_str());
+                                           }
+                                       }},
             standingClock(), [this] { return m_random.draw(); });
         process->keeper->setTargets(targets, profile, milliseconds(120));
         process->keeper->setActive(true, true);
--- a/tests/heldgroups/passtime_test.cpp
+++ b/tests/heldgroups/passtime_test.cpp
@@ -49,8 +49,8 @@
     const auto &row = GetParam();
     SteadyRank rank;
     rank.pass = row.pass;
-    RankWatch watch(rank, {.period = row.between},
-                    {.composed = [](const GroupName &) {}, .spoke = [](const GroupName &, const RankStatus &) {}});
+    RankMonitor watch(rank, {.period = row.between},
+                      {.composed = [](const GroupName &) {}, .spoke = [](const GroupName &, const RankStatus &) {}});
     watch.setTargets({{.id = TargetName("0")}});
     for (; rank.now < Start + 4s; rank.now += row.between) {
         watch.tick(rank.now);
--- a/tests/heldgroups/switches_test.cpp
+++ b/tests/heldgroups/switches_test.cpp
@@ -57,7 +57,7 @@
     std::vector<RankOrder> m_orders;
 };
 
-SwitchPlan planOf()
+MapSwitchPlan planOf()
 {
     return {.ranks = {{.id = TargetName("a")}, {.id = TargetName("b")}},
             .epoch = Epoch,
@@ -140,7 +140,7 @@
     constexpr int ranks = 96;
     constexpr std::size_t mostOpen = 32;
     PatientRanks control;
-    OrderRound round(control, Epoch, std::vector<RoundItem>(ranks), mostOpen);
+    OrderBatch round(control, Epoch, std::vector<OrderBatchItem>(ranks), mostOpen);
     SteadyTime now(1h);
     round.tick(now);
     EXPECT_EQ(control.open(), mostOpen);
@@ -161,7 +161,7 @@
 TEST(OrderRounds, SendNothingOnceTheyAreGone)
 {
     PatientRanks control;
-    auto round = std::make_unique<OrderRound>(control, Epoch, std::vector<RoundItem>(3), 1);
+    auto round = std::make_unique<OrderBatch>(control, Epoch, std::vector<OrderBatchItem>(3), 1);
     round->tick(SteadyTime(1h));
     round.reset();
     control.answer(OrderReply::Accepted);
--- a/tests/heldgroups/watched_test.cpp
+++ b/tests/heldgroups/watched_test.cpp
@@ -122,8 +122,8 @@
     TalkingRanks ranks;
     std::vector<EngineView> views;
     const FixedClock clock;
-    GroupKeeper keeper(ranks, {}, {.watched = [&](auto engines) { views = std::move(engines); }}, clock,
-                       [] { return 1; });
+    ExpertRebalancer keeper(ranks, {}, {.watched = [&](auto engines) { views = std::move(engines); }}, clock,
+                            [] { return 1; });
     keeper.setTargets(numberedRanks(Size), {.layerSets = 1, .experts = 4, .places = 2}, 120ms);
     SteadyTime now(1h);
     for (const auto &words : {row.before, row.after}) {
@@ -176,7 +176,7 @@
     }
     const FixedClock clock;
     constexpr double thinLink = 100; // bytes a second
-    GroupKeeper keeper(ranks, {.budget = ControlBudget(ZoneName("near"), thinLink)}, {}, clock, [] { return 1; });
+    ExpertRebalancer keeper(ranks, {.budget = ControlBudget(ZoneName("near"), thinLink)}, {}, clock, [] { return 1; });
     keeper.setTargets(targets, {.layerSets = 1, .experts = 4, .places = 2}, 120ms);
     keeper.setActive(row.isActive, true);
     SteadyTime now(1h);
@@ -224,9 +224,9 @@
     ranks.countsAskedAgo = row.countsAskedAgo;
     std::vector<std::string> told;
     const FixedClock clock;
-    GroupKeeper keeper(ranks, {},
-                       {.decided = [&told](auto what, const auto &, const auto &) { told.emplace_back(what); }}, clock,
-                       [] { return 700; });
+    ExpertRebalancer keeper(ranks, {},
+                            {.decided = [&told](auto what, const auto &, const auto &) { told.emplace_back(what); }},
+                            clock, [] { return 700; });
     keeper.setTargets(numberedRanks(Size), {.layerSets = 1, .experts = 4, .places = 2}, 120ms);
     SteadyTime now(1h);
     for (int tick = 0; tick < 200; ++tick) {
