--- a/modules/heatherridge_coordination/groups/demandsurvey.cpp
+++ b/modules/heatherridge_coordination/groups/demandsampler.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_coordination/groups/demandsurvey.h"
+#include "heatherridge_coordination/groups/demandsampler.h"
 
 #include <algorithm>
 #include <utility>
--- a/modules/heatherridge_coordination/groups/groupkeeper.cpp
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_coordination/groups/groupkeeper.h"
+#include "heatherridge_coordination/groups/expertrebalancer.h"
 
 #include <algorithm>
 #include <array>
--- a/modules/heatherridge_coordination/groups/groupkeeper.h
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "heatherridge_coordination/groups/demandsurvey.h"
+#include "heatherridge_coordination/groups/demandsampler.h"
 #include "heatherridge_coordination/groups/holdrecovery.h"
-#include "heatherridge_coordination/groups/keepertakeover.h"
 #include "heatherridge_coordination/groups/mapswitch.h"
-#include "heatherridge_coordination/groups/rankwatch.h"
+#include "heatherridge_coordination/groups/rankmonitor.h"
+#include "heatherridge_coordination/groups/rebalancertakeover.h"
 #include "heatherridge_state/groups/controlbudget.h"
 #include "heatherridge_state/groups/evenplacement.h"
 #include "heatherridge_state/routing/routingconfig.h"
--- a/modules/heatherridge_coordination/groups/mapswitch.h
+++ b/modules/heatherridge_coordination/groups/mapswitch.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "heatherridge_coordination/groups/orderround.h"
+#include "heatherridge_coordination/groups/orderbatch.h"
 
 #include <chrono>
 #include <memory>
--- a/modules/heatherridge_coordination/groups/orderround.cpp
+++ b/modules/heatherridge_coordination/groups/orderbatch.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_coordination/groups/orderround.h"
+#include "heatherridge_coordination/groups/orderbatch.h"
 
 #include <algorithm>
 
--- a/modules/heatherridge_coordination/groups/rankwatch.cpp
+++ b/modules/heatherridge_coordination/groups/rankmonitor.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_coordination/groups/rankwatch.h"
+#include "heatherridge_coordination/groups/rankmonitor.h"
 
 #include <algorithm>
 #include <utility>
--- a/modules/heatherridge_coordination/groups/keepertakeover.cpp
+++ b/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_coordination/groups/keepertakeover.h"
+#include "heatherridge_coordination/groups/rebalancertakeover.h"
 
 #include <algorithm>
 #include <optional>
--- a/modules/heatherridge_coordination/groups/keepertakeover.h
+++ b/modules/heatherridge_coordination/groups/rebalancertakeover.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "heatherridge_coordination/groups/rankwatch.h"
+#include "heatherridge_coordination/groups/rankmonitor.h"
 #include "heatherridge_state/base/clock.h"
 
 #include <chrono>
--- a/modules/heatherridge_transport/direct/gatewayserver.h
+++ b/modules/heatherridge_transport/direct/gatewayserver.h
@@ -3,7 +3,7 @@
 #include "heatherridge_coordination/feed/logrestore.h"
 #include "heatherridge_coordination/feed/reportlog.h"
 #include "heatherridge_coordination/feed/workshare.h"
-#include "heatherridge_coordination/groups/groupkeeper.h"
+#include "heatherridge_coordination/groups/expertrebalancer.h"
 #include "heatherridge_transport/direct/gatewaycontrol.h"
 #include "heatherridge_transport/direct/gatewaytraffic.h"
 #include "heatherridge_transport/http/httpclient.h"
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "heatherridge_coordination/groups/groupkeeper.h"
+#include "heatherridge_coordination/groups/expertrebalancer.h"
 #include "heatherridge_state/decisions/engineplacement.h"
 #include "heatherridge_state/decisions/groupadmission.h"
 #include "heatherridge_state/decisions/loadestimate.h"
--- a/tests/heldgroups/heldgroups_test.cpp
+++ b/tests/heldgroups/heldgroups_test.cpp
@@ -1,4 +1,4 @@
-#include "heldworld.h"
+#include "heldgroupsimulation.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/tests/heldgroups/heldworld.cpp
+++ b/tests/heldgroups/heldgroupsimulation.cpp
@@ -1,4 +1,4 @@
-#include "heldworld.h"
+#include "heldgroupsimulation.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/tests/heldgroups/heldworld.h
+++ b/tests/heldgroups/heldgroupsimulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "heatherridge_coordination/groups/groupkeeper.h"
+#include "heatherridge_coordination/groups/expertrebalancer.h"
 #include "heatherridge_coordination/heatherridge_coordination.h"
 
 #include <functional>
