--- a/modules/heatherridge_coordination/groups/expertrebalancer.cpp
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.cpp
@@ -58,9 +58,10 @@
     , m_events(std::move(events))
     , m_clock(clock)
     , m_drawBits(std::move(drawBits))
-    , m_watch(control, {.period = m_options.statusPeriod, .budget = m_options.budget},
-              {.composed = [this](const GroupName &name) { composed(name); },
-               .spoke = [this](const GroupName &name, const RankStatus &status) { spoke(name, status); }})
+    , m_rankMonitor(
+          control, {.period = m_options.statusPeriod, .budget = m_options.budget},
+          {.membershipChanged = [this](const GroupName &name) { membershipChanged(name); },
+           .statusReceived = [this](const GroupName &name, const RankStatus &status) { statusReceived(name, status); }})
     , m_survey(control, m_options.countPeriod)
     , m_alive(std::make_shared<int>(0))
 {
@@ -72,7 +73,7 @@
     m_longestPause = longestPause;
     m_survey.setShape(profile.layerSets, profile.experts);
     m_profile = profile;
-    m_watch.setTargets(targets);
+    m_rankMonitor.setTargets(targets);
 }
 
 void ExpertRebalancer::setActive(bool isActive, bool isConfirmed)
@@ -89,15 +90,15 @@
     if (isActive) {
         m_takeover.end();
     }
-    m_watch.setThorough(isKeeping());
+    m_rankMonitor.setFullRate(isKeeping());
 }
 
 void ExpertRebalancer::rememberHighest()
 {
     m_sawOther = false;
     m_highestBefore = {};
-    for (const auto &[name, seen] : m_watch.groups()) {
-        m_highestBefore = std::max(m_highestBefore, seen.highest);
+    for (const auto &[name, seen] : m_rankMonitor.groups()) {
+        m_highestBefore = std::max(m_highestBefore, seen.highestMap);
     }
 }
 
@@ -108,10 +109,10 @@
 
 void ExpertRebalancer::considerTakeover(SteadyTime now)
 {
-    if (m_isActive || !m_takeover.begins(m_watch.groups(), now)) {
+    if (m_isActive || !m_takeover.begins(m_rankMonitor.groups(), now)) {
         return;
     }
-    m_watch.setThorough(true);
+    m_rankMonitor.setFullRate(true);
     rememberHighest(); // what the keeper that is gone has made ranks prepare is not another's at work
     tell("keeper-takes-over", {}, "no keeper has asked for counts and the log gives its share to nobody");
 }
@@ -119,7 +120,7 @@
 void ExpertRebalancer::tick(SteadyTime now)
 {
     m_now = now;
-    m_watch.tick(now);
+    m_rankMonitor.tick(now);
     considerTakeover(now);
     for (auto &[name, group] : m_groups) {
         followGroup(name, group, now);
@@ -128,12 +129,12 @@
         noteDemand();
     }
     for (auto &[name, group] : m_groups) {
-        if (isKeeping() && group.isDue && group.layout && m_watch.isWhole(m_watch.group(name))) {
+        if (isKeeping() && group.isDue && group.layout && m_rankMonitor.isOperational(m_rankMonitor.group(name))) {
             considerSwitch(name, group, now);
         }
     }
-    if (auto news = m_watch.news(); news && m_events.watched) {
-        m_events.watched(std::move(*news));
+    if (auto engines = m_rankMonitor.takeUpdates(); engines && m_events.watched) {
+        m_events.watched(std::move(*engines));
     }
 }
 
@@ -142,7 +143,7 @@
     return m_lastSkew;
 }
 
-void ExpertRebalancer::composed(const GroupName &name)
+void ExpertRebalancer::membershipChanged(const GroupName &name)
 {
     auto &group = m_groups[name];
     group.layout.reset();
@@ -151,11 +152,11 @@
     group.wanted.reset();
 }
 
-void ExpertRebalancer::spoke(const GroupName &name, const RankStatus &status)
+void ExpertRebalancer::statusReceived(const GroupName &name, const RankStatus &status)
 {
     noticeOthers(status);
     auto &group = m_groups[name];
-    const bool isLeader = status.rank == 0 && status.epoch == m_watch.group(name).epoch;
+    const bool isLeader = status.rank == 0 && status.epoch == m_rankMonitor.group(name).epoch;
     const bool isOther = status.map != group.layoutMap && status.step >= group.layoutFrom;
     if (isLeader && isOther && group.layout && !group.mapSwitch) {
         group.layout.reset(); // somebody else has switched
@@ -185,8 +186,8 @@
 
 void ExpertRebalancer::followGroup(const GroupName &name, Group &group, SteadyTime now)
 {
-    const auto &seen = m_watch.group(name);
-    if (!m_watch.isWhole(seen)) {
+    const auto &seen = m_rankMonitor.group(name);
+    if (!m_rankMonitor.isOperational(seen)) {
         group.mapSwitch.reset();
         group.recovery.reset();
         group.wanted.reset();
@@ -198,7 +199,8 @@
         runSwitch(name, group, now);
     } else if (seen.heldStep) {
         watchHold(name, group, now);
-    } else if (group.wanted && (m_watch.isFresh(seen, group.gatheredAt) || now - group.gatheredAt > StatusPatience)) {
+    } else if (group.wanted
+               && (m_rankMonitor.hasStatusesSince(seen, group.gatheredAt) || now - group.gatheredAt > StatusPatience)) {
         startSwitch(name, group, now);
     } else if (isKeeping() && !group.layout) {
         readExperts(name, group);
@@ -207,7 +209,7 @@
 
 void ExpertRebalancer::watchHold(const GroupName &name, Group &group, SteadyTime now)
 {
-    const auto &seen = m_watch.group(name);
+    const auto &seen = m_rankMonitor.group(name);
     group.wanted.reset();
     const bool isStuck = isLeftHeld(group, seen, now);
     const bool isOwn = group.startedAt != SteadyTime{} && now - group.startedAt < ForeignHoldPatience * 3;
@@ -216,13 +218,13 @@
     }
     tell("hold-recovery", name, "step " + std::to_string(*seen.heldStep));
     group.recovery = std::make_unique<HoldRecovery>(m_control,
-                                                    RecoveryPlan{.ranks = m_watch.targetsOf(seen),
+                                                    RecoveryPlan{.ranks = m_rankMonitor.targetsOf(seen),
                                                                  .epoch = seen.epoch,
                                                                  .heldStep = *seen.heldStep,
                                                                  .experts = static_cast<std::size_t>(m_profile.experts),
                                                                  .mayJoin = now - seen.heldSince > JoinPatience},
-                                                    [this, name](MapNumber highest) {
-                                                        m_watch.noteNumber(name, highest);
+                                                    [this, name](MapNumber seen) {
+                                                        m_rankMonitor.recordMapNumber(name, seen);
                                                         return drawNumber(name);
                                                     });
 }
@@ -234,7 +236,7 @@
         group.patienceDraw = milliseconds(m_drawBits() % PatienceDraw.count());
     }
     const auto more = isKeeping() ? milliseconds(0) : InactivePatience + group.patienceDraw;
-    const bool standsStill = seen.standsSince && now - *seen.standsSince > StandstillPatience + more;
+    const bool standsStill = seen.standstillSince && now - *seen.standstillSince > StandstillPatience + more;
     return standsStill || now - seen.heldSince > ForeignHoldPatience + more;
 }
 
@@ -276,13 +278,13 @@
          "map " + std::to_string(toNumber(plan.number)) + " step " + std::to_string(group.mapSwitch->heldStep())
              + " ms " + std::to_string(took.count()) + " skew " + twoDigits(group.skewBefore) + " to "
              + twoDigits(group.skewAfter) + " " + group.mapSwitch->reason());
-    m_watch.noteHeld(name, group.mapSwitch->heldStep());
+    m_rankMonitor.recordHeldStep(name, group.mapSwitch->heldStep());
     if (end == MapSwitch::End::Switched) {
         group.layout = plan.layout;
         group.layoutMap = plan.number;
         group.layoutFrom = group.mapSwitch->heldStep();
         // The next stage follows as soon as statuses show this one, without another reading of counts.
-        group.notBefore = now + m_watch.group(name).passTime;
+        group.notBefore = now + m_rankMonitor.group(name).passTime;
         group.isDue = true;
         group.startedAt = {};
     } else {
@@ -312,8 +314,8 @@
         return;
     }
     group.isAskingExperts = true;
-    const auto &seen = m_watch.group(name);
-    const auto targets = m_watch.targetsOf(seen);
+    const auto &seen = m_rankMonitor.group(name);
+    const auto targets = m_rankMonitor.targetsOf(seen);
     const auto reading = std::make_shared<ExpertReading>();
     reading->ranks = seen.ranks;
     reading->experts.resize(targets.size());
@@ -337,8 +339,8 @@
 
 void ExpertRebalancer::assembleLayout(const GroupName &name, const ExpertReading &reading)
 {
-    const auto &seen = m_watch.group(name);
-    if (!m_watch.isWhole(seen) || seen.ranks != reading.ranks) {
+    const auto &seen = m_rankMonitor.group(name);
+    if (!m_rankMonitor.isOperational(seen) || seen.ranks != reading.ranks) {
         return;
     }
     ExpertLayout layout(static_cast<std::size_t>(m_profile.layerSets), SetLayout(reading.ranks.size()));
@@ -367,9 +369,9 @@
 std::vector<TargetEntry> ExpertRebalancer::surveyed() const
 {
     std::vector<TargetEntry> ranks;
-    for (const auto &[name, seen] : m_watch.groups()) {
-        if (m_watch.isWhole(seen)) {
-            const auto targets = m_watch.targetsOf(seen);
+    for (const auto &[name, seen] : m_rankMonitor.groups()) {
+        if (m_rankMonitor.isOperational(seen)) {
+            const auto targets = m_rankMonitor.targetsOf(seen);
             ranks.insert(ranks.end(), targets.begin(), targets.end());
         }
     }
@@ -381,11 +383,11 @@
 
 void ExpertRebalancer::addLeaders(std::vector<TargetEntry> &asked) const
 {
-    for (const auto &[name, seen] : m_watch.groups()) {
-        if (!m_watch.isWhole(seen)) {
+    for (const auto &[name, seen] : m_rankMonitor.groups()) {
+        if (!m_rankMonitor.isOperational(seen)) {
             continue;
         }
-        const auto leader = m_watch.targetsOf(seen).front();
+        const auto leader = m_rankMonitor.targetsOf(seen).front();
         const bool isAsked =
             std::any_of(asked.begin(), asked.end(), [&leader](const auto &rank) { return rank.id == leader.id; });
         if (!isAsked) {
@@ -398,9 +400,9 @@
 {
     m_lastSkew = 0;
     for (auto &[name, group] : m_groups) {
-        const auto &seen = m_watch.group(name);
+        const auto &seen = m_rankMonitor.group(name);
         group.isDue = true;
-        if (m_watch.isWhole(seen) && group.layout) {
+        if (m_rankMonitor.isOperational(seen) && group.layout) {
             m_lastSkew = std::max(m_lastSkew, layoutSkew(*group.layout, m_survey.bySet(), slownessOf(seen)));
         }
     }
@@ -408,7 +410,7 @@
 
 void ExpertRebalancer::considerSwitch(const GroupName &name, Group &group, SteadyTime now)
 {
-    const auto &seen = m_watch.group(name);
+    const auto &seen = m_rankMonitor.group(name);
     const bool isFree = !group.mapSwitch && !group.recovery && !group.wanted && !seen.heldStep;
     if (!isFree || now < group.notBefore || givesWay(now)) {
         return;
@@ -455,14 +457,14 @@
                                  .copyTime = std::chrono::duration_cast<milliseconds>(copyTime),
                                  .passTime = seen.passTime};
     group.gatheredAt = now;
-    m_watch.ask(seen, now);
+    m_rankMonitor.requestStatuses(seen, now);
 }
 
 RankSlowness ExpertRebalancer::slownessOf(const MonitoredGroup &seen) const
 {
     RankSlowness slowness;
     for (const auto &id : seen.ranks) {
-        const auto *status = m_watch.statusOf(id);
+        const auto *status = m_rankMonitor.statusOf(id);
         slowness.push_back(status != nullptr ? std::max(1.0, status->pace) : 1.0);
     }
     return slowness;
@@ -471,8 +473,8 @@
 void ExpertRebalancer::startSwitch(const GroupName &name, Group &group, SteadyTime now)
 {
     auto plan = *std::exchange(group.wanted, {});
-    const auto &seen = m_watch.group(name);
-    if (!m_watch.isFresh(seen, group.gatheredAt)) {
+    const auto &seen = m_rankMonitor.group(name);
+    if (!m_rankMonitor.hasStatusesSince(seen, group.gatheredAt)) {
         tell("map-switch-put-off", name, "a rank does not answer");
         group.notBefore = now + SettlePause;
         return;
@@ -483,7 +485,7 @@
         return;
     }
     for (const auto &id : seen.ranks) {
-        const auto &status = *m_watch.statusOf(id);
+        const auto &status = *m_rankMonitor.statusOf(id);
         const bool isSame = status.map == group.layoutMap || status.step < group.layoutFrom;
         if (status.armed || status.heldStep || status.epoch != seen.epoch || !isSame) {
             tell("map-switch-put-off", name, "a rank is not as expected: " + id.text());
@@ -492,10 +494,10 @@
             return;
         }
     }
-    plan.ranks = m_watch.targetsOf(seen);
+    plan.ranks = m_rankMonitor.targetsOf(seen);
     plan.epoch = seen.epoch;
     plan.number = drawNumber(name);
-    plan.after = seen.lastHeld;
+    plan.after = seen.lastHeldStep;
     group.startedAt = now;
     group.mapSwitch = std::make_unique<MapSwitch>(m_control, std::move(plan));
     group.mapSwitch->tick(now);
@@ -505,7 +507,7 @@
 {
     // A switch ends when its pass is let go, and the pass may be several passes ahead: its ranks are as expected.
     return std::any_of(seen.ranks.begin(), seen.ranks.end(), [&](const auto &id) {
-        const auto &status = *m_watch.statusOf(id);
+        const auto &status = *m_rankMonitor.statusOf(id);
         return status.armed == group.layoutMap && status.epoch == seen.epoch && status.step < group.layoutFrom;
     });
 }
@@ -515,10 +517,10 @@
     // Calendar time goes before: ranks refuse numbers below any that they had, also from keepers that are gone.
     const auto since = std::chrono::duration_cast<std::chrono::seconds>(m_clock.wallNow() - EpochStart);
     const auto seconds = static_cast<std::uint64_t>(std::max<std::int64_t>(since.count(), 0));
-    const auto above = std::max((toNumber(m_watch.group(name).highest) >> RandomBits) + 1, seconds);
+    const auto above = std::max((toNumber(m_rankMonitor.group(name).highestMap) >> RandomBits) + 1, seconds);
     const auto bits = m_drawBits() & ((1U << RandomBits) - 1);
     const auto number = static_cast<MapNumber>((above << RandomBits) | bits);
-    m_watch.noteNumber(name, number);
+    m_rankMonitor.recordMapNumber(name, number);
     m_ownNumbers.insert(number);
     if (m_ownNumbers.size() > RememberedNumbers) {
         m_ownNumbers.erase(m_ownNumbers.begin());
--- a/modules/heatherridge_coordination/groups/expertrebalancer.h
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.h
@@ -136,8 +136,8 @@
         double skewAfter = 0;
     };
 
-    void composed(const GroupName &name);
-    void spoke(const GroupName &name, const RankStatus &status);
+    void membershipChanged(const GroupName &name);
+    void statusReceived(const GroupName &name, const RankStatus &status);
     void followGroup(const GroupName &name, Group &group, SteadyTime now);
     void watchHold(const GroupName &name, Group &group, SteadyTime now);
     bool isLeftHeld(Group &group, const MonitoredGroup &seen, SteadyTime now);
@@ -169,7 +169,7 @@
     std::function<std::uint64_t()> m_drawBits;
     std::chrono::milliseconds m_longestPause{};
     EngineProfile m_profile;
-    RankMonitor m_watch;
+    RankMonitor m_rankMonitor;
     std::map<GroupName, Group> m_groups;
     DemandSampler m_survey;
     bool m_isActive = false;
--- a/modules/heatherridge_coordination/groups/rankmonitor.cpp
+++ b/modules/heatherridge_coordination/groups/rankmonitor.cpp
@@ -13,14 +13,14 @@
 
 /** Statuses in a row that don't come before an engine counts as gone: two seconds' worth. Forgetting it drops a switch
  * that is under way, and what that holds stays held until it is recovered. */
-constexpr int MissesToForget = 5;
+constexpr int MissesUntilLost = 5;
 /** The same where questions are further apart. */
-constexpr int LeastMissesToForget = 2;
+constexpr int MinMissesUntilLost = 2;
 /** Switches hold passes at rank 0, recoveries mostly at rank 1: what they say of holds is news for every keeper. */
 constexpr int LastHoldingRank = 1;
 /** Bounds of what is believed of a pass, from an idle group to one with a stalled rank. */
-constexpr milliseconds ShortestPass{10};
-constexpr milliseconds LongestPass{1'000};
+constexpr milliseconds MinPassTime{10};
+constexpr milliseconds MaxPassTime{1'000};
 
 } // namespace
 
@@ -36,15 +36,15 @@
 void RankMonitor::setTargets(const std::vector<TargetEntry> &targets)
 {
     for (const auto &target : targets) {
-        m_members[target.id].target = target;
+        m_engines[target.id].target = target;
     }
-    const auto erased = std::erase_if(m_members, [&targets](const auto &entry) {
+    const auto erased = std::erase_if(m_engines, [&targets](const auto &entry) {
         return std::none_of(targets.begin(), targets.end(),
                             [&entry](const auto &target) { return target.id == entry.first; });
     });
     if (erased > 0) {
         for (const auto &[name, group] : m_groups) {
-            compose(name);
+            rebuildGroup(name);
         }
     }
     const auto far = std::count_if(targets.begin(), targets.end(),
@@ -52,50 +52,50 @@
     m_farPeriod = m_options.budget.farPeriod(static_cast<std::size_t>(far), m_options.period);
 }
 
-void RankMonitor::setThorough(bool isThorough)
+void RankMonitor::setFullRate(bool isFullRate)
 {
-    m_isThorough = isThorough;
+    m_isFullRate = isFullRate;
 }
 
 void RankMonitor::tick(SteadyTime now)
 {
     // A group that forms or is held takes no streams, and each moment in which nobody knows that it goes on is lost.
-    const int hurry = isSettled() ? 1 : 2;
-    for (auto &[id, member] : m_members) {
-        if (now - member.askedAt >= periodOf(member) / hurry) {
-            askOne(member, now);
+    const int rateFactor = isSettled() ? 1 : 2;
+    for (auto &[id, engine] : m_engines) {
+        if (now - engine.requestedAt >= pollPeriodOf(engine) / rateFactor) {
+            requestStatus(engine, now);
         }
     }
 }
 
-bool RankMonitor::isWatchedClosely(const Member &member) const
+bool RankMonitor::isPolledClosely(const MonitoredEngine &engine) const
 {
-    const bool mayHold = member.status && member.status->rank <= LastHoldingRank;
-    return m_isThorough || mayHold || m_options.budget.isNear(member.target);
+    const bool mayHold = engine.status && engine.status->rank <= LastHoldingRank;
+    return m_isFullRate || mayHold || m_options.budget.isNear(engine.target);
 }
 
-milliseconds RankMonitor::periodOf(const Member &member) const
+milliseconds RankMonitor::pollPeriodOf(const MonitoredEngine &engine) const
 {
-    return isWatchedClosely(member) ? m_options.period : m_farPeriod;
+    return isPolledClosely(engine) ? m_options.period : m_farPeriod;
 }
 
-int RankMonitor::missesToForget(const Member &member) const
+int RankMonitor::missesUntilLost(const MonitoredEngine &engine) const
 {
-    return std::max(LeastMissesToForget, static_cast<int>(MissesToForget * m_options.period / periodOf(member)));
+    return std::max(MinMissesUntilLost, static_cast<int>(MissesUntilLost * m_options.period / pollPeriodOf(engine)));
 }
 
 bool RankMonitor::isSettled() const
 {
     return !m_groups.empty() && std::all_of(m_groups.begin(), m_groups.end(), [this](const auto &entry) {
-        return isWhole(entry.second) && !entry.second.heldStep;
+        return isOperational(entry.second) && !entry.second.heldStep;
     });
 }
 
-void RankMonitor::ask(const MonitoredGroup &group, SteadyTime now)
+void RankMonitor::requestStatuses(const MonitoredGroup &group, SteadyTime now)
 {
     for (const auto &id : group.ranks) {
-        if (const auto found = m_members.find(id); found != m_members.end()) {
-            askOne(found->second, now);
+        if (const auto found = m_engines.find(id); found != m_engines.end()) {
+            requestStatus(found->second, now);
         }
     }
 }
@@ -114,22 +114,22 @@
 
 const RankStatus *RankMonitor::statusOf(const TargetName &target) const
 {
-    const auto found = m_members.find(target);
-    return found != m_members.end() && found->second.status ? &*found->second.status : nullptr;
+    const auto found = m_engines.find(target);
+    return found != m_engines.end() && found->second.status ? &*found->second.status : nullptr;
 }
 
-bool RankMonitor::isWhole(const MonitoredGroup &group) const
+bool RankMonitor::isOperational(const MonitoredGroup &group) const
 {
     return group.isOpen && !group.ranks.empty()
         && std::all_of(group.ranks.begin(), group.ranks.end(),
-                       [this](const auto &id) { return !id.isEmpty() && m_members.contains(id); });
+                       [this](const auto &id) { return !id.isEmpty() && m_engines.contains(id); });
 }
 
-bool RankMonitor::isFresh(const MonitoredGroup &group, SteadyTime time) const
+bool RankMonitor::hasStatusesSince(const MonitoredGroup &group, SteadyTime time) const
 {
     return std::all_of(group.ranks.begin(), group.ranks.end(), [&](const auto &id) {
-        const auto found = m_members.find(id);
-        return found != m_members.end() && found->second.answeredAt >= time;
+        const auto found = m_engines.find(id);
+        return found != m_engines.end() && found->second.statusRequestedAt >= time;
     });
 }
 
@@ -137,115 +137,115 @@
 {
     std::vector<TargetEntry> targets;
     for (const auto &id : group.ranks) {
-        targets.push_back(m_members.at(id).target);
+        targets.push_back(m_engines.at(id).target);
     }
     return targets;
 }
 
-void RankMonitor::noteNumber(const GroupName &name, MapNumber number)
+void RankMonitor::recordMapNumber(const GroupName &name, MapNumber number)
 {
     auto &group = m_groups[name];
-    group.highest = std::max(group.highest, number);
+    group.highestMap = std::max(group.highestMap, number);
 }
 
-void RankMonitor::noteHeld(const GroupName &name, std::uint64_t step)
+void RankMonitor::recordHeldStep(const GroupName &name, std::uint64_t step)
 {
     auto &group = m_groups[name];
-    group.lastHeld = std::max(group.lastHeld, step);
+    group.lastHeldStep = std::max(group.lastHeldStep, step);
 }
 
-std::optional<std::vector<EngineView>> RankMonitor::news()
+std::optional<std::vector<EngineView>> RankMonitor::takeUpdates()
 {
-    if (!std::exchange(m_hasNews, false)) {
+    if (!std::exchange(m_hasUpdates, false)) {
         return std::nullopt;
     }
-    std::vector<EngineView> engines;
-    for (const auto &[id, member] : m_members) {
-        if (member.lastGroup.isEmpty()) {
+    std::vector<EngineView> views;
+    for (const auto &[id, engine] : m_engines) {
+        if (engine.lastGroup.isEmpty()) {
             continue;
         }
-        if (!member.status) {
+        if (!engine.status) {
             // Told of as closed, or its last word would stand: dead engines drew 1,066 attempts in a day.
-            engines.push_back({.target = id, .group = member.lastGroup, .at = member.askedAt});
+            views.push_back({.target = id, .group = engine.lastGroup, .requestedAt = engine.requestedAt});
             continue;
         }
-        const auto &status = *member.status;
+        const auto &status = *engine.status;
         const auto &seen = group(status.group);
-        engines.push_back({.target = id,
-                           .group = status.group,
-                           .isOpen = status.epoch == seen.epoch && takesStreams(seen),
-                           .running = status.running,
-                           .waiting = status.waiting,
-                           .pace = status.pace,
-                           .passTime = seen.passTime,
-                           .at = member.askedAt});
+        views.push_back({.target = id,
+                         .group = status.group,
+                         .isOpen = status.epoch == seen.epoch && acceptsStreams(seen),
+                         .running = status.running,
+                         .waiting = status.waiting,
+                         .pace = status.pace,
+                         .passTime = seen.passTime,
+                         .requestedAt = engine.requestedAt});
     }
-    return engines;
+    return views;
 }
 
-void RankMonitor::askOne(Member &member, SteadyTime now)
+void RankMonitor::requestStatus(MonitoredEngine &engine, SteadyTime now)
 {
-    if (member.isAsking) {
+    if (engine.isRequestPending) {
         return;
     }
-    member.isAsking = true;
-    member.askedAt = now;
-    m_control.status(member.target,
-                     [this, id = member.target.id, now, alive = std::weak_ptr(m_alive)](Result<RankStatus> status) {
-                         const auto found = alive.expired() ? m_members.end() : m_members.find(id);
-                         if (alive.expired() || found == m_members.end()) {
+    engine.isRequestPending = true;
+    engine.requestedAt = now;
+    m_control.status(engine.target,
+                     [this, id = engine.target.id, now, alive = std::weak_ptr(m_alive)](Result<RankStatus> status) {
+                         const auto found = alive.expired() ? m_engines.end() : m_engines.find(id);
+                         if (alive.expired() || found == m_engines.end()) {
                              return;
                          }
-                         found->second.isAsking = false;
+                         found->second.isRequestPending = false;
                          if (const auto *known = std::get_if<RankStatus>(&status)) {
-                             take(found->second, *known, now);
+                             applyStatus(found->second, *known, now);
                          } else {
-                             miss(found->second, *errorIn(status));
+                             handleMissedStatus(found->second, *errorIn(status));
                          }
                      });
 }
 
-void RankMonitor::miss(Member &member, const Error &error)
+void RankMonitor::handleMissedStatus(MonitoredEngine &engine, const Error &error)
 {
-    const bool isOther = error.kind == ErrorKind::NotFound;
-    if (!member.status || (++member.misses < missesToForget(member) && !isOther)) {
+    const bool isOtherRun = error.kind == ErrorKind::NotFound;
+    if (!engine.status || (++engine.missedStatuses < missesUntilLost(engine) && !isOtherRun)) {
         return;
     }
     // Gone, or another run of the engine answers in its place: its group is not whole until somebody has its rank.
-    const auto group = member.status->group;
-    member.status.reset();
-    m_hasNews = true;
-    compose(group);
+    const auto group = engine.status->group;
+    engine.status.reset();
+    m_hasUpdates = true;
+    rebuildGroup(group);
 }
 
-void RankMonitor::take(Member &member, const RankStatus &status, SteadyTime now)
+void RankMonitor::applyStatus(MonitoredEngine &engine, const RankStatus &status, SteadyTime now)
 {
-    const bool isNew = !member.status || member.status->group != status.group || member.status->rank != status.rank
-        || member.status->epoch != status.epoch || member.status->isOpen != status.isOpen;
-    member.status = status;
-    member.lastGroup = status.group;
-    member.answeredAt = now;
-    member.misses = 0;
-    m_hasNews = true;
+    const bool hasChanged = !engine.status || engine.status->group != status.group || engine.status->rank != status.rank
+        || engine.status->epoch != status.epoch || engine.status->isOpen != status.isOpen;
+    engine.status = status;
+    engine.lastGroup = status.group;
+    engine.statusRequestedAt = now;
+    engine.missedStatuses = 0;
+    m_hasUpdates = true;
     if (status.group.isEmpty()) {
         return;
     }
-    noteNumber(status.group,
-               std::max({status.map, status.prepared.value_or(MapNumber{}), status.armed.value_or(MapNumber{})}));
-    if (isNew) {
-        compose(status.group);
+    recordMapNumber(status.group,
+                    std::max({status.map, status.prepared.value_or(MapNumber{}), status.armed.value_or(MapNumber{})}));
+    if (hasChanged) {
+        rebuildGroup(status.group);
     }
-    noteHeld(status.group, status.heldStep.value_or(0));
+    recordHeldStep(status.group, status.heldStep.value_or(0));
     auto &group = m_groups[status.group];
-    followHold(group, now);
+    updateHold(group, now);
     if (status.rank == 0 && status.epoch == group.epoch) {
-        followPasses(group, status, now);
-        followSurvey(group, status, now);
+        updatePassTime(group, status, now);
+        updateCountsRequest(group, status, now);
     }
-    m_events.spoke(status.group, status);
+    m_events.statusReceived(status.group, status);
 }
 
-void RankMonitor::followHold(MonitoredGroup &group, SteadyTime now) const
+void RankMonitor::updateHold(MonitoredGroup &group, SteadyTime now) const
 {
     // Switches hold at rank 0 and recoveries at another, and either may have come late: any rank may hold.
     std::optional<std::uint64_t> held;
@@ -261,12 +261,12 @@
     }
 }
 
-void RankMonitor::followPasses(MonitoredGroup &group, const RankStatus &status, SteadyTime now)
+void RankMonitor::updatePassTime(MonitoredGroup &group, const RankStatus &status, SteadyTime now)
 {
     if (status.step > group.lastStep && group.lastStep > 0 && group.lastStepAt != SteadyTime{}) {
         const auto passes = static_cast<std::int64_t>(status.step - group.lastStep);
         const auto span = std::chrono::duration_cast<milliseconds>(now - group.lastStepAt);
-        group.passTime = std::clamp(span / passes, ShortestPass, LongestPass);
+        group.passTime = std::clamp(span / passes, MinPassTime, MaxPassTime);
     }
     // A status that shows the same pass again is no beginning of one, or passes that are longer than the time between
     // two statuses would seem as short as that time. An idle group makes no passes.
@@ -275,27 +275,27 @@
         group.lastStep = status.step;
         group.lastStepAt = now;
     }
-    const bool standsStill = group.heldStep && status.step + 1 >= *group.heldStep;
-    if (standsStill != group.standsSince.has_value()) {
-        group.standsSince = standsStill ? std::optional(now) : std::nullopt;
+    const bool isStandingStill = group.heldStep && status.step + 1 >= *group.heldStep;
+    if (isStandingStill != group.standstillSince.has_value()) {
+        group.standstillSince = isStandingStill ? std::optional(now) : std::nullopt;
     }
 }
 
-void RankMonitor::followSurvey(MonitoredGroup &group, const RankStatus &status, SteadyTime now)
+void RankMonitor::updateCountsRequest(MonitoredGroup &group, const RankStatus &status, SteadyTime now)
 {
     if (status.countsAskedAgo) {
-        group.surveyedAgo = *status.countsAskedAgo;
-        group.surveyToldAt = now;
+        group.countsRequestedAgo = *status.countsAskedAgo;
+        group.countsRequestReportedAt = now;
     }
 }
 
-void RankMonitor::compose(const GroupName &name)
+void RankMonitor::rebuildGroup(const GroupName &name)
 {
     auto &group = m_groups[name];
     std::uint64_t epoch = 0;
-    for (const auto &[id, member] : m_members) {
-        if (member.status && member.status->group == name) {
-            epoch = std::max(epoch, member.status->epoch);
+    for (const auto &[id, engine] : m_engines) {
+        if (engine.status && engine.status->group == name) {
+            epoch = std::max(epoch, engine.status->epoch);
         }
     }
     auto ranks = ranksOf(name, epoch);
@@ -305,36 +305,36 @@
     });
     if (epoch != group.epoch) {
         group.lastStep = 0;
-        group.lastHeld = 0;
+        group.lastHeldStep = 0;
         group.heldStep.reset();
-        group.standsSince.reset();
+        group.standstillSince.reset();
     }
-    const bool isOther = ranks != group.ranks || epoch != group.epoch;
+    const bool isRegrouped = ranks != group.ranks || epoch != group.epoch;
     group.ranks = std::move(ranks);
     group.epoch = epoch;
-    if (isOther) {
-        m_events.composed(name);
+    if (isRegrouped) {
+        m_events.membershipChanged(name);
     }
 }
 
 std::vector<TargetName> RankMonitor::ranksOf(const GroupName &name, std::uint64_t epoch) const
 {
     std::vector<TargetName> ranks;
-    for (const auto &[id, member] : m_members) {
-        if (!member.status || member.status->group != name || member.status->epoch != epoch) {
+    for (const auto &[id, engine] : m_engines) {
+        if (!engine.status || engine.status->group != name || engine.status->epoch != epoch) {
             continue;
         }
-        const auto rank = static_cast<std::size_t>(std::max(member.status->rank, 0));
-        ranks.resize(std::max({ranks.size(), rank + 1, static_cast<std::size_t>(member.status->size)}));
+        const auto rank = static_cast<std::size_t>(std::max(engine.status->rank, 0));
+        ranks.resize(std::max({ranks.size(), rank + 1, static_cast<std::size_t>(engine.status->size)}));
         // An engine that has started anew stands in the register beside its last run for a while.
-        if (ranks[rank].isEmpty() || m_members.at(ranks[rank]).answeredAt < member.answeredAt) {
+        if (ranks[rank].isEmpty() || m_engines.at(ranks[rank]).statusRequestedAt < engine.statusRequestedAt) {
             ranks[rank] = id;
         }
     }
     return ranks;
 }
 
-bool RankMonitor::takesStreams(const MonitoredGroup &group) const
+bool RankMonitor::acceptsStreams(const MonitoredGroup &group) const
 {
     // One rank that says that its group does not work speaks for all: the one that died said last that it works, and
     // looks idle. It drew 577 attempts in a day that never reached it.
--- a/modules/heatherridge_coordination/groups/rankmonitor.h
+++ b/modules/heatherridge_coordination/groups/rankmonitor.h
@@ -23,7 +23,7 @@
     int waiting = 0;
     double pace = 1; ///< over 1: it takes so many times as long as usual
     std::chrono::milliseconds passTime{}; ///< of its group, measured
-    SteadyTime at{}; ///< when it was asked
+    SteadyTime requestedAt{}; ///< when it was asked
 };
 
 /** One group as its ranks' statuses tell. */
@@ -32,16 +32,17 @@
     std::vector<TargetName> ranks{}; ///< by rank; null names where nobody has spoken
     std::uint64_t epoch = 0;
     bool isOpen = false; ///< all ranks are known and say so
-    MapNumber highest{}; ///< of all numbers seen at its ranks, or noted
-    std::uint64_t lastHeld = 0; ///< the last pass of this epoch that was seen held, or noted
+    MapNumber highestMap{}; ///< of all numbers seen at its ranks, or noted
+    std::uint64_t lastHeldStep = 0; ///< the last pass of this epoch that was seen held, or noted
     std::uint64_t lastStep = 0; ///< the last pass that was begun
     SteadyTime lastStepAt{}; ///< when a status first showed it
     std::chrono::milliseconds passTime{50};
-    std::optional<std::chrono::milliseconds> surveyedAgo{}; ///< a keeper last asked rank 0 for its counts, as it told
-    SteadyTime surveyToldAt{}; ///< when rank 0 told that
+    std::optional<std::chrono::milliseconds>
+        countsRequestedAgo{}; ///< a keeper last asked rank 0 for its counts, as it told
+    SteadyTime countsRequestReportedAt{}; ///< when rank 0 told that
     std::optional<std::uint64_t> heldStep{};
     SteadyTime heldSince{};
-    std::optional<SteadyTime> standsSince{}; ///< the pass before the held one is seen to be the last that was begun
+    std::optional<SteadyTime> standstillSince{}; ///< the pass before the held one is seen to be the last that was begun
 };
 
 /**
@@ -58,9 +59,9 @@
     struct Events
     {
         /** The group has other ranks, or has formed anew. */
-        std::function<void(const GroupName &group)> composed{};
+        std::function<void(const GroupName &group)> membershipChanged{};
         /** A rank of the group has spoken; the group is up to date. */
-        std::function<void(const GroupName &group, const RankStatus &status)> spoke{};
+        std::function<void(const GroupName &group, const RankStatus &status)> statusReceived{};
     };
 
     struct Options
@@ -76,13 +77,13 @@
     void setTargets(const std::vector<TargetEntry> &targets);
 
     /** Whether all ranks are asked like near ones: who switches maps has to know each. */
-    void setThorough(bool isThorough);
+    void setFullRate(bool isFullRate);
 
     /** Asks when it is time. */
     void tick(SteadyTime now);
 
     /** Asks the ranks of @p group at once. */
-    void ask(const MonitoredGroup &group, SteadyTime now);
+    void requestStatuses(const MonitoredGroup &group, SteadyTime now);
 
     /** All groups that were ever seen. */
     const std::map<GroupName, MonitoredGroup> &groups() const;
@@ -94,57 +95,57 @@
     const RankStatus *statusOf(const TargetName &target) const;
 
     /** Whether all ranks of @p group are known and work. */
-    bool isWhole(const MonitoredGroup &group) const;
+    bool isOperational(const MonitoredGroup &group) const;
 
     /** Whether all statuses of @p group were asked for at @p time or later. */
-    bool isFresh(const MonitoredGroup &group, SteadyTime time) const;
+    bool hasStatusesSince(const MonitoredGroup &group, SteadyTime time) const;
 
     /** The ranks of @p group, which must be whole. */
     std::vector<TargetEntry> targetsOf(const MonitoredGroup &group) const;
 
     /** Keeps in mind that @p number was given to a map of @p name. */
-    void noteNumber(const GroupName &name, MapNumber number);
+    void recordMapNumber(const GroupName &name, MapNumber number);
 
     /** Keeps in mind that pass @p step of @p name was held. */
-    void noteHeld(const GroupName &name, std::uint64_t step);
+    void recordHeldStep(const GroupName &name, std::uint64_t step);
 
     /** All engines that have ever spoken; nothing when no status has come since the last call. */
-    std::optional<std::vector<EngineView>> news();
+    std::optional<std::vector<EngineView>> takeUpdates();
 
 private:
-    struct Member
+    struct MonitoredEngine
     {
         TargetEntry target{};
         std::optional<RankStatus> status{};
         GroupName lastGroup{}; ///< null while it has never spoken, or is in none
-        SteadyTime askedAt{};
-        SteadyTime answeredAt{}; ///< when the last status that came was asked for
-        int misses = 0; ///< statuses in a row that did not come
-        bool isAsking = false;
+        SteadyTime requestedAt{};
+        SteadyTime statusRequestedAt{}; ///< when the last status that came was asked for
+        int missedStatuses = 0; ///< statuses in a row that did not come
+        bool isRequestPending = false;
     };
 
-    void askOne(Member &member, SteadyTime now);
-    void take(Member &member, const RankStatus &status, SteadyTime now);
-    void miss(Member &member, const Error &error);
-    void compose(const GroupName &name);
+    void requestStatus(MonitoredEngine &engine, SteadyTime now);
+    void applyStatus(MonitoredEngine &engine, const RankStatus &status, SteadyTime now);
+    void handleMissedStatus(MonitoredEngine &engine, const Error &error);
+    void rebuildGroup(const GroupName &name);
     std::vector<TargetName> ranksOf(const GroupName &name, std::uint64_t epoch) const;
-    void followHold(MonitoredGroup &group, SteadyTime now) const;
-    static void followPasses(MonitoredGroup &group, const RankStatus &status, SteadyTime now);
-    static void followSurvey(MonitoredGroup &group, const RankStatus &status, SteadyTime now);
+    void updateHold(MonitoredGroup &group, SteadyTime now) const;
+    static void updatePassTime(MonitoredGroup &group, const RankStatus &status, SteadyTime now);
+    static void updateCountsRequest(MonitoredGroup &group, const RankStatus &status, SteadyTime now);
     bool isSettled() const;
-    bool isWatchedClosely(const Member &member) const;
-    std::chrono::milliseconds periodOf(const Member &member) const;
-    int missesToForget(const Member &member) const;
-    bool takesStreams(const MonitoredGroup &group) const;
+    bool isPolledClosely(const MonitoredEngine &engine) const;
+    std::chrono::milliseconds pollPeriodOf(const MonitoredEngine &engine) const;
+    int missesUntilLost(const MonitoredEngine &engine) const;
+    bool acceptsStreams(const MonitoredGroup &group) const;
 
     RankControl &m_control;
     Options m_options;
     Events m_events;
-    std::map<TargetName, Member> m_members;
+    std::map<TargetName, MonitoredEngine> m_engines;
     std::map<GroupName, MonitoredGroup> m_groups;
     std::chrono::milliseconds m_farPeriod{};
-    bool m_isThorough = false;
-    bool m_hasNews = false; ///< statuses that news() has not told of
+    bool m_isFullRate = false;
+    bool m_hasUpdates = false; ///< statuses that news() has not told of
     std::shared_ptr<int> m_alive;
 };
 
--- a/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
+++ b/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
@@ -14,8 +14,8 @@
 {
     std::optional<std::chrono::milliseconds> least;
     for (const auto &[name, seen] : groups) {
-        if (seen.surveyedAgo && now - seen.surveyToldAt <= RebalancerTakeover::NewsAge) {
-            least = least ? std::min(*least, *seen.surveyedAgo) : *seen.surveyedAgo;
+        if (seen.countsRequestedAgo && now - seen.countsRequestReportedAt <= RebalancerTakeover::NewsAge) {
+            least = least ? std::min(*least, *seen.countsRequestedAgo) : *seen.countsRequestedAgo;
         }
     }
     return least;
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -240,13 +240,13 @@
 void GatewayTargets::setEngines(const std::vector<EngineView> &engines)
 {
     for (const auto &engine : engines) {
-        m_groups[engine.group].setOpen(engine.isOpen, engine.at);
+        m_groups[engine.group].setOpen(engine.isOpen, engine.requestedAt);
         auto *target = find(engine.target);
         if (target == nullptr) {
             continue;
         }
-        if (!target->engine || target->engine->at != engine.at) {
-            target->load.reported(engine.running + engine.waiting, engine.at);
+        if (!target->engine || target->engine->requestedAt != engine.requestedAt) {
+            target->load.reported(engine.running + engine.waiting, engine.requestedAt);
             target->sentSinceReport = 0;
         }
         target->engine = engine;
--- a/tests/heldgroups/heldgroupsimulation.cpp
+++ b/tests/heldgroups/heldgroupsimulation.cpp
@@ -37,7 +37,7 @@
     TargetEntry target{};
     MapNumber map{};
     ExpertLayout layout{};
-    MapNumber highest{};
+    MapNumber highestMap{};
     std::optional<MapNumber> prepared{};
     ExpertLayout preparedLayout{};
     std::optional<ArmMap> armed{};
@@ -447,10 +447,10 @@
 OrderReply HeldWorld::apply(Rank &engine, const RankOrder &order)
 {
     return std::visit(Visitor{[&](const PrepareMap &prepare) {
-                                  if (prepare.map <= engine.highest || engine.armed) {
+                                  if (prepare.map <= engine.highestMap || engine.armed) {
                                       return OrderReply::Refused;
                                   }
-                                  engine.highest = prepare.map;
+                                  engine.highestMap = prepare.map;
                                   engine.prepared = prepare.map;
                                   engine.preparedLayout = prepare.layout;
                                   return OrderReply::Accepted;
--- a/tests/heldgroups/passtime_test.cpp
+++ b/tests/heldgroups/passtime_test.cpp
@@ -50,7 +50,8 @@
     SteadyRank rank;
     rank.pass = row.pass;
     RankMonitor watch(rank, {.period = row.between},
-                      {.composed = [](const GroupName &) {}, .spoke = [](const GroupName &, const RankStatus &) {}});
+                      {.membershipChanged = [](const GroupName &) {},
+                       .statusReceived = [](const GroupName &, const RankStatus &) {}});
     watch.setTargets({{.id = TargetName("0")}});
     for (; rank.now < Start + 4s; rank.now += row.between) {
         watch.tick(rank.now);
--- a/tests/heldgroups/watched_test.cpp
+++ b/tests/heldgroups/watched_test.cpp
@@ -135,9 +135,9 @@
     }
     EXPECT_EQ(std::count_if(views.begin(), views.end(), [](const auto &view) { return view.isOpen; }), row.open)
         << row.story;
-    const auto spoke =
+    const auto statusReceived =
         std::count_if(row.before.begin(), row.before.end(), [](auto word) { return word != Word::None; });
-    EXPECT_EQ(static_cast<std::ptrdiff_t>(views.size()), spoke)
+    EXPECT_EQ(static_cast<std::ptrdiff_t>(views.size()), statusReceived)
         << "an engine that falls silent is told of all the same";
 }
 
