--- a/modules/heatherridge_coordination/groups/expertrebalancer.cpp
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.cpp
@@ -13,36 +13,36 @@
 using std::chrono::milliseconds;
 
 /** After a switch that failed, so that a fault that lasts does not cost orders all the while. */
-constexpr milliseconds FailurePause{1'500};
+constexpr milliseconds FailureRetryDelay{1'500};
 /** Bounds of the pause before a recovery that failed is tried again; one takes half a second by itself. */
-constexpr milliseconds FirstRecoveryPause{600};
-constexpr milliseconds LongestRecoveryPause{4'000};
+constexpr milliseconds MinRecoveryBackoff{600};
+constexpr milliseconds MaxRecoveryBackoff{4'000};
 /** A hold that is as old is taken up even if another recovery seems to be under way: whoever began it may be gone. */
-constexpr milliseconds JoinPatience{1'700};
+constexpr milliseconds JoinRecoveryAfter{1'700};
 /** A switch that needed so many copies of one order tells of orders that get lost. */
-constexpr int SendsThatTellOfLoss = 3;
+constexpr int SendsIndicatingLoss = 3;
 /** How long that is taken to last. */
-constexpr milliseconds LossyTime{4'000};
+constexpr milliseconds LossyPeriod{4'000};
 /** Own numbers that are remembered: far more than are given out while statuses are under way. */
-constexpr std::size_t RememberedNumbers = 256;
+constexpr std::size_t MaxOwnMapNumbers = 256;
 /** A switch waits so long for the statuses of its ranks. */
-constexpr milliseconds StatusPatience{300};
+constexpr milliseconds StatusTimeout{300};
 /** What a switch takes beside copies: statuses, the held pass and the orders for it. */
-constexpr milliseconds SwitchTime{150};
+constexpr milliseconds SwitchOverhead{150};
 /** Copies that a rank may be given for one switch. */
-constexpr std::size_t MostStages = 12;
+constexpr std::size_t MaxStages = 12;
 /** By how much passes are longer while experts are copied, as the engines' makers say. */
 constexpr double CopySlowdown = 0.15;
 /** After a switch or a status that was not as expected, before the next try. */
-constexpr milliseconds SettlePause{350};
+constexpr milliseconds SettleDelay{350};
 /** Low bits of a map's number that are drawn at random, so that two keepers never use one number for two maps: with 12
  * of them a model of the protocol found two maps of one number in 3,000 schedules. With the seconds since EpochStart
  * above them, numbers stay whole in a 53-bit fraction until 2054. */
 constexpr unsigned RandomBits = 23;
 /** Numbers count from here. */
-constexpr std::chrono::sys_days EpochStart = std::chrono::year(2020) / 1 / 1;
+constexpr std::chrono::sys_days MapNumberEpoch = std::chrono::year(2020) / 1 / 1;
 
-std::string twoDigits(double number)
+std::string formatTwoDecimals(double number)
 {
     std::array<char, 24> text{};
     std::snprintf(text.data(), text.size(), "%.2f", number);
@@ -52,17 +52,17 @@
 } // namespace
 
 ExpertRebalancer::ExpertRebalancer(RankControl &control, ExpertRebalancerOptions options, ExpertRebalancerEvents events,
-                                   const Clock &clock, std::function<std::uint64_t()> drawBits)
+                                   const Clock &clock, std::function<std::uint64_t()> randomBits)
     : m_control(control)
     , m_options(std::move(options))
     , m_events(std::move(events))
     , m_clock(clock)
-    , m_drawBits(std::move(drawBits))
+    , m_randomBits(std::move(randomBits))
     , m_rankMonitor(
           control, {.period = m_options.statusPeriod, .budget = m_options.budget},
           {.membershipChanged = [this](const GroupName &name) { membershipChanged(name); },
            .statusReceived = [this](const GroupName &name, const RankStatus &status) { statusReceived(name, status); }})
-    , m_survey(control, m_options.countPeriod)
+    , m_demandSampler(control, m_options.countPeriod)
     , m_alive(std::make_shared<int>(0))
 {
 }
@@ -71,7 +71,7 @@
                                   std::chrono::milliseconds longestPause)
 {
     m_longestPause = longestPause;
-    m_survey.setShape(profile.layerSets, profile.experts);
+    m_demandSampler.setShape(profile.layerSets, profile.experts);
     m_profile = profile;
     m_rankMonitor.setTargets(targets);
 }
@@ -81,60 +81,61 @@
     m_isActive = isActive;
     if (m_isConfirmed && !isConfirmed) {
         m_unconfirmedSince = m_now;
-        rememberHighest();
+        recordKnownMaps();
     }
     if (m_isConfirmed != isConfirmed) {
-        m_takeover.setConfirmed(isConfirmed, m_drawBits());
+        m_takeover.setConfirmed(isConfirmed, m_randomBits());
     }
     m_isConfirmed = isConfirmed;
     if (isActive) {
-        m_takeover.end();
+        m_takeover.cancel();
     }
-    m_rankMonitor.setFullRate(isKeeping());
+    m_rankMonitor.setFullRate(isRebalancing());
 }
 
-void ExpertRebalancer::rememberHighest()
+void ExpertRebalancer::recordKnownMaps()
 {
-    m_sawOther = false;
-    m_highestBefore = {};
+    m_hasSeenOther = false;
+    m_highestKnownMap = {};
     for (const auto &[name, seen] : m_rankMonitor.groups()) {
-        m_highestBefore = std::max(m_highestBefore, seen.highestMap);
+        m_highestKnownMap = std::max(m_highestKnownMap, seen.highestMap);
     }
 }
 
-bool ExpertRebalancer::isKeeping() const
+bool ExpertRebalancer::isRebalancing() const
 {
-    return m_isActive || m_takeover.isUnderWay();
+    return m_isActive || m_takeover.hasTakenOver();
 }
 
-void ExpertRebalancer::considerTakeover(SteadyTime now)
+void ExpertRebalancer::checkTakeover(SteadyTime now)
 {
-    if (m_isActive || !m_takeover.begins(m_rankMonitor.groups(), now)) {
+    if (m_isActive || !m_takeover.tryTakeOver(m_rankMonitor.groups(), now)) {
         return;
     }
     m_rankMonitor.setFullRate(true);
-    rememberHighest(); // what the keeper that is gone has made ranks prepare is not another's at work
-    tell("keeper-takes-over", {}, "no keeper has asked for counts and the log gives its share to nobody");
+    recordKnownMaps(); // what the keeper that is gone has made ranks prepare is not another's at work
+    reportDecision("keeper-takes-over", {}, "no keeper has asked for counts and the log gives its share to nobody");
 }
 
 void ExpertRebalancer::tick(SteadyTime now)
 {
     m_now = now;
     m_rankMonitor.tick(now);
-    considerTakeover(now);
+    checkTakeover(now);
     for (auto &[name, group] : m_groups) {
-        followGroup(name, group, now);
+        updateGroup(name, group, now);
     }
-    if (isKeeping() && m_survey.tick(now, [this] { return surveyed(); })) {
-        noteDemand();
+    if (isRebalancing() && m_demandSampler.tick(now, [this] { return ranksToSample(); })) {
+        handleNewDemand();
     }
     for (auto &[name, group] : m_groups) {
-        if (isKeeping() && group.isDue && group.layout && m_rankMonitor.isOperational(m_rankMonitor.group(name))) {
-            considerSwitch(name, group, now);
+        if (isRebalancing() && group.needsEvaluation && group.layout
+            && m_rankMonitor.isOperational(m_rankMonitor.group(name))) {
+            evaluateSwitch(name, group, now);
         }
     }
-    if (auto engines = m_rankMonitor.takeUpdates(); engines && m_events.watched) {
-        m_events.watched(std::move(*engines));
+    if (auto engines = m_rankMonitor.takeUpdates(); engines && m_events.enginesUpdated) {
+        m_events.enginesUpdated(std::move(*engines));
     }
 }
 
@@ -149,157 +150,161 @@
     group.layout.reset();
     group.mapSwitch.reset();
     group.recovery.reset();
-    group.wanted.reset();
+    group.pendingPlan.reset();
 }
 
 void ExpertRebalancer::statusReceived(const GroupName &name, const RankStatus &status)
 {
-    noticeOthers(status);
+    detectOtherRebalancer(status);
     auto &group = m_groups[name];
     const bool isLeader = status.rank == 0 && status.epoch == m_rankMonitor.group(name).epoch;
-    const bool isOther = status.map != group.layoutMap && status.step >= group.layoutFrom;
-    if (isLeader && isOther && group.layout && !group.mapSwitch) {
+    const bool hasOtherMap = status.map != group.layoutMap && status.step >= group.layoutSinceStep;
+    if (isLeader && hasOtherMap && group.layout && !group.mapSwitch) {
         group.layout.reset(); // somebody else has switched
     }
 }
 
-void ExpertRebalancer::noticeOthers(const RankStatus &status)
+void ExpertRebalancer::detectOtherRebalancer(const RankStatus &status)
 {
-    const auto newest = std::max(status.map, status.prepared.value_or(MapNumber{}));
-    if (!m_isConfirmed && newest > m_highestBefore && !m_ownNumbers.contains(newest)) {
-        m_sawOther = true;
+    const auto latestMap = std::max(status.map, status.prepared.value_or(MapNumber{}));
+    if (!m_isConfirmed && latestMap > m_highestKnownMap && !m_ownMapNumbers.contains(latestMap)) {
+        m_hasSeenOther = true;
     }
 }
 
-bool ExpertRebalancer::givesWay(SteadyTime now) const
+bool ExpertRebalancer::mustYield(SteadyTime now) const
 {
     // Two keepers that switch one group make each other fail, and each failure holds it for a second.
-    return !m_isConfirmed && (m_sawOther || now - m_unconfirmedSince < GivingWay);
+    return !m_isConfirmed && (m_hasSeenOther || now - m_unconfirmedSince < UnconfirmedYieldPeriod);
 }
 
-bool ExpertRebalancer::mayBeAnothers(const Group &group, SteadyTime now) const
+bool ExpertRebalancer::mustDelayUnconfirmedSwitch(const GroupState &group, SteadyTime now) const
 {
     // The log turns away this process alone, perhaps, and has given its share to another that has had nothing to do
     // yet. Without the pause both switched at the next shift of demand, and the group stood still for 1.3 s.
-    return !m_isConfirmed && now - *group.unevenSince < UnconfirmedPause;
+    return !m_isConfirmed && now - *group.imbalancedSince < UnconfirmedSwitchDelay;
 }
 
-void ExpertRebalancer::followGroup(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::updateGroup(const GroupName &name, GroupState &group, SteadyTime now)
 {
     const auto &seen = m_rankMonitor.group(name);
     if (!m_rankMonitor.isOperational(seen)) {
         group.mapSwitch.reset();
         group.recovery.reset();
-        group.wanted.reset();
+        group.pendingPlan.reset();
         return;
     }
     if (group.recovery) {
-        runRecovery(name, group, now);
+        updateRecovery(name, group, now);
     } else if (group.mapSwitch) {
-        runSwitch(name, group, now);
+        updateSwitch(name, group, now);
     } else if (seen.heldStep) {
-        watchHold(name, group, now);
-    } else if (group.wanted
-               && (m_rankMonitor.hasStatusesSince(seen, group.gatheredAt) || now - group.gatheredAt > StatusPatience)) {
+        checkHold(name, group, now);
+    } else if (group.pendingPlan
+               && (m_rankMonitor.hasStatusesSince(seen, group.statusesRequestedAt)
+                   || now - group.statusesRequestedAt > StatusTimeout)) {
         startSwitch(name, group, now);
-    } else if (isKeeping() && !group.layout) {
+    } else if (isRebalancing() && !group.layout) {
         readExperts(name, group);
     }
 }
 
-void ExpertRebalancer::watchHold(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::checkHold(const GroupName &name, GroupState &group, SteadyTime now)
 {
     const auto &seen = m_rankMonitor.group(name);
-    group.wanted.reset();
-    const bool isStuck = isLeftHeld(group, seen, now);
-    const bool isOwn = group.startedAt != SteadyTime{} && now - group.startedAt < ForeignHoldPatience * 3;
-    if ((!isStuck && !isOwn) || now < group.recoveryNotBefore) {
+    group.pendingPlan.reset();
+    const bool isAbandoned = isHoldAbandoned(group, seen, now);
+    const bool isOwnHold =
+        group.switchStartedAt != SteadyTime{} && now - group.switchStartedAt < ForeignHoldTimeout * 3;
+    if ((!isAbandoned && !isOwnHold) || now < group.recoveryNotBefore) {
         return;
     }
-    tell("hold-recovery", name, "step " + std::to_string(*seen.heldStep));
+    reportDecision("hold-recovery", name, "step " + std::to_string(*seen.heldStep));
     group.recovery = std::make_unique<HoldRecovery>(m_control,
                                                     RecoveryPlan{.ranks = m_rankMonitor.targetsOf(seen),
                                                                  .epoch = seen.epoch,
                                                                  .heldStep = *seen.heldStep,
                                                                  .experts = static_cast<std::size_t>(m_profile.experts),
-                                                                 .mayJoin = now - seen.heldSince > JoinPatience},
+                                                                 .mayJoin = now - seen.heldSince > JoinRecoveryAfter},
                                                     [this, name](MapNumber seen) {
                                                         m_rankMonitor.recordMapNumber(name, seen);
-                                                        return drawNumber(name);
+                                                        return allocateMapNumber(name);
                                                     });
 }
 
-bool ExpertRebalancer::isLeftHeld(Group &group, const MonitoredGroup &seen, SteadyTime now)
+bool ExpertRebalancer::isHoldAbandoned(GroupState &group, const MonitoredGroup &seen, SteadyTime now)
 {
-    if (group.patienceDrawnFor != seen.heldSince) {
-        group.patienceDrawnFor = seen.heldSince;
-        group.patienceDraw = milliseconds(m_drawBits() % PatienceDraw.count());
+    if (group.jitterDrawnForHoldSince != seen.heldSince) {
+        group.jitterDrawnForHoldSince = seen.heldSince;
+        group.holdTimeoutJitter = milliseconds(m_randomBits() % InactiveJitterWidth.count());
     }
-    const auto more = isKeeping() ? milliseconds(0) : InactivePatience + group.patienceDraw;
-    const bool standsStill = seen.standstillSince && now - *seen.standstillSince > StandstillPatience + more;
-    return standsStill || now - seen.heldSince > ForeignHoldPatience + more;
+    const auto extraDelay = isRebalancing() ? milliseconds(0) : InactiveExtraDelay + group.holdTimeoutJitter;
+    const bool standsStill = seen.standstillSince && now - *seen.standstillSince > StandstillTimeout + extraDelay;
+    return standsStill || now - seen.heldSince > ForeignHoldTimeout + extraDelay;
 }
 
-void ExpertRebalancer::runRecovery(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::updateRecovery(const GroupName &name, GroupState &group, SteadyTime now)
 {
     group.recovery->tick(now);
     const auto end = group.recovery->end();
     if (end == HoldRecovery::End::Running) {
         return;
     }
-    tell(end == HoldRecovery::End::Released ? "hold-released" : "hold-recovery-ended", name, group.recovery->reason());
+    reportDecision(end == HoldRecovery::End::Released ? "hold-released" : "hold-recovery-ended", name,
+                   group.recovery->reason());
     // Drawn pauses that grow, so that processes that recover one group don't overtake each other for ever.
-    group.recoveryPause = end == HoldRecovery::End::Failed
-        ? std::clamp(group.recoveryPause * 2, FirstRecoveryPause, LongestRecoveryPause)
+    group.recoveryBackoff = end == HoldRecovery::End::Failed
+        ? std::clamp(group.recoveryBackoff * 2, MinRecoveryBackoff, MaxRecoveryBackoff)
         : milliseconds(0);
-    const auto span = static_cast<std::uint64_t>(group.recoveryPause.count()) + 1;
-    group.recoveryNotBefore = now + SettlePause + milliseconds(m_drawBits() % span);
-    group.startedAt = {};
+    const auto jitterWidth = static_cast<std::uint64_t>(group.recoveryBackoff.count()) + 1;
+    group.recoveryNotBefore = now + SettleDelay + milliseconds(m_randomBits() % jitterWidth);
+    group.switchStartedAt = {};
     // Ranks that could be fenced answer, so a switch can be tried again at once: the group has waited for an even map
     // all the while, and its passes are two to three times as long until then.
-    group.notBefore = now + (end == HoldRecovery::End::Failed ? FailurePause : SettlePause);
+    group.noSwitchBefore = now + (end == HoldRecovery::End::Failed ? FailureRetryDelay : SettleDelay);
     group.layout.reset();
     group.recovery.reset();
 }
 
-void ExpertRebalancer::runSwitch(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::updateSwitch(const GroupName &name, GroupState &group, SteadyTime now)
 {
-    group.mapSwitch->tick(now, !holdsAnother(group));
+    group.mapSwitch->tick(now, !isAnotherGroupHeld(group));
     const auto end = group.mapSwitch->end();
     if (end == MapSwitch::End::Running) {
         return;
     }
     const auto &plan = group.mapSwitch->plan();
-    const auto took = std::chrono::duration_cast<milliseconds>(now - group.startedAt);
+    const auto took = std::chrono::duration_cast<milliseconds>(now - group.switchStartedAt);
     const auto outcome = end == MapSwitch::End::Switched ? "map-switched"
         : end == MapSwitch::End::Abandoned               ? "map-switch-abandoned"
                                                          : "map-switch-stuck";
-    tell(outcome, name,
-         "map " + std::to_string(toNumber(plan.number)) + " step " + std::to_string(group.mapSwitch->heldStep())
-             + " ms " + std::to_string(took.count()) + " skew " + twoDigits(group.skewBefore) + " to "
-             + twoDigits(group.skewAfter) + " " + group.mapSwitch->reason());
+    reportDecision(outcome, name,
+                   "map " + std::to_string(toNumber(plan.number)) + " step "
+                       + std::to_string(group.mapSwitch->heldStep()) + " ms " + std::to_string(took.count()) + " skew "
+                       + formatTwoDecimals(group.skewBefore) + " to " + formatTwoDecimals(group.skewAfter) + " "
+                       + group.mapSwitch->reason());
     m_rankMonitor.recordHeldStep(name, group.mapSwitch->heldStep());
     if (end == MapSwitch::End::Switched) {
         group.layout = plan.layout;
         group.layoutMap = plan.number;
-        group.layoutFrom = group.mapSwitch->heldStep();
+        group.layoutSinceStep = group.mapSwitch->heldStep();
         // The next stage follows as soon as statuses show this one, without another reading of counts.
-        group.notBefore = now + m_rankMonitor.group(name).passTime;
-        group.isDue = true;
-        group.startedAt = {};
+        group.noSwitchBefore = now + m_rankMonitor.group(name).passTime;
+        group.needsEvaluation = true;
+        group.switchStartedAt = {};
     } else {
-        group.notBefore = now + FailurePause;
+        group.noSwitchBefore = now + FailureRetryDelay;
         if (end == MapSwitch::End::Abandoned) {
-            group.startedAt = {};
+            group.switchStartedAt = {};
         }
     }
-    if (group.mapSwitch->mostSends() >= SendsThatTellOfLoss) {
-        group.lossyUntil = now + LossyTime;
+    if (group.mapSwitch->mostSends() >= SendsIndicatingLoss) {
+        group.lossyUntil = now + LossyPeriod;
     }
     group.mapSwitch.reset();
 }
 
-bool ExpertRebalancer::holdsAnother(const Group &group) const
+bool ExpertRebalancer::isAnotherGroupHeld(const GroupState &group) const
 {
     // One at a time: if this process dies or is paused in the midst of its switches, no more than one group waits for
     // somebody to let it go. With two switched at once all engines stood still for 2 s and more.
@@ -308,18 +313,18 @@
     });
 }
 
-void ExpertRebalancer::readExperts(const GroupName &name, Group &group)
+void ExpertRebalancer::readExperts(const GroupName &name, GroupState &group)
 {
-    if (group.isAskingExperts) {
+    if (group.isReadingExperts) {
         return;
     }
-    group.isAskingExperts = true;
+    group.isReadingExperts = true;
     const auto &seen = m_rankMonitor.group(name);
     const auto targets = m_rankMonitor.targetsOf(seen);
     const auto reading = std::make_shared<ExpertReading>();
     reading->ranks = seen.ranks;
     reading->experts.resize(targets.size());
-    reading->missing = targets.size();
+    reading->pendingAnswers = targets.size();
     for (std::size_t rank = 0; rank < targets.size(); ++rank) {
         m_control.experts(targets[rank],
                           [this, rank, name, reading, alive = std::weak_ptr(m_alive)](Result<RankExperts> experts) {
@@ -329,8 +334,8 @@
                               if (auto *known = std::get_if<RankExperts>(&experts)) {
                                   reading->experts[rank] = std::move(*known);
                               }
-                              if (--reading->missing == 0) {
-                                  m_groups[name].isAskingExperts = false;
+                              if (--reading->pendingAnswers == 0) {
+                                  m_groups[name].isReadingExperts = false;
                                   assembleLayout(name, *reading);
                               }
                           });
@@ -355,18 +360,18 @@
             layout[set][rank] = experts->bySet[set];
         }
     }
-    const bool isSound = std::all_of(layout.begin(), layout.end(), [this](const auto &set) {
+    const bool isLayoutComplete = std::all_of(layout.begin(), layout.end(), [this](const auto &set) {
         return isComplete(set, static_cast<std::size_t>(m_profile.experts), static_cast<std::size_t>(m_profile.places));
     });
-    if (isSound) {
+    if (isLayoutComplete) {
         auto &group = m_groups[name];
         group.layout = std::move(layout);
         group.layoutMap = *map;
-        group.layoutFrom = 0;
+        group.layoutSinceStep = 0;
     }
 }
 
-std::vector<TargetEntry> ExpertRebalancer::surveyed() const
+std::vector<TargetEntry> ExpertRebalancer::ranksToSample() const
 {
     std::vector<TargetEntry> ranks;
     for (const auto &[name, seen] : m_rankMonitor.groups()) {
@@ -377,11 +382,11 @@
     }
     const auto counts = static_cast<std::size_t>(m_profile.layerSets) * static_cast<std::size_t>(m_profile.experts);
     auto asked = m_options.budget.surveyed(std::move(ranks), counts, m_options.countPeriod);
-    addLeaders(asked); // by their word other keepers know that there is one
+    addLeadingRanks(asked); // by their word other keepers know that there is one
     return asked;
 }
 
-void ExpertRebalancer::addLeaders(std::vector<TargetEntry> &asked) const
+void ExpertRebalancer::addLeadingRanks(std::vector<TargetEntry> &asked) const
 {
     for (const auto &[name, seen] : m_rankMonitor.groups()) {
         if (!m_rankMonitor.isOperational(seen)) {
@@ -396,67 +401,69 @@
     }
 }
 
-void ExpertRebalancer::noteDemand()
+void ExpertRebalancer::handleNewDemand()
 {
     m_lastSkew = 0;
     for (auto &[name, group] : m_groups) {
         const auto &seen = m_rankMonitor.group(name);
-        group.isDue = true;
+        group.needsEvaluation = true;
         if (m_rankMonitor.isOperational(seen) && group.layout) {
-            m_lastSkew = std::max(m_lastSkew, layoutSkew(*group.layout, m_survey.bySet(), slownessOf(seen)));
+            m_lastSkew = std::max(m_lastSkew, layoutSkew(*group.layout, m_demandSampler.bySet(), slownessOf(seen)));
         }
     }
 }
 
-void ExpertRebalancer::considerSwitch(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::evaluateSwitch(const GroupName &name, GroupState &group, SteadyTime now)
 {
     const auto &seen = m_rankMonitor.group(name);
-    const bool isFree = !group.mapSwitch && !group.recovery && !group.wanted && !seen.heldStep;
-    if (!isFree || now < group.notBefore || givesWay(now)) {
+    const bool isFree = !group.mapSwitch && !group.recovery && !group.pendingPlan && !seen.heldStep;
+    if (!isFree || now < group.noSwitchBefore || mustYield(now)) {
         return;
     }
-    group.isDue = false;
-    const auto copies = std::min(m_options.newPerRank, static_cast<std::size_t>(std::max(m_profile.sparePlaces, 0)));
+    group.needsEvaluation = false;
+    const auto copies =
+        std::min(m_options.maxCopiesPerRank, static_cast<std::size_t>(std::max(m_profile.sparePlaces, 0)));
     const auto slowness = slownessOf(seen);
-    const bool isShort = seen.passTime <= m_longestPause * m_options.calmPart;
+    const bool isShort = seen.passTime <= m_longestPause * m_options.shortPassFraction;
     const auto evenness = isShort ? RoughEvenness : ThoroughEvenness;
-    auto stages = improveInStages(*group.layout, m_survey.bySet(),
+    auto stages = improveInStages(*group.layout, m_demandSampler.bySet(),
                                   {.places = static_cast<std::size_t>(m_profile.places),
                                    .newPerRank = copies,
                                    .goodSkew = evenness.goodSkew,
                                    .leastGain = evenness.leastGain,
                                    .slowness = slowness},
-                                  MostStages);
-    group.skewBefore = layoutSkew(*group.layout, m_survey.bySet(), slowness);
-    auto &stage = stages[quickestGain(stages, group.skewBefore, m_profile.expertCopy, SwitchTime)];
+                                  MaxStages);
+    group.skewBefore = layoutSkew(*group.layout, m_demandSampler.bySet(), slowness);
+    auto &stage = stages[quickestGain(stages, group.skewBefore, m_profile.expertCopy, SwitchOverhead)];
     group.skewAfter = stage.skew;
-    const auto most = stage.copies;
+    const auto maxCopies = stage.copies;
     // While orders get lost a switch holds its group for many passes, and may have to be taken back.
     const bool isCalm = isShort || now < group.lossyUntil;
-    const auto copyTime = m_profile.expertCopy * static_cast<double>(most);
+    const auto copyTime = m_profile.expertCopy * static_cast<double>(maxCopies);
     const double gain = group.skewBefore - (isCalm ? stages.back().skew : stage.skew);
-    const double price = CopySlowdown * group.skewBefore * (copyTime / m_options.demandStands);
-    const bool isWorth = gain >= std::max(isCalm ? m_options.leastGainWhenCalm : m_options.leastGain, price * 2);
-    tell(isWorth ? "map-wanted" : "map-kept", name,
-         "skew " + twoDigits(group.skewBefore) + " to " + twoDigits(group.skewAfter) + " then "
-             + twoDigits(stages.back().skew) + " copies " + std::to_string(most) + " of "
-             + std::to_string(stages.back().copies) + " distance " + twoDigits(m_survey.lastDistance()) + " pass-ms "
-             + std::to_string(seen.passTime.count()));
-    if (!isWorth) {
-        group.unevenSince.reset();
+    const double copyCost = CopySlowdown * group.skewBefore * (copyTime / m_options.demandStablePeriod);
+    const bool isWorthwhile = gain >= std::max(isCalm ? m_options.minGainWhenCalm : m_options.minGain, copyCost * 2);
+    reportDecision(isWorthwhile ? "map-wanted" : "map-kept", name,
+                   "skew " + formatTwoDecimals(group.skewBefore) + " to " + formatTwoDecimals(group.skewAfter)
+                       + " then " + formatTwoDecimals(stages.back().skew) + " copies " + std::to_string(maxCopies)
+                       + " of " + std::to_string(stages.back().copies) + " distance "
+                       + formatTwoDecimals(m_demandSampler.lastDistance()) + " pass-ms "
+                       + std::to_string(seen.passTime.count()));
+    if (!isWorthwhile) {
+        group.imbalancedSince.reset();
         return;
     }
-    if (!group.unevenSince) {
-        group.unevenSince = now;
+    if (!group.imbalancedSince) {
+        group.imbalancedSince = now;
     }
-    if (mayBeAnothers(group, now)) {
+    if (mustDelayUnconfirmedSwitch(group, now)) {
         return;
     }
-    group.unevenSince.reset();
-    group.wanted = MapSwitchPlan{.layout = std::move(stage.layout),
-                                 .copyTime = std::chrono::duration_cast<milliseconds>(copyTime),
-                                 .passTime = seen.passTime};
-    group.gatheredAt = now;
+    group.imbalancedSince.reset();
+    group.pendingPlan = MapSwitchPlan{.layout = std::move(stage.layout),
+                                      .copyTime = std::chrono::duration_cast<milliseconds>(copyTime),
+                                      .passTime = seen.passTime};
+    group.statusesRequestedAt = now;
     m_rankMonitor.requestStatuses(seen, now);
 }
 
@@ -470,68 +477,68 @@
     return slowness;
 }
 
-void ExpertRebalancer::startSwitch(const GroupName &name, Group &group, SteadyTime now)
+void ExpertRebalancer::startSwitch(const GroupName &name, GroupState &group, SteadyTime now)
 {
-    auto plan = *std::exchange(group.wanted, {});
+    auto plan = *std::exchange(group.pendingPlan, {});
     const auto &seen = m_rankMonitor.group(name);
-    if (!m_rankMonitor.hasStatusesSince(seen, group.gatheredAt)) {
-        tell("map-switch-put-off", name, "a rank does not answer");
-        group.notBefore = now + SettlePause;
+    if (!m_rankMonitor.hasStatusesSince(seen, group.statusesRequestedAt)) {
+        reportDecision("map-switch-put-off", name, "a rank does not answer");
+        group.noSwitchBefore = now + SettleDelay;
         return;
     }
-    if (isPassPending(group, seen)) {
-        group.notBefore = now + seen.passTime / 2;
-        group.isDue = true;
+    if (isSwitchPassPending(group, seen)) {
+        group.noSwitchBefore = now + seen.passTime / 2;
+        group.needsEvaluation = true;
         return;
     }
     for (const auto &id : seen.ranks) {
         const auto &status = *m_rankMonitor.statusOf(id);
-        const bool isSame = status.map == group.layoutMap || status.step < group.layoutFrom;
-        if (status.armed || status.heldStep || status.epoch != seen.epoch || !isSame) {
-            tell("map-switch-put-off", name, "a rank is not as expected: " + id.text());
-            group.notBefore = now + SettlePause;
+        const bool hasExpectedMap = status.map == group.layoutMap || status.step < group.layoutSinceStep;
+        if (status.armed || status.heldStep || status.epoch != seen.epoch || !hasExpectedMap) {
+            reportDecision("map-switch-put-off", name, "a rank is not as expected: " + id.text());
+            group.noSwitchBefore = now + SettleDelay;
             group.layout.reset();
             return;
         }
     }
     plan.ranks = m_rankMonitor.targetsOf(seen);
     plan.epoch = seen.epoch;
-    plan.number = drawNumber(name);
+    plan.number = allocateMapNumber(name);
     plan.after = seen.lastHeldStep;
-    group.startedAt = now;
+    group.switchStartedAt = now;
     group.mapSwitch = std::make_unique<MapSwitch>(m_control, std::move(plan));
     group.mapSwitch->tick(now);
 }
 
-bool ExpertRebalancer::isPassPending(const Group &group, const MonitoredGroup &seen) const
+bool ExpertRebalancer::isSwitchPassPending(const GroupState &group, const MonitoredGroup &seen) const
 {
     // A switch ends when its pass is let go, and the pass may be several passes ahead: its ranks are as expected.
     return std::any_of(seen.ranks.begin(), seen.ranks.end(), [&](const auto &id) {
         const auto &status = *m_rankMonitor.statusOf(id);
-        return status.armed == group.layoutMap && status.epoch == seen.epoch && status.step < group.layoutFrom;
+        return status.armed == group.layoutMap && status.epoch == seen.epoch && status.step < group.layoutSinceStep;
     });
 }
 
-MapNumber ExpertRebalancer::drawNumber(const GroupName &name)
+MapNumber ExpertRebalancer::allocateMapNumber(const GroupName &name)
 {
     // Calendar time goes before: ranks refuse numbers below any that they had, also from keepers that are gone.
-    const auto since = std::chrono::duration_cast<std::chrono::seconds>(m_clock.wallNow() - EpochStart);
-    const auto seconds = static_cast<std::uint64_t>(std::max<std::int64_t>(since.count(), 0));
-    const auto above = std::max((toNumber(m_rankMonitor.group(name).highestMap) >> RandomBits) + 1, seconds);
-    const auto bits = m_drawBits() & ((1U << RandomBits) - 1);
-    const auto number = static_cast<MapNumber>((above << RandomBits) | bits);
+    const auto sinceEpoch = std::chrono::duration_cast<std::chrono::seconds>(m_clock.wallNow() - MapNumberEpoch);
+    const auto seconds = static_cast<std::uint64_t>(std::max<std::int64_t>(sinceEpoch.count(), 0));
+    const auto prefix = std::max((toNumber(m_rankMonitor.group(name).highestMap) >> RandomBits) + 1, seconds);
+    const auto bits = m_randomBits() & ((1U << RandomBits) - 1);
+    const auto number = static_cast<MapNumber>((prefix << RandomBits) | bits);
     m_rankMonitor.recordMapNumber(name, number);
-    m_ownNumbers.insert(number);
-    if (m_ownNumbers.size() > RememberedNumbers) {
-        m_ownNumbers.erase(m_ownNumbers.begin());
+    m_ownMapNumbers.insert(number);
+    if (m_ownMapNumbers.size() > MaxOwnMapNumbers) {
+        m_ownMapNumbers.erase(m_ownMapNumbers.begin());
     }
     return number;
 }
 
-void ExpertRebalancer::tell(std::string_view what, const GroupName &group, const std::string &details) const
+void ExpertRebalancer::reportDecision(std::string_view event, const GroupName &group, const std::string &details) const
 {
-    if (m_events.decided) {
-        m_events.decided(what, group, details);
+    if (m_events.decisionMade) {
+        m_events.decisionMade(event, group, details);
     }
 }
 
--- a/modules/heatherridge_coordination/groups/expertrebalancer.h
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.h
@@ -28,15 +28,15 @@
     /** Between looks at every rank, for holds, new epochs and load. */
     std::chrono::milliseconds statusPeriod{400};
     /** How much of a pass's expert time a switch must save. */
-    double leastGain = 0.06;
+    double minGain = 0.06;
     /** The same while passes are short: copies are paid for, and callers would notice nothing. */
-    double leastGainWhenCalm = 0.4;
+    double minGainWhenCalm = 0.4;
     /** Passes up to this part of the promised pause between events are short. */
-    double calmPart = 0.5;
+    double shortPassFraction = 0.5;
     /** How long demand usually stands still, for weighing copies against what they save. */
-    std::chrono::milliseconds demandStands{2'000};
+    std::chrono::milliseconds demandStablePeriod{2'000};
     /** Experts of a set that a rank may copy for one switch; fewer make the switch sooner. */
-    std::size_t newPerRank = 2;
+    std::size_t maxCopiesPerRank = 2;
     /** What asking ranks may cost, and which of them are near. */
     ControlBudget budget{{}, 0};
 };
@@ -45,9 +45,9 @@
 struct ExpertRebalancerEvents
 {
     /** Statuses have come: all engines whose status is known. */
-    std::function<void(std::vector<EngineView> engines)> watched{};
+    std::function<void(std::vector<EngineView> engines)> enginesUpdated{};
     /** Something was decided or ended: what, at which group, and the inputs as text. */
-    std::function<void(std::string_view what, const GroupName &group, const std::string &details)> decided{};
+    std::function<void(std::string_view event, const GroupName &group, const std::string &details)> decisionMade{};
 };
 
 /**
@@ -61,28 +61,28 @@
 {
 public:
     /** A pass that stays held for so long without a switch of this keeper is let go: whole switches take half. */
-    static constexpr std::chrono::milliseconds ForeignHoldPatience{1'200};
+    static constexpr std::chrono::milliseconds ForeignHoldTimeout{1'200};
 
     /** The same once the group has come to the held pass and stands still. Switches let go before that, unless most of
      * their orders get lost. */
-    static constexpr std::chrono::milliseconds StandstillPatience{550};
+    static constexpr std::chrono::milliseconds StandstillTimeout{550};
 
     /** What inactive keepers wait beyond it, so that they don't hinder the active one, and the width of a draw on top,
      * so that they don't hinder each other. For a while there is no active one: the holder has stopped, and nobody has
      * its share before its lease is over. */
-    static constexpr std::chrono::milliseconds InactivePatience{150};
-    static constexpr std::chrono::milliseconds PatienceDraw{450};
+    static constexpr std::chrono::milliseconds InactiveExtraDelay{150};
+    static constexpr std::chrono::milliseconds InactiveJitterWidth{450};
 
     /** An unconfirmed keeper waits so long for another to show before it goes on: whoever takes over begins within it.
      */
-    static constexpr std::chrono::milliseconds GivingWay{1'500};
+    static constexpr std::chrono::milliseconds UnconfirmedYieldPeriod{1'500};
 
     /** An unconfirmed keeper leaves a group uneven for so long before each switch: whoever has taken over reads the
      * same demand within a period of counts, and what it prepares is seen within a period of statuses. */
-    static constexpr std::chrono::milliseconds UnconfirmedPause{900};
+    static constexpr std::chrono::milliseconds UnconfirmedSwitchDelay{900};
 
     ExpertRebalancer(RankControl &control, ExpertRebalancerOptions options, ExpertRebalancerEvents events,
-                     const Clock &clock, std::function<std::uint64_t()> drawBits);
+                     const Clock &clock, std::function<std::uint64_t()> randomBits);
 
     /**
      * The targets of the service and how its engines work.
@@ -109,77 +109,77 @@
     {
         std::vector<TargetName> ranks{};
         std::vector<std::optional<RankExperts>> experts{}; ///< by rank
-        std::size_t missing = 0; ///< answers
+        std::size_t pendingAnswers = 0; ///< answers
     };
 
     /** What this keeper does about one group. */
-    struct Group
+    struct GroupState
     {
         std::optional<ExpertLayout> layout{}; ///< of the map in use
         MapNumber layoutMap{};
-        std::uint64_t layoutFrom = 0; ///< the pass from which `layoutMap` is in use, where this keeper switched
-        SteadyTime patienceDrawnFor{}; ///< the beginning of the hold that `patienceDraw` is for
-        std::chrono::milliseconds patienceDraw{}; ///< this time's, of an inactive keeper
-        std::chrono::milliseconds recoveryPause{0}; ///< longest pause before the next try
+        std::uint64_t layoutSinceStep = 0; ///< the pass from which `layoutMap` is in use, where this keeper switched
+        SteadyTime jitterDrawnForHoldSince{}; ///< the beginning of the hold that `patienceDraw` is for
+        std::chrono::milliseconds holdTimeoutJitter{}; ///< this time's, of an inactive keeper
+        std::chrono::milliseconds recoveryBackoff{0}; ///< longest pause before the next try
         SteadyTime recoveryNotBefore{};
-        bool isAskingExperts = false;
-        bool isDue = false; ///< demand or layout have changed since a switch was last considered
+        bool isReadingExperts = false;
+        bool needsEvaluation = false; ///< demand or layout have changed since a switch was last considered
         std::unique_ptr<MapSwitch> mapSwitch{};
         std::unique_ptr<HoldRecovery> recovery{};
-        std::optional<MapSwitchPlan> wanted{}; ///< a switch that waits for fresh statuses
-        SteadyTime gatheredAt{}; ///< when fresh statuses were asked for
-        SteadyTime notBefore{}; ///< no switch before
-        std::optional<SteadyTime> unevenSince{}; ///< a switch is worth it, and has not begun
+        std::optional<MapSwitchPlan> pendingPlan{}; ///< a switch that waits for fresh statuses
+        SteadyTime statusesRequestedAt{}; ///< when fresh statuses were asked for
+        SteadyTime noSwitchBefore{}; ///< no switch before
+        std::optional<SteadyTime> imbalancedSince{}; ///< a switch is worth it, and has not begun
         SteadyTime lossyUntil{}; ///< orders got lost; only switches with great gains until then
-        SteadyTime startedAt{};
+        SteadyTime switchStartedAt{};
         double skewBefore = 0;
         double skewAfter = 0;
     };
 
     void membershipChanged(const GroupName &name);
     void statusReceived(const GroupName &name, const RankStatus &status);
-    void followGroup(const GroupName &name, Group &group, SteadyTime now);
-    void watchHold(const GroupName &name, Group &group, SteadyTime now);
-    bool isLeftHeld(Group &group, const MonitoredGroup &seen, SteadyTime now);
-    void runSwitch(const GroupName &name, Group &group, SteadyTime now);
-    bool holdsAnother(const Group &group) const;
-    void runRecovery(const GroupName &name, Group &group, SteadyTime now);
-    void readExperts(const GroupName &name, Group &group);
+    void updateGroup(const GroupName &name, GroupState &group, SteadyTime now);
+    void checkHold(const GroupName &name, GroupState &group, SteadyTime now);
+    bool isHoldAbandoned(GroupState &group, const MonitoredGroup &seen, SteadyTime now);
+    void updateSwitch(const GroupName &name, GroupState &group, SteadyTime now);
+    bool isAnotherGroupHeld(const GroupState &group) const;
+    void updateRecovery(const GroupName &name, GroupState &group, SteadyTime now);
+    void readExperts(const GroupName &name, GroupState &group);
     void assembleLayout(const GroupName &name, const ExpertReading &reading);
-    void noteDemand();
-    std::vector<TargetEntry> surveyed() const;
-    void addLeaders(std::vector<TargetEntry> &asked) const;
-    void considerSwitch(const GroupName &name, Group &group, SteadyTime now);
-    bool isPassPending(const Group &group, const MonitoredGroup &seen) const;
+    void handleNewDemand();
+    std::vector<TargetEntry> ranksToSample() const;
+    void addLeadingRanks(std::vector<TargetEntry> &asked) const;
+    void evaluateSwitch(const GroupName &name, GroupState &group, SteadyTime now);
+    bool isSwitchPassPending(const GroupState &group, const MonitoredGroup &seen) const;
     RankSlowness slownessOf(const MonitoredGroup &seen) const;
-    void startSwitch(const GroupName &name, Group &group, SteadyTime now);
-    void considerTakeover(SteadyTime now);
-    bool isKeeping() const;
-    void rememberHighest();
-    void noticeOthers(const RankStatus &status);
-    bool givesWay(SteadyTime now) const;
-    bool mayBeAnothers(const Group &group, SteadyTime now) const;
-    MapNumber drawNumber(const GroupName &name);
-    void tell(std::string_view what, const GroupName &group, const std::string &details) const;
+    void startSwitch(const GroupName &name, GroupState &group, SteadyTime now);
+    void checkTakeover(SteadyTime now);
+    bool isRebalancing() const;
+    void recordKnownMaps();
+    void detectOtherRebalancer(const RankStatus &status);
+    bool mustYield(SteadyTime now) const;
+    bool mustDelayUnconfirmedSwitch(const GroupState &group, SteadyTime now) const;
+    MapNumber allocateMapNumber(const GroupName &name);
+    void reportDecision(std::string_view event, const GroupName &group, const std::string &details) const;
 
     RankControl &m_control;
     ExpertRebalancerOptions m_options;
     ExpertRebalancerEvents m_events;
     const Clock &m_clock;
-    std::function<std::uint64_t()> m_drawBits;
+    std::function<std::uint64_t()> m_randomBits;
     std::chrono::milliseconds m_longestPause{};
     EngineProfile m_profile;
     RankMonitor m_rankMonitor;
-    std::map<GroupName, Group> m_groups;
-    DemandSampler m_survey;
+    std::map<GroupName, GroupState> m_groups;
+    DemandSampler m_demandSampler;
     bool m_isActive = false;
     bool m_isConfirmed = true;
     RebalancerTakeover m_takeover;
     SteadyTime m_now{}; ///< of the last tick
     SteadyTime m_unconfirmedSince{};
-    bool m_sawOther = false; ///< another keeper's map was seen since then
-    std::set<MapNumber> m_ownNumbers; ///< maps that this keeper has made ranks prepare
-    MapNumber m_highestBefore{}; ///< of all maps seen while it was confirmed
+    bool m_hasSeenOther = false; ///< another keeper's map was seen since then
+    std::set<MapNumber> m_ownMapNumbers; ///< maps that this keeper has made ranks prepare
+    MapNumber m_highestKnownMap{}; ///< of all maps seen while it was confirmed
     double m_lastSkew = 0;
     std::shared_ptr<int> m_alive;
 };
--- a/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
+++ b/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
@@ -10,46 +10,47 @@
 {
 
 /** How long ago a keeper last asked any rank for counts; nothing when no rank has told of late. */
-std::optional<std::chrono::milliseconds> lastAskedAgo(const std::map<GroupName, MonitoredGroup> &groups, SteadyTime now)
+std::optional<std::chrono::milliseconds> timeSinceLastCountsRequest(const std::map<GroupName, MonitoredGroup> &groups,
+                                                                    SteadyTime now)
 {
-    std::optional<std::chrono::milliseconds> least;
+    std::optional<std::chrono::milliseconds> shortest;
     for (const auto &[name, seen] : groups) {
-        if (seen.countsRequestedAgo && now - seen.countsRequestReportedAt <= RebalancerTakeover::NewsAge) {
-            least = least ? std::min(*least, *seen.countsRequestedAgo) : *seen.countsRequestedAgo;
+        if (seen.countsRequestedAgo && now - seen.countsRequestReportedAt <= RebalancerTakeover::MaxReportAge) {
+            shortest = shortest ? std::min(*shortest, *seen.countsRequestedAgo) : *seen.countsRequestedAgo;
         }
     }
-    return least;
+    return shortest;
 }
 
 } // namespace
 
-void RebalancerTakeover::setConfirmed(bool isConfirmed, std::uint64_t bits)
+void RebalancerTakeover::setConfirmed(bool isConfirmed, std::uint64_t randomBits)
 {
     if (m_isConfirmed && !isConfirmed) {
-        m_draw = std::chrono::milliseconds(bits % DrawWidth.count());
+        m_jitter = std::chrono::milliseconds(randomBits % JitterWidth.count());
     }
     m_isConfirmed = isConfirmed;
-    m_isUnderWay = m_isUnderWay && !isConfirmed;
+    m_hasTakenOver = m_hasTakenOver && !isConfirmed;
 }
 
-bool RebalancerTakeover::begins(const std::map<GroupName, MonitoredGroup> &groups, SteadyTime now)
+bool RebalancerTakeover::tryTakeOver(const std::map<GroupName, MonitoredGroup> &groups, SteadyTime now)
 {
-    if (m_isConfirmed || m_isUnderWay) {
+    if (m_isConfirmed || m_hasTakenOver) {
         return false;
     }
-    const auto ago = lastAskedAgo(groups, now);
-    m_isUnderWay = ago && *ago > Patience + m_draw;
-    return m_isUnderWay;
+    const auto elapsed = timeSinceLastCountsRequest(groups, now);
+    m_hasTakenOver = elapsed && *elapsed > TakeoverTimeout + m_jitter;
+    return m_hasTakenOver;
 }
 
-void RebalancerTakeover::end()
+void RebalancerTakeover::cancel()
 {
-    m_isUnderWay = false;
+    m_hasTakenOver = false;
 }
 
-bool RebalancerTakeover::isUnderWay() const
+bool RebalancerTakeover::hasTakenOver() const
 {
-    return m_isUnderWay;
+    return m_hasTakenOver;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/rebalancertakeover.h
+++ b/modules/heatherridge_coordination/groups/rebalancertakeover.h
@@ -24,28 +24,28 @@
 public:
     /** None has asked for counts for so long, and a draw of the width below: the active one asks several times a
      * second, and a restart of it, or the log's word on who has its share now, takes a second. */
-    static constexpr std::chrono::milliseconds Patience{1'500};
-    static constexpr std::chrono::milliseconds DrawWidth{1'500};
+    static constexpr std::chrono::milliseconds TakeoverTimeout{1'500};
+    static constexpr std::chrono::milliseconds JitterWidth{1'500};
 
     /** What ranks say of that is worth nothing when it is older. */
-    static constexpr std::chrono::milliseconds NewsAge{1'000};
+    static constexpr std::chrono::milliseconds MaxReportAge{1'000};
 
     /** The log answers this keeper, or has ceased to; @p bits are drawn at random for the draw. */
-    void setConfirmed(bool isConfirmed, std::uint64_t bits);
+    void setConfirmed(bool isConfirmed, std::uint64_t randomBits);
 
     /** Whether to take over now, by what the ranks of @p groups have told. Once true, isUnderWay() is until end(). */
-    bool begins(const std::map<GroupName, MonitoredGroup> &groups, SteadyTime now);
+    bool tryTakeOver(const std::map<GroupName, MonitoredGroup> &groups, SteadyTime now);
 
     /** The share is this keeper's, or the log answers: it says who keeps the groups. */
-    void end();
+    void cancel();
 
     /** Whether this keeper has taken over. */
-    bool isUnderWay() const;
+    bool hasTakenOver() const;
 
 private:
     bool m_isConfirmed = true;
-    bool m_isUnderWay = false;
-    std::chrono::milliseconds m_draw{};
+    bool m_hasTakenOver = false;
+    std::chrono::milliseconds m_jitter{};
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -252,9 +252,9 @@
         const auto watched = [this](std::vector<EngineView> engines) {
             m_trafficLoop.post([this, engines = std::move(engines)] { m_traffic.setEngines(engines); });
         };
-        return std::make_unique<ExpertRebalancer>(m_ranks, m_options.groups,
-                                                  ExpertRebalancerEvents{.watched = watched, .decided = decided},
-                                                  m_clock, [this] { return static_cast<std::uint64_t>(m_entropy()); });
+        return std::make_unique<ExpertRebalancer>(
+            m_ranks, m_options.groups, ExpertRebalancerEvents{.enginesUpdated = watched, .decisionMade = decided},
+            m_clock, [this] { return static_cast<std::uint64_t>(m_entropy()); });
     }
 
     void rulesChanged(std::shared_ptr<const RouteTable> table)
--- a/tests/heldgroups/heldgroupsimulation.cpp
+++ b/tests/heldgroups/heldgroupsimulation.cpp
@@ -239,8 +239,8 @@
         auto process = std::make_unique<KeeperProcess>();
         process->way = std::make_unique<Way>(*this);
         process->keeper = std::make_unique<ExpertRebalancer>(
-            *process->way, ExpertRebalancerOptions{.countPeriod = milliseconds(400), .leastGainWhenCalm = 0.06},
-            ExpertRebalancerEvents{.decided =
+            *process->way, ExpertRebalancerOptions{.countPeriod = milliseconds(400), .minGainWhenCalm = 0.06},
+            ExpertRebalancerEvents{.decisionMade =
                                        [this, index](auto what, const auto &, const auto &details) {
                                            if (m_options.isTraced) {
                                                std::printf("%6lld keeper %d step %llu %.*s %s\n",
--- a/tests/heldgroups/pending_test.cpp
+++ b/tests/heldgroups/pending_test.cpp
@@ -118,9 +118,10 @@
     SlowGroup group;
     std::vector<std::string> told;
     const FixedClock clock;
-    ExpertRebalancer keeper(group, {.leastGainWhenCalm = 0.06},
-                            {.decided = [&told](auto what, const auto &, const auto &) { told.emplace_back(what); }},
-                            clock, [] { return 1; });
+    ExpertRebalancer keeper(
+        group, {.minGainWhenCalm = 0.06},
+        {.decisionMade = [&told](auto what, const auto &, const auto &) { told.emplace_back(what); }}, clock,
+        [] { return 1; });
     keeper.setTargets(numberedRanks(Ranks),
                       {.layerSets = 1, .experts = Experts, .places = 3, .sparePlaces = 1, .expertCopy = 1ms}, 120ms);
     keeper.setActive(true, true);
--- a/tests/heldgroups/watched_test.cpp
+++ b/tests/heldgroups/watched_test.cpp
@@ -122,7 +122,7 @@
     TalkingRanks ranks;
     std::vector<EngineView> views;
     const FixedClock clock;
-    ExpertRebalancer keeper(ranks, {}, {.watched = [&](auto engines) { views = std::move(engines); }}, clock,
+    ExpertRebalancer keeper(ranks, {}, {.enginesUpdated = [&](auto engines) { views = std::move(engines); }}, clock,
                             [] { return 1; });
     keeper.setTargets(numberedRanks(Size), {.layerSets = 1, .experts = 4, .places = 2}, 120ms);
     SteadyTime now(1h);
@@ -224,9 +224,9 @@
     ranks.countsAskedAgo = row.countsAskedAgo;
     std::vector<std::string> told;
     const FixedClock clock;
-    ExpertRebalancer keeper(ranks, {},
-                            {.decided = [&told](auto what, const auto &, const auto &) { told.emplace_back(what); }},
-                            clock, [] { return 700; });
+    ExpertRebalancer keeper(
+        ranks, {}, {.decisionMade = [&told](auto what, const auto &, const auto &) { told.emplace_back(what); }}, clock,
+        [] { return 700; });
     keeper.setTargets(numberedRanks(Size), {.layerSets = 1, .experts = 4, .places = 2}, 120ms);
     SteadyTime now(1h);
     for (int tick = 0; tick < 200; ++tick) {
