--- a/modules/heatherridge_coordination/groups/expertrebalancer.cpp
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.cpp
@@ -246,14 +246,14 @@
 void ExpertRebalancer::updateRecovery(const GroupName &name, GroupState &group, SteadyTime now)
 {
     group.recovery->tick(now);
-    const auto end = group.recovery->end();
-    if (end == HoldRecovery::End::Running) {
+    const auto state = group.recovery->state();
+    if (state == HoldRecovery::State::Running) {
         return;
     }
-    reportDecision(end == HoldRecovery::End::Released ? "hold-released" : "hold-recovery-ended", name,
+    reportDecision(state == HoldRecovery::State::Released ? "hold-released" : "hold-recovery-ended", name,
                    group.recovery->reason());
     // Drawn pauses that grow, so that processes that recover one group don't overtake each other for ever.
-    group.recoveryBackoff = end == HoldRecovery::End::Failed
+    group.recoveryBackoff = state == HoldRecovery::State::Failed
         ? std::clamp(group.recoveryBackoff * 2, MinRecoveryBackoff, MaxRecoveryBackoff)
         : milliseconds(0);
     const auto jitterWidth = static_cast<std::uint64_t>(group.recoveryBackoff.count()) + 1;
@@ -261,7 +261,7 @@
     group.switchStartedAt = {};
     // Ranks that could be fenced answer, so a switch can be tried again at once: the group has waited for an even map
     // all the while, and its passes are two to three times as long until then.
-    group.noSwitchBefore = now + (end == HoldRecovery::End::Failed ? FailureRetryDelay : SettleDelay);
+    group.noSwitchBefore = now + (state == HoldRecovery::State::Failed ? FailureRetryDelay : SettleDelay);
     group.layout.reset();
     group.recovery.reset();
 }
@@ -269,24 +269,24 @@
 void ExpertRebalancer::updateSwitch(const GroupName &name, GroupState &group, SteadyTime now)
 {
     group.mapSwitch->tick(now, !isAnotherGroupHeld(group));
-    const auto end = group.mapSwitch->end();
-    if (end == MapSwitch::End::Running) {
+    const auto state = group.mapSwitch->state();
+    if (state == MapSwitch::State::Running) {
         return;
     }
     const auto &plan = group.mapSwitch->plan();
-    const auto took = std::chrono::duration_cast<milliseconds>(now - group.switchStartedAt);
-    const auto outcome = end == MapSwitch::End::Switched ? "map-switched"
-        : end == MapSwitch::End::Abandoned               ? "map-switch-abandoned"
-                                                         : "map-switch-stuck";
+    const auto duration = std::chrono::duration_cast<milliseconds>(now - group.switchStartedAt);
+    const auto outcome = state == MapSwitch::State::Switched ? "map-switched"
+        : state == MapSwitch::State::Abandoned               ? "map-switch-abandoned"
+                                                             : "map-switch-stuck";
     reportDecision(outcome, name,
-                   "map " + std::to_string(toNumber(plan.number)) + " step "
-                       + std::to_string(group.mapSwitch->heldStep()) + " ms " + std::to_string(took.count()) + " skew "
-                       + formatTwoDecimals(group.skewBefore) + " to " + formatTwoDecimals(group.skewAfter) + " "
-                       + group.mapSwitch->reason());
+                   "map " + std::to_string(toNumber(plan.mapNumber)) + " step "
+                       + std::to_string(group.mapSwitch->heldStep()) + " ms " + std::to_string(duration.count())
+                       + " skew " + formatTwoDecimals(group.skewBefore) + " to " + formatTwoDecimals(group.skewAfter)
+                       + " " + group.mapSwitch->reason());
     m_rankMonitor.recordHeldStep(name, group.mapSwitch->heldStep());
-    if (end == MapSwitch::End::Switched) {
+    if (state == MapSwitch::State::Switched) {
         group.layout = plan.layout;
-        group.layoutMap = plan.number;
+        group.layoutMap = plan.mapNumber;
         group.layoutSinceStep = group.mapSwitch->heldStep();
         // The next stage follows as soon as statuses show this one, without another reading of counts.
         group.noSwitchBefore = now + m_rankMonitor.group(name).passTime;
@@ -294,11 +294,11 @@
         group.switchStartedAt = {};
     } else {
         group.noSwitchBefore = now + FailureRetryDelay;
-        if (end == MapSwitch::End::Abandoned) {
+        if (state == MapSwitch::State::Abandoned) {
             group.switchStartedAt = {};
         }
     }
-    if (group.mapSwitch->mostSends() >= SendsIndicatingLoss) {
+    if (group.mapSwitch->maxSends() >= SendsIndicatingLoss) {
         group.lossyUntil = now + LossyPeriod;
     }
     group.mapSwitch.reset();
@@ -503,8 +503,8 @@
     }
     plan.ranks = m_rankMonitor.targetsOf(seen);
     plan.epoch = seen.epoch;
-    plan.number = allocateMapNumber(name);
-    plan.after = seen.lastHeldStep;
+    plan.mapNumber = allocateMapNumber(name);
+    plan.afterStep = seen.lastHeldStep;
     group.switchStartedAt = now;
     group.mapSwitch = std::make_unique<MapSwitch>(m_control, std::move(plan));
     group.mapSwitch->tick(now);
--- a/modules/heatherridge_coordination/groups/holdrecovery.cpp
+++ b/modules/heatherridge_coordination/groups/holdrecovery.cpp
@@ -5,10 +5,10 @@
 namespace Heatherridge
 {
 
-HoldRecovery::HoldRecovery(RankControl &control, RecoveryPlan plan, DrawNumber drawNumber)
+HoldRecovery::HoldRecovery(RankControl &control, RecoveryPlan plan, AllocateMapNumber allocateMapNumber)
     : m_control(control)
     , m_plan(std::move(plan))
-    , m_drawNumber(std::move(drawNumber))
+    , m_allocateMapNumber(std::move(allocateMapNumber))
     , m_ranks(m_plan.ranks.size())
     , m_alive(std::make_shared<int>(0))
 {
@@ -16,46 +16,46 @@
 
 void HoldRecovery::tick(SteadyTime now)
 {
-    if (m_began == SteadyTime{}) {
-        m_began = now;
+    if (m_startedAt == SteadyTime{}) {
+        m_startedAt = now;
     }
-    if (m_phase != Phase::Over && now - m_began > Patience) {
-        finish(End::Failed, "it took too long");
+    if (m_phase != Phase::Finished && now - m_startedAt > Timeout) {
+        finish(State::Failed, "it took too long");
         return;
     }
     switch (m_phase) {
-    case Phase::Looking:
-        lookAtAll(now);
-        if (allLooked()) {
-            guard(now);
+    case Phase::ReadingStatuses:
+        queryAllStatuses(now);
+        if (hasAllStatuses()) {
+            placeSecondHold(now);
         }
         break;
-    case Phase::Guarding:
-        guarded(now);
+    case Phase::PlacingSecondHold:
+        checkSecondHold(now);
         break;
     case Phase::Fencing:
-        fenceAll(now);
+        fenceRanks(now);
         break;
     case Phase::Verifying:
-        lookAtAll(now);
-        if (allLooked()) {
-            verify(now);
+        queryAllStatuses(now);
+        if (hasAllStatuses()) {
+            verifyFences(now);
         }
         break;
     case Phase::Releasing:
-        m_round->tick(now);
-        if (m_round->isDone()) {
-            finish(End::Released, {});
+        m_orders->tick(now);
+        if (m_orders->isDone()) {
+            finish(State::Released, {});
         }
         break;
-    case Phase::Over:
+    case Phase::Finished:
         break;
     }
 }
 
-HoldRecovery::End HoldRecovery::end() const
+HoldRecovery::State HoldRecovery::state() const
 {
-    return m_end;
+    return m_state;
 }
 
 const std::string &HoldRecovery::reason() const
@@ -63,153 +63,153 @@
     return m_reason;
 }
 
-void HoldRecovery::look(std::size_t index, SteadyTime now)
+void HoldRecovery::queryStatus(std::size_t index, SteadyTime now)
 {
     auto &rank = m_ranks[index];
-    if (rank.status || rank.isAsking || now < rank.notBefore) {
+    if (rank.status || rank.isQueryPending || now < rank.nextQueryAt) {
         return;
     }
-    rank.isAsking = true;
+    rank.isQueryPending = true;
     m_control.status(m_plan.ranks[index],
                      [this, index, now, alive = std::weak_ptr(m_alive)](const Result<RankStatus> &status) {
                          if (alive.expired()) {
                              return;
                          }
-                         auto &asked = m_ranks[index];
-                         asked.isAsking = false;
+                         auto &queried = m_ranks[index];
+                         queried.isQueryPending = false;
                          const auto *known = std::get_if<RankStatus>(&status);
                          if (known == nullptr) {
-                             asked.notBefore = now + AskAgainPause;
+                             queried.nextQueryAt = now + RetryDelay;
                              return;
                          }
-                         if (now - known->lag < asked.freshFrom) {
-                             asked.notBefore = asked.freshFrom + known->lag;
+                         if (now - known->lag < queried.minStatusTime) {
+                             queried.nextQueryAt = queried.minStatusTime + known->lag;
                              return;
                          }
                          if (known->epoch != m_plan.epoch) {
-                             finish(End::Gone, "the group has formed anew");
+                             finish(State::NothingHeld, "the group has formed anew");
                              return;
                          }
-                         asked.status = *known;
+                         queried.status = *known;
                      });
 }
 
-void HoldRecovery::lookAtAll(SteadyTime now)
+void HoldRecovery::queryAllStatuses(SteadyTime now)
 {
-    for (std::size_t index = 0; index < m_ranks.size() && m_phase != Phase::Over; ++index) {
-        look(index, now);
+    for (std::size_t index = 0; index < m_ranks.size() && m_phase != Phase::Finished; ++index) {
+        queryStatus(index, now);
     }
 }
 
-bool HoldRecovery::allLooked() const
+bool HoldRecovery::hasAllStatuses() const
 {
-    return m_phase != Phase::Over
+    return m_phase != Phase::Finished
         && std::all_of(m_ranks.begin(), m_ranks.end(), [](const auto &rank) { return rank.status.has_value(); });
 }
 
-void HoldRecovery::forgetStatus(Rank &rank, SteadyTime freshFrom)
+void HoldRecovery::invalidateStatus(RankState &rank, SteadyTime minStatusTime)
 {
     rank.status.reset();
-    rank.freshFrom = freshFrom;
-    rank.notBefore = freshFrom;
+    rank.minStatusTime = minStatusTime;
+    rank.nextQueryAt = minStatusTime;
 }
 
-void HoldRecovery::guard(SteadyTime now)
+void HoldRecovery::placeSecondHold(SteadyTime now)
 {
-    const auto holds = [this](const Rank &rank) { return rank.status->heldStep == m_plan.heldStep; };
-    if (std::none_of(m_ranks.begin(), m_ranks.end(), holds)) {
-        finish(End::Gone, "nothing is held");
+    const auto holdsThisStep = [this](const RankState &rank) { return rank.status->heldStep == m_plan.heldStep; };
+    if (std::none_of(m_ranks.begin(), m_ranks.end(), holdsThisStep)) {
+        finish(State::NothingHeld, "nothing is held");
         return;
     }
-    if (!m_plan.mayJoin && isOtherUnderWay()) {
-        finish(End::LeftToOther, "another recovery is under way");
+    if (!m_plan.mayJoin && isOtherRecoveryRunning()) {
+        finish(State::YieldedToOther, "another recovery is under way");
         return;
     }
     // Rank 0 is where switches hold; a rank that holds another pass refuses a second one.
-    m_guard = 0;
+    m_secondHoldRank = 0;
     for (std::size_t index = m_ranks.size(); index-- > 1;) {
-        if (!m_ranks[index].status->heldStep || holds(m_ranks[index])) {
-            m_guard = index;
+        if (!m_ranks[index].status->heldStep || holdsThisStep(m_ranks[index])) {
+            m_secondHoldRank = index;
         }
     }
-    if (m_guard == 0) {
-        finish(End::Failed, "no rank to hold the pass at");
+    if (m_secondHoldRank == 0) {
+        finish(State::Failed, "no rank to hold the pass at");
         return;
     }
-    m_phase = Phase::Guarding;
-    m_round = std::make_unique<OrderBatch>(
-        m_control, m_plan.epoch,
-        std::vector<OrderBatchItem>{{.target = m_plan.ranks[m_guard], .order = HoldStep{.step = m_plan.heldStep}}});
-    m_round->tick(now);
+    m_phase = Phase::PlacingSecondHold;
+    m_orders = std::make_unique<OrderBatch>(m_control, m_plan.epoch,
+                                            std::vector<OrderBatchItem>{{.target = m_plan.ranks[m_secondHoldRank],
+                                                                         .order = HoldStep{.step = m_plan.heldStep}}});
+    m_orders->tick(now);
 }
 
-void HoldRecovery::guarded(SteadyTime now)
+void HoldRecovery::checkSecondHold(SteadyTime now)
 {
-    m_round->tick(now);
-    if (!m_round->isDone()) {
+    m_orders->tick(now);
+    if (!m_orders->isDone()) {
         return;
     }
-    if (m_round->reply(0) == OrderReply::Refused) {
-        finish(End::Gone, "the pass has begun");
+    if (m_orders->reply(0) == OrderReply::Refused) {
+        finish(State::NothingHeld, "the pass has begun");
         return;
     }
     m_phase = Phase::Fencing;
 }
 
-void HoldRecovery::fenceAll(SteadyTime now)
+void HoldRecovery::fenceRanks(SteadyTime now)
 {
-    bool isDone = true;
+    bool areAllFenced = true;
     for (std::size_t index = 0; index < m_ranks.size() && m_phase == Phase::Fencing; ++index) {
-        fence(index, now);
-        isDone = isDone && m_ranks[index].isFenced;
+        fenceRank(index, now);
+        areAllFenced = areAllFenced && m_ranks[index].isFenced;
     }
-    if (isDone && m_phase == Phase::Fencing) {
+    if (areAllFenced && m_phase == Phase::Fencing) {
         for (auto &rank : m_ranks) {
-            forgetStatus(rank, now);
+            invalidateStatus(rank, now);
         }
         m_phase = Phase::Verifying;
     }
 }
 
-void HoldRecovery::fence(std::size_t index, SteadyTime now)
+void HoldRecovery::fenceRank(std::size_t index, SteadyTime now)
 {
     auto &rank = m_ranks[index];
     if (rank.isFenced) {
         return;
     }
-    if (rank.orders) {
-        rank.orders->tick(now);
-        if (rank.orders->isDone()) {
-            orderEnded(rank, now);
+    if (rank.pendingOrder) {
+        rank.pendingOrder->tick(now);
+        if (rank.pendingOrder->isDone()) {
+            handleOrderReply(rank, now);
         }
         return;
     }
-    look(index, now);
+    queryStatus(index, now);
     if (m_phase == Phase::Fencing && rank.status) {
         disarmOrPrepare(index, now);
     }
 }
 
-void HoldRecovery::orderEnded(Rank &rank, SteadyTime now)
+void HoldRecovery::handleOrderReply(RankState &rank, SteadyTime now)
 {
-    const bool isAccepted = rank.orders->reply(0) == OrderReply::Accepted;
-    rank.orders.reset();
-    rank.isFenced = isAccepted && rank.fence.has_value();
+    const bool isAccepted = rank.pendingOrder->reply(0) == OrderReply::Accepted;
+    rank.pendingOrder.reset();
+    rank.isFenced = isAccepted && rank.fenceMap.has_value();
     if (!rank.isFenced) {
         // Disarmed, or refused: what it has now is told by a status that is younger than the order.
-        rank.armedSeen.reset();
-        forgetStatus(rank, now);
+        rank.armedSince.reset();
+        invalidateStatus(rank, now);
     }
 }
 
 void HoldRecovery::disarmOrPrepare(std::size_t index, SteadyTime now)
 {
     auto &rank = m_ranks[index];
-    if (rank.fence && rank.status->prepared == rank.fence && !rank.status->armed) {
+    if (rank.fenceMap && rank.status->prepared == rank.fenceMap && !rank.status->armed) {
         rank.isFenced = true; // its answer was lost
         return;
     }
-    rank.fence.reset();
+    rank.fenceMap.reset();
     if (rank.status->armed) {
         disarm(index, now);
         return;
@@ -223,45 +223,45 @@
         layout.push_back(layoutAround(static_cast<int>(index), held, static_cast<int>(m_ranks.size()), m_plan.experts));
     }
     const auto seen = std::max(rank.status->map, rank.status->prepared.value_or(MapNumber{}));
-    rank.fence = m_drawNumber(seen);
-    give(index, PrepareMap{.map = *rank.fence, .layout = std::move(layout)}, now);
+    rank.fenceMap = m_allocateMapNumber(seen);
+    startOrder(index, PrepareMap{.map = *rank.fenceMap, .layout = std::move(layout)}, now);
 }
 
 void HoldRecovery::disarm(std::size_t index, SteadyTime now)
 {
     auto &rank = m_ranks[index];
-    if (!rank.armedSeen) {
-        rank.armedSeen = now;
+    if (!rank.armedSince) {
+        rank.armedSince = now;
     }
-    if (m_guardSeen < *rank.armedSeen) {
-        askGuard(now);
+    if (m_secondHoldConfirmedAt < *rank.armedSince) {
+        confirmSecondHold(now);
         return;
     }
-    rank.armedSeen.reset();
-    give(index, DisarmMap{.map = *rank.status->armed}, now);
+    rank.armedSince.reset();
+    startOrder(index, DisarmMap{.map = *rank.status->armed}, now);
 }
 
-void HoldRecovery::askGuard(SteadyTime now)
+void HoldRecovery::confirmSecondHold(SteadyTime now)
 {
-    if (m_isAskingGuard || now < m_guardNotBefore) {
+    if (m_isConfirmingSecondHold || now < m_nextConfirmationAt) {
         return;
     }
-    m_isAskingGuard = true;
-    m_control.status(m_plan.ranks[m_guard],
+    m_isConfirmingSecondHold = true;
+    m_control.status(m_plan.ranks[m_secondHoldRank],
                      [this, now, alive = std::weak_ptr(m_alive)](const Result<RankStatus> &status) {
                          if (alive.expired()) {
                              return;
                          }
-                         m_isAskingGuard = false;
+                         m_isConfirmingSecondHold = false;
                          const auto *known = std::get_if<RankStatus>(&status);
                          if (known == nullptr) {
                              return; // asked again at the next tick
                          }
                          if (known->heldStep == m_plan.heldStep) {
-                             m_guardSeen = now - known->lag;
-                             m_guardNotBefore = now + known->lag;
+                             m_secondHoldConfirmedAt = now - known->lag;
+                             m_nextConfirmationAt = now + known->lag;
                          } else {
-                             finish(End::Gone, "another recovery has ended");
+                             finish(State::NothingHeld, "another recovery has ended");
                          }
                      });
 }
@@ -269,96 +269,96 @@
 void HoldRecovery::readExperts(std::size_t index, SteadyTime now)
 {
     auto &rank = m_ranks[index];
-    if (rank.isAsking || now < rank.notBefore) {
+    if (rank.isQueryPending || now < rank.nextQueryAt) {
         return;
     }
-    rank.isAsking = true;
+    rank.isQueryPending = true;
     m_control.experts(m_plan.ranks[index],
                       [this, index, now, alive = std::weak_ptr(m_alive)](const Result<RankExperts> &experts) {
                           if (alive.expired()) {
                               return;
                           }
-                          auto &asked = m_ranks[index];
-                          asked.isAsking = false;
+                          auto &queried = m_ranks[index];
+                          queried.isQueryPending = false;
                           if (const auto *known = std::get_if<RankExperts>(&experts)) {
-                              asked.experts = *known;
+                              queried.experts = *known;
                           } else {
-                              asked.notBefore = now + AskAgainPause;
+                              queried.nextQueryAt = now + RetryDelay;
                           }
                       });
 }
 
-bool HoldRecovery::isOtherUnderWay() const
+bool HoldRecovery::isOtherRecoveryRunning() const
 {
     // Switches hold at rank 0 alone.
     return std::any_of(m_ranks.begin() + 1, m_ranks.end(),
                        [this](const auto &rank) { return rank.status->heldStep == m_plan.heldStep; });
 }
 
-bool HoldRecovery::isSound(std::size_t index) const
+bool HoldRecovery::isFenceIntact(std::size_t index) const
 {
     const auto &rank = m_ranks[index];
-    return !rank.status->armed && rank.status->prepared == rank.fence;
+    return !rank.status->armed && rank.status->prepared == rank.fenceMap;
 }
 
-void HoldRecovery::verify(SteadyTime now)
+void HoldRecovery::verifyFences(SteadyTime now)
 {
-    std::size_t sound = 0;
+    std::size_t intact = 0;
     for (std::size_t index = 0; index < m_ranks.size(); ++index) {
-        sound += isSound(index) ? 1 : 0;
+        intact += isFenceIntact(index) ? 1 : 0;
     }
-    if (sound == m_ranks.size()) {
-        release(now);
+    if (intact == m_ranks.size()) {
+        releaseHolds(now);
         return;
     }
     // Another recovery, or a switch: two that fence each other's fences away would never end. So the one whose fence
     // stands at rank 0 goes on, once, and the other ends.
-    if (isSound(0) && !m_hasFencedAgain) {
-        fenceAgain(now);
+    if (isFenceIntact(0) && !m_hasRepeatedFencing) {
+        repeatFencing(now);
         return;
     }
-    finish(End::Failed, "another process is at work");
+    finish(State::Failed, "another process is at work");
 }
 
-void HoldRecovery::fenceAgain(SteadyTime now)
+void HoldRecovery::repeatFencing(SteadyTime now)
 {
-    m_hasFencedAgain = true;
+    m_hasRepeatedFencing = true;
     m_phase = Phase::Fencing;
     for (std::size_t index = 0; index < m_ranks.size(); ++index) {
-        if (!isSound(index)) {
+        if (!isFenceIntact(index)) {
             m_ranks[index].isFenced = false;
-            m_ranks[index].fence.reset();
+            m_ranks[index].fenceMap.reset();
         }
     }
-    fenceAll(now);
+    fenceRanks(now);
 }
 
-void HoldRecovery::release(SteadyTime now)
+void HoldRecovery::releaseHolds(SteadyTime now)
 {
     std::vector<OrderBatchItem> items;
     for (std::size_t index = 0; index < m_ranks.size(); ++index) {
-        if (index == 0 || index == m_guard || m_ranks[index].status->heldStep == m_plan.heldStep) {
+        if (index == 0 || index == m_secondHoldRank || m_ranks[index].status->heldStep == m_plan.heldStep) {
             items.push_back({.target = m_plan.ranks[index], .order = ReleaseStep{.step = m_plan.heldStep}});
         }
     }
     m_phase = Phase::Releasing;
-    m_round = std::make_unique<OrderBatch>(m_control, m_plan.epoch, std::move(items));
-    m_round->tick(now);
+    m_orders = std::make_unique<OrderBatch>(m_control, m_plan.epoch, std::move(items));
+    m_orders->tick(now);
 }
 
-void HoldRecovery::give(std::size_t index, RankOrder order, SteadyTime now)
+void HoldRecovery::startOrder(std::size_t index, RankOrder order, SteadyTime now)
 {
     auto &rank = m_ranks[index];
-    rank.orders = std::make_unique<OrderBatch>(
+    rank.pendingOrder = std::make_unique<OrderBatch>(
         m_control, m_plan.epoch,
         std::vector<OrderBatchItem>{{.target = m_plan.ranks[index], .order = std::move(order)}});
-    rank.orders->tick(now);
+    rank.pendingOrder->tick(now);
 }
 
-void HoldRecovery::finish(End end, std::string reason)
+void HoldRecovery::finish(State state, std::string reason)
 {
-    m_phase = Phase::Over;
-    m_end = end;
+    m_phase = Phase::Finished;
+    m_state = state;
     m_reason = std::move(reason);
     m_alive.reset();
 }
--- a/modules/heatherridge_coordination/groups/holdrecovery.h
+++ b/modules/heatherridge_coordination/groups/holdrecovery.h
@@ -41,93 +41,93 @@
 {
 public:
     /** How it stands. */
-    enum class End {
+    enum class State {
         Running,
         Released, ///< by this recovery
-        Gone, ///< nothing is held any more
-        LeftToOther, ///< another recovery is under way
+        NothingHeld, ///< nothing is held any more
+        YieldedToOther, ///< another recovery is under way
         Failed, ///< ranks don't answer; to be tried again
     };
 
     /** A recovery that takes longer starts anew, if there is still need. */
-    static constexpr std::chrono::milliseconds Patience{5'000};
+    static constexpr std::chrono::milliseconds Timeout{5'000};
     /** A rank that did not answer is asked again after this: a round trip many times over. */
-    static constexpr std::chrono::milliseconds AskAgainPause{250};
+    static constexpr std::chrono::milliseconds RetryDelay{250};
 
     /** Draws a number of a map, above @p seen, that no rank has had and no one else uses. */
-    using DrawNumber = std::function<MapNumber(MapNumber seen)>;
+    using AllocateMapNumber = std::function<MapNumber(MapNumber seen)>;
 
-    HoldRecovery(RankControl &control, RecoveryPlan plan, DrawNumber drawNumber);
+    HoldRecovery(RankControl &control, RecoveryPlan plan, AllocateMapNumber allocateMapNumber);
 
     /** Does what is due. */
     void tick(SteadyTime now);
 
     /** How it stands. */
-    End end() const;
+    State state() const;
 
     /** Why it failed or had nothing to do. */
     const std::string &reason() const;
 
 private:
     enum class Phase {
-        Looking,
-        Guarding, ///< holds the pass at a second rank
+        ReadingStatuses,
+        PlacingSecondHold, ///< holds the pass at a second rank
         Fencing,
         Verifying,
         Releasing,
-        Over,
+        Finished,
     };
 
     /** One rank on its way to being fenced. */
-    struct Rank
+    struct RankState
     {
         std::optional<RankStatus> status{};
         std::optional<RankExperts> experts{};
-        bool isAsking = false;
-        SteadyTime notBefore{};
-        SteadyTime freshFrom{}; ///< a status that may be older tells nothing
-        std::unique_ptr<OrderBatch> orders{}; ///< one order at a time
-        std::optional<MapNumber> fence{}; ///< the map that it was made to prepare
+        bool isQueryPending = false;
+        SteadyTime nextQueryAt{};
+        SteadyTime minStatusTime{}; ///< a status that may be older tells nothing
+        std::unique_ptr<OrderBatch> pendingOrder{}; ///< one order at a time
+        std::optional<MapNumber> fenceMap{}; ///< the map that it was made to prepare
         bool isFenced = false;
-        std::optional<SteadyTime> armedSeen{}; ///< since when a map is seen armed that is to be taken back
+        std::optional<SteadyTime> armedSince{}; ///< since when a map is seen armed that is to be taken back
     };
 
-    void look(std::size_t index, SteadyTime now);
-    void lookAtAll(SteadyTime now);
-    void guard(SteadyTime now);
-    void guarded(SteadyTime now);
-    void fenceAll(SteadyTime now);
-    void fence(std::size_t index, SteadyTime now);
-    void orderEnded(Rank &rank, SteadyTime now);
+    void queryStatus(std::size_t index, SteadyTime now);
+    void queryAllStatuses(SteadyTime now);
+    void placeSecondHold(SteadyTime now);
+    void checkSecondHold(SteadyTime now);
+    void fenceRanks(SteadyTime now);
+    void fenceRank(std::size_t index, SteadyTime now);
+    void handleOrderReply(RankState &rank, SteadyTime now);
     void disarmOrPrepare(std::size_t index, SteadyTime now);
     void disarm(std::size_t index, SteadyTime now);
-    void askGuard(SteadyTime now);
+    void confirmSecondHold(SteadyTime now);
     void readExperts(std::size_t index, SteadyTime now);
-    void verify(SteadyTime now);
-    bool isSound(std::size_t index) const;
-    bool isOtherUnderWay() const;
-    void fenceAgain(SteadyTime now);
-    void release(SteadyTime now);
-    void give(std::size_t index, RankOrder order, SteadyTime now);
-    bool allLooked() const;
-    void forgetStatus(Rank &rank, SteadyTime freshFrom);
-    void finish(End end, std::string reason);
+    void verifyFences(SteadyTime now);
+    bool isFenceIntact(std::size_t index) const;
+    bool isOtherRecoveryRunning() const;
+    void repeatFencing(SteadyTime now);
+    void releaseHolds(SteadyTime now);
+    void startOrder(std::size_t index, RankOrder order, SteadyTime now);
+    bool hasAllStatuses() const;
+    void invalidateStatus(RankState &rank, SteadyTime minStatusTime);
+    void finish(State state, std::string reason);
 
     RankControl &m_control;
     RecoveryPlan m_plan;
-    DrawNumber m_drawNumber;
-    std::vector<Rank> m_ranks;
-    std::size_t m_guard = 0; ///< the rank at which this recovery holds the pass
-    bool m_isAskingGuard = false;
-    SteadyTime m_guardSeen{}; ///< until when this recovery's hold is known to have stood
-    SteadyTime m_guardNotBefore{}; ///< the guard is not asked again before
-    bool m_hasFencedAgain = false;
-    std::unique_ptr<OrderBatch> m_round;
+    AllocateMapNumber m_allocateMapNumber;
+    std::vector<RankState> m_ranks;
+    std::size_t m_secondHoldRank = 0; ///< the rank at which this recovery holds the pass
+    bool m_isConfirmingSecondHold = false;
+    SteadyTime m_secondHoldConfirmedAt{}; ///< until when this recovery's hold is known to have stood
+    SteadyTime m_nextConfirmationAt{}; ///< the guard is not asked again before
+    bool m_hasRepeatedFencing = false;
+    std::unique_ptr<OrderBatch> m_orders;
     std::shared_ptr<int> m_alive; ///< answers that come after the end find it gone
-    Phase m_phase = Phase::Looking;
-    End m_end = End::Running;
+    Phase m_phase = Phase::ReadingStatuses;
+    State m_state = State::Running;
     std::string m_reason;
-    SteadyTime m_began{};
+    SteadyTime m_startedAt{};
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/mapswitch.cpp
+++ b/modules/heatherridge_coordination/groups/mapswitch.cpp
@@ -14,12 +14,12 @@
  * while the group works on one of them. */
 constexpr std::uint64_t SparePasses = 1;
 /** From reading the present pass to the hold's arrival, with a process that gets a fifth of a core. */
-constexpr milliseconds HoldTime{60};
+constexpr milliseconds HoldLatency{60};
 /** Orders to prepare a map that wait for an answer at a time: each carries the whole map, and as many take a part of
  * the time that an answer is waited for on links of a hundred megabits a second. */
-constexpr std::size_t PreparesAtOnce = 32;
+constexpr std::size_t MaxPendingPrepares = 32;
 /** What each further copy of an order takes at most: the longest that an answer is waited for, and its way. */
-constexpr milliseconds ResendTime{90};
+constexpr milliseconds ResendDelay{90};
 
 } // namespace
 
@@ -28,64 +28,64 @@
     , m_plan(std::move(plan))
     , m_alive(std::make_shared<int>(0))
 {
-    prepare();
+    startPreparing();
 }
 
 void MapSwitch::tick(SteadyTime now, bool mayHold)
 {
-    if (m_began == SteadyTime{}) {
-        m_began = now;
-        m_phaseBegan = now;
+    if (m_startedAt == SteadyTime{}) {
+        m_startedAt = now;
+        m_phaseStartedAt = now;
     }
-    if (m_round) {
-        m_round->tick(now);
+    if (m_orders) {
+        m_orders->tick(now);
     }
     switch (m_phase) {
     case Phase::Preparing:
-        prepared(now);
+        checkPrepared(now);
         break;
     case Phase::Copying:
-        if (now - m_phaseBegan > m_plan.copyTime + FreshTime) {
-            finish(End::Abandoned, "out of date before it held a pass");
-        } else if (mayHold && now - m_phaseBegan >= m_plan.copyTime) {
-            locate(now);
+        if (now - m_phaseStartedAt > m_plan.copyTime + MaxHoldDelay) {
+            finish(State::Abandoned, "out of date before it held a pass");
+        } else if (mayHold && now - m_phaseStartedAt >= m_plan.copyTime) {
+            readStep(now);
         }
         break;
-    case Phase::Locating:
-        if (m_located) {
-            hold(*std::exchange(m_located, {}), now);
-        } else if (now - m_phaseBegan > Patience) {
-            finish(End::Abandoned, "rank 0 does not answer");
+    case Phase::ReadingStep:
+        if (m_leadingRankStatus) {
+            startHold(*std::exchange(m_leadingRankStatus, {}), now);
+        } else if (now - m_phaseStartedAt > OrderTimeout) {
+            finish(State::Abandoned, "rank 0 does not answer");
         }
         break;
     case Phase::Holding:
-        held(now);
+        checkHold(now);
         break;
     case Phase::Arming:
-        watchArming(now);
+        checkArming(now);
         break;
     case Phase::Releasing:
-        released(now);
+        checkRelease(now);
         break;
-    case Phase::Over:
+    case Phase::Finished:
         break;
     }
 }
 
-MapSwitch::End MapSwitch::end() const
+MapSwitch::State MapSwitch::state() const
 {
-    return m_end;
+    return m_state;
 }
 
 bool MapSwitch::isHolding() const
 {
-    return m_phase == Phase::Locating || m_phase == Phase::Holding || m_phase == Phase::Arming
+    return m_phase == Phase::ReadingStep || m_phase == Phase::Holding || m_phase == Phase::Arming
         || m_phase == Phase::Releasing;
 }
 
 std::uint64_t MapSwitch::heldStep() const
 {
-    return m_step;
+    return m_heldStep;
 }
 
 const std::string &MapSwitch::reason() const
@@ -93,9 +93,9 @@
     return m_reason;
 }
 
-int MapSwitch::mostSends() const
+int MapSwitch::maxSends() const
 {
-    return m_sends;
+    return m_maxSends;
 }
 
 const MapSwitchPlan &MapSwitch::plan() const
@@ -103,164 +103,164 @@
     return m_plan;
 }
 
-void MapSwitch::prepare()
+void MapSwitch::startPreparing()
 {
     std::vector<OrderBatchItem> items;
     for (std::size_t rank = 0; rank < m_plan.ranks.size(); ++rank) {
         items.push_back(
-            {.target = m_plan.ranks[rank], .order = PrepareMap{.map = m_plan.number, .layout = m_plan.layout}});
+            {.target = m_plan.ranks[rank], .order = PrepareMap{.map = m_plan.mapNumber, .layout = m_plan.layout}});
     }
-    m_round = std::make_unique<OrderBatch>(m_control, m_plan.epoch, std::move(items), PreparesAtOnce);
+    m_orders = std::make_unique<OrderBatch>(m_control, m_plan.epoch, std::move(items), MaxPendingPrepares);
 }
 
-void MapSwitch::prepared(SteadyTime now)
+void MapSwitch::checkPrepared(SteadyTime now)
 {
-    if (!m_round->isDone()) {
-        if (now - m_phaseBegan > Patience) {
-            finish(End::Abandoned, "a rank does not answer to prepare");
+    if (!m_orders->isDone()) {
+        if (now - m_phaseStartedAt > OrderTimeout) {
+            finish(State::Abandoned, "a rank does not answer to prepare");
         }
         return;
     }
-    m_sends = std::max(m_sends, m_round->mostSends());
-    for (std::size_t rank = 0; rank < m_round->size(); ++rank) {
-        if (m_round->reply(rank) == OrderReply::Refused && !m_round->isAmbiguous(rank)) {
-            finish(End::Abandoned, "rank " + std::to_string(rank) + " refused to prepare");
+    m_maxSends = std::max(m_maxSends, m_orders->maxSends());
+    for (std::size_t rank = 0; rank < m_orders->size(); ++rank) {
+        if (m_orders->reply(rank) == OrderReply::Refused && !m_orders->isAmbiguous(rank)) {
+            finish(State::Abandoned, "rank " + std::to_string(rank) + " refused to prepare");
             return;
         }
         // Refused after a lost answer: an earlier copy was carried out. Were it not so, the rank refuses to be armed.
     }
-    m_round.reset();
+    m_orders.reset();
     m_phase = Phase::Copying;
-    m_phaseBegan = now;
+    m_phaseStartedAt = now;
 }
 
-void MapSwitch::locate(SteadyTime now)
+void MapSwitch::readStep(SteadyTime now)
 {
-    m_phase = Phase::Locating;
-    m_phaseBegan = now;
+    m_phase = Phase::ReadingStep;
+    m_phaseStartedAt = now;
     m_control.status(m_plan.ranks.front(), [this, alive = std::weak_ptr(m_alive)](Result<RankStatus> status) {
         if (alive.expired()) {
             return;
         }
         if (const auto *error = errorIn(status)) {
-            finish(End::Abandoned, "rank 0: " + error->detail);
+            finish(State::Abandoned, "rank 0: " + error->detail);
             return;
         }
-        m_located = std::get<RankStatus>(status);
+        m_leadingRankStatus = std::get<RankStatus>(status);
     });
 }
 
-void MapSwitch::hold(const RankStatus &status, SteadyTime now)
+void MapSwitch::startHold(const RankStatus &status, SteadyTime now)
 {
     if (status.epoch != m_plan.epoch || !status.isOpen || status.heldStep) {
-        finish(End::Abandoned, "the group has changed");
+        finish(State::Abandoned, "the group has changed");
         return;
     }
-    m_step = std::max(status.step + marginSteps(), m_plan.after + 1);
-    ++m_holds;
+    m_heldStep = std::max(status.step + marginSteps(), m_plan.afterStep + 1);
+    ++m_holdAttempts;
     m_phase = Phase::Holding;
-    m_phaseBegan = now;
-    m_round = std::make_unique<OrderBatch>(
+    m_phaseStartedAt = now;
+    m_orders = std::make_unique<OrderBatch>(
         m_control, m_plan.epoch,
-        std::vector<OrderBatchItem>{{.target = m_plan.ranks.front(), .order = HoldStep{.step = m_step}}});
-    m_round->tick(now);
+        std::vector<OrderBatchItem>{{.target = m_plan.ranks.front(), .order = HoldStep{.step = m_heldStep}}});
+    m_orders->tick(now);
 }
 
-void MapSwitch::held(SteadyTime now)
+void MapSwitch::checkHold(SteadyTime now)
 {
-    if (!m_round->isDone()) {
-        if (now - m_phaseBegan > Patience) {
-            finish(End::Stuck, "rank 0 does not answer to hold");
+    if (!m_orders->isDone()) {
+        if (now - m_phaseStartedAt > OrderTimeout) {
+            finish(State::Stuck, "rank 0 does not answer to hold");
         }
         return;
     }
-    m_sends = std::max(m_sends, m_round->mostSends());
-    if (m_round->isAmbiguous(0)) {
-        finish(End::Stuck, "the pass may be held");
+    m_maxSends = std::max(m_maxSends, m_orders->maxSends());
+    if (m_orders->isAmbiguous(0)) {
+        finish(State::Stuck, "the pass may be held");
         return;
     }
-    if (m_round->reply(0) == OrderReply::Refused) {
-        if (m_holds >= MostHolds) {
-            finish(End::Abandoned, "the pass had begun");
+    if (m_orders->reply(0) == OrderReply::Refused) {
+        if (m_holdAttempts >= MaxHoldAttempts) {
+            finish(State::Abandoned, "the pass had begun");
             return;
         }
-        m_round.reset();
-        locate(now);
+        m_orders.reset();
+        readStep(now);
         return;
     }
-    arm(now);
+    startArming(now);
 }
 
-void MapSwitch::arm(SteadyTime now)
+void MapSwitch::startArming(SteadyTime now)
 {
     std::vector<OrderBatchItem> items;
     for (std::size_t rank = 0; rank < m_plan.ranks.size(); ++rank) {
-        items.push_back({.target = m_plan.ranks[rank], .order = ArmMap{.map = m_plan.number, .step = m_step}});
+        items.push_back({.target = m_plan.ranks[rank], .order = ArmMap{.map = m_plan.mapNumber, .step = m_heldStep}});
     }
-    m_round = std::make_unique<OrderBatch>(m_control, m_plan.epoch, std::move(items));
+    m_orders = std::make_unique<OrderBatch>(m_control, m_plan.epoch, std::move(items));
     m_phase = Phase::Arming;
-    m_phaseBegan = now;
-    m_round->tick(now);
+    m_phaseStartedAt = now;
+    m_orders->tick(now);
 }
 
-void MapSwitch::watchArming(SteadyTime now)
+void MapSwitch::checkArming(SteadyTime now)
 {
-    if (now - m_phaseBegan > ArmPatience) {
-        finish(End::Stuck, "not armed: " + unarmedRanks());
+    if (now - m_phaseStartedAt > ArmTimeout) {
+        finish(State::Stuck, "not armed: " + describeUnarmedRanks());
         return;
     }
-    for (std::size_t rank = 0; rank < m_round->size(); ++rank) {
-        if (m_round->reply(rank) == OrderReply::Refused) {
-            m_round->again(rank, now + ArmPause); // still copying
+    for (std::size_t rank = 0; rank < m_orders->size(); ++rank) {
+        if (m_orders->reply(rank) == OrderReply::Refused) {
+            m_orders->scheduleResend(rank, now + ArmRetryDelay); // still copying
         }
     }
-    if (!m_round->isDone()) {
+    if (!m_orders->isDone()) {
         return;
     }
-    release(now);
+    startRelease(now);
 }
 
-std::string MapSwitch::unarmedRanks() const
+std::string MapSwitch::describeUnarmedRanks() const
 {
     std::string ranks;
-    for (std::size_t rank = 0; rank < m_round->size(); ++rank) {
-        if (!m_round->isAnswered(rank) || m_round->reply(rank) == OrderReply::Refused) {
-            const auto *word = m_round->reply(rank) == OrderReply::Refused ? " refused" : " silent";
-            ranks += (ranks.empty() ? "" : ", ") + m_plan.ranks[rank].id.text() + word;
+    for (std::size_t rank = 0; rank < m_orders->size(); ++rank) {
+        if (!m_orders->isAnswered(rank) || m_orders->reply(rank) == OrderReply::Refused) {
+            const auto *outcome = m_orders->reply(rank) == OrderReply::Refused ? " refused" : " silent";
+            ranks += (ranks.empty() ? "" : ", ") + m_plan.ranks[rank].id.text() + outcome;
         }
     }
     return ranks;
 }
 
-void MapSwitch::release(SteadyTime now)
+void MapSwitch::startRelease(SteadyTime now)
 {
     m_phase = Phase::Releasing;
-    m_phaseBegan = now;
-    m_round = std::make_unique<OrderBatch>(
+    m_phaseStartedAt = now;
+    m_orders = std::make_unique<OrderBatch>(
         m_control, m_plan.epoch,
-        std::vector<OrderBatchItem>{{.target = m_plan.ranks.front(), .order = ReleaseStep{.step = m_step}}});
-    m_round->tick(now);
+        std::vector<OrderBatchItem>{{.target = m_plan.ranks.front(), .order = ReleaseStep{.step = m_heldStep}}});
+    m_orders->tick(now);
 }
 
-void MapSwitch::released(SteadyTime now)
+void MapSwitch::checkRelease(SteadyTime now)
 {
-    if (!m_round->isDone()) {
-        if (now - m_phaseBegan > Patience) {
-            finish(End::Stuck, "rank 0 does not answer to release");
+    if (!m_orders->isDone()) {
+        if (now - m_phaseStartedAt > OrderTimeout) {
+            finish(State::Stuck, "rank 0 does not answer to release");
         }
         return;
     }
     // Refused means that nothing is held any more: an earlier copy was carried out, or another process took it back.
-    finish(End::Switched, {});
+    finish(State::Switched, {});
 }
 
-void MapSwitch::finish(End end, std::string reason)
+void MapSwitch::finish(State state, std::string reason)
 {
-    m_phase = Phase::Over;
-    m_end = end;
+    m_phase = Phase::Finished;
+    m_state = state;
     m_reason = std::move(reason);
-    m_sends = m_round ? std::max(m_sends, m_round->mostSends()) : m_sends;
-    m_round.reset();
+    m_maxSends = m_orders ? std::max(m_maxSends, m_orders->maxSends()) : m_maxSends;
+    m_orders.reset();
     m_alive.reset();
 }
 
@@ -268,9 +268,9 @@
 {
     // Each hold that came too late and each resent order says that more time goes by than thought.
     const auto lag = m_control.statusLag(m_plan.ranks.front());
-    const auto ahead = lag + HoldTime * m_holds + ResendTime * (m_sends - 1);
-    const auto pass = std::max(m_plan.passTime, milliseconds(5));
-    return SparePasses + static_cast<std::uint64_t>((ahead + pass - milliseconds(1)) / pass);
+    const auto expectedDelay = lag + HoldLatency * m_holdAttempts + ResendDelay * (m_maxSends - 1);
+    const auto passTime = std::max(m_plan.passTime, milliseconds(5));
+    return SparePasses + static_cast<std::uint64_t>((expectedDelay + passTime - milliseconds(1)) / passTime);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/mapswitch.h
+++ b/modules/heatherridge_coordination/groups/mapswitch.h
@@ -15,11 +15,11 @@
 {
     std::vector<TargetEntry> ranks{}; ///< by rank
     std::uint64_t epoch = 0;
-    MapNumber number{}; ///< of the new map: above all that any rank ever had, and used by no one else
+    MapNumber mapNumber{}; ///< of the new map: above all that any rank ever had, and used by no one else
     ExpertLayout layout{};
     std::chrono::milliseconds copyTime{}; ///< the longest that any rank needs to copy what is new
     std::chrono::milliseconds passTime{50}; ///< of one pass
-    std::uint64_t after = 0; ///< the held pass lies behind this one, so that no order about an earlier hold fits it
+    std::uint64_t afterStep = 0; ///< the held pass lies behind this one, so that no order about an earlier hold fits it
 };
 
 /**
@@ -40,7 +40,7 @@
 {
 public:
     /** How a switch stands. */
-    enum class End {
+    enum class State {
         Running,
         Switched, ///< all ranks use the map from the held pass on
         Abandoned, ///< no rank is armed and nothing is held
@@ -48,16 +48,16 @@
     };
 
     /** Ranks that refuse to be armed may still be copying; they are asked again after this. */
-    static constexpr std::chrono::milliseconds ArmPause{30};
+    static constexpr std::chrono::milliseconds ArmRetryDelay{30};
     /** A held pass waits no longer than this for the last rank; then the switch is taken back. */
-    static constexpr std::chrono::milliseconds ArmPatience{900};
+    static constexpr std::chrono::milliseconds ArmTimeout{900};
     /** All orders to one rank have an answer within this, or the rank is not to be reached. */
-    static constexpr std::chrono::milliseconds Patience{3'000};
+    static constexpr std::chrono::milliseconds OrderTimeout{3'000};
     /** A switch that has not held its pass this long after its copies should be there is out of date: the process was
      * paused meanwhile, and somebody else may have made the ranks prepare another map. */
-    static constexpr std::chrono::milliseconds FreshTime{1'500};
+    static constexpr std::chrono::milliseconds MaxHoldDelay{1'500};
     /** How often a pass is chosen that the group turns out to have begun. */
-    static constexpr int MostHolds = 3;
+    static constexpr int MaxHoldAttempts = 3;
 
     MapSwitch(RankControl &control, MapSwitchPlan plan);
 
@@ -65,7 +65,7 @@
     void tick(SteadyTime now, bool mayHold = true);
 
     /** How it stands. */
-    End end() const;
+    State state() const;
 
     /** Whether it is in the part in which the group is held, or about to be. */
     bool isHolding() const;
@@ -77,7 +77,7 @@
     const std::string &reason() const;
 
     /** Most copies of one order that it took. */
-    int mostSends() const;
+    int maxSends() const;
 
     /** What was asked for. */
     const MapSwitchPlan &plan() const;
@@ -86,39 +86,39 @@
     enum class Phase {
         Preparing,
         Copying,
-        Locating, ///< asks for the present pass
+        ReadingStep, ///< asks for the present pass
         Holding,
         Arming,
         Releasing,
-        Over,
+        Finished,
     };
 
-    void prepare();
-    void prepared(SteadyTime now);
-    void locate(SteadyTime now);
-    void hold(const RankStatus &status, SteadyTime now);
-    void held(SteadyTime now);
-    void arm(SteadyTime now);
-    void watchArming(SteadyTime now);
-    std::string unarmedRanks() const;
-    void release(SteadyTime now);
-    void released(SteadyTime now);
-    void finish(End end, std::string reason);
+    void startPreparing();
+    void checkPrepared(SteadyTime now);
+    void readStep(SteadyTime now);
+    void startHold(const RankStatus &status, SteadyTime now);
+    void checkHold(SteadyTime now);
+    void startArming(SteadyTime now);
+    void checkArming(SteadyTime now);
+    std::string describeUnarmedRanks() const;
+    void startRelease(SteadyTime now);
+    void checkRelease(SteadyTime now);
+    void finish(State state, std::string reason);
     std::uint64_t marginSteps() const;
 
     RankControl &m_control;
     MapSwitchPlan m_plan;
     Phase m_phase = Phase::Preparing;
-    End m_end = End::Running;
+    State m_state = State::Running;
     std::string m_reason;
-    std::unique_ptr<OrderBatch> m_round;
+    std::unique_ptr<OrderBatch> m_orders;
     std::shared_ptr<int> m_alive; ///< answers that come after the end find it gone
-    SteadyTime m_began{};
-    SteadyTime m_phaseBegan{};
-    std::optional<RankStatus> m_located;
-    std::uint64_t m_step = 0;
-    int m_holds = 0;
-    int m_sends = 1; ///< most copies of one order so far; tells how lossy the way is
+    SteadyTime m_startedAt{};
+    SteadyTime m_phaseStartedAt{};
+    std::optional<RankStatus> m_leadingRankStatus;
+    std::uint64_t m_heldStep = 0;
+    int m_holdAttempts = 0;
+    int m_maxSends = 1; ///< most copies of one order so far; tells how lossy the way is
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/orderbatch.cpp
+++ b/modules/heatherridge_coordination/groups/orderbatch.cpp
@@ -6,17 +6,17 @@
 {
 
 OrderBatch::OrderBatch(RankControl &control, std::uint64_t epoch, std::vector<OrderBatchItem> items,
-                       std::size_t mostOpen)
-    : m_state(std::make_shared<State>(State{.control = control, .epoch = epoch, .mostOpen = mostOpen}))
+                       std::size_t maxPending)
+    : m_state(std::make_shared<State>(State{.control = control, .epoch = epoch, .maxPending = maxPending}))
 {
     for (auto &item : items) {
-        m_state->slots.push_back({.item = std::move(item)});
+        m_state->entries.push_back({.item = std::move(item)});
     }
 }
 
 OrderBatch::~OrderBatch()
 {
-    m_state->isOver = true;
+    m_state->isClosed = true;
 }
 
 void OrderBatch::tick(SteadyTime now)
@@ -31,31 +31,31 @@
         return; // an answer came at once; whoever sends goes on
     }
     state->isSending = true;
-    for (std::size_t index = 0; index < state->slots.size() && state->open < state->mostOpen; ++index) {
-        const auto &slot = state->slots[index];
-        if (!slot.isWaiting && !slot.isAnswered && state->now >= slot.notBefore) {
-            send(state, index);
+    for (std::size_t index = 0; index < state->entries.size() && state->pendingCount < state->maxPending; ++index) {
+        const auto &entry = state->entries[index];
+        if (!entry.isPending && !entry.isAnswered && state->now >= entry.notBefore) {
+            sendEntry(state, index);
         }
     }
     state->isSending = false;
 }
 
-void OrderBatch::send(const std::shared_ptr<State> &state, std::size_t index)
+void OrderBatch::sendEntry(const std::shared_ptr<State> &state, std::size_t index)
 {
-    auto &slot = state->slots[index];
-    slot.isWaiting = true;
-    ++slot.sends;
-    ++state->open;
-    state->control.order(slot.item.target, slot.item.order, state->epoch, [state, index](OrderReply reply) {
-        auto &answered = state->slots[index];
-        answered.isWaiting = false;
+    auto &entry = state->entries[index];
+    entry.isPending = true;
+    ++entry.sends;
+    ++state->pendingCount;
+    state->control.order(entry.item.target, entry.item.order, state->epoch, [state, index](OrderReply reply) {
+        auto &answered = state->entries[index];
+        answered.isPending = false;
         answered.reply = reply;
         answered.isAnswered = reply != OrderReply::NoAnswer;
-        answered.lostAnswer = answered.lostAnswer || reply == OrderReply::NoAnswer;
+        answered.hasLostAnswer = answered.hasLostAnswer || reply == OrderReply::NoAnswer;
         // Not before the next tick: an answer that fails at once would be asked for without end.
         answered.notBefore = state->now + std::chrono::milliseconds(1);
-        --state->open;
-        if (!state->isOver && state->mostOpen != AllAtOnce) {
+        --state->pendingCount;
+        if (!state->isClosed && state->maxPending != Unlimited) {
             sendDue(state);
         }
     });
@@ -63,44 +63,45 @@
 
 bool OrderBatch::isDone() const
 {
-    return std::all_of(m_state->slots.begin(), m_state->slots.end(), [](const auto &slot) { return slot.isAnswered; });
+    return std::all_of(m_state->entries.begin(), m_state->entries.end(),
+                       [](const auto &entry) { return entry.isAnswered; });
 }
 
 std::size_t OrderBatch::size() const
 {
-    return m_state->slots.size();
+    return m_state->entries.size();
 }
 
 bool OrderBatch::isAnswered(std::size_t index) const
 {
-    return m_state->slots[index].isAnswered;
+    return m_state->entries[index].isAnswered;
 }
 
 OrderReply OrderBatch::reply(std::size_t index) const
 {
-    return m_state->slots[index].reply;
+    return m_state->entries[index].reply;
 }
 
 bool OrderBatch::isAmbiguous(std::size_t index) const
 {
-    const auto &slot = m_state->slots[index];
-    return slot.isAnswered && slot.reply == OrderReply::Refused && slot.lostAnswer;
+    const auto &entry = m_state->entries[index];
+    return entry.isAnswered && entry.reply == OrderReply::Refused && entry.hasLostAnswer;
 }
 
-void OrderBatch::again(std::size_t index, SteadyTime notBefore)
+void OrderBatch::scheduleResend(std::size_t index, SteadyTime notBefore)
 {
-    auto &slot = m_state->slots[index];
-    slot.isAnswered = false;
-    slot.notBefore = notBefore;
+    auto &entry = m_state->entries[index];
+    entry.isAnswered = false;
+    entry.notBefore = notBefore;
 }
 
-int OrderBatch::mostSends() const
+int OrderBatch::maxSends() const
 {
-    int most = 0;
-    for (const auto &slot : m_state->slots) {
-        most = std::max(most, slot.sends);
+    int highest = 0;
+    for (const auto &entry : m_state->entries) {
+        highest = std::max(highest, entry.sends);
     }
-    return most;
+    return highest;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/orderbatch.h
+++ b/modules/heatherridge_coordination/groups/orderbatch.h
@@ -31,11 +31,11 @@
 {
 public:
     /** No bound on orders without an answer. */
-    static constexpr std::size_t AllAtOnce = std::numeric_limits<std::size_t>::max();
+    static constexpr std::size_t Unlimited = std::numeric_limits<std::size_t>::max();
 
     /** @param epoch in which alone the orders hold @param mostOpen orders that wait for an answer at a time */
     OrderBatch(RankControl &control, std::uint64_t epoch, std::vector<OrderBatchItem> items,
-               std::size_t mostOpen = AllAtOnce);
+               std::size_t maxPending = Unlimited);
 
     /** Sends what has had no answer yet. */
     void tick(SteadyTime now);
@@ -56,10 +56,10 @@
     bool isAmbiguous(std::size_t index) const;
 
     /** Sends item @p index again, at @p notBefore or later. */
-    void again(std::size_t index, SteadyTime notBefore);
+    void scheduleResend(std::size_t index, SteadyTime notBefore);
 
     /** Most copies that any rank was sent. */
-    int mostSends() const;
+    int maxSends() const;
 
     ~OrderBatch();
 
@@ -67,13 +67,13 @@
     OrderBatch &operator=(const OrderBatch &) = delete;
 
 private:
-    struct Slot
+    struct Entry
     {
         OrderBatchItem item{};
         OrderReply reply = OrderReply::NoAnswer;
-        bool isWaiting = false;
+        bool isPending = false;
         bool isAnswered = false;
-        bool lostAnswer = false;
+        bool hasLostAnswer = false;
         int sends = 0;
         SteadyTime notBefore{};
     };
@@ -83,16 +83,16 @@
     {
         RankControl &control;
         std::uint64_t epoch = 0;
-        std::size_t mostOpen = AllAtOnce;
-        std::vector<Slot> slots{};
-        std::size_t open = 0; ///< orders that wait for an answer
+        std::size_t maxPending = Unlimited;
+        std::vector<Entry> entries{};
+        std::size_t pendingCount = 0; ///< orders that wait for an answer
         SteadyTime now{}; ///< of the last tick
         bool isSending = false;
-        bool isOver = false; ///< nothing more is sent
+        bool isClosed = false; ///< nothing more is sent
     };
 
     static void sendDue(const std::shared_ptr<State> &state);
-    static void send(const std::shared_ptr<State> &state, std::size_t index);
+    static void sendEntry(const std::shared_ptr<State> &state, std::size_t index);
 
     std::shared_ptr<State> m_state;
 };
--- a/tests/heldgroups/switches_test.cpp
+++ b/tests/heldgroups/switches_test.cpp
@@ -61,7 +61,7 @@
 {
     return {.ranks = {{.id = TargetName("a")}, {.id = TargetName("b")}},
             .epoch = Epoch,
-            .number = MapNumber{9},
+            .mapNumber = MapNumber{9},
             .copyTime = 200ms};
 }
 
@@ -70,16 +70,16 @@
     const char *story;
     std::chrono::milliseconds pause; ///< of the process, while ranks copy
     std::chrono::milliseconds mayHoldAfter; ///< from the start on
-    MapSwitch::End end;
+    MapSwitch::State state;
 };
 
 const SwitchRow SwitchRows[] = {
-    {"nothing in the way", 0ms, 0ms, MapSwitch::End::Switched},
-    {"another group is held for a while", 0ms, 700ms, MapSwitch::End::Switched},
+    {"nothing in the way", 0ms, 0ms, MapSwitch::State::Switched},
+    {"another group is held for a while", 0ms, 700ms, MapSwitch::State::Switched},
     // A frozen process wakes and goes on with a switch of four seconds ago: its pass is held, but the ranks have
     // prepared other maps since, so none can be armed and the group stands still for two seconds.
-    {"the process was frozen while ranks copied", 4s, 0ms, MapSwitch::End::Abandoned},
-    {"another group is held for too long", 0ms, 5s, MapSwitch::End::Abandoned},
+    {"the process was frozen while ranks copied", 4s, 0ms, MapSwitch::State::Abandoned},
+    {"another group is held for too long", 0ms, 5s, MapSwitch::State::Abandoned},
 };
 
 class Switches : public testing::TestWithParam<SwitchRow>
@@ -90,17 +90,17 @@
 {
     const auto &row = GetParam();
     WillingRanks ranks;
-    MapSwitch change(ranks, planOf());
+    MapSwitch mapSwitch(ranks, planOf());
     const SteadyTime start(1h);
-    for (auto passed = 0ms; passed < 8s && change.end() == MapSwitch::End::Running; passed += 20ms) {
+    for (auto passed = 0ms; passed < 8s && mapSwitch.state() == MapSwitch::State::Running; passed += 20ms) {
         const bool isFrozen = passed > 100ms && passed < 100ms + row.pause;
         if (!isFrozen) {
-            change.tick(start + passed, passed >= row.mayHoldAfter);
+            mapSwitch.tick(start + passed, passed >= row.mayHoldAfter);
         }
         EXPECT_TRUE(passed >= row.mayHoldAfter || ranks.count<HoldStep>() == 0) << row.story;
     }
-    EXPECT_EQ(change.end(), row.end) << row.story;
-    EXPECT_EQ(ranks.count<HoldStep>(), row.end == MapSwitch::End::Switched ? 1 : 0) << row.story;
+    EXPECT_EQ(mapSwitch.state(), row.state) << row.story;
+    EXPECT_EQ(ranks.count<HoldStep>(), row.state == MapSwitch::State::Switched ? 1 : 0) << row.story;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, Switches, testing::ValuesIn(SwitchRows));
@@ -138,16 +138,16 @@
 TEST(OrderRounds, GiveLargeOrdersSomeAtATime)
 {
     constexpr int ranks = 96;
-    constexpr std::size_t mostOpen = 32;
+    constexpr std::size_t maxPending = 32;
     PatientRanks control;
-    OrderBatch round(control, Epoch, std::vector<OrderBatchItem>(ranks), mostOpen);
+    OrderBatch round(control, Epoch, std::vector<OrderBatchItem>(ranks), maxPending);
     SteadyTime now(1h);
     round.tick(now);
-    EXPECT_EQ(control.open(), mostOpen);
+    EXPECT_EQ(control.open(), maxPending);
     control.answer(OrderReply::NoAnswer);
-    EXPECT_EQ(control.open(), mostOpen) << "the next goes out at once";
+    EXPECT_EQ(control.open(), maxPending) << "the next goes out at once";
     while (control.open() > 0) {
-        EXPECT_LE(control.open(), mostOpen);
+        EXPECT_LE(control.open(), maxPending);
         control.answer(OrderReply::Accepted);
     }
     EXPECT_EQ(control.orders, ranks) << "the one without an answer waits for the next tick";
