--- a/modules/heatherridge_coordination/groups/demandsampler.cpp
+++ b/modules/heatherridge_coordination/groups/demandsampler.cpp
@@ -10,10 +10,10 @@
 {
 
 /** A round is closed with what has come by then. */
-constexpr std::chrono::milliseconds RoundPatience{400};
+constexpr std::chrono::milliseconds RoundTimeout{400};
 /** While nothing is known rounds come so many times as often: after a loss of power every group works with the map that
  * fits no demand, and its passes take two to three times as long until the first round tells something. */
-constexpr int FirstRoundsFactor = 3;
+constexpr int InitialRateFactor = 3;
 
 } // namespace
 
@@ -23,17 +23,17 @@
 {
 }
 
-void DemandSampler::setShape(int sets, int experts)
+void DemandSampler::setModelShape(int sets, int experts)
 {
     if (m_demand && m_shape == std::pair(sets, experts)) {
         return;
     }
     m_shape = {sets, experts};
-    m_size = static_cast<std::size_t>(sets) * static_cast<std::size_t>(experts);
+    m_expertCount = static_cast<std::size_t>(sets) * static_cast<std::size_t>(experts);
     m_demand = std::make_unique<ExpertDemand>(sets, experts);
-    m_last.clear();
-    m_isOpen = false;
-    m_round.reset();
+    m_lastCounts.clear();
+    m_isRoundOpen = false;
+    m_roundToken.reset();
 }
 
 bool DemandSampler::tick(SteadyTime now, const std::function<std::vector<TargetEntry>()> &ranks)
@@ -41,26 +41,26 @@
     if (!m_demand) {
         return false;
     }
-    if (m_isOpen) {
-        if (m_missing > 0 && now - m_began <= RoundPatience) {
+    if (m_isRoundOpen) {
+        if (m_pendingAnswers > 0 && now - m_roundStartedAt <= RoundTimeout) {
             return false;
         }
-        m_isOpen = false;
-        m_round.reset();
+        m_isRoundOpen = false;
+        m_roundToken.reset();
         m_demand->add(m_window);
         return !m_demand->bySet().empty();
     }
-    if (now < m_due) {
+    if (now < m_nextRoundAt) {
         return false;
     }
     const auto asked = ranks();
     if (!asked.empty()) {
-        begin(now, asked);
+        startRound(now, asked);
     }
     return false;
 }
 
-const std::vector<SetDemand> &DemandSampler::bySet() const
+const std::vector<SetDemand> &DemandSampler::demandBySet() const
 {
     return m_demand->bySet();
 }
@@ -70,41 +70,41 @@
     return m_demand->lastDistance();
 }
 
-void DemandSampler::begin(SteadyTime now, const std::vector<TargetEntry> &ranks)
+void DemandSampler::startRound(SteadyTime now, const std::vector<TargetEntry> &ranks)
 {
-    m_due = now + (m_demand->bySet().empty() ? m_period / FirstRoundsFactor : m_period);
-    m_began = now;
-    m_window.assign(m_size, 0);
-    m_missing = ranks.size();
-    m_isOpen = true;
-    m_round = std::make_shared<int>(0);
+    m_nextRoundAt = now + (m_demand->bySet().empty() ? m_period / InitialRateFactor : m_period);
+    m_roundStartedAt = now;
+    m_window.assign(m_expertCount, 0);
+    m_pendingAnswers = ranks.size();
+    m_isRoundOpen = true;
+    m_roundToken = std::make_shared<int>(0);
     for (const auto &rank : ranks) {
-        m_control.counts(rank, [this, id = rank.id, round = std::weak_ptr(m_round)](Result<RankCounts> counts) {
-            if (round.expired()) {
+        m_control.counts(rank, [this, id = rank.id, token = std::weak_ptr(m_roundToken)](Result<RankCounts> counts) {
+            if (token.expired()) {
                 return;
             }
-            --m_missing;
+            --m_pendingAnswers;
             if (errorIn(counts) == nullptr) {
-                take(id, std::get<RankCounts>(std::move(counts)));
+                addCounts(id, std::get<RankCounts>(std::move(counts)));
             }
         });
     }
 }
 
-void DemandSampler::take(const TargetName &rank, RankCounts counts)
+void DemandSampler::addCounts(const TargetName &rank, RankCounts counts)
 {
-    if (counts.chosen.size() != m_size) {
+    if (counts.chosen.size() != m_expertCount) {
         return;
     }
-    const auto before = m_last.find(rank);
-    const bool isComparable = before != m_last.end() && before->second.epoch == counts.epoch;
+    const auto previous = m_lastCounts.find(rank);
+    const bool isComparable = previous != m_lastCounts.end() && previous->second.epoch == counts.epoch;
     // Who knows nothing yet takes what was chosen since the engine's start: better than nothing.
-    const bool isFirst = before == m_last.end() && m_demand->bySet().empty();
-    for (std::size_t index = 0; (isComparable || isFirst) && index < m_size; ++index) {
-        const double earlier = isFirst ? 0 : before->second.chosen[index];
-        m_window[index] += std::max(0.0, counts.chosen[index] - earlier);
+    const bool isFirst = previous == m_lastCounts.end() && m_demand->bySet().empty();
+    for (std::size_t index = 0; (isComparable || isFirst) && index < m_expertCount; ++index) {
+        const double baseline = isFirst ? 0 : previous->second.chosen[index];
+        m_window[index] += std::max(0.0, counts.chosen[index] - baseline);
     }
-    m_last.insert_or_assign(rank, std::move(counts));
+    m_lastCounts.insert_or_assign(rank, std::move(counts));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/demandsampler.h
+++ b/modules/heatherridge_coordination/groups/demandsampler.h
@@ -25,7 +25,7 @@
     DemandSampler(RankControl &control, std::chrono::milliseconds period);
 
     /** The sizes of the service's model; anything known is forgotten when they change. */
-    void setShape(int sets, int experts);
+    void setModelShape(int sets, int experts);
 
     /**
      * Begins a round when it is time, and closes one whose answers are in.
@@ -35,27 +35,27 @@
     bool tick(SteadyTime now, const std::function<std::vector<TargetEntry>()> &ranks);
 
     /** The demand by set; empty before the first round. */
-    const std::vector<SetDemand> &bySet() const;
+    const std::vector<SetDemand> &demandBySet() const;
 
     /** How far the last round was from the average before it. */
     double lastDistance() const;
 
 private:
-    void begin(SteadyTime now, const std::vector<TargetEntry> &ranks);
-    void take(const TargetName &rank, RankCounts counts);
+    void startRound(SteadyTime now, const std::vector<TargetEntry> &ranks);
+    void addCounts(const TargetName &rank, RankCounts counts);
 
     RankControl &m_control;
     std::chrono::milliseconds m_period;
     std::unique_ptr<ExpertDemand> m_demand;
-    std::size_t m_size = 0; ///< experts of all sets
+    std::size_t m_expertCount = 0; ///< experts of all sets
     std::pair<int, int> m_shape{0, 0};
-    std::map<TargetName, RankCounts> m_last; ///< of each rank's last reading
+    std::map<TargetName, RankCounts> m_lastCounts; ///< of each rank's last reading
     std::vector<double> m_window; ///< of the round that is open
-    std::size_t m_missing = 0; ///< answers that it waits for
-    bool m_isOpen = false;
-    SteadyTime m_began{};
-    SteadyTime m_due{};
-    std::shared_ptr<int> m_round; ///< answers to a round that is closed find it gone
+    std::size_t m_pendingAnswers = 0; ///< answers that it waits for
+    bool m_isRoundOpen = false;
+    SteadyTime m_roundStartedAt{};
+    SteadyTime m_nextRoundAt{};
+    std::shared_ptr<int> m_roundToken; ///< answers to a round that is closed find it gone
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/expertrebalancer.cpp
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.cpp
@@ -71,7 +71,7 @@
                                   std::chrono::milliseconds longestPause)
 {
     m_longestPause = longestPause;
-    m_demandSampler.setShape(profile.layerSets, profile.experts);
+    m_demandSampler.setModelShape(profile.layerSets, profile.experts);
     m_profile = profile;
     m_rankMonitor.setTargets(targets);
 }
@@ -408,7 +408,8 @@
         const auto &seen = m_rankMonitor.group(name);
         group.needsEvaluation = true;
         if (m_rankMonitor.isOperational(seen) && group.layout) {
-            m_lastSkew = std::max(m_lastSkew, layoutSkew(*group.layout, m_demandSampler.bySet(), slownessOf(seen)));
+            m_lastSkew =
+                std::max(m_lastSkew, layoutSkew(*group.layout, m_demandSampler.demandBySet(), slownessOf(seen)));
         }
     }
 }
@@ -426,14 +427,14 @@
     const auto slowness = slownessOf(seen);
     const bool isShort = seen.passTime <= m_longestPause * m_options.shortPassFraction;
     const auto evenness = isShort ? RoughEvenness : ThoroughEvenness;
-    auto stages = improveInStages(*group.layout, m_demandSampler.bySet(),
+    auto stages = improveInStages(*group.layout, m_demandSampler.demandBySet(),
                                   {.places = static_cast<std::size_t>(m_profile.places),
                                    .newPerRank = copies,
                                    .goodSkew = evenness.goodSkew,
                                    .leastGain = evenness.leastGain,
                                    .slowness = slowness},
                                   MaxStages);
-    group.skewBefore = layoutSkew(*group.layout, m_demandSampler.bySet(), slowness);
+    group.skewBefore = layoutSkew(*group.layout, m_demandSampler.demandBySet(), slowness);
     auto &stage = stages[quickestGain(stages, group.skewBefore, m_profile.expertCopy, SwitchOverhead)];
     group.skewAfter = stage.skew;
     const auto maxCopies = stage.copies;
--- a/modules/heatherridge_coordination/groups/orderqueue.h
+++ b/modules/heatherridge_coordination/groups/orderqueue.h
@@ -17,23 +17,23 @@
 {
 public:
     /** Sends an order on its way. @returns false when there is nobody to send it to; then all orders are dropped */
-    using Send = std::function<bool(const OrderEngine &order)>;
+    using SendOrder = std::function<bool(const OrderEngine &order)>;
 
-    explicit OrderQueue(Send send);
+    explicit OrderQueue(SendOrder sendOrder);
 
     /** Adds @p order, and sends it if none is under way. */
-    void give(const OrderEngine &order);
+    void enqueue(const OrderEngine &order);
 
     /**
      * The order under way has been answered, or its answer has been given up.
      * @param take is called with the run that gave the order, before the next one is sent
      */
-    void answered(const std::function<void(Incarnation run)> &take);
+    void finishCurrent(const std::function<void(Incarnation run)> &handleReply);
 
 private:
     void sendNext();
 
-    Send m_send;
+    SendOrder m_sendOrder;
     std::deque<OrderEngine> m_orders; ///< the first is under way
 };
 
--- a/modules/heatherridge_transport/target/groupagent.cpp
+++ b/modules/heatherridge_transport/target/groupagent.cpp
@@ -356,7 +356,7 @@
                                }
                            },
                            [this](const SendToRank &message) { send(message.rank, message.message); },
-                           [this](const OrderEngine &order) { m_orders.give(order); },
+                           [this](const OrderEngine &order) { m_orders.enqueue(order); },
                        },
                        action);
         }
@@ -421,7 +421,7 @@
                       .timeout = OrderTimeout},
                      [weak = weak_from_this()](const std::variant<HttpResponse, HttpClient::Failure> &reply) {
                          if (const auto agent = weak.lock(); agent && !agent->m_stopped) {
-                             agent->m_orders.answered([&](Incarnation run) { agent->takeReply(reply, run); });
+                             agent->m_orders.finishCurrent([&](Incarnation run) { agent->takeReply(reply, run); });
                          }
                      });
         return true;
--- a/tests/groups/orderqueue_test.cpp
+++ b/tests/groups/orderqueue_test.cpp
@@ -7,73 +7,73 @@
 namespace
 {
 
-OrderEngine orderOf(int number)
+OrderEngine makeOrder(int number)
 {
     return {.run = static_cast<Incarnation>(number), .order = PollEngine{}};
 }
 
-struct QueueRow
+struct QueueCase
 {
-    const char *story;
-    int before; ///< orders that wait behind the one under way
-    int during; ///< orders that are given while its answer is taken
+    const char *name;
+    int queued; ///< orders that wait behind the one under way
+    int addedByReply; ///< orders that are given while its answer is taken
 };
 
 // The process of a group's leader ends without a word in the midst of a switch, and all ranks wait for another leader.
 // The answer to its only order led to a new one, which was sent twice; the second answer took an order out of an empty
 // queue.
-const QueueRow QueueRows[] = {
+const QueueCase QueueCases[] = {
     {"nothing waits, nothing comes of the answer", 0, 0},
     {"nothing waits, an order comes of the answer", 0, 1},
     {"an order waits, two come of the answer", 1, 2},
 };
 
-class OrderQueues : public testing::TestWithParam<QueueRow>
+class OrderQueues : public testing::TestWithParam<QueueCase>
 {
 };
 
-TEST_P(OrderQueues, SendEachOrderOnceAndInTurn)
+TEST_P(OrderQueues, SendEachOrderOnceInSequence)
 {
-    const auto &row = GetParam();
+    const auto &testCase = GetParam();
     std::vector<int> sent;
     OrderQueue queue([&sent](const OrderEngine &order) {
         sent.push_back(static_cast<int>(toNumber(order.run)));
         return true;
     });
-    int given = 0;
-    const auto give = [&](int count) {
+    int enqueued = 0;
+    const auto enqueue = [&](int count) {
         for (int order = 0; order < count; ++order) {
-            queue.give(orderOf(given++));
+            queue.enqueue(makeOrder(enqueued++));
         }
     };
-    give(1 + row.before);
-    for (int answer = 0; answer < 1 + row.before + row.during; ++answer) {
-        ASSERT_EQ(sent.size(), static_cast<std::size_t>(answer) + 1) << row.story << ": one at a time";
-        queue.answered([&](Incarnation run) {
-            EXPECT_EQ(static_cast<int>(toNumber(run)), answer) << row.story;
-            give(answer == 0 ? row.during : 0);
+    enqueue(1 + testCase.queued);
+    for (int reply = 0; reply < 1 + testCase.queued + testCase.addedByReply; ++reply) {
+        ASSERT_EQ(sent.size(), static_cast<std::size_t>(reply) + 1) << testCase.name << ": one at a time";
+        queue.finishCurrent([&](Incarnation run) {
+            EXPECT_EQ(static_cast<int>(toNumber(run)), reply) << testCase.name;
+            enqueue(reply == 0 ? testCase.addedByReply : 0);
         });
     }
-    std::vector<int> expected(static_cast<std::size_t>(given));
-    for (int order = 0; order < given; ++order) {
+    std::vector<int> expected(static_cast<std::size_t>(enqueued));
+    for (int order = 0; order < enqueued; ++order) {
         expected[static_cast<std::size_t>(order)] = order;
     }
-    EXPECT_EQ(sent, expected) << row.story;
+    EXPECT_EQ(sent, expected) << testCase.name;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, OrderQueues, testing::ValuesIn(QueueRows));
+INSTANTIATE_TEST_SUITE_P(All, OrderQueues, testing::ValuesIn(QueueCases));
 
-TEST(OrderQueues, DropAllWhenThereIsNobodyToSendThemTo)
+TEST(OrderQueues, DropAllOrdersWhenSendingFails)
 {
-    bool isThere = false;
+    bool canSend = false;
     int sent = 0;
     OrderQueue queue([&](const OrderEngine &) {
-        sent += isThere ? 1 : 0;
-        return isThere;
+        sent += canSend ? 1 : 0;
+        return canSend;
     });
-    queue.give(orderOf(1));
-    isThere = true;
-    queue.give(orderOf(2));
+    queue.enqueue(makeOrder(1));
+    canSend = true;
+    queue.enqueue(makeOrder(2));
     EXPECT_EQ(sent, 1);
 }
 
