--- a/modules/heatherridge_coordination/groups/demandsampler.cpp
+++ b/modules/heatherridge_coordination/groups/demandsampler.cpp
@@ -79,15 +79,16 @@
     m_isRoundOpen = true;
     m_roundToken = std::make_shared<int>(0);
     for (const auto &rank : ranks) {
-        m_control.counts(rank, [this, id = rank.id, token = std::weak_ptr(m_roundToken)](Result<RankCounts> counts) {
-            if (token.expired()) {
-                return;
-            }
-            --m_pendingAnswers;
-            if (errorIn(counts) == nullptr) {
-                addCounts(id, std::get<RankCounts>(std::move(counts)));
-            }
-        });
+        m_control.fetchCounts(rank,
+                              [this, id = rank.id, token = std::weak_ptr(m_roundToken)](Result<RankCounts> counts) {
+                                  if (token.expired()) {
+                                      return;
+                                  }
+                                  --m_pendingAnswers;
+                                  if (errorIn(counts) == nullptr) {
+                                      addCounts(id, std::get<RankCounts>(std::move(counts)));
+                                  }
+                              });
     }
 }
 
--- a/modules/heatherridge_coordination/groups/expertrebalancer.cpp
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.cpp
@@ -326,19 +326,19 @@
     reading->experts.resize(targets.size());
     reading->pendingAnswers = targets.size();
     for (std::size_t rank = 0; rank < targets.size(); ++rank) {
-        m_control.experts(targets[rank],
-                          [this, rank, name, reading, alive = std::weak_ptr(m_alive)](Result<RankExperts> experts) {
-                              if (alive.expired()) {
-                                  return;
-                              }
-                              if (auto *known = std::get_if<RankExperts>(&experts)) {
-                                  reading->experts[rank] = std::move(*known);
-                              }
-                              if (--reading->pendingAnswers == 0) {
-                                  m_groups[name].isReadingExperts = false;
-                                  assembleLayout(name, *reading);
-                              }
-                          });
+        m_control.fetchExperts(
+            targets[rank], [this, rank, name, reading, alive = std::weak_ptr(m_alive)](Result<RankExperts> experts) {
+                if (alive.expired()) {
+                    return;
+                }
+                if (auto *known = std::get_if<RankExperts>(&experts)) {
+                    reading->experts[rank] = std::move(*known);
+                }
+                if (--reading->pendingAnswers == 0) {
+                    m_groups[name].isReadingExperts = false;
+                    assembleLayout(name, *reading);
+                }
+            });
     }
 }
 
--- a/modules/heatherridge_coordination/groups/holdrecovery.cpp
+++ b/modules/heatherridge_coordination/groups/holdrecovery.cpp
@@ -70,28 +70,28 @@
         return;
     }
     rank.isQueryPending = true;
-    m_control.status(m_plan.ranks[index],
-                     [this, index, now, alive = std::weak_ptr(m_alive)](const Result<RankStatus> &status) {
-                         if (alive.expired()) {
-                             return;
-                         }
-                         auto &queried = m_ranks[index];
-                         queried.isQueryPending = false;
-                         const auto *known = std::get_if<RankStatus>(&status);
-                         if (known == nullptr) {
-                             queried.nextQueryAt = now + RetryDelay;
-                             return;
-                         }
-                         if (now - known->lag < queried.minStatusTime) {
-                             queried.nextQueryAt = queried.minStatusTime + known->lag;
-                             return;
-                         }
-                         if (known->epoch != m_plan.epoch) {
-                             finish(State::NothingHeld, "the group has formed anew");
-                             return;
-                         }
-                         queried.status = *known;
-                     });
+    m_control.fetchStatus(m_plan.ranks[index],
+                          [this, index, now, alive = std::weak_ptr(m_alive)](const Result<RankStatus> &status) {
+                              if (alive.expired()) {
+                                  return;
+                              }
+                              auto &queried = m_ranks[index];
+                              queried.isQueryPending = false;
+                              const auto *known = std::get_if<RankStatus>(&status);
+                              if (known == nullptr) {
+                                  queried.nextQueryAt = now + RetryDelay;
+                                  return;
+                              }
+                              if (now - known->lag < queried.minStatusTime) {
+                                  queried.nextQueryAt = queried.minStatusTime + known->lag;
+                                  return;
+                              }
+                              if (known->epoch != m_plan.epoch) {
+                                  finish(State::NothingHeld, "the group has formed anew");
+                                  return;
+                              }
+                              queried.status = *known;
+                          });
 }
 
 void HoldRecovery::queryAllStatuses(SteadyTime now)
@@ -247,23 +247,23 @@
         return;
     }
     m_isConfirmingSecondHold = true;
-    m_control.status(m_plan.ranks[m_secondHoldRank],
-                     [this, now, alive = std::weak_ptr(m_alive)](const Result<RankStatus> &status) {
-                         if (alive.expired()) {
-                             return;
-                         }
-                         m_isConfirmingSecondHold = false;
-                         const auto *known = std::get_if<RankStatus>(&status);
-                         if (known == nullptr) {
-                             return; // asked again at the next tick
-                         }
-                         if (known->heldStep == m_plan.heldStep) {
-                             m_secondHoldConfirmedAt = now - known->lag;
-                             m_nextConfirmationAt = now + known->lag;
-                         } else {
-                             finish(State::NothingHeld, "another recovery has ended");
-                         }
-                     });
+    m_control.fetchStatus(m_plan.ranks[m_secondHoldRank],
+                          [this, now, alive = std::weak_ptr(m_alive)](const Result<RankStatus> &status) {
+                              if (alive.expired()) {
+                                  return;
+                              }
+                              m_isConfirmingSecondHold = false;
+                              const auto *known = std::get_if<RankStatus>(&status);
+                              if (known == nullptr) {
+                                  return; // asked again at the next tick
+                              }
+                              if (known->heldStep == m_plan.heldStep) {
+                                  m_secondHoldConfirmedAt = now - known->lag;
+                                  m_nextConfirmationAt = now + known->lag;
+                              } else {
+                                  finish(State::NothingHeld, "another recovery has ended");
+                              }
+                          });
 }
 
 void HoldRecovery::readExperts(std::size_t index, SteadyTime now)
@@ -273,19 +273,19 @@
         return;
     }
     rank.isQueryPending = true;
-    m_control.experts(m_plan.ranks[index],
-                      [this, index, now, alive = std::weak_ptr(m_alive)](const Result<RankExperts> &experts) {
-                          if (alive.expired()) {
-                              return;
-                          }
-                          auto &queried = m_ranks[index];
-                          queried.isQueryPending = false;
-                          if (const auto *known = std::get_if<RankExperts>(&experts)) {
-                              queried.experts = *known;
-                          } else {
-                              queried.nextQueryAt = now + RetryDelay;
-                          }
-                      });
+    m_control.fetchExperts(m_plan.ranks[index],
+                           [this, index, now, alive = std::weak_ptr(m_alive)](const Result<RankExperts> &experts) {
+                               if (alive.expired()) {
+                                   return;
+                               }
+                               auto &queried = m_ranks[index];
+                               queried.isQueryPending = false;
+                               if (const auto *known = std::get_if<RankExperts>(&experts)) {
+                                   queried.experts = *known;
+                               } else {
+                                   queried.nextQueryAt = now + RetryDelay;
+                               }
+                           });
 }
 
 bool HoldRecovery::isOtherRecoveryRunning() const
--- a/modules/heatherridge_coordination/groups/mapswitch.cpp
+++ b/modules/heatherridge_coordination/groups/mapswitch.cpp
@@ -138,7 +138,7 @@
 {
     m_phase = Phase::ReadingStep;
     m_phaseStartedAt = now;
-    m_control.status(m_plan.ranks.front(), [this, alive = std::weak_ptr(m_alive)](Result<RankStatus> status) {
+    m_control.fetchStatus(m_plan.ranks.front(), [this, alive = std::weak_ptr(m_alive)](Result<RankStatus> status) {
         if (alive.expired()) {
             return;
         }
@@ -267,7 +267,7 @@
 std::uint64_t MapSwitch::marginSteps() const
 {
     // Each hold that came too late and each resent order says that more time goes by than thought.
-    const auto lag = m_control.statusLag(m_plan.ranks.front());
+    const auto lag = m_control.maxStatusAge(m_plan.ranks.front());
     const auto expectedDelay = lag + HoldLatency * m_holdAttempts + ResendDelay * (m_maxSends - 1);
     const auto passTime = std::max(m_plan.passTime, milliseconds(5));
     return SparePasses + static_cast<std::uint64_t>((expectedDelay + passTime - milliseconds(1)) / passTime);
--- a/modules/heatherridge_coordination/groups/orderbatch.cpp
+++ b/modules/heatherridge_coordination/groups/orderbatch.cpp
@@ -46,7 +46,7 @@
     entry.isPending = true;
     ++entry.sends;
     ++state->pendingCount;
-    state->control.order(entry.item.target, entry.item.order, state->epoch, [state, index](OrderReply reply) {
+    state->control.sendOrder(entry.item.target, entry.item.order, state->epoch, [state, index](OrderReply reply) {
         auto &answered = state->entries[index];
         answered.isPending = false;
         answered.reply = reply;
--- a/modules/heatherridge_coordination/groups/rankcontrol.h
+++ b/modules/heatherridge_coordination/groups/rankcontrol.h
@@ -17,14 +17,14 @@
     virtual ~RankControl() = default;
 
     /** How old the statuses of @p target may be when they come. */
-    virtual std::chrono::milliseconds statusLag(const TargetEntry &target) const = 0;
+    virtual std::chrono::milliseconds maxStatusAge(const TargetEntry &target) const = 0;
 
-    virtual void status(const TargetEntry &target, std::function<void(Result<RankStatus>)> done) = 0;
-    virtual void counts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done) = 0;
-    virtual void experts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done) = 0;
+    virtual void fetchStatus(const TargetEntry &target, std::function<void(Result<RankStatus>)> done) = 0;
+    virtual void fetchCounts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done) = 0;
+    virtual void fetchExperts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done) = 0;
     /** Gives @p order, to be carried out in epoch @p epoch alone. */
-    virtual void order(const TargetEntry &target, const RankOrder &order, std::uint64_t epoch,
-                       std::function<void(OrderReply)> done) = 0;
+    virtual void sendOrder(const TargetEntry &target, const RankOrder &order, std::uint64_t epoch,
+                           std::function<void(OrderReply)> done) = 0;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/rankmonitor.cpp
+++ b/modules/heatherridge_coordination/groups/rankmonitor.cpp
@@ -190,19 +190,19 @@
     }
     engine.isRequestPending = true;
     engine.requestedAt = now;
-    m_control.status(engine.target,
-                     [this, id = engine.target.id, now, alive = std::weak_ptr(m_alive)](Result<RankStatus> status) {
-                         const auto found = alive.expired() ? m_engines.end() : m_engines.find(id);
-                         if (alive.expired() || found == m_engines.end()) {
-                             return;
-                         }
-                         found->second.isRequestPending = false;
-                         if (const auto *known = std::get_if<RankStatus>(&status)) {
-                             applyStatus(found->second, *known, now);
-                         } else {
-                             handleMissedStatus(found->second, *errorIn(status));
-                         }
-                     });
+    m_control.fetchStatus(
+        engine.target, [this, id = engine.target.id, now, alive = std::weak_ptr(m_alive)](Result<RankStatus> status) {
+            const auto found = alive.expired() ? m_engines.end() : m_engines.find(id);
+            if (alive.expired() || found == m_engines.end()) {
+                return;
+            }
+            found->second.isRequestPending = false;
+            if (const auto *known = std::get_if<RankStatus>(&status)) {
+                applyStatus(found->second, *known, now);
+            } else {
+                handleMissedStatus(found->second, *errorIn(status));
+            }
+        });
 }
 
 void RankMonitor::handleMissedStatus(MonitoredEngine &engine, const Error &error)
--- a/modules/heatherridge_transport/direct/sidecarranks.cpp
+++ b/modules/heatherridge_transport/direct/sidecarranks.cpp
@@ -25,12 +25,12 @@
 {
 }
 
-std::chrono::milliseconds SidecarRanks::statusLag(const TargetEntry &target) const
+std::chrono::milliseconds SidecarRanks::maxStatusAge(const TargetEntry &target) const
 {
-    return isAbsent(target) ? m_direct->statusLag(target) : FreshLag;
+    return isAbsent(target) ? m_direct->maxStatusAge(target) : FreshLag;
 }
 
-void SidecarRanks::status(const TargetEntry &target, std::function<void(Result<RankStatus>)> done)
+void SidecarRanks::fetchStatus(const TargetEntry &target, std::function<void(Result<RankStatus>)> done)
 {
     const auto fresh = [done](Result<RankStatus> status) {
         if (auto *known = std::get_if<RankStatus>(&status)) {
@@ -40,13 +40,13 @@
     };
     ask<RankStatus>(
         target, callTo(target, SidecarPaths::Status, {}), decodeRankStatus,
-        [this, target, done] { m_direct->status(target, done); }, fresh);
+        [this, target, done] { m_direct->fetchStatus(target, done); }, fresh);
 }
 
-void SidecarRanks::counts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done)
+void SidecarRanks::fetchCounts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done)
 {
     if (m_options.port == 0) {
-        m_direct->counts(target, std::move(done));
+        m_direct->fetchCounts(target, std::move(done));
         return;
     }
     auto &heard = m_counts[target.address.address];
@@ -78,22 +78,22 @@
     return *counts;
 }
 
-void SidecarRanks::experts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done)
+void SidecarRanks::fetchExperts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done)
 {
     ask<RankExperts>(
         target, callTo(target, SidecarPaths::Experts, {}), decodeRankExperts,
-        [this, target, done] { m_direct->experts(target, done); }, done);
+        [this, target, done] { m_direct->fetchExperts(target, done); }, done);
 }
 
-void SidecarRanks::order(const TargetEntry &target, const RankOrder &order, std::uint64_t epoch,
-                         std::function<void(OrderReply)> done)
+void SidecarRanks::sendOrder(const TargetEntry &target, const RankOrder &order, std::uint64_t epoch,
+                             std::function<void(OrderReply)> done)
 {
     // From the hold on an order goes straight to the engine: if the sidecar's machine freezes with the order's answer
     // on its way, nobody can tell what its rank has done, and the group stands still until it wakes (6.8 s, against 1.2
     // s when this process freezes and another takes over). What comes before is free through the sidecar.
     const bool isBeforeHold = std::holds_alternative<PrepareMap>(order);
     if (isAbsent(target) || !isBeforeHold) {
-        m_direct->order(target, order, epoch, std::move(done));
+        m_direct->sendOrder(target, order, epoch, std::move(done));
         return;
     }
     auto body = encode(RankOrderMessage{.target = target.id, .epoch = epoch, .order = order});
@@ -106,7 +106,7 @@
                           if (failure->mayHaveArrived) {
                               done(OrderReply::NoAnswer); // given again, it goes past the sidecar
                           } else {
-                              m_direct->order(target, order, epoch, done);
+                              m_direct->sendOrder(target, order, epoch, done);
                           }
                           return;
                       }
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -92,7 +92,7 @@
         } else if (request.path == SidecarPaths::Counts) {
             tellCounts(exchange, target);
         } else if (request.path == SidecarPaths::Experts) {
-            m_ranks->experts(target, answerWith<RankExperts>(exchange));
+            m_ranks->fetchExperts(target, answerWith<RankExperts>(exchange));
         } else if (request.path == SidecarPaths::Order) {
             handOver(exchange);
         } else {
@@ -117,7 +117,7 @@
         std::erase_if(m_statuses,
                       [&target](const auto &entry) { return entry.first != target.id && entry.second.isIdle(); });
         return m_statuses
-            .try_emplace(target.id, [this, target](auto done) { m_ranks->status(target, std::move(done)); })
+            .try_emplace(target.id, [this, target](auto done) { m_ranks->fetchStatus(target, std::move(done)); })
             .first->second;
     }
 
@@ -125,7 +125,7 @@
     {
         m_countsAskedAt = std::chrono::steady_clock::now();
         const auto since = numberIn(exchange->request().queryParameter(SidecarPaths::SinceParameter));
-        m_ranks->counts(target, [this, exchange, target, since](const Result<RankCounts> &counts) {
+        m_ranks->fetchCounts(target, [this, exchange, target, since](const Result<RankCounts> &counts) {
             if (const auto *error = errorIn(counts)) {
                 exchange->respond(failureOf(*error));
                 return;
@@ -143,8 +143,8 @@
             return;
         }
         const auto &message = std::get<RankOrderMessage>(read);
-        m_ranks->order({.id = message.target, .address = m_options.engine}, message.order, message.epoch,
-                       [exchange](OrderReply reply) { exchange->respond({.body = encode(reply)}); });
+        m_ranks->sendOrder({.id = message.target, .address = m_options.engine}, message.order, message.epoch,
+                           [exchange](OrderReply reply) { exchange->respond({.body = encode(reply)}); });
     }
 
     template<typename T>
--- a/tests/gateway/sidecarranks_test.cpp
+++ b/tests/gateway/sidecarranks_test.cpp
@@ -20,19 +20,19 @@
     {
     }
 
-    std::chrono::milliseconds statusLag(const TargetEntry &) const override
+    std::chrono::milliseconds maxStatusAge(const TargetEntry &) const override
     {
         return std::chrono::milliseconds(200);
     }
 
-    void counts(const TargetEntry &, std::function<void(Result<RankCounts>)>) override
+    void fetchCounts(const TargetEntry &, std::function<void(Result<RankCounts>)>) override
     {
         if (m_counts != nullptr) {
             ++*m_counts;
         }
     }
 
-    void order(const TargetEntry &, const RankOrder &, std::uint64_t, std::function<void(OrderReply)>) override
+    void sendOrder(const TargetEntry &, const RankOrder &, std::uint64_t, std::function<void(OrderReply)>) override
     {
         ++m_orders;
     }
@@ -70,8 +70,8 @@
     Metrics metrics;
     int straight = 0;
     SidecarRanks ranks(client, {.port = 1}, std::make_unique<CountingRanks>(straight), metrics);
-    ranks.order({.id = TargetName("r"), .address = {.address = "127.0.0.1", .port = 2}}, GetParam().order, 1,
-                [](OrderReply) {});
+    ranks.sendOrder({.id = TargetName("r"), .address = {.address = "127.0.0.1", .port = 2}}, GetParam().order, 1,
+                    [](OrderReply) {});
     EXPECT_EQ(straight, GetParam().isStraight ? 1 : 0) << GetParam().story;
 }
 
@@ -106,10 +106,10 @@
     const TargetEntry target{.id = TargetName("r"), .address = {.address = "127.0.0.1", .port = 2}};
     int errors = 0;
     const auto count = [&errors](const Result<RankCounts> &counts) { errors += errorIn(counts) != nullptr ? 1 : 0; };
-    ranks.counts(target, count);
+    ranks.fetchCounts(target, count);
     loop.run(); // nobody listens there
     loop.restart();
-    ranks.counts(target, count);
+    ranks.fetchCounts(target, count);
     loop.run();
     EXPECT_EQ(fromAfar, GetParam().fromAfar) << GetParam().story;
     EXPECT_EQ(errors, 2 - GetParam().fromAfar) << GetParam().story;
--- a/tests/heldgroups/heldgroupsimulation.cpp
+++ b/tests/heldgroups/heldgroupsimulation.cpp
@@ -57,18 +57,18 @@
     {
     }
 
-    milliseconds statusLag(const TargetEntry &) const override
+    milliseconds maxStatusAge(const TargetEntry &) const override
     {
         return m_world.m_options.statusLag;
     }
 
-    void status(const TargetEntry &target, std::function<void(Result<RankStatus>)> done) override
+    void fetchStatus(const TargetEntry &target, std::function<void(Result<RankStatus>)> done) override
     {
         const auto rank = indexOf(target);
         later([this, rank, done = std::move(done)] { done(m_world.statusOf(rank)); });
     }
 
-    void counts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done) override
+    void fetchCounts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done) override
     {
         const auto rank = indexOf(target);
         later([this, rank, done = std::move(done)] {
@@ -76,7 +76,7 @@
         });
     }
 
-    void experts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done) override
+    void fetchExperts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done) override
     {
         const auto rank = indexOf(target);
         later([this, rank, done = std::move(done)] {
@@ -89,8 +89,8 @@
         });
     }
 
-    void order(const TargetEntry &target, const RankOrder &order, std::uint64_t epoch,
-               std::function<void(OrderReply)> done) override
+    void sendOrder(const TargetEntry &target, const RankOrder &order, std::uint64_t epoch,
+                   std::function<void(OrderReply)> done) override
     {
         const auto rank = indexOf(target);
         if (pretends(rank, order)) {
--- a/tests/heldgroups/passtime_test.cpp
+++ b/tests/heldgroups/passtime_test.cpp
@@ -15,7 +15,7 @@
 class SteadyRank final : public SilentRanks
 {
 public:
-    void status(const TargetEntry &, std::function<void(Result<RankStatus>)> done) override
+    void fetchStatus(const TargetEntry &, std::function<void(Result<RankStatus>)> done) override
     {
         const auto step = static_cast<std::uint64_t>((now - Start) / pass) + 10;
         done(RankStatus{.group = GroupName("g"), .epoch = 1, .size = 1, .isOpen = true, .step = step, .running = 1});
--- a/tests/heldgroups/pending_test.cpp
+++ b/tests/heldgroups/pending_test.cpp
@@ -34,12 +34,12 @@
 class SlowGroup final : public RankControl
 {
 public:
-    std::chrono::milliseconds statusLag(const TargetEntry &) const override
+    std::chrono::milliseconds maxStatusAge(const TargetEntry &) const override
     {
         return 10ms;
     }
 
-    void status(const TargetEntry &target, std::function<void(Result<RankStatus>)> done) override
+    void fetchStatus(const TargetEntry &target, std::function<void(Result<RankStatus>)> done) override
     {
         done(RankStatus{.group = GroupName("g"),
                         .epoch = 1,
@@ -52,7 +52,7 @@
                         .armed = m_armed});
     }
 
-    void counts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done) override
+    void fetchCounts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done) override
     {
         if (rankOf(target) == 0) {
             m_chosen[static_cast<std::size_t>(m_readings++ / 4 % Experts)] += 10'000;
@@ -63,13 +63,13 @@
         done(RankCounts{.epoch = 1, .chosen = m_chosen});
     }
 
-    void experts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done) override
+    void fetchExperts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done) override
     {
         done(RankExperts{.map = m_map, .bySet = {m_layout[0][static_cast<std::size_t>(rankOf(target))]}});
     }
 
-    void order(const TargetEntry &, const RankOrder &order, std::uint64_t,
-               std::function<void(OrderReply)> done) override
+    void sendOrder(const TargetEntry &, const RankOrder &order, std::uint64_t,
+                   std::function<void(OrderReply)> done) override
     {
         if (const auto *prepare = std::get_if<PrepareMap>(&order)) {
             m_prepared = prepare->map;
--- a/tests/heldgroups/switches_test.cpp
+++ b/tests/heldgroups/switches_test.cpp
@@ -19,28 +19,28 @@
 class WillingRanks final : public RankControl
 {
 public:
-    std::chrono::milliseconds statusLag(const TargetEntry &) const override
+    std::chrono::milliseconds maxStatusAge(const TargetEntry &) const override
     {
         return 10ms;
     }
 
-    void status(const TargetEntry &, std::function<void(Result<RankStatus>)> done) override
+    void fetchStatus(const TargetEntry &, std::function<void(Result<RankStatus>)> done) override
     {
         done(RankStatus{.epoch = Epoch, .isOpen = true, .step = 100});
     }
 
-    void counts(const TargetEntry &, std::function<void(Result<RankCounts>)> done) override
+    void fetchCounts(const TargetEntry &, std::function<void(Result<RankCounts>)> done) override
     {
         done(RankCounts{.epoch = Epoch});
     }
 
-    void experts(const TargetEntry &, std::function<void(Result<RankExperts>)> done) override
+    void fetchExperts(const TargetEntry &, std::function<void(Result<RankExperts>)> done) override
     {
         done(RankExperts{});
     }
 
-    void order(const TargetEntry &, const RankOrder &order, std::uint64_t,
-               std::function<void(OrderReply)> done) override
+    void sendOrder(const TargetEntry &, const RankOrder &order, std::uint64_t,
+                   std::function<void(OrderReply)> done) override
     {
         m_orders.push_back(order);
         done(OrderReply::Accepted);
@@ -109,7 +109,7 @@
 class PatientRanks final : public SilentRanks
 {
 public:
-    void order(const TargetEntry &, const RankOrder &, std::uint64_t, std::function<void(OrderReply)> done) override
+    void sendOrder(const TargetEntry &, const RankOrder &, std::uint64_t, std::function<void(OrderReply)> done) override
     {
         ++orders;
         m_open.push_back(std::move(done));
--- a/tests/heldgroups/watched_test.cpp
+++ b/tests/heldgroups/watched_test.cpp
@@ -26,12 +26,12 @@
 class TalkingRanks final : public RankControl
 {
 public:
-    std::chrono::milliseconds statusLag(const TargetEntry &) const override
+    std::chrono::milliseconds maxStatusAge(const TargetEntry &) const override
     {
         return 10ms;
     }
 
-    void status(const TargetEntry &target, std::function<void(Result<RankStatus>)> done) override
+    void fetchStatus(const TargetEntry &target, std::function<void(Result<RankStatus>)> done) override
     {
         const int rank = std::stoi(target.id.text());
         ++asked[target.id];
@@ -49,18 +49,18 @@
                         .countsAskedAgo = countsAskedAgo});
     }
 
-    void counts(const TargetEntry &, std::function<void(Result<RankCounts>)> done) override
+    void fetchCounts(const TargetEntry &, std::function<void(Result<RankCounts>)> done) override
     {
         ++countsAsked;
         done(RankCounts{.epoch = 1});
     }
 
-    void experts(const TargetEntry &, std::function<void(Result<RankExperts>)> done) override
+    void fetchExperts(const TargetEntry &, std::function<void(Result<RankExperts>)> done) override
     {
         done(RankExperts{});
     }
 
-    void order(const TargetEntry &, const RankOrder &, std::uint64_t, std::function<void(OrderReply)> done) override
+    void sendOrder(const TargetEntry &, const RankOrder &, std::uint64_t, std::function<void(OrderReply)> done) override
     {
         done(OrderReply::Refused);
     }
--- a/tests/support/silentranks.h
+++ b/tests/support/silentranks.h
@@ -12,24 +12,24 @@
 class SilentRanks : public RankControl
 {
 public:
-    std::chrono::milliseconds statusLag(const TargetEntry &) const override
+    std::chrono::milliseconds maxStatusAge(const TargetEntry &) const override
     {
         return std::chrono::milliseconds(10);
     }
 
-    void status(const TargetEntry &, std::function<void(Result<RankStatus>)>) override
+    void fetchStatus(const TargetEntry &, std::function<void(Result<RankStatus>)>) override
     {
     }
 
-    void counts(const TargetEntry &, std::function<void(Result<RankCounts>)>) override
+    void fetchCounts(const TargetEntry &, std::function<void(Result<RankCounts>)>) override
     {
     }
 
-    void experts(const TargetEntry &, std::function<void(Result<RankExperts>)>) override
+    void fetchExperts(const TargetEntry &, std::function<void(Result<RankExperts>)>) override
     {
     }
 
-    void order(const TargetEntry &, const RankOrder &, std::uint64_t, std::function<void(OrderReply)>) override
+    void sendOrder(const TargetEntry &, const RankOrder &, std::uint64_t, std::function<void(OrderReply)>) override
     {
     }
 };
