--- a/tests/heldgroups/heldgroupsimulation.cpp
+++ b/tests/heldgroups/heldgroupsimulation.cpp
@@ -19,12 +19,12 @@
 constexpr std::int64_t PassMs = 50;
 constexpr std::int64_t TickMs = 20;
 constexpr std::int64_t OrderTimeoutMs = 150;
-constexpr std::int64_t LongestLateMs = 12'000;
-constexpr std::int64_t ShiftEveryMs = 3'000;
-constexpr std::int64_t PausedHolderMs = 4'000;
+constexpr std::int64_t MaxLateMs = 12'000;
+constexpr std::int64_t DemandShiftPeriodMs = 3'000;
+constexpr std::int64_t HolderPauseMs = 4'000;
 constexpr std::int64_t LeaseMs = 1'500;
 
-GroupName theGroup()
+GroupName testGroup()
 {
     return GroupName("g");
 }
@@ -32,7 +32,7 @@
 } // namespace
 
 /** One engine: the rules of its orders, and what it was told. */
-struct HeldWorld::Rank
+struct HeldGroupSimulation::Engine
 {
     TargetEntry target{};
     MapNumber map{};
@@ -41,46 +41,46 @@
     std::optional<MapNumber> prepared{};
     ExpertLayout preparedLayout{};
     std::optional<ArmMap> armed{};
-    std::optional<std::uint64_t> held{};
-    std::vector<double> chosen{};
+    std::optional<std::uint64_t> heldStep{};
+    std::vector<double> expertCounts{};
     std::vector<std::pair<std::int64_t, RankStatus>> history{}; ///< statuses lag
-    std::map<MapNumber, bool> fencesPretended{};
-    std::optional<std::uint64_t> holdPretended{};
+    std::map<MapNumber, bool> fakedFences{};
+    std::optional<std::uint64_t> fakedHold{};
 };
 
 /** The way of one keeper to the ranks. */
-class HeldWorld::Way final : public RankControl
+class HeldGroupSimulation::FaultyRankControl final : public RankControl
 {
 public:
-    explicit Way(HeldWorld &world)
-        : m_world(world)
+    explicit FaultyRankControl(HeldGroupSimulation &simulation)
+        : m_simulation(simulation)
     {
     }
 
     milliseconds maxStatusAge(const TargetEntry &) const override
     {
-        return m_world.m_options.statusLag;
+        return m_simulation.m_options.maxStatusAge;
     }
 
     void fetchStatus(const TargetEntry &target, std::function<void(Result<RankStatus>)> done) override
     {
         const auto rank = indexOf(target);
-        later([this, rank, done = std::move(done)] { done(m_world.statusOf(rank)); });
+        answerLater([this, rank, done = std::move(done)] { done(m_simulation.statusOf(rank)); });
     }
 
     void fetchCounts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done) override
     {
         const auto rank = indexOf(target);
-        later([this, rank, done = std::move(done)] {
-            done(RankCounts{.epoch = Epoch, .chosen = m_world.m_ranks[rank]->chosen});
+        answerLater([this, rank, done = std::move(done)] {
+            done(RankCounts{.epoch = Epoch, .chosen = m_simulation.m_engines[rank]->expertCounts});
         });
     }
 
     void fetchExperts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done) override
     {
         const auto rank = indexOf(target);
-        later([this, rank, done = std::move(done)] {
-            const auto &engine = *m_world.m_ranks[rank];
+        answerLater([this, rank, done = std::move(done)] {
+            const auto &engine = *m_simulation.m_engines[rank];
             RankExperts experts{.map = engine.map};
             for (const auto &set : engine.layout) {
                 experts.bySet.push_back(set[rank]);
@@ -93,93 +93,100 @@
                    std::function<void(OrderReply)> done) override
     {
         const auto rank = indexOf(target);
-        if (pretends(rank, order)) {
-            later([done = std::move(done)] { done(OrderReply::Accepted); });
+        if (fakesAcceptance(rank, order)) {
+            answerLater([done = std::move(done)] { done(OrderReply::Accepted); });
             return;
         }
-        const bool isUnanswered = m_world.m_faults && m_world.m_random.fraction() < m_world.m_options.unanswered;
+        const bool isUnanswered =
+            m_simulation.m_hasFaults && m_simulation.m_random.fraction() < m_simulation.m_options.unansweredFraction;
         if (!isUnanswered) {
-            later([this, rank, order, epoch, done = std::move(done)] { done(m_world.carryOut(rank, order, epoch)); });
+            answerLater([this, rank, order, epoch, done = std::move(done)] {
+                done(m_simulation.executeOrder(rank, order, epoch));
+            });
             return;
         }
-        if (m_world.m_random.fraction() < m_world.m_options.late) {
-            const auto delay = 1 + static_cast<std::int64_t>(m_world.m_random.below(LongestLateMs));
-            m_world.later(milliseconds(delay), [this, rank, order, epoch] { m_world.carryOut(rank, order, epoch); });
+        if (m_simulation.m_random.fraction() < m_simulation.m_options.lateFraction) {
+            const auto delay = 1 + static_cast<std::int64_t>(m_simulation.m_random.below(MaxLateMs));
+            m_simulation.schedule(milliseconds(delay),
+                                  [this, rank, order, epoch] { m_simulation.executeOrder(rank, order, epoch); });
         }
         const bool isArm = std::holds_alternative<ArmMap>(order);
-        const auto word = m_world.m_options.broken == BrokenSafeguard::ArmedBlindly && isArm ? OrderReply::Accepted
-                                                                                             : OrderReply::NoAnswer;
-        m_world.later(milliseconds(OrderTimeoutMs), [this, word, done = std::move(done)] { deliver(word, done); });
+        const auto reply = m_simulation.m_options.brokenSafeguard == BrokenSafeguard::SilenceCountsAsArmed && isArm
+            ? OrderReply::Accepted
+            : OrderReply::NoAnswer;
+        m_simulation.schedule(milliseconds(OrderTimeoutMs),
+                              [this, reply, done = std::move(done)] { deliverReply(reply, done); });
     }
 
     /** Answers wait while the keeper is paused. */
     bool isPaused = false;
-    std::vector<std::function<void()>> waiting{};
+    std::vector<std::function<void()>> pendingAnswers{};
 
 private:
     std::size_t indexOf(const TargetEntry &target) const
     {
-        for (std::size_t rank = 0; rank < m_world.m_ranks.size(); ++rank) {
-            if (m_world.m_ranks[rank]->target.id == target.id) {
+        for (std::size_t rank = 0; rank < m_simulation.m_engines.size(); ++rank) {
+            if (m_simulation.m_engines[rank]->target.id == target.id) {
                 return rank;
             }
         }
         return 0;
     }
 
-    bool pretends(std::size_t rank, const RankOrder &order)
+    bool fakesAcceptance(std::size_t rank, const RankOrder &order)
     {
-        const auto broken = m_world.m_options.broken;
+        const auto brokenSafeguard = m_simulation.m_options.brokenSafeguard;
         if (const auto *hold = std::get_if<HoldStep>(&order)) {
-            const bool isPretended = broken == (rank == 0 ? BrokenSafeguard::NoHold : BrokenSafeguard::NoSecondHold);
-            if (isPretended) {
-                m_world.m_ranks[rank]->holdPretended = hold->step;
+            const bool isFaked =
+                brokenSafeguard == (rank == 0 ? BrokenSafeguard::NoHold : BrokenSafeguard::NoSecondHold);
+            if (isFaked) {
+                m_simulation.m_engines[rank]->fakedHold = hold->step;
             }
-            return isPretended;
+            return isFaked;
         }
         const auto *prepare = std::get_if<PrepareMap>(&order);
-        if (prepare == nullptr || broken != BrokenSafeguard::NoFence) {
+        if (prepare == nullptr || brokenSafeguard != BrokenSafeguard::NoFence) {
             return false;
         }
         // A fence changes nothing on its own rank; a switch's map does, on some rank.
-        const auto &engine = *m_world.m_ranks[rank];
-        const bool isFence = prepare->layout != m_world.m_ranks[0]->layout
+        const auto &engine = *m_simulation.m_engines[rank];
+        const bool isFence = prepare->layout != m_simulation.m_engines[0]->layout
             && std::equal(prepare->layout.begin(), prepare->layout.end(), engine.layout.begin(), engine.layout.end(),
                           [rank](const auto &a, const auto &b) { return a[rank] == b[rank]; });
         if (isFence) {
-            m_world.m_ranks[rank]->fencesPretended[prepare->map] = true;
+            m_simulation.m_engines[rank]->fakedFences[prepare->map] = true;
         }
         return isFence;
     }
 
-    void later(std::function<void()> answer)
+    void answerLater(std::function<void()> answer)
     {
-        const auto delay = 1 + static_cast<std::int64_t>(m_world.m_random.below(8));
-        m_world.later(milliseconds(delay), [this, answer = std::move(answer)] { pass(answer); });
+        const auto delay = 1 + static_cast<std::int64_t>(m_simulation.m_random.below(8));
+        m_simulation.schedule(milliseconds(delay), [this, answer = std::move(answer)] { deliver(answer); });
     }
 
-    void deliver(OrderReply word, const std::function<void(OrderReply)> &done)
+    void deliverReply(OrderReply reply, const std::function<void(OrderReply)> &done)
     {
-        pass([word, done] { done(word); });
+        deliver([reply, done] { done(reply); });
     }
 
-    void pass(std::function<void()> answer)
+    void deliver(std::function<void()> answer)
     {
         if (isPaused) {
-            waiting.push_back(std::move(answer));
+            pendingAnswers.push_back(std::move(answer));
         } else {
             answer();
         }
     }
 
-    HeldWorld &m_world;
+    HeldGroupSimulation &m_simulation;
 };
 
 /** One keeper with its way. */
-struct HeldWorld::KeeperProcess
+struct HeldGroupSimulation::RebalancerProcess
 {
-    std::unique_ptr<Way> way{};
-    std::unique_ptr<ExpertRebalancer> keeper{};
+    std::unique_ptr<FaultyRankControl> control{};
+    std::unique_ptr<ExpertRebalancer> rebalancer{};
     std::int64_t pausedUntil = 0;
     std::int64_t nextTick = 0;
 };
@@ -188,7 +195,7 @@
 {
 
 /** A clock at a fixed time: numbers of maps then grow by what keepers have seen alone. */
-class StandingClock final : public Clock
+class FixedClock final : public Clock
 {
 public:
     SteadyTime steadyNow() const override
@@ -202,15 +209,15 @@
     }
 };
 
-const StandingClock &standingClock()
+const FixedClock &fixedClock()
 {
-    static const StandingClock Standing;
-    return Standing;
+    static const FixedClock Instance;
+    return Instance;
 }
 
 } // namespace
 
-HeldWorld::HeldWorld(Options options)
+HeldGroupSimulation::HeldGroupSimulation(Options options)
     : m_options(options)
     , m_random(options.seed)
     , m_demand(Sets * Experts, 1)
@@ -224,22 +231,22 @@
     }
     std::vector<TargetEntry> targets;
     for (std::size_t rank = 0; rank < ranks; ++rank) {
-        auto engine = std::make_unique<Rank>();
+        auto engine = std::make_unique<Engine>();
         engine->target.id = TargetName("r" + std::to_string(rank));
         engine->layout = layout;
-        engine->chosen.assign(m_demand.size(), 0);
+        engine->expertCounts.assign(m_demand.size(), 0);
         targets.push_back(engine->target);
-        m_ranks.push_back(std::move(engine));
+        m_engines.push_back(std::move(engine));
     }
     const EngineProfile profile{.layerSets = Sets,
                                 .experts = Experts,
                                 .places = Experts / m_options.ranks + SparePlaces,
                                 .sparePlaces = SparePlaces};
-    for (int index = 0; index < m_options.keepers; ++index) {
-        auto process = std::make_unique<KeeperProcess>();
-        process->way = std::make_unique<Way>(*this);
-        process->keeper = std::make_unique<ExpertRebalancer>(
-            *process->way, ExpertRebalancerOptions{.countPeriod = milliseconds(400), .minGainWhenCalm = 0.06},
+    for (int index = 0; index < m_options.processes; ++index) {
+        auto process = std::make_unique<RebalancerProcess>();
+        process->control = std::make_unique<FaultyRankControl>(*this);
+        process->rebalancer = std::make_unique<ExpertRebalancer>(
+            *process->control, ExpertRebalancerOptions{.countPeriod = milliseconds(400), .minGainWhenCalm = 0.06},
             ExpertRebalancerEvents{.decisionMade =
                                        [this, index](auto what, const auto &, const auto &details) {
                                            if (m_options.isTraced) {
@@ -249,58 +256,58 @@
                                                            static_cast<int>(what.size()), what.data(), details.c_str());
                                            }
                                        }},
-            standingClock(), [this] { return m_random.draw(); });
-        process->keeper->setTargets(targets, profile, milliseconds(120));
-        process->keeper->setActive(true, true);
-        m_keepers.push_back(std::move(process));
+            fixedClock(), [this] { return m_random.draw(); });
+        process->rebalancer->setTargets(targets, profile, milliseconds(120));
+        process->rebalancer->setActive(true, true);
+        m_processes.push_back(std::move(process));
     }
     shiftDemand();
 }
 
-HeldWorld::~HeldWorld() = default;
+HeldGroupSimulation::~HeldGroupSimulation() = default;
 
-void HeldWorld::run(milliseconds duration)
+void HeldGroupSimulation::runWithFaults(milliseconds duration)
 {
     advance(duration, true);
 }
 
-void HeldWorld::calm(milliseconds duration)
+void HeldGroupSimulation::runWithoutFaults(milliseconds duration)
 {
-    for (auto &process : m_keepers) {
+    for (auto &process : m_processes) {
         process->pausedUntil = 0;
-        process->keeper->setActive(process == m_keepers.front(), true);
+        process->rebalancer->setActive(process == m_processes.front(), true);
     }
     advance(duration, false);
 }
 
-milliseconds HeldWorld::haltWhenHolderPauses()
+milliseconds HeldGroupSimulation::haltAfterHolderPauses()
 {
-    calm(milliseconds(500));
-    while (!isHeldAhead()) {
-        calm(milliseconds(1));
+    runWithoutFaults(milliseconds(500));
+    while (!isAnyPassHeld()) {
+        runWithoutFaults(milliseconds(1));
     }
-    auto &holder = *m_keepers.front();
-    holder.pausedUntil = m_now + PausedHolderMs;
-    holder.way->isPaused = true;
+    auto &holder = *m_processes.front();
+    holder.pausedUntil = m_now + HolderPauseMs;
+    holder.control->isPaused = true;
     const auto leaseEnd = m_now + LeaseMs;
-    return longestHalt(milliseconds(PausedHolderMs), [&] {
+    return longestHalt(milliseconds(HolderPauseMs), [&] {
         if (m_now == leaseEnd) {
-            holder.keeper->setActive(false, false);
-            m_keepers.at(1)->keeper->setActive(true, true);
+            holder.rebalancer->setActive(false, false);
+            m_processes.at(1)->rebalancer->setActive(true, true);
         }
     });
 }
 
-milliseconds HeldWorld::haltWithTwoActive(milliseconds duration)
+milliseconds HeldGroupSimulation::haltWithTwoActiveRebalancers(milliseconds duration)
 {
-    calm(milliseconds(2'500));
-    m_keepers.at(0)->keeper->setActive(true, false);
+    runWithoutFaults(milliseconds(2'500));
+    m_processes.at(0)->rebalancer->setActive(true, false);
     advance(milliseconds(LeaseMs), false); // before that nobody gets the share
-    m_keepers.at(1)->keeper->setActive(true, true);
+    m_processes.at(1)->rebalancer->setActive(true, true);
     return longestHalt(duration, [] {});
 }
 
-milliseconds HeldWorld::longestHalt(milliseconds duration, const std::function<void()> &eachTick)
+milliseconds HeldGroupSimulation::longestHalt(milliseconds duration, const std::function<void()> &eachTick)
 {
     std::int64_t lastPass = m_now;
     std::int64_t longest = 0;
@@ -314,39 +321,39 @@
     return milliseconds(longest);
 }
 
-const std::string &HeldWorld::violation() const
+const std::string &HeldGroupSimulation::violation() const
 {
     return m_violation;
 }
 
-bool HeldWorld::isHeld() const
+bool HeldGroupSimulation::isNextPassHeld() const
 {
-    return std::any_of(m_ranks.begin(), m_ranks.end(),
-                       [this](const auto &rank) { return rank->held && *rank->held == m_step + 1; });
+    return std::any_of(m_engines.begin(), m_engines.end(),
+                       [this](const auto &engine) { return engine->heldStep && *engine->heldStep == m_step + 1; });
 }
 
-bool HeldWorld::isHeldAhead() const
+bool HeldGroupSimulation::isAnyPassHeld() const
 {
-    return std::any_of(m_ranks.begin(), m_ranks.end(),
-                       [this](const auto &rank) { return rank->held && *rank->held > m_step; });
+    return std::any_of(m_engines.begin(), m_engines.end(),
+                       [this](const auto &engine) { return engine->heldStep && *engine->heldStep > m_step; });
 }
 
-std::uint64_t HeldWorld::step() const
+std::uint64_t HeldGroupSimulation::step() const
 {
     return m_step;
 }
 
-int HeldWorld::switches() const
+int HeldGroupSimulation::switches() const
 {
     return m_switches;
 }
 
-void HeldWorld::advance(milliseconds duration, bool withFaults)
+void HeldGroupSimulation::advance(milliseconds duration, bool hasFaults)
 {
-    m_faults = withFaults;
+    m_hasFaults = hasFaults;
     const auto end = m_now + duration.count();
     for (; m_now < end && m_violation.empty(); ++m_now) {
-        if (m_now % ShiftEveryMs == 0) {
+        if (m_now % DemandShiftPeriodMs == 0) {
             shiftDemand();
         }
         for (std::size_t index = 0; index < m_tasks.size();) {
@@ -358,44 +365,44 @@
             m_tasks.erase(m_tasks.begin() + static_cast<std::ptrdiff_t>(index));
             task();
         }
-        for (auto &process : m_keepers) {
+        for (auto &process : m_processes) {
             if (m_now < process->pausedUntil) {
                 continue;
             }
-            if (process->way->isPaused) {
-                process->way->isPaused = false;
-                for (const auto &answer : std::exchange(process->way->waiting, {})) {
+            if (process->control->isPaused) {
+                process->control->isPaused = false;
+                for (const auto &answer : std::exchange(process->control->pendingAnswers, {})) {
                     answer();
                 }
             }
             if (m_now >= process->nextTick) {
                 process->nextTick = m_now + TickMs;
-                process->keeper->tick(now());
-                const bool isPausing = withFaults && m_options.pausesKeepers && m_random.below(300) == 0;
+                process->rebalancer->tick(now());
+                const bool isPausing = hasFaults && m_options.pausesProcesses && m_random.below(300) == 0;
                 if (isPausing) {
                     process->pausedUntil = m_now + 200 + static_cast<std::int64_t>(m_random.below(5'000));
-                    process->way->isPaused = true;
+                    process->control->isPaused = true;
                 }
             }
         }
-        if (m_now >= m_nextPass) {
-            m_nextPass = m_now + PassMs;
+        if (m_now >= m_nextPassAt) {
+            m_nextPassAt = m_now + PassMs;
             beginPass();
         }
     }
 }
 
-void HeldWorld::beginPass()
+void HeldGroupSimulation::beginPass()
 {
-    if (m_options.idles && m_faults && m_now >= m_idleUntil && m_random.below(80) == 0) {
+    if (m_options.hasIdlePeriods && m_hasFaults && m_now >= m_idleUntil && m_random.below(80) == 0) {
         m_idleUntil = m_now + static_cast<std::int64_t>(m_random.below(6'000));
     }
-    if (m_now < m_idleUntil || isHeld()) {
+    if (m_now < m_idleUntil || isNextPassHeld()) {
         return;
     }
     ++m_step;
-    const auto before = m_ranks.front()->map;
-    for (auto &rank : m_ranks) {
+    const auto before = m_engines.front()->map;
+    for (auto &rank : m_engines) {
         if (rank->armed && rank->armed->step == m_step) {
             rank->map = rank->armed->map;
             rank->layout = rank->preparedLayout;
@@ -403,12 +410,12 @@
             rank->armed.reset();
         }
         for (std::size_t index = 0; index < m_demand.size(); ++index) {
-            rank->chosen[index] += m_demand[index];
+            rank->expertCounts[index] += m_demand[index];
         }
     }
-    m_switches += m_ranks.front()->map != before ? 1 : 0;
-    for (const auto &rank : m_ranks) {
-        const auto &first = *m_ranks.front();
+    m_switches += m_engines.front()->map != before ? 1 : 0;
+    for (const auto &rank : m_engines) {
+        const auto &first = *m_engines.front();
         if (m_violation.empty() && (rank->map != first.map || rank->layout != first.layout)) {
             m_violation = "pass " + std::to_string(m_step) + ": " + rank->target.id.text() + " uses map "
                 + std::to_string(toNumber(rank->map)) + ", r0 " + std::to_string(toNumber(first.map));
@@ -416,21 +423,21 @@
     }
 }
 
-void HeldWorld::shiftDemand()
+void HeldGroupSimulation::shiftDemand()
 {
-    for (auto &part : m_demand) {
-        part = m_random.below(5) == 0 ? 20.0 : 1.0;
+    for (auto &weight : m_demand) {
+        weight = m_random.below(5) == 0 ? 20.0 : 1.0;
     }
 }
 
-OrderReply HeldWorld::carryOut(std::size_t rank, const RankOrder &order, std::uint64_t epoch)
+OrderReply HeldGroupSimulation::executeOrder(std::size_t rank, const RankOrder &order, std::uint64_t epoch)
 {
     if (epoch != Epoch) {
         return OrderReply::Refused;
     }
-    const auto reply = apply(*m_ranks[rank], order);
+    const auto reply = applyOrder(*m_engines[rank], order);
     if (m_options.isTraced) {
-        constexpr const char *names[] = {"prepare", "arm", "disarm", "hold", "release"};
+        constexpr const char *orderNames[] = {"prepare", "arm", "disarm", "hold", "release"};
         const auto number = std::visit(Visitor{[](const PrepareMap &one) { return toNumber(one.map); },
                                                [](const ArmMap &one) { return toNumber(one.map); },
                                                [](const DisarmMap &one) { return toNumber(one.map); },
@@ -438,64 +445,65 @@
                                                [](const ReleaseStep &one) { return one.step; }},
                                        order);
         std::printf("%6lld r%zu step %llu %s %llu -> %s\n", static_cast<long long>(m_now), rank,
-                    static_cast<unsigned long long>(m_step), names[order.index()],
+                    static_cast<unsigned long long>(m_step), orderNames[order.index()],
                     static_cast<unsigned long long>(number), reply == OrderReply::Accepted ? "accepted" : "refused");
     }
     return reply;
 }
 
-OrderReply HeldWorld::apply(Rank &engine, const RankOrder &order)
+OrderReply HeldGroupSimulation::applyOrder(Engine &engine, const RankOrder &order)
 {
-    return std::visit(Visitor{[&](const PrepareMap &prepare) {
-                                  if (prepare.map <= engine.highestMap || engine.armed) {
-                                      return OrderReply::Refused;
-                                  }
-                                  engine.highestMap = prepare.map;
-                                  engine.prepared = prepare.map;
-                                  engine.preparedLayout = prepare.layout;
-                                  return OrderReply::Accepted;
-                              },
-                              [&](const ArmMap &arm) {
-                                  if (engine.armed && engine.armed->map == arm.map && engine.armed->step == arm.step) {
-                                      return OrderReply::Accepted;
-                                  }
-                                  if (engine.armed || engine.prepared != arm.map || arm.step <= m_step) {
-                                      return OrderReply::Refused;
-                                  }
-                                  engine.armed = arm;
-                                  return OrderReply::Accepted;
-                              },
-                              [&](const DisarmMap &disarm) {
-                                  if (engine.map == disarm.map) {
-                                      return OrderReply::Refused;
-                                  }
-                                  if (engine.armed && engine.armed->map == disarm.map) {
-                                      engine.armed.reset();
-                                  }
-                                  return OrderReply::Accepted;
-                              },
-                              [&](const HoldStep &hold) {
-                                  if (hold.step <= m_step
-                                      || (engine.held && *engine.held > m_step && *engine.held != hold.step)) {
-                                      return OrderReply::Refused;
-                                  }
-                                  engine.held = hold.step;
-                                  return OrderReply::Accepted;
-                              },
-                              [&](const ReleaseStep &release) {
-                                  if (engine.held != release.step) {
-                                      return OrderReply::Refused;
-                                  }
-                                  engine.held.reset();
-                                  return OrderReply::Accepted;
-                              }},
-                      order);
+    return std::visit(
+        Visitor{[&](const PrepareMap &prepare) {
+                    if (prepare.map <= engine.highestMap || engine.armed) {
+                        return OrderReply::Refused;
+                    }
+                    engine.highestMap = prepare.map;
+                    engine.prepared = prepare.map;
+                    engine.preparedLayout = prepare.layout;
+                    return OrderReply::Accepted;
+                },
+                [&](const ArmMap &arm) {
+                    if (engine.armed && engine.armed->map == arm.map && engine.armed->step == arm.step) {
+                        return OrderReply::Accepted;
+                    }
+                    if (engine.armed || engine.prepared != arm.map || arm.step <= m_step) {
+                        return OrderReply::Refused;
+                    }
+                    engine.armed = arm;
+                    return OrderReply::Accepted;
+                },
+                [&](const DisarmMap &disarm) {
+                    if (engine.map == disarm.map) {
+                        return OrderReply::Refused;
+                    }
+                    if (engine.armed && engine.armed->map == disarm.map) {
+                        engine.armed.reset();
+                    }
+                    return OrderReply::Accepted;
+                },
+                [&](const HoldStep &hold) {
+                    if (hold.step <= m_step
+                        || (engine.heldStep && *engine.heldStep > m_step && *engine.heldStep != hold.step)) {
+                        return OrderReply::Refused;
+                    }
+                    engine.heldStep = hold.step;
+                    return OrderReply::Accepted;
+                },
+                [&](const ReleaseStep &release) {
+                    if (engine.heldStep != release.step) {
+                        return OrderReply::Refused;
+                    }
+                    engine.heldStep.reset();
+                    return OrderReply::Accepted;
+                }},
+        order);
 }
 
-RankStatus HeldWorld::statusOf(std::size_t rank) const
+RankStatus HeldGroupSimulation::statusOf(std::size_t rank) const
 {
-    auto &engine = *m_ranks[rank];
-    RankStatus fresh{.group = theGroup(),
+    auto &engine = *m_engines[rank];
+    RankStatus fresh{.group = testGroup(),
                      .epoch = Epoch,
                      .rank = static_cast<int>(rank),
                      .size = m_options.ranks,
@@ -503,30 +511,30 @@
                      .step = m_step,
                      .map = engine.map,
                      .prepared = engine.prepared,
-                     .heldStep = engine.held,
-                     .lag = m_options.statusLag};
+                     .heldStep = engine.heldStep,
+                     .lag = m_options.maxStatusAge};
     if (engine.armed) {
         fresh.armed = engine.armed->map;
     }
-    if (engine.holdPretended && *engine.holdPretended > m_step) {
-        fresh.heldStep = engine.holdPretended;
+    if (engine.fakedHold && *engine.fakedHold > m_step) {
+        fresh.heldStep = engine.fakedHold;
     }
-    if (!engine.fencesPretended.empty() && !engine.armed) {
-        fresh.prepared = engine.fencesPretended.rbegin()->first;
+    if (!engine.fakedFences.empty() && !engine.armed) {
+        fresh.prepared = engine.fakedFences.rbegin()->first;
     }
     // A status may be as old as the lag says, and is drawn from what was true in that time.
     engine.history.emplace_back(m_now, fresh);
     std::erase_if(engine.history,
-                  [this](const auto &entry) { return entry.first < m_now - m_options.statusLag.count(); });
+                  [this](const auto &entry) { return entry.first < m_now - m_options.maxStatusAge.count(); });
     return engine.history.front().second;
 }
 
-void HeldWorld::later(milliseconds delay, std::function<void()> task)
+void HeldGroupSimulation::schedule(milliseconds delay, std::function<void()> task)
 {
     m_tasks.emplace_back(m_now + delay.count(), std::move(task));
 }
 
-SteadyTime HeldWorld::now() const
+SteadyTime HeldGroupSimulation::now() const
 {
     return SteadyTime(milliseconds(m_now));
 }
--- a/tests/heldgroups/passtime_test.cpp
+++ b/tests/heldgroups/passtime_test.cpp
@@ -12,55 +12,55 @@
 const SteadyTime Start(1h);
 
 /** One rank, which is a group, with passes of one length. */
-class SteadyRank final : public SilentRanks
+class FixedPassRank final : public SilentRanks
 {
 public:
     void fetchStatus(const TargetEntry &, std::function<void(Result<RankStatus>)> done) override
     {
-        const auto step = static_cast<std::uint64_t>((now - Start) / pass) + 10;
+        const auto step = static_cast<std::uint64_t>((now - Start) / passTime) + 10;
         done(RankStatus{.group = GroupName("g"), .epoch = 1, .size = 1, .isOpen = true, .step = step, .running = 1});
     }
 
     SteadyTime now = Start;
-    std::chrono::milliseconds pass{50};
+    std::chrono::milliseconds passTime{50};
 };
 
-struct PassRow
+struct PassTimeCase
 {
     const char *name;
-    std::chrono::milliseconds pass;
-    std::chrono::milliseconds between; ///< statuses
+    std::chrono::milliseconds passTime;
+    std::chrono::milliseconds statusInterval; ///< statuses
 };
 
-const PassRow PassRows[] = {
+const PassTimeCase PassTimeCases[] = {
     {"several passes between two statuses", 60ms, 400ms},
     {"one pass between two statuses", 100ms, 100ms},
     {"several statuses in one pass", 600ms, 60ms},
 };
 
-class PassTimes : public testing::TestWithParam<PassRow>
+class PassTimes : public testing::TestWithParam<PassTimeCase>
 {
 };
 
 // Guards against passes of a slow group that are taken for short because its ranks are asked often: its switches then
 // hold a pass many passes ahead.
-TEST_P(PassTimes, DoNotDependOnHowOftenRanksAreAsked)
+TEST_P(PassTimes, DoNotDependOnThePollingRate)
 {
-    const auto &row = GetParam();
-    SteadyRank rank;
-    rank.pass = row.pass;
-    RankMonitor watch(rank, {.period = row.between},
-                      {.membershipChanged = [](const GroupName &) {},
-                       .statusReceived = [](const GroupName &, const RankStatus &) {}});
-    watch.setTargets({{.id = TargetName("0")}});
-    for (; rank.now < Start + 4s; rank.now += row.between) {
-        watch.tick(rank.now);
+    const auto &testCase = GetParam();
+    FixedPassRank rank;
+    rank.passTime = testCase.passTime;
+    RankMonitor monitor(rank, {.period = testCase.statusInterval},
+                        {.membershipChanged = [](const GroupName &) {},
+                         .statusReceived = [](const GroupName &, const RankStatus &) {}});
+    monitor.setTargets({{.id = TargetName("0")}});
+    for (; rank.now < Start + 4s; rank.now += testCase.statusInterval) {
+        monitor.tick(rank.now);
     }
-    const auto measured = watch.group(GroupName("g")).passTime;
-    EXPECT_GE(measured, row.pass * 3 / 4) << row.name;
-    EXPECT_LE(measured, row.pass * 5 / 4) << row.name;
+    const auto measured = monitor.group(GroupName("g")).passTime;
+    EXPECT_GE(measured, testCase.passTime * 3 / 4) << testCase.name;
+    EXPECT_LE(measured, testCase.passTime * 5 / 4) << testCase.name;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, PassTimes, testing::ValuesIn(PassRows));
+INSTANTIATE_TEST_SUITE_P(Table, PassTimes, testing::ValuesIn(PassTimeCases));
 
 } // namespace
--- a/tests/heldgroups/pending_test.cpp
+++ b/tests/heldgroups/pending_test.cpp
@@ -31,7 +31,7 @@
 
 /** A group that does what it is told, and begins a pass when the test says so. Another expert is liked in every
  * reading of counts. */
-class SlowGroup final : public RankControl
+class SimulatedGroup final : public RankControl
 {
 public:
     std::chrono::milliseconds maxStatusAge(const TargetEntry &) const override
@@ -55,7 +55,7 @@
     void fetchCounts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done) override
     {
         if (rankOf(target) == 0) {
-            m_chosen[static_cast<std::size_t>(m_readings++ / 4 % Experts)] += 10'000;
+            m_chosen[static_cast<std::size_t>(m_countsRequests++ / 4 % Experts)] += 10'000;
         }
         for (auto &count : m_chosen) {
             count += 100;
@@ -73,7 +73,7 @@
     {
         if (const auto *prepare = std::get_if<PrepareMap>(&order)) {
             m_prepared = prepare->map;
-            m_next = prepare->layout;
+            m_preparedLayout = prepare->layout;
         } else if (const auto *arm = std::get_if<ArmMap>(&order)) {
             m_armed = arm->map;
             m_armedStep = arm->step;
@@ -82,12 +82,12 @@
     }
 
     /** Begins the next pass. */
-    void pass()
+    void beginPass()
     {
         ++step;
         if (m_armed && step >= m_armedStep) {
             m_map = *m_armed;
-            m_layout = m_next;
+            m_layout = m_preparedLayout;
             m_armed.reset();
             m_prepared.reset();
         }
@@ -106,33 +106,36 @@
     std::optional<MapNumber> m_armed;
     std::uint64_t m_armedStep = 0;
     ExpertLayout m_layout{{{0, 1}, {2, 3}}};
-    ExpertLayout m_next;
+    ExpertLayout m_preparedLayout;
     std::vector<double> m_chosen = std::vector<double>(Experts, 0);
-    int m_readings = 0;
+    int m_countsRequests = 0;
 };
 
 // Passes are two to three times as long for a second and a half: a map is switched, its pass is some passes ahead when
 // the next map is wanted, and the ranks that wait for it are taken for ranks on which somebody else has been at work.
-TEST(PendingPasses, AreNoReasonToPutTheNextSwitchOff)
+TEST(PendingSwitchPasses, DoNotPostponeTheNextSwitch)
 {
-    SlowGroup group;
-    std::vector<std::string> told;
+    SimulatedGroup group;
+    std::vector<std::string> decisions;
     const FixedClock clock;
-    ExpertRebalancer keeper(
+    ExpertRebalancer rebalancer(
         group, {.minGainWhenCalm = 0.06},
-        {.decisionMade = [&told](auto what, const auto &, const auto &) { told.emplace_back(what); }}, clock,
+        {.decisionMade = [&decisions](auto what, const auto &, const auto &) { decisions.emplace_back(what); }}, clock,
         [] { return 1; });
-    keeper.setTargets(numberedRanks(Ranks),
-                      {.layerSets = 1, .experts = Experts, .places = 3, .sparePlaces = 1, .expertCopy = 1ms}, 120ms);
-    keeper.setActive(true, true);
-    const auto count = [&told](std::string_view what) { return std::count(told.begin(), told.end(), what); };
+    rebalancer.setTargets(numberedRanks(Ranks),
+                          {.layerSets = 1, .experts = Experts, .places = 3, .sparePlaces = 1, .expertCopy = 1ms},
+                          120ms);
+    rebalancer.setActive(true, true);
+    const auto count = [&decisions](std::string_view what) {
+        return std::count(decisions.begin(), decisions.end(), what);
+    };
     SteadyTime now(1h);
     for (int tick = 0; tick < 1'000; ++tick) {
         now += 20ms;
-        keeper.tick(now);
+        rebalancer.tick(now);
         // Passes take longer than the keeper thinks that any does.
         if (tick % 40 == 0) {
-            group.pass();
+            group.beginPass();
         }
     }
     EXPECT_GE(count("map-switched"), 4);
--- a/tests/heldgroups/switches_test.cpp
+++ b/tests/heldgroups/switches_test.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint64_t Epoch = 3;
 
 /** Ranks that do at once what they are told, and keep account of it. */
-class WillingRanks final : public RankControl
+class AcceptingRanks final : public RankControl
 {
 public:
     std::chrono::milliseconds maxStatusAge(const TargetEntry &) const override
@@ -57,7 +57,7 @@
     std::vector<RankOrder> m_orders;
 };
 
-MapSwitchPlan planOf()
+MapSwitchPlan makePlan()
 {
     return {.ranks = {{.id = TargetName("a")}, {.id = TargetName("b")}},
             .epoch = Epoch,
@@ -65,15 +65,15 @@
             .copyTime = 200ms};
 }
 
-struct SwitchRow
+struct MapSwitchCase
 {
-    const char *story;
-    std::chrono::milliseconds pause; ///< of the process, while ranks copy
+    const char *name;
+    std::chrono::milliseconds frozenFor; ///< of the process, while ranks copy
     std::chrono::milliseconds mayHoldAfter; ///< from the start on
     MapSwitch::State state;
 };
 
-const SwitchRow SwitchRows[] = {
+const MapSwitchCase MapSwitchCases[] = {
     {"nothing in the way", 0ms, 0ms, MapSwitch::State::Switched},
     {"another group is held for a while", 0ms, 700ms, MapSwitch::State::Switched},
     // A frozen process wakes and goes on with a switch of four seconds ago: its pass is held, but the ranks have
@@ -82,90 +82,90 @@
     {"another group is held for too long", 0ms, 5s, MapSwitch::State::Abandoned},
 };
 
-class Switches : public testing::TestWithParam<SwitchRow>
+class MapSwitches : public testing::TestWithParam<MapSwitchCase>
 {
 };
 
-TEST_P(Switches, HoldTheirGroupOnlyWhileTheirPlanIsFresh)
+TEST_P(MapSwitches, HoldTheirGroupOnlyBeforeTheirPlanExpires)
 {
-    const auto &row = GetParam();
-    WillingRanks ranks;
-    MapSwitch mapSwitch(ranks, planOf());
+    const auto &testCase = GetParam();
+    AcceptingRanks ranks;
+    MapSwitch mapSwitch(ranks, makePlan());
     const SteadyTime start(1h);
-    for (auto passed = 0ms; passed < 8s && mapSwitch.state() == MapSwitch::State::Running; passed += 20ms) {
-        const bool isFrozen = passed > 100ms && passed < 100ms + row.pause;
+    for (auto elapsed = 0ms; elapsed < 8s && mapSwitch.state() == MapSwitch::State::Running; elapsed += 20ms) {
+        const bool isFrozen = elapsed > 100ms && elapsed < 100ms + testCase.frozenFor;
         if (!isFrozen) {
-            mapSwitch.tick(start + passed, passed >= row.mayHoldAfter);
+            mapSwitch.tick(start + elapsed, elapsed >= testCase.mayHoldAfter);
         }
-        EXPECT_TRUE(passed >= row.mayHoldAfter || ranks.count<HoldStep>() == 0) << row.story;
+        EXPECT_TRUE(elapsed >= testCase.mayHoldAfter || ranks.count<HoldStep>() == 0) << testCase.name;
     }
-    EXPECT_EQ(mapSwitch.state(), row.state) << row.story;
-    EXPECT_EQ(ranks.count<HoldStep>(), row.state == MapSwitch::State::Switched ? 1 : 0) << row.story;
+    EXPECT_EQ(mapSwitch.state(), testCase.state) << testCase.name;
+    EXPECT_EQ(ranks.count<HoldStep>(), testCase.state == MapSwitch::State::Switched ? 1 : 0) << testCase.name;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Switches, testing::ValuesIn(SwitchRows));
+INSTANTIATE_TEST_SUITE_P(All, MapSwitches, testing::ValuesIn(MapSwitchCases));
 
 /** Ranks that answer when the test says so. */
-class PatientRanks final : public SilentRanks
+class ManualReplyRanks final : public SilentRanks
 {
 public:
     void sendOrder(const TargetEntry &, const RankOrder &, std::uint64_t, std::function<void(OrderReply)> done) override
     {
-        ++orders;
-        m_open.push_back(std::move(done));
+        ++sentOrders;
+        m_pending.push_back(std::move(done));
     }
 
-    void answer(OrderReply reply)
+    void replyToFirst(OrderReply reply)
     {
-        const auto done = m_open.front();
-        m_open.pop_front();
+        const auto done = m_pending.front();
+        m_pending.pop_front();
         done(reply);
     }
 
-    std::size_t open() const
+    std::size_t pendingCount() const
     {
-        return m_open.size();
+        return m_pending.size();
     }
 
-    int orders = 0;
+    int sentOrders = 0;
 
 private:
-    std::deque<std::function<void(OrderReply)>> m_open;
+    std::deque<std::function<void(OrderReply)>> m_pending;
 };
 
 // A map is in use 1.7 s after it was wanted, and passes are three times as long until then: the orders to prepare it on
 // 192 ranks fill the keeper's link, answers come too late, and every order is given again.
-TEST(OrderRounds, GiveLargeOrdersSomeAtATime)
+TEST(OrderBatches, LimitPendingOrders)
 {
     constexpr int ranks = 96;
     constexpr std::size_t maxPending = 32;
-    PatientRanks control;
-    OrderBatch round(control, Epoch, std::vector<OrderBatchItem>(ranks), maxPending);
+    ManualReplyRanks control;
+    OrderBatch batch(control, Epoch, std::vector<OrderBatchItem>(ranks), maxPending);
     SteadyTime now(1h);
-    round.tick(now);
-    EXPECT_EQ(control.open(), maxPending);
-    control.answer(OrderReply::NoAnswer);
-    EXPECT_EQ(control.open(), maxPending) << "the next goes out at once";
-    while (control.open() > 0) {
-        EXPECT_LE(control.open(), maxPending);
-        control.answer(OrderReply::Accepted);
+    batch.tick(now);
+    EXPECT_EQ(control.pendingCount(), maxPending);
+    control.replyToFirst(OrderReply::NoAnswer);
+    EXPECT_EQ(control.pendingCount(), maxPending) << "the next goes out at once";
+    while (control.pendingCount() > 0) {
+        EXPECT_LE(control.pendingCount(), maxPending);
+        control.replyToFirst(OrderReply::Accepted);
     }
-    EXPECT_EQ(control.orders, ranks) << "the one without an answer waits for the next tick";
-    EXPECT_FALSE(round.isDone());
-    round.tick(now + 20ms);
-    control.answer(OrderReply::Accepted);
-    EXPECT_TRUE(round.isDone());
-    EXPECT_EQ(control.orders, ranks + 1);
+    EXPECT_EQ(control.sentOrders, ranks) << "the one without an answer waits for the next tick";
+    EXPECT_FALSE(batch.isDone());
+    batch.tick(now + 20ms);
+    control.replyToFirst(OrderReply::Accepted);
+    EXPECT_TRUE(batch.isDone());
+    EXPECT_EQ(control.sentOrders, ranks + 1);
 }
 
-TEST(OrderRounds, SendNothingOnceTheyAreGone)
+TEST(OrderBatches, SendNothingAfterDestruction)
 {
-    PatientRanks control;
-    auto round = std::make_unique<OrderBatch>(control, Epoch, std::vector<OrderBatchItem>(3), 1);
-    round->tick(SteadyTime(1h));
-    round.reset();
-    control.answer(OrderReply::Accepted);
-    EXPECT_EQ(control.orders, 1);
+    ManualReplyRanks control;
+    auto batch = std::make_unique<OrderBatch>(control, Epoch, std::vector<OrderBatchItem>(3), 1);
+    batch->tick(SteadyTime(1h));
+    batch.reset();
+    control.replyToFirst(OrderReply::Accepted);
+    EXPECT_EQ(control.sentOrders, 1);
 }
 
 } // namespace
