--- a/benchmarks/placement.cpp
+++ b/benchmarks/placement.cpp
@@ -42,7 +42,7 @@
 void setCounters(benchmark::State &state, const GroupProblem &problem, const std::vector<LayerPlacement> &layers)
 {
     state.counters["skew"] = stepSkew(problem, layers);
-    state.counters["bound"] = stepSkewBound(problem);
+    state.counters["bound"] = stepSkewLowerBound(problem);
 }
 
 /** A first placement, from nothing. Arguments: layers, experts a layer, ranks. */
@@ -68,7 +68,7 @@
     drift(problem, random);
     std::vector<LayerPlacement> layers;
     for (auto _ : state) {
-        layers = std::get<std::vector<LayerPlacement>>(improvePlacement(problem, current, {.pricePerExpert = 0.005}));
+        layers = std::get<std::vector<LayerPlacement>>(improvePlacement(problem, current, {.penaltyPerExpert = 0.005}));
     }
     setCounters(state, problem, layers);
 }
--- a/extras/heatherridge-experts/loadtrace.cpp
+++ b/extras/heatherridge-experts/loadtrace.cpp
@@ -133,7 +133,7 @@
         }
     }
     for (std::size_t rank = 0; rank < reports.size(); ++rank) {
-        reports[rank].busy = std::chrono::microseconds(std::llround(busy[rank] * MicrosecondsPerToken));
+        reports[rank].busyTime = std::chrono::microseconds(std::llround(busy[rank] * MicrosecondsPerToken));
     }
     return reports;
 }
--- a/extras/heatherridge-experts/main.cpp
+++ b/extras/heatherridge-experts/main.cpp
@@ -67,9 +67,9 @@
                      .experts = 64,
                      .expertBytes = static_cast<std::uint64_t>(ExpertMegabytes * 1e6 * ModelLayers / settings.layers),
                      .slots = std::vector<int>(static_cast<std::size_t>(settings.ranks), settings.slots),
-                     .places = {}};
+                     .locations = {}};
     for (int rank = 0; rank < settings.ranks; ++rank) {
-        shape.places.push_back({.host = rank / RanksPerHost, .zone = rank / (RanksPerHost * HostsPerZone)});
+        shape.locations.push_back({.host = rank / RanksPerHost, .zone = rank / (RanksPerHost * HostsPerZone)});
     }
     return shape;
 }
--- a/extras/heatherridge-experts/simulation.cpp
+++ b/extras/heatherridge-experts/simulation.cpp
@@ -55,8 +55,8 @@
     void measure()
     {
         m_skews.push_back(stepSkew(m_trace.now(), m_map.layers()));
-        m_result.boundSkew += stepSkewBound(m_trace.now());
-        m_result.meanExcess += excessTime(m_trace.now(), m_map.layers());
+        m_result.boundSkew += stepSkewLowerBound(m_trace.now());
+        m_result.meanExcess += excessTimeRatio(m_trace.now(), m_map.layers());
     }
 
     void report(std::uint64_t window)
@@ -69,7 +69,7 @@
         m_sent.pop_front();
         std::erase_if(reports, [this](const auto &) { return m_loss.fraction() < m_options.reportLoss; });
         for (const auto &one : reports) {
-            m_estimator.add(one, map);
+            m_estimator.addReport(one, map);
         }
         m_stragglers.addWindow(reports);
         m_estimator.closeWindows(window - ReportLag + PopularityEstimator::OpenWindows + 1);
@@ -79,7 +79,7 @@
     {
         GroupProblem problem{.shape = m_options.trace.shape, .layers = {}};
         for (int layer = 0; layer < problem.shape.layers; ++layer) {
-            LayerProblem part{.load = m_estimator.parts(layer), .slowness = {}, .slots = problem.shape.slots};
+            LayerProblem part{.load = m_estimator.fractions(layer), .slowness = {}, .slots = problem.shape.slots};
             for (int rank = 0; rank < problem.shape.ranks(); ++rank) {
                 part.slowness.push_back(m_stragglers.slowness(rank));
             }
@@ -95,7 +95,7 @@
                              {.problem = problem,
                               .current = m_map.layers(),
                               .relativeError = m_estimator.relativeError(),
-                              .sinceLast = m_options.trace.windowLength + m_busy,
+                              .sinceLastCall = m_options.trace.windowLength + m_busy,
                               .storeBytesPerSecond = m_options.storeBytesPerSecond,
                               .weights = m_options.weights});
         m_busy = {};
--- a/extras/heatherridge-standin/rankstandin.cpp
+++ b/extras/heatherridge-standin/rankstandin.cpp
@@ -212,7 +212,7 @@
         for (const auto tokens : report.tokens) {
             busy += tokens * MicrosecondsPerToken * static_cast<double>(fault("slowness-percent")) / 100;
         }
-        report.busy = std::chrono::microseconds(std::llround(busy));
+        report.busyTime = std::chrono::microseconds(std::llround(busy));
         m_report = std::move(report);
     }
     m_windowMap = state.map;
--- a/modules/heatherridge_coordination/groups/demandsampler.cpp
+++ b/modules/heatherridge_coordination/groups/demandsampler.cpp
@@ -47,7 +47,7 @@
         }
         m_isRoundOpen = false;
         m_roundToken.reset();
-        m_demand->add(m_window);
+        m_demand->addWindow(m_window);
         return !m_demand->bySet().empty();
     }
     if (now < m_nextRoundAt) {
@@ -94,7 +94,7 @@
 
 void DemandSampler::addCounts(const TargetName &rank, RankCounts counts)
 {
-    if (counts.chosen.size() != m_expertCount) {
+    if (counts.selectionCounts.size() != m_expertCount) {
         return;
     }
     const auto previous = m_lastCounts.find(rank);
@@ -102,8 +102,8 @@
     // Who knows nothing yet takes what was chosen since the engine's start: better than nothing.
     const bool isFirst = previous == m_lastCounts.end() && m_demand->bySet().empty();
     for (std::size_t index = 0; (isComparable || isFirst) && index < m_expertCount; ++index) {
-        const double baseline = isFirst ? 0 : previous->second.chosen[index];
-        m_window[index] += std::max(0.0, counts.chosen[index] - baseline);
+        const double baseline = isFirst ? 0 : previous->second.selectionCounts[index];
+        m_window[index] += std::max(0.0, counts.selectionCounts[index] - baseline);
     }
     m_lastCounts.insert_or_assign(rank, std::move(counts));
 }
--- a/modules/heatherridge_coordination/groups/expertrebalancer.cpp
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.cpp
@@ -361,7 +361,8 @@
         }
     }
     const bool isLayoutComplete = std::all_of(layout.begin(), layout.end(), [this](const auto &set) {
-        return isComplete(set, static_cast<std::size_t>(m_profile.experts), static_cast<std::size_t>(m_profile.places));
+        return isValidLayout(set, static_cast<std::size_t>(m_profile.experts),
+                             static_cast<std::size_t>(m_profile.places));
     });
     if (isLayoutComplete) {
         auto &group = m_groups[name];
@@ -381,7 +382,7 @@
         }
     }
     const auto counts = static_cast<std::size_t>(m_profile.layerSets) * static_cast<std::size_t>(m_profile.experts);
-    auto asked = m_options.budget.surveyed(std::move(ranks), counts, m_options.countPeriod);
+    auto asked = m_options.budget.ranksToPoll(std::move(ranks), counts, m_options.countPeriod);
     addLeadingRanks(asked); // by their word other keepers know that there is one
     return asked;
 }
@@ -426,16 +427,16 @@
         std::min(m_options.maxCopiesPerRank, static_cast<std::size_t>(std::max(m_profile.sparePlaces, 0)));
     const auto slowness = slownessOf(seen);
     const bool isShort = seen.passTime <= m_longestPause * m_options.shortPassFraction;
-    const auto evenness = isShort ? RoughEvenness : ThoroughEvenness;
-    auto stages = improveInStages(*group.layout, m_demandSampler.demandBySet(),
-                                  {.places = static_cast<std::size_t>(m_profile.places),
-                                   .newPerRank = copies,
-                                   .goodSkew = evenness.goodSkew,
-                                   .leastGain = evenness.leastGain,
-                                   .slowness = slowness},
-                                  MaxStages);
+    const auto evenness = isShort ? LooseBalance : TightBalance;
+    auto stages = improveLayoutInStages(*group.layout, m_demandSampler.demandBySet(),
+                                        {.slotsPerRank = static_cast<std::size_t>(m_profile.places),
+                                         .maxCopiesPerRank = copies,
+                                         .skewThreshold = evenness.skewThreshold,
+                                         .minGain = evenness.minGain,
+                                         .slowness = slowness},
+                                        MaxStages);
     group.skewBefore = layoutSkew(*group.layout, m_demandSampler.demandBySet(), slowness);
-    auto &stage = stages[quickestGain(stages, group.skewBefore, m_profile.expertCopy, SwitchOverhead)];
+    auto &stage = stages[fastestGainStage(stages, group.skewBefore, m_profile.expertCopy, SwitchOverhead)];
     group.skewAfter = stage.skew;
     const auto maxCopies = stage.copies;
     // While orders get lost a switch holds its group for many passes, and may have to be taken back.
@@ -473,7 +474,7 @@
     RankSlowness slowness;
     for (const auto &id : seen.ranks) {
         const auto *status = m_rankMonitor.statusOf(id);
-        slowness.push_back(status != nullptr ? std::max(1.0, status->pace) : 1.0);
+        slowness.push_back(status != nullptr ? std::max(1.0, status->slowdown) : 1.0);
     }
     return slowness;
 }
--- a/modules/heatherridge_coordination/groups/groupleader.cpp
+++ b/modules/heatherridge_coordination/groups/groupleader.cpp
@@ -63,7 +63,7 @@
     std::vector<int> ranks;
     for (const auto &member : epoch->members) {
         const auto *status = statusOf(member.rank);
-        if (status == nullptr || status->epoch != epoch->number || status->engine != member.engine) {
+        if (status == nullptr || status->epoch != epoch->number || status->engine != member.incarnation) {
             return Error{.kind = ErrorKind::NoTarget,
                          .detail = "rank " + std::to_string(member.rank) + " is not in the epoch"};
         }
@@ -153,7 +153,7 @@
     const auto &epoch = m_epochs.current();
     return epoch && std::all_of(epoch->members.begin(), epoch->members.end(), [&](const auto &member) {
                const auto *status = statusOf(member.rank);
-               return status != nullptr && status->epoch == epoch->number && status->engine == member.engine;
+               return status != nullptr && status->epoch == epoch->number && status->engine == member.incarnation;
            });
 }
 
@@ -235,7 +235,7 @@
         if (status == nullptr) {
             return Error{.kind = ErrorKind::NoTarget, .detail = "rank " + std::to_string(rank) + " is unknown"};
         }
-        proposal.members.push_back({.rank = rank, .engine = status->engine});
+        proposal.members.push_back({.rank = rank, .incarnation = status->engine});
         proposal.gateRuns[rank] = m_knownGates[rank].run;
     }
     GroupShape shape{.layers = static_cast<int>(layers.size())};
@@ -266,7 +266,7 @@
 {
     return std::all_of(m_proposal.members.begin(), m_proposal.members.end(), [this](const auto &member) {
         const auto &gate = m_knownGates.at(member.rank);
-        return gate.run == m_proposal.gateRuns.at(member.rank) && gate.status.engine == member.engine;
+        return gate.run == m_proposal.gateRuns.at(member.rank) && gate.status.engine == member.incarnation;
     });
 }
 
--- a/modules/heatherridge_coordination/groups/groupleader.h
+++ b/modules/heatherridge_coordination/groups/groupleader.h
@@ -147,7 +147,7 @@
     FencingNumber m_fencing;
     std::vector<int> m_ranks;
     MapNumber m_nextMapNumber;
-    GroupEpochs m_epochs;
+    GroupEpochTracker m_epochs;
     std::map<int, KnownGate> m_knownGates;
     Phase m_phase = Phase::Idle;
     Proposal m_proposal;
--- a/modules/heatherridge_coordination/groups/groupplanner.cpp
+++ b/modules/heatherridge_coordination/groups/groupplanner.cpp
@@ -23,17 +23,17 @@
         highest = std::max(highest, rank.rank);
     }
     shape.slots.assign(static_cast<std::size_t>(highest) + 1, 0);
-    shape.places.assign(shape.slots.size(), {});
+    shape.locations.assign(shape.slots.size(), {});
     for (const auto &rank : ranks) {
         shape.slots[rank.rank] = rank.slots;
-        shape.places[rank.rank] = rank.place;
+        shape.locations[rank.rank] = rank.place;
     }
     return shape;
 }
 
 bool holdsExperts(const ExpertMap &map, int rank)
 {
-    return map.expertsOn(rank) > 0;
+    return map.expertCountOn(rank) > 0;
 }
 
 } // namespace
@@ -71,7 +71,7 @@
 void GroupPlanner::addReport(const RankReport &report)
 {
     if (const auto map = m_maps.find(report.map); map != m_maps.end()) {
-        m_estimator.add(report, map->second);
+        m_estimator.addReport(report, map->second);
         m_windows[report.window].push_back(report);
         m_newestWindow = std::max(m_newestWindow, report.window);
     }
@@ -110,7 +110,7 @@
         const auto *status = leader.statusOf(rank.rank);
         const auto *member = epoch ? epoch->find(rank.rank) : nullptr;
         const bool isAvailable = isReachable(rank.rank) && status != nullptr;
-        hasLostMember = hasLostMember || (member != nullptr && (!isAvailable || status->engine != member->engine));
+        hasLostMember = hasLostMember || (member != nullptr && (!isAvailable || status->engine != member->incarnation));
         hasJoiningRank = hasJoiningRank || (member == nullptr && isAvailable && !rank.isLeaving);
         if (isAvailable && !rank.isLeaving) {
             stayingRanks.push_back(rank.rank);
@@ -209,7 +209,7 @@
     auto desiredLayers = m_policy.decide({.problem = problem,
                                           .current = map->layers(),
                                           .relativeError = m_estimator.relativeError(),
-                                          .sinceLast = std::exchange(m_sinceDecision, {}),
+                                          .sinceLastCall = std::exchange(m_sinceDecision, {}),
                                           .storeBytesPerSecond = m_options.storeBytesPerSecond,
                                           .weights = m_weights});
     if (desiredLayers) {
@@ -237,7 +237,7 @@
         }
     }
     for (int layer = 0; layer < problem.shape.layers; ++layer) {
-        LayerProblem layerProblem{.load = m_estimator.parts(layer), .slowness = {}, .slots = problem.shape.slots};
+        LayerProblem layerProblem{.load = m_estimator.fractions(layer), .slowness = {}, .slots = problem.shape.slots};
         for (int rank = 0; rank < problem.shape.ranks(); ++rank) {
             layerProblem.slowness.push_back(m_stragglers.slowness(rank));
         }
--- a/modules/heatherridge_coordination/groups/groupplanner.h
+++ b/modules/heatherridge_coordination/groups/groupplanner.h
@@ -20,7 +20,7 @@
     int rank = 0;
     int slots = 0; ///< experts a layer that fit
     bool isLeaving = false; ///< withdrawn or about to stop
-    RankPlace place{};
+    RankLocation place{};
 
     bool operator==(const PlannedRank &) const = default;
 };
--- a/modules/heatherridge_coordination/groups/holdrecovery.cpp
+++ b/modules/heatherridge_coordination/groups/holdrecovery.cpp
@@ -82,8 +82,8 @@
                                   queried.nextQueryAt = now + RetryDelay;
                                   return;
                               }
-                              if (now - known->lag < queried.minStatusTime) {
-                                  queried.nextQueryAt = queried.minStatusTime + known->lag;
+                              if (now - known->maxAge < queried.minStatusTime) {
+                                  queried.nextQueryAt = queried.minStatusTime + known->maxAge;
                                   return;
                               }
                               if (known->epoch != m_plan.epoch) {
@@ -220,7 +220,8 @@
     }
     ExpertLayout layout;
     for (const auto &held : rank.experts->bySet) {
-        layout.push_back(layoutAround(static_cast<int>(index), held, static_cast<int>(m_ranks.size()), m_plan.experts));
+        layout.push_back(
+            layoutWithFixedRank(static_cast<int>(index), held, static_cast<int>(m_ranks.size()), m_plan.experts));
     }
     const auto seen = std::max(rank.status->map, rank.status->prepared.value_or(MapNumber{}));
     rank.fenceMap = m_allocateMapNumber(seen);
@@ -258,8 +259,8 @@
                                   return; // asked again at the next tick
                               }
                               if (known->heldStep == m_plan.heldStep) {
-                                  m_secondHoldConfirmedAt = now - known->lag;
-                                  m_nextConfirmationAt = now + known->lag;
+                                  m_secondHoldConfirmedAt = now - known->maxAge;
+                                  m_nextConfirmationAt = now + known->maxAge;
                               } else {
                                   finish(State::NothingHeld, "another recovery has ended");
                               }
--- a/modules/heatherridge_coordination/groups/rankgate.cpp
+++ b/modules/heatherridge_coordination/groups/rankgate.cpp
@@ -64,7 +64,7 @@
 GateActions RankGate::handleEpoch(const GroupEpoch &epoch)
 {
     if (!m_options.safeguards.firstEpochWins && m_epochs.current() && m_epochs.current()->number == epoch.number) {
-        m_epochs = GroupEpochs();
+        m_epochs = GroupEpochTracker();
     }
     if (m_epochs.apply(epoch)) {
         synchronizeEpoch();
@@ -194,7 +194,7 @@
 {
     if (!m_options.safeguards.firstEpochWins && m_epochs.current()
         && m_epochs.current()->number == message.epoch.number) {
-        m_epochs = GroupEpochs();
+        m_epochs = GroupEpochTracker();
     }
     if (m_epochs.apply(message.epoch)) {
         synchronizeEpoch();
@@ -394,7 +394,7 @@
     }
     const auto *member = epoch->find(m_options.rank);
     const bool isMember =
-        member != nullptr && (member->engine == m_engineState->run || !m_options.safeguards.namedEngineOnly);
+        member != nullptr && (member->incarnation == m_engineState->run || !m_options.safeguards.namedEngineOnly);
     if (m_engineState->epoch >= epoch->number) {
         return;
     }
--- a/modules/heatherridge_coordination/groups/rankgate.h
+++ b/modules/heatherridge_coordination/groups/rankgate.h
@@ -61,7 +61,7 @@
  * get there, even when a gate restarts meanwhile. The engine keeps the limit and the schedule over a restart of the
  * gate, so a restarted gate finds its vote there.
  *
- * Epochs, which change who belongs to the group, are records on the group's stream; see GroupEpochs.
+ * Epochs, which change who belongs to the group, are records on the group's stream; see GroupEpochTracker.
  *
  * A state machine without I/O: events in, actions out. One thread.
  */
@@ -141,7 +141,7 @@
     GateActions takePendingActions();
 
     Options m_options;
-    GroupEpochs m_epochs;
+    GroupEpochTracker m_epochs;
     std::optional<EngineState> m_engineState;
     std::optional<ExpertMap> m_requestedMap; ///< asked for by the leader
     std::set<MapNumber> m_readyMaps; ///< told ready by this run and not refused since
--- a/modules/heatherridge_coordination/groups/rankmonitor.cpp
+++ b/modules/heatherridge_coordination/groups/rankmonitor.cpp
@@ -48,8 +48,8 @@
         }
     }
     const auto far = std::count_if(targets.begin(), targets.end(),
-                                   [this](const auto &target) { return !m_options.budget.isNear(target); });
-    m_farPeriod = m_options.budget.farPeriod(static_cast<std::size_t>(far), m_options.period);
+                                   [this](const auto &target) { return !m_options.budget.isInOwnZone(target); });
+    m_farPeriod = m_options.budget.remoteStatusPeriod(static_cast<std::size_t>(far), m_options.period);
 }
 
 void RankMonitor::setFullRate(bool isFullRate)
@@ -71,7 +71,7 @@
 bool RankMonitor::isPolledClosely(const MonitoredEngine &engine) const
 {
     const bool mayHold = engine.status && engine.status->rank <= LastHoldingRank;
-    return m_isFullRate || mayHold || m_options.budget.isNear(engine.target);
+    return m_isFullRate || mayHold || m_options.budget.isInOwnZone(engine.target);
 }
 
 milliseconds RankMonitor::pollPeriodOf(const MonitoredEngine &engine) const
@@ -176,7 +176,7 @@
                          .isOpen = status.epoch == seen.epoch && acceptsStreams(seen),
                          .running = status.running,
                          .waiting = status.waiting,
-                         .pace = status.pace,
+                         .pace = status.slowdown,
                          .passTime = seen.passTime,
                          .requestedAt = engine.requestedAt});
     }
@@ -283,8 +283,8 @@
 
 void RankMonitor::updateCountsRequest(MonitoredGroup &group, const RankStatus &status, SteadyTime now)
 {
-    if (status.countsAskedAgo) {
-        group.countsRequestedAgo = *status.countsAskedAgo;
+    if (status.countsLastPolledAgo) {
+        group.countsRequestedAgo = *status.countsLastPolledAgo;
         group.countsRequestReportedAt = now;
     }
 }
--- a/modules/heatherridge_protocol/countsreading.cpp
+++ b/modules/heatherridge_protocol/countsreading.cpp
@@ -74,7 +74,7 @@
 CountsReading CountsTeller::tell(const TargetName &target, const RankCounts &counts, std::uint64_t since)
 {
     CountsReading reading{.epoch = counts.epoch, .mark = ++m_lastMark};
-    std::vector<std::uint64_t> told(counts.chosen.begin(), counts.chosen.end());
+    std::vector<std::uint64_t> told(counts.selectionCounts.begin(), counts.selectionCounts.end());
     if (const auto *before = find(target, counts, since)) {
         CountsGrowth growth{.since = since, .shift = shiftFor(before->chosen, told)};
         for (std::size_t index = 0; index < told.size(); ++index) {
@@ -98,11 +98,11 @@
 {
     const auto found = std::find_if(m_told.begin(), m_told.end(), [&](const auto &told) { return told.mark == since; });
     if (found == m_told.end() || found->target != target || found->epoch != counts.epoch
-        || found->chosen.size() != counts.chosen.size()) {
+        || found->chosen.size() != counts.selectionCounts.size()) {
         return nullptr;
     }
     // Fewer than before: the engine has started anew under the name that it had.
-    const bool hasGrown = std::equal(found->chosen.begin(), found->chosen.end(), counts.chosen.begin(),
+    const bool hasGrown = std::equal(found->chosen.begin(), found->chosen.end(), counts.selectionCounts.begin(),
                                      [](auto before, double now) { return static_cast<double>(before) <= now; });
     return hasGrown ? &*found : nullptr;
 }
@@ -115,17 +115,18 @@
 std::optional<RankCounts> CountsListener::take(const CountsReading &reading)
 {
     if (const auto *whole = std::get_if<WholeCounts>(&reading.content)) {
-        m_counts = {.epoch = reading.epoch, .chosen = {whole->chosen.begin(), whole->chosen.end()}};
+        m_counts = {.epoch = reading.epoch, .selectionCounts = {whole->chosen.begin(), whole->chosen.end()}};
         m_mark = reading.mark;
         return m_counts;
     }
     const auto &growth = std::get<CountsGrowth>(reading.content);
-    if (growth.since != m_mark || reading.epoch != m_counts.epoch || growth.steps.size() != m_counts.chosen.size()) {
+    if (growth.since != m_mark || reading.epoch != m_counts.epoch
+        || growth.steps.size() != m_counts.selectionCounts.size()) {
         m_mark = 0;
         return std::nullopt;
     }
     for (std::size_t index = 0; index < growth.steps.size(); ++index) {
-        m_counts.chosen[index] += static_cast<double>(std::uint64_t{growth.steps[index]} << growth.shift);
+        m_counts.selectionCounts[index] += static_cast<double>(std::uint64_t{growth.steps[index]} << growth.shift);
     }
     m_mark = reading.mark;
     return m_counts;
--- a/modules/heatherridge_protocol/engineorder.cpp
+++ b/modules/heatherridge_protocol/engineorder.cpp
@@ -112,7 +112,7 @@
             {"w", report.window},
             {"n", toNumber(report.map)},
             {"t", report.tokens},
-            {"b", report.busy.count()}};
+            {"b", report.busyTime.count()}};
 }
 
 /** The whole numbers at @p key, at most @p highest each. */
@@ -147,7 +147,7 @@
                       .window = inner.number("w"),
                       .map = readMap(inner),
                       .tokens = readNumbers<std::uint32_t>(inner, "t", UINT32_MAX),
-                      .busy = std::chrono::microseconds(inner.integer("b", 0, INT64_MAX))};
+                      .busyTime = std::chrono::microseconds(inner.integer("b", 0, INT64_MAX))};
     if (!inner.ok()) {
         reader.fail("load");
     }
--- a/modules/heatherridge_protocol/groupmessage.cpp
+++ b/modules/heatherridge_protocol/groupmessage.cpp
@@ -73,7 +73,7 @@
             {"w", message.report.window},
             {"n", toNumber(message.report.map)},
             {"t", message.report.tokens},
-            {"b", message.report.busy.count()}};
+            {"b", message.report.busyTime.count()}};
 }
 
 int readRank(CborReader &reader)
@@ -140,7 +140,7 @@
     message.report.rank = readRank(reader);
     message.report.window = reader.number("w");
     message.report.map = static_cast<MapNumber>(reader.number("n"));
-    message.report.busy = std::chrono::microseconds(reader.integer("b", 0, INT64_MAX));
+    message.report.busyTime = std::chrono::microseconds(reader.integer("b", 0, INT64_MAX));
     const auto *tokens = reader.array("t");
     if (tokens == nullptr || tokens->size() > MostSlotsReported) {
         return malformed("tokens of a load report");
--- a/modules/heatherridge_protocol/grouprecord.cpp
+++ b/modules/heatherridge_protocol/grouprecord.cpp
@@ -102,7 +102,7 @@
 {
     auto members = nlohmann::json::array();
     for (const auto &member : epoch.members) {
-        members.push_back({{"r", member.rank}, {"i", toNumber(member.engine)}});
+        members.push_back({{"r", member.rank}, {"i", toNumber(member.incarnation)}});
     }
     return {{"e", toNumber(epoch.number)},
             {"f", toNumber(epoch.leader)},
@@ -123,7 +123,7 @@
     for (const auto &entry : *members) {
         CborReader member(entry);
         epoch.members.push_back({.rank = static_cast<int>(member.number("r", UINT16_MAX)),
-                                 .engine = static_cast<Incarnation>(member.number("i"))});
+                                 .incarnation = static_cast<Incarnation>(member.number("i"))});
         const auto count = epoch.members.size();
         if (!member.ok() || (count > 1 && epoch.members[count - 2].rank >= epoch.members[count - 1].rank)) {
             return malformed("members of an epoch");
@@ -146,14 +146,15 @@
 
 Bytes encodeGroupRecord(const GroupRecord &record)
 {
-    return toCbor(std::visit(
-        Visitor{
-            [](const GroupClaim &claim) {
-                return nlohmann::json{{"r", claim.rank}, {"i", toNumber(claim.run)}, {"c", toNumber(claim.replaces)}};
-            },
-            [](const GroupEpoch &epoch) { return toJson(epoch); },
-        },
-        record));
+    return toCbor(std::visit(Visitor{
+                                 [](const GroupClaim &claim) {
+                                     return nlohmann::json{{"r", claim.rank},
+                                                           {"i", toNumber(claim.incarnation)},
+                                                           {"c", toNumber(claim.replaces)}};
+                                 },
+                                 [](const GroupEpoch &epoch) { return toJson(epoch); },
+                             },
+                             record));
 }
 
 Result<GroupRecord> decodeGroupRecord(const Bytes &payload)
@@ -165,7 +166,7 @@
     CborReader reader(json);
     if (reader.has("c")) {
         const GroupClaim claim{.rank = static_cast<int>(reader.number("r", UINT16_MAX)),
-                               .run = static_cast<Incarnation>(reader.number("i")),
+                               .incarnation = static_cast<Incarnation>(reader.number("i")),
                                .replaces = static_cast<FencingNumber>(reader.number("c"))};
         return reader.ok() ? Result<GroupRecord>(claim) : malformed("claim of a group");
     }
--- a/modules/heatherridge_protocol/rankmessage.cpp
+++ b/modules/heatherridge_protocol/rankmessage.cpp
@@ -156,10 +156,11 @@
 
 std::string encode(const RankStatus &status)
 {
-    return cborOf(json::array({status.group.text(), status.epoch, status.rank, status.size, status.isOpen, status.step,
-                               toNumber(status.map), optionalNumber(status.prepared), optionalNumber(status.armed),
-                               status.heldStep ? json(*status.heldStep) : json(), status.running, status.waiting,
-                               status.pace, status.countsAskedAgo ? json(status.countsAskedAgo->count()) : json()}));
+    return cborOf(
+        json::array({status.group.text(), status.epoch, status.rank, status.size, status.isOpen, status.step,
+                     toNumber(status.map), optionalNumber(status.prepared), optionalNumber(status.armed),
+                     status.heldStep ? json(*status.heldStep) : json(), status.running, status.waiting, status.slowdown,
+                     status.countsLastPolledAgo ? json(status.countsLastPolledAgo->count()) : json()}));
 }
 
 std::string encode(const RankExperts &experts)
@@ -191,9 +192,9 @@
                           .armed = mapNumberFrom(fields.at(8)),
                           .running = fields.at(10).get<int>(),
                           .waiting = fields.at(11).get<int>(),
-                          .pace = fields.at(12).get<double>()};
+                          .slowdown = fields.at(12).get<double>()};
         if (!fields.at(13).is_null()) {
-            status.countsAskedAgo = std::chrono::milliseconds(fields.at(13).get<std::int64_t>());
+            status.countsLastPolledAgo = std::chrono::milliseconds(fields.at(13).get<std::int64_t>());
         }
         if (!fields.at(9).is_null()) {
             status.heldStep = fields.at(9).get<std::uint64_t>();
--- a/modules/heatherridge_state/groups/controlbudget.cpp
+++ b/modules/heatherridge_state/groups/controlbudget.cpp
@@ -14,32 +14,35 @@
 {
 }
 
-bool ControlBudget::isNear(const TargetEntry &rank) const
+bool ControlBudget::isInOwnZone(const TargetEntry &rank) const
 {
     return rank.zone == m_zone;
 }
 
-std::vector<TargetEntry> ControlBudget::surveyed(std::vector<TargetEntry> ranks, std::size_t counts,
-                                                 milliseconds period) const
+std::vector<TargetEntry> ControlBudget::ranksToPoll(std::vector<TargetEntry> ranks, std::size_t counts,
+                                                    milliseconds period) const
 {
     if (m_bytesPerSecond <= 0) {
         return ranks;
     }
-    const double perRound = m_bytesPerSecond * CountsPart * Seconds(period).count();
-    const auto fitting = static_cast<std::size_t>(perRound / (CountsHeadBytes + static_cast<double>(counts)));
-    const auto most = std::max(fitting, LeastSurveyed);
-    std::stable_partition(ranks.begin(), ranks.end(), [this](const auto &rank) { return isNear(rank); });
-    ranks.resize(std::min(ranks.size(), most));
+    const double bytesPerPeriod = m_bytesPerSecond * CountsLinkFraction * Seconds(period).count();
+    const auto affordable =
+        static_cast<std::size_t>(bytesPerPeriod / (CountsHeaderBytes + static_cast<double>(counts)));
+    const auto limit = std::max(affordable, MinPolledRanks);
+    std::stable_partition(ranks.begin(), ranks.end(), [this](const auto &rank) { return isInOwnZone(rank); });
+    ranks.resize(std::min(ranks.size(), limit));
     return ranks;
 }
 
-milliseconds ControlBudget::farPeriod(std::size_t farRanks, milliseconds period) const
+milliseconds ControlBudget::remoteStatusPeriod(std::size_t remoteRanks, milliseconds period) const
 {
     if (m_bytesPerSecond <= 0) {
         return period;
     }
-    const Seconds needed(static_cast<double>(farRanks) * StatusBytes / (m_bytesPerSecond * FarStatusPart));
-    return std::clamp(std::chrono::duration_cast<milliseconds>(needed), period, std::max(period, LongestFarPeriod));
+    const Seconds neededPeriod(static_cast<double>(remoteRanks) * StatusBytes
+                               / (m_bytesPerSecond * RemoteStatusLinkFraction));
+    return std::clamp(std::chrono::duration_cast<milliseconds>(neededPeriod), period,
+                      std::max(period, MaxRemoteStatusPeriod));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/cutplacement.cpp
+++ b/modules/heatherridge_state/groups/cutplacement.cpp
@@ -11,138 +11,143 @@
 {
 
 /** Loads below this part of the whole count as none: what rounding leaves over. */
-constexpr double Negligible = 1e-9;
+constexpr double NegligibleFraction = 1e-9;
 
-class Cutter
+class SplitPlacer
 {
 public:
-    Cutter(const LayerProblem &problem, const LayerPlacement &current)
+    SplitPlacer(const LayerProblem &problem, const LayerPlacement &current)
         : m_problem(problem)
-        , m_left(problem.load)
-        , m_open(problem.load.size(), true)
-        , m_held(problem.slots.size())
+        , m_remainingLoad(problem.load)
+        , m_isUnplaced(problem.load.size(), true)
+        , m_currentExperts(problem.slots.size())
     {
         for (const auto &slot : current) {
-            if (slot.rank < m_held.size() && slot.expert < m_left.size()) {
-                m_held[slot.rank].push_back(slot.expert);
+            if (slot.rank < m_currentExperts.size() && slot.expert < m_remainingLoad.size()) {
+                m_currentExperts[slot.rank].push_back(slot.expert);
             }
         }
-        m_total = std::accumulate(m_left.begin(), m_left.end(), 0.0);
+        m_totalLoad = std::accumulate(m_remainingLoad.begin(), m_remainingLoad.end(), 0.0);
     }
 
-    LayerPlacement run()
+    LayerPlacement computePlacement()
     {
-        double speed = 0;
+        double totalSpeed = 0;
         std::vector<int> ranks;
         for (std::size_t rank = 0; rank < m_problem.slots.size(); ++rank) {
             if (m_problem.slots[rank] > 0) {
                 ranks.push_back(static_cast<int>(rank));
-                speed += 1 / m_problem.slowness[rank];
+                totalSpeed += 1 / m_problem.slowness[rank];
             }
         }
-        m_ranksLeft = static_cast<int>(ranks.size());
+        m_remainingRanks = static_cast<int>(ranks.size());
         for (const int rank : ranks) {
-            fill(rank, m_total / speed / m_problem.slowness[rank]);
-            --m_ranksLeft;
+            fillRank(rank, m_totalLoad / totalSpeed / m_problem.slowness[rank]);
+            --m_remainingRanks;
         }
         std::sort(m_placed.begin(), m_placed.end());
         return m_placed;
     }
 
 private:
-    void fill(int rank, double part)
+    void fillRank(int rank, double capacity)
     {
-        double room = part;
-        int slots = m_problem.slots[rank];
-        const auto openExperts = std::count(m_open.begin(), m_open.end(), true);
+        double remainingCapacity = capacity;
+        int freeSlots = m_problem.slots[rank];
+        const auto unplacedExperts = std::count(m_isUnplaced.begin(), m_isUnplaced.end(), true);
         // Experts that this rank must take whole so that the slots of the later ranks suffice for the rest.
-        int due = std::max(1, static_cast<int>((openExperts + m_ranksLeft - 1) / m_ranksLeft));
-        while (slots > 1 && due > 0) {
-            const int expert = pickWhole(rank, room, due);
+        int wholeExpertsDue =
+            std::max(1, static_cast<int>((unplacedExperts + m_remainingRanks - 1) / m_remainingRanks));
+        while (freeSlots > 1 && wholeExpertsDue > 0) {
+            const int expert = pickWholeExpert(rank, remainingCapacity, wholeExpertsDue);
             if (expert < 0) {
                 break;
             }
-            room -= m_left[expert];
-            place(expert, rank, m_left[expert]);
-            --slots;
-            --due;
+            remainingCapacity -= m_remainingLoad[expert];
+            placeReplica(expert, rank, m_remainingLoad[expert]);
+            --freeSlots;
+            --wholeExpertsDue;
         }
-        if (slots > 0 && room > part * Negligible) {
-            if (const int expert = pickCut(rank, room); expert >= 0) {
-                place(expert, rank, std::min(room, m_left[expert]));
+        if (freeSlots > 0 && remainingCapacity > capacity * NegligibleFraction) {
+            if (const int expert = pickExpertToSplit(rank, remainingCapacity); expert >= 0) {
+                placeReplica(expert, rank, std::min(remainingCapacity, m_remainingLoad[expert]));
             }
         }
     }
 
     /** A whole expert that fits: the rank's own if there is one; else the lightest, and for the last the heaviest. */
-    int pickWhole(int rank, double room, int due) const
+    int pickWholeExpert(int rank, double remainingCapacity, int wholeExpertsDue) const
     {
-        const auto fits = [&](int expert) { return m_open[expert] && m_left[expert] <= room && !isOn(expert, rank); };
+        const auto fits = [&](int expert) {
+            return m_isUnplaced[expert] && m_remainingLoad[expert] <= remainingCapacity && !isPlacedOn(expert, rank);
+        };
         int best = -1;
-        for (const int expert : m_held[rank]) {
-            if (fits(expert) && (best < 0 || m_left[expert] > m_left[best])) {
+        for (const int expert : m_currentExperts[rank]) {
+            if (fits(expert) && (best < 0 || m_remainingLoad[expert] > m_remainingLoad[best])) {
                 best = expert;
             }
         }
         if (best >= 0) {
             return best;
         }
-        for (int expert = 0; expert < static_cast<int>(m_left.size()); ++expert) {
-            if (fits(expert) && (best < 0 || (m_left[expert] > m_left[best]) == (due == 1))) {
+        for (int expert = 0; expert < static_cast<int>(m_remainingLoad.size()); ++expert) {
+            if (fits(expert)
+                && (best < 0 || (m_remainingLoad[expert] > m_remainingLoad[best]) == (wholeExpertsDue == 1))) {
                 best = expert;
             }
         }
         return best;
     }
 
-    /** An expert with at least @p room left: the rank's own, else the heaviest there is. */
-    int pickCut(int rank, double room) const
+    /** An expert with at least @p remainingCapacity left: the rank's own, else the heaviest there is. */
+    int pickExpertToSplit(int rank, double remainingCapacity) const
     {
-        for (const int expert : m_held[rank]) {
-            if (m_open[expert] && m_left[expert] >= room && !isOn(expert, rank)) {
+        for (const int expert : m_currentExperts[rank]) {
+            if (m_isUnplaced[expert] && m_remainingLoad[expert] >= remainingCapacity && !isPlacedOn(expert, rank)) {
                 return expert;
             }
         }
         int best = -1;
-        for (int expert = 0; expert < static_cast<int>(m_left.size()); ++expert) {
-            if (m_open[expert] && !isOn(expert, rank) && (best < 0 || m_left[expert] > m_left[best])) {
+        for (int expert = 0; expert < static_cast<int>(m_remainingLoad.size()); ++expert) {
+            if (m_isUnplaced[expert] && !isPlacedOn(expert, rank)
+                && (best < 0 || m_remainingLoad[expert] > m_remainingLoad[best])) {
                 best = expert;
             }
         }
         return best;
     }
 
-    bool isOn(int expert, int rank) const
+    bool isPlacedOn(int expert, int rank) const
     {
         return std::any_of(m_placed.begin(), m_placed.end(),
                            [&](const auto &slot) { return slot.expert == expert && slot.rank == rank; });
     }
 
-    void place(int expert, int rank, double load)
+    void placeReplica(int expert, int rank, double load)
     {
-        const double whole = m_problem.load[expert];
-        const double share = whole > 0 ? load / whole * ExpertSlot::WholeShare : ExpertSlot::WholeShare;
+        const double expertLoad = m_problem.load[expert];
+        const double share = expertLoad > 0 ? load / expertLoad * ExpertSlot::WholeShare : ExpertSlot::WholeShare;
         m_placed.push_back({.expert = static_cast<std::uint16_t>(expert),
                             .rank = static_cast<std::uint16_t>(rank),
                             .share = static_cast<std::uint16_t>(std::lround(share))});
-        m_left[expert] -= load;
-        m_open[expert] = m_left[expert] > m_total * Negligible;
+        m_remainingLoad[expert] -= load;
+        m_isUnplaced[expert] = m_remainingLoad[expert] > m_totalLoad * NegligibleFraction;
     }
 
     const LayerProblem &m_problem;
-    std::vector<double> m_left; ///< by expert: load not yet placed
-    std::vector<bool> m_open; ///< by expert: whether some is left
-    std::vector<std::vector<int>> m_held; ///< by rank: experts of the current placement
+    std::vector<double> m_remainingLoad; ///< by expert: load not yet placed
+    std::vector<bool> m_isUnplaced; ///< by expert: whether some is left
+    std::vector<std::vector<int>> m_currentExperts; ///< by rank: experts of the current placement
     LayerPlacement m_placed;
-    double m_total = 0;
-    int m_ranksLeft = 0;
+    double m_totalLoad = 0;
+    int m_remainingRanks = 0;
 };
 
 } // namespace
 
-LayerPlacement cutPlacement(const LayerProblem &problem, const LayerPlacement &current)
+LayerPlacement splitPlacement(const LayerProblem &problem, const LayerPlacement &current)
 {
-    return Cutter(problem, current).run();
+    return SplitPlacer(problem, current).computePlacement();
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/cutplacement.h
+++ b/modules/heatherridge_state/groups/cutplacement.h
@@ -14,8 +14,9 @@
  * never gets lighter than a rank's part, so there is always a light one to place whole and a heavy one to cut. Which
  * light and which heavy expert is free to choose, and a rank's own from @p current are taken first.
  *
- * @returns who holds what, with shares as cut; experts that found no slot are missing, see LayerWork::placeMissing()
+ * @returns who holds what, with shares as cut; experts that found no slot are missing, see
+ * LayerAssignment::placeMissingExperts()
  */
-LayerPlacement cutPlacement(const LayerProblem &problem, const LayerPlacement &current);
+LayerPlacement splitPlacement(const LayerProblem &problem, const LayerPlacement &current);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/evenplacement.cpp
+++ b/modules/heatherridge_state/groups/evenplacement.cpp
@@ -12,26 +12,27 @@
 {
 
 /** Ranks that a copy may go to: the lightest ones, since a copy elsewhere gains less. */
-constexpr std::size_t ReceiversLookedAt = 4;
+constexpr std::size_t MaxReceivers = 4;
 
 /** Copies that ranks have been given over all sets, and how many each may be given. */
 struct CopyBudget
 {
     std::vector<std::size_t> used; ///< by rank
-    std::size_t most;
+    std::size_t limit;
 };
 
 /** Improves the layout of one set, one move at a time. */
-class Improver
+class SetImprover
 {
 public:
-    Improver(const SetLayout &current, const SetDemand &demand, const EvenPlacementOptions &options, CopyBudget &budget)
+    SetImprover(const SetLayout &current, const SetDemand &demand, const EvenPlacementOptions &options,
+                CopyBudget &budget)
         : m_budget(budget)
         , m_current(current)
         , m_layout(current)
         , m_demand(demand)
         , m_options(options)
-        , m_loads(rankTimes(current, demand, options.slowness))
+        , m_rankTimes(rankTimes(current, demand, options.slowness))
         , m_holders(demand.size())
         , m_copies(current.size(), 0)
     {
@@ -40,29 +41,30 @@
                 m_holders[expert].push_back(rank);
             }
         }
-        m_mean = evenTime(current.size(), demand, options.slowness);
+        m_balancedTime = balancedTime(current.size(), demand, options.slowness);
     }
 
     /** Makes the best move. @returns whether there was one that pays, within all bounds */
     bool improve()
     {
-        const auto heaviest = heaviestRank();
-        if (m_moves >= m_options.mostMoves || m_mean <= 0 || m_loads[heaviest] <= m_options.goodSkew * m_mean) {
+        const auto slowest = slowestRank();
+        if (m_moveCount >= m_options.maxMoves || m_balancedTime <= 0
+            || m_rankTimes[slowest] <= m_options.skewThreshold * m_balancedTime) {
             return false;
         }
-        const auto best = bestMove(heaviest);
+        const auto best = bestMove(slowest);
         if (!best) {
             return false;
         }
         apply(*best);
-        ++m_moves;
+        ++m_moveCount;
         return true;
     }
 
     /** What passes take for this set beyond an even share. */
-    double excess() const
+    double excessTime() const
     {
-        return m_loads[heaviestRank()] - m_mean;
+        return m_rankTimes[slowestRank()] - m_balancedTime;
     }
 
     const SetLayout &layout() const
@@ -77,23 +79,23 @@
         std::optional<std::size_t> receiver{};
         std::uint16_t expert = 0;
         std::optional<std::uint16_t> evicted{}; ///< from the receiver
-        std::optional<std::size_t> dropper{}; ///< a rank that drops `expert`
+        std::optional<std::size_t> droppingRank{}; ///< a rank that drops `expert`
         double gain = 0; ///< in squared load
     };
 
-    std::size_t heaviestRank() const
+    std::size_t slowestRank() const
     {
-        return static_cast<std::size_t>(std::max_element(m_loads.begin(), m_loads.end()) - m_loads.begin());
+        return static_cast<std::size_t>(std::max_element(m_rankTimes.begin(), m_rankTimes.end()) - m_rankTimes.begin());
     }
 
-    std::vector<std::size_t> lightestRanks() const
+    std::vector<std::size_t> fastestRanks() const
     {
-        std::vector<std::size_t> ranks(m_loads.size());
+        std::vector<std::size_t> ranks(m_rankTimes.size());
         std::iota(ranks.begin(), ranks.end(), 0);
-        const auto looked = std::min(ReceiversLookedAt, ranks.size());
-        std::partial_sort(ranks.begin(), ranks.begin() + static_cast<std::ptrdiff_t>(looked), ranks.end(),
-                          [this](auto a, auto b) { return m_loads[a] < m_loads[b]; });
-        ranks.resize(looked);
+        const auto receiverCount = std::min(MaxReceivers, ranks.size());
+        std::partial_sort(ranks.begin(), ranks.begin() + static_cast<std::ptrdiff_t>(receiverCount), ranks.end(),
+                          [this](auto a, auto b) { return m_rankTimes[a] < m_rankTimes[b]; });
+        ranks.resize(receiverCount);
         return ranks;
     }
 
@@ -103,7 +105,7 @@
         return std::find(holders.begin(), holders.end(), rank) != holders.end();
     }
 
-    bool wasThere(std::size_t rank, std::uint16_t expert) const
+    bool isInCurrent(std::size_t rank, std::uint16_t expert) const
     {
         const auto &held = m_current[rank];
         return std::find(held.begin(), held.end(), expert) != held.end();
@@ -115,22 +117,22 @@
     }
 
     /** How much the sum of squares falls when the loads of some ranks change as @p change says. */
-    double squaresSaved(const std::vector<std::pair<std::size_t, double>> &changes)
+    double squaredTimeReduction(const std::vector<std::pair<std::size_t, double>> &changes)
     {
         // One rank may stand in several changes, so they are added up on a scratch copy of its load.
-        m_touched.clear();
+        m_netChanges.clear();
         for (const auto &[rank, delta] : changes) {
-            auto found = std::find_if(m_touched.begin(), m_touched.end(),
+            auto found = std::find_if(m_netChanges.begin(), m_netChanges.end(),
                                       [rank = rank](const auto &entry) { return entry.first == rank; });
-            if (found == m_touched.end()) {
-                m_touched.emplace_back(rank, delta);
+            if (found == m_netChanges.end()) {
+                m_netChanges.emplace_back(rank, delta);
             } else {
                 found->second += delta;
             }
         }
         double saved = 0;
-        for (const auto &[rank, delta] : m_touched) {
-            const double before = m_loads[rank];
+        for (const auto &[rank, delta] : m_netChanges) {
+            const double before = m_rankTimes[rank];
             const double after = before + delta * slownessOf(rank);
             saved += before * before - after * after;
         }
@@ -148,60 +150,63 @@
         m_changes.emplace_back(receiver, after);
     }
 
-    void addDropChanges(std::uint16_t expert, std::size_t dropper)
+    void addDropChanges(std::uint16_t expert, std::size_t droppingRank)
     {
         const auto holders = static_cast<double>(m_holders[expert].size());
         const double before = m_demand[expert] / holders;
         const double after = m_demand[expert] / (holders - 1);
         for (const auto rank : m_holders[expert]) {
-            m_changes.emplace_back(rank, rank == dropper ? -before : after - before);
+            m_changes.emplace_back(rank, rank == droppingRank ? -before : after - before);
         }
     }
 
-    std::optional<Move> bestMove(std::size_t heaviest)
+    std::optional<Move> bestMove(std::size_t slowest)
     {
         std::optional<Move> best;
-        const auto consider = [&](Move move) {
-            const double least = move.receiver ? m_options.leastGain * m_mean * m_mean : 1e-9 * m_mean * m_mean;
-            if (move.gain > least && (!best || move.gain > best->gain)) {
+        const auto addCandidate = [&](Move move) {
+            const double requiredGain = move.receiver ? m_options.minGain * m_balancedTime * m_balancedTime
+                                                      : 1e-9 * m_balancedTime * m_balancedTime;
+            if (move.gain > requiredGain && (!best || move.gain > best->gain)) {
                 best = move;
             }
         };
-        const auto receivers = lightestRanks();
-        for (const auto expert : m_layout[heaviest]) {
-            considerDrop(heaviest, expert, consider);
+        const auto receivers = fastestRanks();
+        for (const auto expert : m_layout[slowest]) {
+            evaluateDrop(slowest, expert, addCandidate);
             for (const auto receiver : receivers) {
-                considerCopies(heaviest, receiver, expert, consider);
+                evaluateCopies(slowest, receiver, expert, addCandidate);
             }
         }
         return best;
     }
 
-    template<typename Consider>
-    void considerDrop(std::size_t dropper, std::uint16_t expert, const Consider &consider)
+    template<typename AddCandidate>
+    void evaluateDrop(std::size_t droppingRank, std::uint16_t expert, const AddCandidate &addCandidate)
     {
         if (m_holders[expert].size() < 2) {
             return;
         }
         m_changes.clear();
-        addDropChanges(expert, dropper);
-        consider(Move{.expert = expert, .dropper = dropper, .gain = squaresSaved(m_changes)});
+        addDropChanges(expert, droppingRank);
+        addCandidate(Move{.expert = expert, .droppingRank = droppingRank, .gain = squaredTimeReduction(m_changes)});
     }
 
-    template<typename Consider>
-    void considerCopies(std::size_t heaviest, std::size_t receiver, std::uint16_t expert, const Consider &consider)
+    template<typename AddCandidate>
+    void evaluateCopies(std::size_t slowest, std::size_t receiver, std::uint16_t expert,
+                        const AddCandidate &addCandidate)
     {
-        if (receiver == heaviest || holds(receiver, expert)) {
+        if (receiver == slowest || holds(receiver, expert)) {
             return;
         }
-        const bool isCopied = !wasThere(receiver, expert);
-        if (isCopied && (m_copies[receiver] >= m_options.newPerRank || m_budget.used[receiver] >= m_budget.most)) {
+        const bool needsCopy = !isInCurrent(receiver, expert);
+        if (needsCopy
+            && (m_copies[receiver] >= m_options.maxCopiesPerRank || m_budget.used[receiver] >= m_budget.limit)) {
             return;
         }
-        if (m_layout[receiver].size() < m_options.places) {
+        if (m_layout[receiver].size() < m_options.slotsPerRank) {
             m_changes.clear();
             addCopyChanges(expert, receiver);
-            consider(Move{.receiver = receiver, .expert = expert, .gain = squaresSaved(m_changes)});
+            addCandidate(Move{.receiver = receiver, .expert = expert, .gain = squaredTimeReduction(m_changes)});
             return;
         }
         for (const auto evicted : m_layout[receiver]) {
@@ -211,14 +216,15 @@
             m_changes.clear();
             addCopyChanges(expert, receiver);
             addDropChanges(evicted, receiver);
-            consider(Move{.receiver = receiver, .expert = expert, .evicted = evicted, .gain = squaresSaved(m_changes)});
+            addCandidate(Move{
+                .receiver = receiver, .expert = expert, .evicted = evicted, .gain = squaredTimeReduction(m_changes)});
         }
     }
 
     void apply(const Move &move)
     {
-        if (move.dropper) {
-            remove(move.expert, *move.dropper);
+        if (move.droppingRank) {
+            remove(move.expert, *move.droppingRank);
         }
         if (move.evicted) {
             remove(*move.evicted, *move.receiver);
@@ -226,14 +232,14 @@
         if (move.receiver) {
             add(move.expert, *move.receiver);
         }
-        m_loads = rankTimes(m_layout, m_demand, m_options.slowness);
+        m_rankTimes = rankTimes(m_layout, m_demand, m_options.slowness);
     }
 
     void add(std::uint16_t expert, std::size_t rank)
     {
         m_layout[rank].push_back(expert);
         m_holders[expert].push_back(rank);
-        if (!wasThere(rank, expert)) {
+        if (!isInCurrent(rank, expert)) {
             ++m_copies[rank];
             ++m_budget.used[rank];
         }
@@ -243,7 +249,7 @@
     {
         std::erase(m_layout[rank], expert);
         std::erase(m_holders[expert], rank);
-        if (!wasThere(rank, expert)) {
+        if (!isInCurrent(rank, expert)) {
             --m_copies[rank];
             --m_budget.used[rank];
         }
@@ -254,34 +260,34 @@
     SetLayout m_layout;
     const SetDemand &m_demand;
     const EvenPlacementOptions &m_options;
-    std::vector<double> m_loads; ///< by rank: time, so a slow rank's load counts several times
+    std::vector<double> m_rankTimes; ///< by rank: time, so a slow rank's load counts several times
     std::vector<std::vector<std::size_t>> m_holders; ///< by expert
     std::vector<std::size_t> m_copies; ///< by rank: experts to copy
     std::vector<std::pair<std::size_t, double>> m_changes;
-    std::vector<std::pair<std::size_t, double>> m_touched;
-    int m_moves = 0;
-    double m_mean = 0; ///< time of each rank if all took equally long
+    std::vector<std::pair<std::size_t, double>> m_netChanges;
+    int m_moveCount = 0;
+    double m_balancedTime = 0; ///< time of each rank if all took equally long
 };
 
 /** Makes moves in the sets that delay passes most until none is left within the budget. */
-void improveAll(std::vector<Improver> &sets)
+void improveWorstSetsFirst(std::vector<SetImprover> &sets)
 {
     std::vector<bool> isDone(sets.size(), false);
     for (;;) {
-        std::optional<std::size_t> worst;
+        std::optional<std::size_t> slowestSet;
         for (std::size_t set = 0; set < sets.size(); ++set) {
-            if (!isDone[set] && (!worst || sets[set].excess() > sets[*worst].excess())) {
-                worst = set;
+            if (!isDone[set] && (!slowestSet || sets[set].excessTime() > sets[*slowestSet].excessTime())) {
+                slowestSet = set;
             }
         }
-        if (!worst) {
+        if (!slowestSet) {
             return;
         }
-        isDone[*worst] = !sets[*worst].improve();
+        isDone[*slowestSet] = !sets[*slowestSet].improve();
     }
 }
 
-ExpertLayout layoutOf(const std::vector<Improver> &sets)
+ExpertLayout layoutOf(const std::vector<SetImprover> &sets)
 {
     ExpertLayout layout;
     layout.reserve(sets.size());
@@ -293,21 +299,21 @@
 
 } // namespace
 
-std::vector<LayoutStage> improveInStages(const ExpertLayout &current, const std::vector<SetDemand> &demand,
-                                         const EvenPlacementOptions &options, std::size_t mostCopies)
+std::vector<LayoutStage> improveLayoutInStages(const ExpertLayout &current, const std::vector<SetDemand> &demand,
+                                               const EvenPlacementOptions &options, std::size_t maxCopies)
 {
     const auto ranks = current.empty() ? 0 : current.front().size();
-    CopyBudget budget{.used = std::vector<std::size_t>(ranks, 0), .most = 0};
-    std::vector<Improver> sets;
+    CopyBudget budget{.used = std::vector<std::size_t>(ranks, 0), .limit = 0};
+    std::vector<SetImprover> sets;
     sets.reserve(current.size());
     for (std::size_t set = 0; set < current.size(); ++set) {
         sets.emplace_back(current[set], demand[set], options, budget);
     }
     std::vector<LayoutStage> stages;
-    for (budget.most = 0; budget.most <= mostCopies; ++budget.most) {
-        improveAll(sets);
+    for (budget.limit = 0; budget.limit <= maxCopies; ++budget.limit) {
+        improveWorstSetsFirst(sets);
         const auto copies = budget.used.empty() ? 0 : *std::max_element(budget.used.begin(), budget.used.end());
-        if (!stages.empty() && copies < budget.most) {
+        if (!stages.empty() && copies < budget.limit) {
             break; // no more copies are wanted
         }
         auto layout = layoutOf(sets);
@@ -317,27 +323,27 @@
     return stages;
 }
 
-std::size_t quickestGain(const std::vector<LayoutStage> &stages, double skew, std::chrono::duration<double> perCopy,
-                         std::chrono::duration<double> perSwitch)
+std::size_t fastestGainStage(const std::vector<LayoutStage> &stages, double skew,
+                             std::chrono::duration<double> timePerCopy, std::chrono::duration<double> timePerSwitch)
 {
     std::size_t best = 0;
     double bestRate = 0;
-    for (std::size_t index = 0; index < stages.size(); ++index) {
-        const auto time = perSwitch + perCopy * static_cast<double>(stages[index].copies);
-        const double rate = (skew - stages[index].skew) / time.count();
+    for (std::size_t stage = 0; stage < stages.size(); ++stage) {
+        const auto time = timePerSwitch + timePerCopy * static_cast<double>(stages[stage].copies);
+        const double rate = (skew - stages[stage].skew) / time.count();
         if (rate > bestRate) {
-            best = index;
+            best = stage;
             bestRate = rate;
         }
     }
     return best;
 }
 
-SetLayout improveEvenly(const SetLayout &current, const SetDemand &demand, const EvenPlacementOptions &options)
+SetLayout improveSetLayout(const SetLayout &current, const SetDemand &demand, const EvenPlacementOptions &options)
 {
     CopyBudget budget{.used = std::vector<std::size_t>(current.size(), 0),
-                      .most = std::numeric_limits<std::size_t>::max()};
-    Improver improver(current, demand, options, budget);
+                      .limit = std::numeric_limits<std::size_t>::max()};
+    SetImprover improver(current, demand, options, budget);
     while (improver.improve()) {
     }
     return improver.layout();
--- a/modules/heatherridge_state/groups/evenplacement.h
+++ b/modules/heatherridge_state/groups/evenplacement.h
@@ -10,27 +10,27 @@
 /** Bounds of one improvement. */
 struct EvenPlacementOptions
 {
-    std::size_t places = 0; ///< experts of a set that fit on a rank
-    std::size_t newPerRank = 0; ///< experts of a set that a rank may have to copy
-    double goodSkew = 1.04; ///< a set whose most loaded rank is this near the mean is left as it is
+    std::size_t slotsPerRank = 0; ///< experts of a set that fit on a rank
+    std::size_t maxCopiesPerRank = 0; ///< experts of a set that a rank may have to copy
+    double skewThreshold = 1.04; ///< a set whose most loaded rank is this near the mean is left as it is
     /** What one copy must save, as a part of a rank's mean work: below it noise in the counts pays for copies. */
-    double leastGain = 0.01;
+    double minGain = 0.01;
     RankSlowness slowness{}; ///< a slow rank gets less work, down to experts that are hardly chosen
-    int mostMoves = 64; ///< copies and drops in one set: bounds the time, some 20 are usual
+    int maxMoves = 64; ///< copies and drops in one set: bounds the time, some 20 are usual
 };
 
 /** How even a map must be. */
-struct Evenness
+struct BalanceThresholds
 {
-    double goodSkew = 1.04; ///< @see EvenPlacementOptions
-    double leastGain = 0.01;
+    double skewThreshold = 1.04; ///< @see EvenPlacementOptions
+    double minGain = 0.01;
 };
 
 /** While passes are long: each part saved is seen by callers. */
-constexpr Evenness ThoroughEvenness{};
+constexpr BalanceThresholds TightBalance{};
 /** While passes are short: half of the copies are enough to bring 2.5 times the mean down to 1.2, and callers notice no
  * more than that. A day with 11 jumps moves 200 GB instead of 410. */
-constexpr Evenness RoughEvenness{.goodSkew = 1.25, .leastGain = 0.03};
+constexpr BalanceThresholds LooseBalance{.skewThreshold = 1.25, .minGain = 0.03};
 
 /**
  * Improves a layout whose experts are shared evenly by their holders, with few copies.
@@ -41,7 +41,7 @@
  * copy of an expert that others hold. The move that lowers the sum of squared loads most is taken, as long as it pays.
  * Looking only at the heaviest rank and the four lightest keeps it at 0.3 ms a set of 64 experts on 8 ranks.
  */
-SetLayout improveEvenly(const SetLayout &current, const SetDemand &demand, const EvenPlacementOptions &options);
+SetLayout improveSetLayout(const SetLayout &current, const SetDemand &demand, const EvenPlacementOptions &options);
 
 /** A layout that can be had, and what it takes. */
 struct LayoutStage
@@ -58,10 +58,10 @@
  * the most to copy. Improved set by set, one rank is given copies of all sets while its neighbours wait; here the set
  * that delays passes most comes first and copies are spread over ranks.
  *
- * @param mostCopies of any rank; the list ends sooner when no more copies pay
+ * @param maxCopies of any rank; the list ends sooner when no more copies pay
  */
-std::vector<LayoutStage> improveInStages(const ExpertLayout &current, const std::vector<SetDemand> &demand,
-                                         const EvenPlacementOptions &options, std::size_t mostCopies);
+std::vector<LayoutStage> improveLayoutInStages(const ExpertLayout &current, const std::vector<SetDemand> &demand,
+                                               const EvenPlacementOptions &options, std::size_t maxCopies);
 
 /**
  * The stage that lowers the skew most for the time until it is in use, as an index of @p stages.
@@ -71,10 +71,10 @@
  * in a third of that, and the rest follows.
  *
  * @param skew of the layout in use
- * @param perCopy what a rank takes to copy one expert
- * @param perSwitch what a switch takes beside copies
+ * @param timePerCopy what a rank takes to copy one expert
+ * @param timePerSwitch what a switch takes beside copies
  */
-std::size_t quickestGain(const std::vector<LayoutStage> &stages, double skew, std::chrono::duration<double> perCopy,
-                         std::chrono::duration<double> perSwitch);
+std::size_t fastestGainStage(const std::vector<LayoutStage> &stages, double skew,
+                             std::chrono::duration<double> timePerCopy, std::chrono::duration<double> timePerSwitch);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/expertdemand.cpp
+++ b/modules/heatherridge_state/groups/expertdemand.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-double distanceOf(const SetDemand &a, const SetDemand &b)
+double totalVariationDistance(const SetDemand &a, const SetDemand &b)
 {
     double sum = 0;
     for (std::size_t expert = 0; expert < a.size(); ++expert) {
@@ -26,23 +26,23 @@
 {
 }
 
-void ExpertDemand::add(const std::vector<double> &chosen)
+void ExpertDemand::addWindow(const std::vector<double> &selectionCounts)
 {
-    if (chosen.size() != static_cast<std::size_t>(m_sets) * static_cast<std::size_t>(m_experts)) {
+    if (selectionCounts.size() != static_cast<std::size_t>(m_sets) * static_cast<std::size_t>(m_experts)) {
         return;
     }
     std::vector<SetDemand> window;
     for (int set = 0; set < m_sets; ++set) {
-        const auto begin = chosen.begin() + static_cast<std::ptrdiff_t>(set) * m_experts;
-        SetDemand parts(begin, begin + m_experts);
-        const double sum = std::accumulate(parts.begin(), parts.end(), 0.0);
+        const auto begin = selectionCounts.begin() + static_cast<std::ptrdiff_t>(set) * m_experts;
+        SetDemand fractions(begin, begin + m_experts);
+        const double sum = std::accumulate(fractions.begin(), fractions.end(), 0.0);
         if (sum <= 0) {
             return;
         }
-        for (auto &part : parts) {
-            part /= sum;
+        for (auto &fraction : fractions) {
+            fraction /= sum;
         }
-        window.push_back(std::move(parts));
+        window.push_back(std::move(fractions));
     }
     if (m_average.empty()) {
         m_average = std::move(window);
@@ -50,7 +50,8 @@
     }
     m_lastDistance = 0;
     for (int set = 0; set < m_sets; ++set) {
-        m_lastDistance += distanceOf(window[static_cast<std::size_t>(set)], m_average[static_cast<std::size_t>(set)]);
+        m_lastDistance +=
+            totalVariationDistance(window[static_cast<std::size_t>(set)], m_average[static_cast<std::size_t>(set)]);
     }
     m_lastDistance /= m_sets;
     m_jumped = m_lastDistance > JumpDistance;
@@ -60,7 +61,7 @@
     }
     for (std::size_t set = 0; set < m_average.size(); ++set) {
         for (std::size_t expert = 0; expert < m_average[set].size(); ++expert) {
-            m_average[set][expert] += Gain * (window[set][expert] - m_average[set][expert]);
+            m_average[set][expert] += SmoothingFactor * (window[set][expert] - m_average[set][expert]);
         }
     }
 }
--- a/modules/heatherridge_state/groups/expertdemand.h
+++ b/modules/heatherridge_state/groups/expertdemand.h
@@ -20,7 +20,7 @@
 {
 public:
     /** Part of a new window in the average when nothing has jumped: the last three windows have most of the weight. */
-    static constexpr double Gain = 0.4;
+    static constexpr double SmoothingFactor = 0.4;
     /** Half the sum of absolute differences of two distributions. Windows of about a second differ by 0.05 to 0.12 from
      * which requests happen to run; a jump moves a fifth and more. */
     static constexpr double JumpDistance = 0.18;
@@ -28,7 +28,7 @@
     ExpertDemand(int sets, int experts);
 
     /** Takes how often each expert was chosen, set by set, in one window. Windows without any choice change nothing. */
-    void add(const std::vector<double> &chosen);
+    void addWindow(const std::vector<double> &selectionCounts);
 
     /** The demand by set; empty before the first window. */
     const std::vector<SetDemand> &bySet() const;
--- a/modules/heatherridge_state/groups/expertlayout.cpp
+++ b/modules/heatherridge_state/groups/expertlayout.cpp
@@ -12,8 +12,8 @@
 std::vector<int> holderCounts(const SetLayout &layout, std::size_t experts)
 {
     std::vector<int> counts(experts, 0);
-    for (const auto &held : layout) {
-        for (const auto expert : held) {
+    for (const auto &rankExperts : layout) {
+        for (const auto expert : rankExperts) {
             if (expert < experts) {
                 ++counts[expert];
             }
@@ -22,7 +22,7 @@
     return counts;
 }
 
-std::size_t newOn(const std::vector<std::uint16_t> &from, const std::vector<std::uint16_t> &to)
+std::size_t countNewExperts(const std::vector<std::uint16_t> &from, const std::vector<std::uint16_t> &to)
 {
     return static_cast<std::size_t>(std::count_if(to.begin(), to.end(), [&from](auto expert) {
         return std::find(from.begin(), from.end(), expert) == from.end();
@@ -44,7 +44,7 @@
     return times;
 }
 
-double evenTime(std::size_t ranks, const SetDemand &demand, const RankSlowness &slowness)
+double balancedTime(std::size_t ranks, const SetDemand &demand, const RankSlowness &slowness)
 {
     double speed = 0;
     for (std::size_t rank = 0; rank < ranks; ++rank) {
@@ -56,35 +56,36 @@
 double layoutSkew(const ExpertLayout &layout, const std::vector<SetDemand> &demand, const RankSlowness &slowness)
 {
     double slowest = 0;
-    double even = 0;
+    double balanced = 0;
     for (std::size_t set = 0; set < layout.size(); ++set) {
         const auto times = rankTimes(layout[set], demand[set], slowness);
         slowest += *std::max_element(times.begin(), times.end());
-        even += evenTime(times.size(), demand[set], {});
+        balanced += balancedTime(times.size(), demand[set], {});
     }
-    return even > 0 ? slowest / even : 1;
+    return balanced > 0 ? slowest / balanced : 1;
 }
 
-std::size_t mostCopies(const ExpertLayout &from, const ExpertLayout &to)
+std::size_t maxCopiesOnAnyRank(const ExpertLayout &from, const ExpertLayout &to)
 {
     const auto ranks = to.empty() ? 0 : to.front().size();
-    std::size_t most = 0;
+    std::size_t maxCopies = 0;
     for (std::size_t rank = 0; rank < ranks; ++rank) {
         std::size_t copies = 0;
         for (std::size_t set = 0; set < to.size(); ++set) {
-            copies += newOn(from[set][rank], to[set][rank]);
+            copies += countNewExperts(from[set][rank], to[set][rank]);
         }
-        most = std::max(most, copies);
+        maxCopies = std::max(maxCopies, copies);
     }
-    return most;
+    return maxCopies;
 }
 
-bool isComplete(const SetLayout &layout, std::size_t experts, std::size_t places)
+bool isValidLayout(const SetLayout &layout, std::size_t experts, std::size_t slotsPerRank)
 {
-    for (auto held : layout) {
-        std::sort(held.begin(), held.end());
-        const bool hasDouble = std::adjacent_find(held.begin(), held.end()) != held.end();
-        if (hasDouble || held.size() > places || (!held.empty() && held.back() >= experts)) {
+    for (auto rankExperts : layout) {
+        std::sort(rankExperts.begin(), rankExperts.end());
+        const bool hasDuplicate = std::adjacent_find(rankExperts.begin(), rankExperts.end()) != rankExperts.end();
+        if (hasDuplicate || rankExperts.size() > slotsPerRank
+            || (!rankExperts.empty() && rankExperts.back() >= experts)) {
             return false;
         }
     }
@@ -92,13 +93,13 @@
     return std::none_of(counts.begin(), counts.end(), [](int count) { return count == 0; });
 }
 
-SetLayout layoutAround(int rank, const std::vector<std::uint16_t> &own, int ranks, std::size_t experts)
+SetLayout layoutWithFixedRank(int rank, const std::vector<std::uint16_t> &fixedExperts, int ranks, std::size_t experts)
 {
     SetLayout layout(static_cast<std::size_t>(ranks));
-    layout[static_cast<std::size_t>(rank)] = own;
+    layout[static_cast<std::size_t>(rank)] = fixedExperts;
     int next = 0;
     for (std::size_t expert = 0; expert < experts && ranks > 1; ++expert) {
-        if (std::find(own.begin(), own.end(), expert) != own.end()) {
+        if (std::find(fixedExperts.begin(), fixedExperts.end(), expert) != fixedExperts.end()) {
             continue;
         }
         next = (next + 1) % ranks;
--- a/modules/heatherridge_state/groups/expertlayout.h
+++ b/modules/heatherridge_state/groups/expertlayout.h
@@ -24,7 +24,7 @@
 std::vector<double> rankTimes(const SetLayout &layout, const SetDemand &demand, const RankSlowness &slowness);
 
 /** Time that each rank takes for a set of @p demand when the work is spread so that all take equally long. */
-double evenTime(std::size_t ranks, const SetDemand &demand, const RankSlowness &slowness);
+double balancedTime(std::size_t ranks, const SetDemand &demand, const RankSlowness &slowness);
 
 /**
  * How much longer the expert part of a pass takes than with all work spread evenly over healthy ranks: the last rank's
@@ -33,15 +33,15 @@
 double layoutSkew(const ExpertLayout &layout, const std::vector<SetDemand> &demand, const RankSlowness &slowness);
 
 /** The most experts that any one rank, over all sets, holds in @p to and lacks in @p from: what it has to copy. */
-std::size_t mostCopies(const ExpertLayout &from, const ExpertLayout &to);
+std::size_t maxCopiesOnAnyRank(const ExpertLayout &from, const ExpertLayout &to);
 
-/** Whether every expert has a holder, none twice on one rank, and no rank holds more than @p places. */
-bool isComplete(const SetLayout &layout, std::size_t experts, std::size_t places);
+/** Whether every expert has a holder, none twice on one rank, and no rank holds more than @p slotsPerRank. */
+bool isValidLayout(const SetLayout &layout, std::size_t experts, std::size_t slotsPerRank);
 
 /**
- * A layout in which @p rank holds just @p own of a set and the others hold the rest somehow, as an order to prepare
- * without copying anything on that rank must say.
+ * A layout in which @p rank holds just @p fixedExperts of a set and the others hold the rest somehow, as an order to
+ * prepare without copying anything on that rank must say.
  */
-SetLayout layoutAround(int rank, const std::vector<std::uint16_t> &own, int ranks, std::size_t experts);
+SetLayout layoutWithFixedRank(int rank, const std::vector<std::uint16_t> &fixedExperts, int ranks, std::size_t experts);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/expertmap.cpp
+++ b/modules/heatherridge_state/groups/expertmap.cpp
@@ -13,37 +13,37 @@
     return Error{.kind = ErrorKind::BadRequest, .detail = "expert map, layer " + std::to_string(layer) + ": " + reason};
 }
 
-bool samePlace(const ExpertSlot &left, const ExpertSlot &right)
+bool isSameSlot(const ExpertSlot &left, const ExpertSlot &right)
 {
     return left.expert == right.expert && left.rank == right.rank;
 }
 
-bool placeBefore(const ExpertSlot &left, const ExpertSlot &right)
+bool slotPrecedes(const ExpertSlot &left, const ExpertSlot &right)
 {
     return left.expert != right.expert ? left.expert < right.expert : left.rank < right.rank;
 }
 
 Outcome checkLayer(std::size_t layer, const GroupShape &shape, const LayerPlacement &placement)
 {
-    std::vector<int> used(shape.slots.size(), 0);
-    std::vector<int> shares(static_cast<std::size_t>(shape.experts), 0);
-    std::vector<bool> placed(static_cast<std::size_t>(shape.experts), false);
+    std::vector<int> usedSlots(shape.slots.size(), 0);
+    std::vector<int> shareSums(static_cast<std::size_t>(shape.experts), 0);
+    std::vector<bool> isPlaced(static_cast<std::size_t>(shape.experts), false);
     for (std::size_t i = 0; i < placement.size(); ++i) {
         const auto &slot = placement[i];
         if (slot.expert >= shape.experts || slot.rank >= shape.ranks()) {
             return invalid(layer, "expert or rank out of range");
         }
-        if (i > 0 && !placeBefore(placement[i - 1], slot)) {
+        if (i > 0 && !slotPrecedes(placement[i - 1], slot)) {
             return invalid(layer, "not ordered, or an expert twice on one rank");
         }
-        if (++used[slot.rank] > shape.slots[slot.rank]) {
+        if (++usedSlots[slot.rank] > shape.slots[slot.rank]) {
             return invalid(layer, "more than fits on rank " + std::to_string(slot.rank));
         }
-        shares[slot.expert] += slot.share;
-        placed[slot.expert] = true;
+        shareSums[slot.expert] += slot.share;
+        isPlaced[slot.expert] = true;
     }
     for (int expert = 0; expert < shape.experts; ++expert) {
-        if (!placed[expert] || shares[expert] != ExpertSlot::WholeShare) {
+        if (!isPlaced[expert] || shareSums[expert] != ExpertSlot::WholeShare) {
             return invalid(layer, "shares of expert " + std::to_string(expert) + " do not add up");
         }
     }
@@ -58,8 +58,8 @@
         return invalid(layers.size(), "wrong number of layers");
     }
     for (std::size_t layer = 0; layer < layers.size(); ++layer) {
-        const auto checked = checkLayer(layer, shape, layers[layer]);
-        if (const auto *error = errorIn(checked)) {
+        const auto outcome = checkLayer(layer, shape, layers[layer]);
+        if (const auto *error = errorIn(outcome)) {
             return *error;
         }
     }
@@ -79,7 +79,7 @@
     return m_layers;
 }
 
-std::size_t ExpertMap::expertsOn(int rank) const
+std::size_t ExpertMap::expertCountOn(int rank) const
 {
     std::size_t count = 0;
     for (const auto &layer : m_layers) {
@@ -99,22 +99,22 @@
 std::size_t expertsToLoad(const LayerPlacement &from, const LayerPlacement &to)
 {
     std::size_t count = 0;
-    auto old = from.begin();
+    auto fromSlot = from.begin();
     for (const auto &slot : to) {
-        while (old != from.end() && placeBefore(*old, slot)) {
-            ++old;
+        while (fromSlot != from.end() && slotPrecedes(*fromSlot, slot)) {
+            ++fromSlot;
         }
-        count += old == from.end() || !samePlace(*old, slot) ? 1 : 0;
+        count += fromSlot == from.end() || !isSameSlot(*fromSlot, slot) ? 1 : 0;
     }
     return count;
 }
 
 std::uint64_t bytesToMove(const GroupShape &shape, const ExpertMap &from, const ExpertMap &to)
 {
-    static const LayerPlacement Empty;
+    static const LayerPlacement NoPlacement;
     std::uint64_t experts = 0;
     for (std::size_t layer = 0; layer < to.layers().size(); ++layer) {
-        experts += expertsToLoad(layer < from.layers().size() ? from.layers()[layer] : Empty, to.layers()[layer]);
+        experts += expertsToLoad(layer < from.layers().size() ? from.layers()[layer] : NoPlacement, to.layers()[layer]);
     }
     return experts * shape.expertBytes;
 }
--- a/modules/heatherridge_state/groups/expertmap.h
+++ b/modules/heatherridge_state/groups/expertmap.h
@@ -61,7 +61,7 @@
     const std::vector<LayerPlacement> &layers() const;
 
     /** How many experts, over all layers, @p rank holds. */
-    std::size_t expertsOn(int rank) const;
+    std::size_t expertCountOn(int rank) const;
 
     /** The same placement under another number, as a new leader proposes it. */
     ExpertMap renumbered(MapNumber number) const;
--- a/modules/heatherridge_state/groups/greedyplacement.cpp
+++ b/modules/heatherridge_state/groups/greedyplacement.cpp
@@ -10,34 +10,35 @@
                       std::vector<std::pair<int, int>> &placed)
 {
     std::stable_sort(items.begin(), items.end(), [](const auto &a, const auto &b) { return a.load > b.load; });
-    std::vector<double> load(problem.slots.size(), 0);
-    std::vector<int> used(problem.slots.size(), 0);
-    std::vector<std::vector<int>> on(problem.slots.size());
-    std::vector<bool> has(problem.load.size(), false);
+    std::vector<double> rankLoads(problem.slots.size(), 0);
+    std::vector<int> usedSlots(problem.slots.size(), 0);
+    std::vector<std::vector<int>> held(problem.slots.size());
+    std::vector<bool> isPlaced(problem.load.size(), false);
     bool complete = true;
     for (const auto &item : items) {
-        int best = -1;
+        int fastestRank = -1;
         for (const int rank : ranks) {
-            const bool there = std::find(on[rank].begin(), on[rank].end(), item.expert) != on[rank].end();
-            const auto timeWith = [&](int r) { return (load[r] + item.load) * problem.slowness[r]; };
-            if (used[rank] < problem.slots[rank] && !there && (best < 0 || timeWith(rank) < timeWith(best))) {
-                best = rank;
+            const bool holdsExpert = std::find(held[rank].begin(), held[rank].end(), item.expert) != held[rank].end();
+            const auto timeWith = [&](int r) { return (rankLoads[r] + item.load) * problem.slowness[r]; };
+            if (usedSlots[rank] < problem.slots[rank] && !holdsExpert
+                && (fastestRank < 0 || timeWith(rank) < timeWith(fastestRank))) {
+                fastestRank = rank;
             }
         }
-        if (best < 0) {
-            complete = complete && has[item.expert];
+        if (fastestRank < 0) {
+            complete = complete && isPlaced[item.expert];
             continue;
         }
-        load[best] += item.load;
-        ++used[best];
-        on[best].push_back(item.expert);
-        has[item.expert] = true;
-        placed.emplace_back(item.expert, best);
+        rankLoads[fastestRank] += item.load;
+        ++usedSlots[fastestRank];
+        held[fastestRank].push_back(item.expert);
+        isPlaced[item.expert] = true;
+        placed.emplace_back(item.expert, fastestRank);
     }
     return complete;
 }
 
-LayerPlacement evenlySplit(std::vector<std::pair<int, int>> placed)
+LayerPlacement withEvenShares(std::vector<std::pair<int, int>> placed)
 {
     std::sort(placed.begin(), placed.end());
     LayerPlacement placement;
@@ -72,7 +73,7 @@
     if (!packLongestFirst(problem, ranks, items, placed)) {
         return std::nullopt;
     }
-    return evenlySplit(std::move(placed));
+    return withEvenShares(std::move(placed));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/greedyplacement.h
+++ b/modules/heatherridge_state/groups/greedyplacement.h
@@ -28,6 +28,6 @@
                       std::vector<std::pair<int, int>> &placed);
 
 /** The placement for (expert, rank) pairs, each expert's tokens split evenly over its replicas. */
-LayerPlacement evenlySplit(std::vector<std::pair<int, int>> placed);
+LayerPlacement withEvenShares(std::vector<std::pair<int, int>> placed);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/groupclaim.cpp
+++ b/modules/heatherridge_state/groups/groupclaim.cpp
@@ -3,20 +3,20 @@
 namespace Heatherridge
 {
 
-bool GroupClaims::apply(LogOffset offset, const GroupClaim &claim)
+bool GroupClaimTracker::apply(LogOffset offset, const GroupClaim &claim)
 {
     const auto fencing = static_cast<FencingNumber>(toNumber(offset));
     // Without a present claim any is taken: the one it replaces has expired from the log.
-    if (m_present && (claim.replaces != m_present->fencing || fencing <= m_present->fencing)) {
+    if (m_current && (claim.replaces != m_current->fencing || fencing <= m_current->fencing)) {
         return false;
     }
-    m_present = GroupLeadership{.fencing = fencing, .claim = claim};
+    m_current = GroupLeadership{.fencing = fencing, .claim = claim};
     return true;
 }
 
-const std::optional<GroupLeadership> &GroupClaims::present() const
+const std::optional<GroupLeadership> &GroupClaimTracker::current() const
 {
-    return m_present;
+    return m_current;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/groupclaim.h
+++ b/modules/heatherridge_state/groups/groupclaim.h
@@ -11,7 +11,7 @@
 struct GroupClaim
 {
     int rank = 0; ///< whose gate's process claims
-    Incarnation run{}; ///< of that process
+    Incarnation incarnation{}; ///< of that process
     FencingNumber replaces{}; ///< offset of the claim it takes over from; 0 for none
 
     bool operator==(const GroupClaim &) const = default;
@@ -30,17 +30,17 @@
  * The claim stands on the group's own stream, not on the control stream: it concerns this group's processes alone, and
  * a fleet has hundreds of groups. Offsets only grow, so a claim whose records have expired is still below later ones.
  */
-class GroupClaims
+class GroupClaimTracker
 {
 public:
     /** Takes the claim at @p offset. Returns whether it is the present one now. */
     bool apply(LogOffset offset, const GroupClaim &claim);
 
     /** Who leads, or nothing. */
-    const std::optional<GroupLeadership> &present() const;
+    const std::optional<GroupLeadership> &current() const;
 
 private:
-    std::optional<GroupLeadership> m_present;
+    std::optional<GroupLeadership> m_current;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/groupepoch.cpp
+++ b/modules/heatherridge_state/groups/groupepoch.cpp
@@ -9,7 +9,7 @@
 {
 
 /** Maps that one leader can number. At one a second it would take twelve days, and a leader then claims anew. */
-constexpr unsigned MapsPerLeaderBits = 20;
+constexpr unsigned MapNumberBitsPerLeader = 20;
 
 } // namespace
 
@@ -22,21 +22,22 @@
 
 MapNumber firstMapNumber(FencingNumber fencing)
 {
-    return static_cast<MapNumber>((toNumber(fencing) << MapsPerLeaderBits) + 1);
+    return static_cast<MapNumber>((toNumber(fencing) << MapNumberBitsPerLeader) + 1);
 }
 
 FencingNumber leaderOf(MapNumber number)
 {
-    return static_cast<FencingNumber>(toNumber(number) >> MapsPerLeaderBits);
+    return static_cast<FencingNumber>(toNumber(number) >> MapNumberBitsPerLeader);
 }
 
-bool GroupEpochs::apply(const GroupEpoch &epoch)
+bool GroupEpochTracker::apply(const GroupEpoch &epoch)
 {
     if (m_current) {
-        const bool shared = std::any_of(epoch.members.begin(), epoch.members.end(),
-                                        [this](const auto &member) { return m_current->find(member.rank) != nullptr; });
-        if (epoch.number <= m_current->number || !shared) {
-            m_ignored += epoch == *m_current ? 0 : 1;
+        const bool sharesRank = std::any_of(epoch.members.begin(), epoch.members.end(), [this](const auto &member) {
+            return m_current->find(member.rank) != nullptr;
+        });
+        if (epoch.number <= m_current->number || !sharesRank) {
+            m_ignoredRecords += epoch == *m_current ? 0 : 1;
             return false;
         }
     }
@@ -44,14 +45,14 @@
     return true;
 }
 
-const std::optional<GroupEpoch> &GroupEpochs::current() const
+const std::optional<GroupEpoch> &GroupEpochTracker::current() const
 {
     return m_current;
 }
 
-std::uint64_t GroupEpochs::ignored() const
+std::uint64_t GroupEpochTracker::ignoredCount() const
 {
-    return m_ignored;
+    return m_ignoredRecords;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/groupepoch.h
+++ b/modules/heatherridge_state/groups/groupepoch.h
@@ -31,7 +31,7 @@
 struct EpochMember
 {
     int rank = 0;
-    Incarnation engine{}; ///< an engine that restarts has lost weights and step, so it is another member
+    Incarnation incarnation{}; ///< an engine that restarts has lost weights and step, so it is another member
 
     bool operator==(const EpochMember &) const = default;
 };
@@ -66,7 +66,7 @@
  * either leaves the old epoch when it enters the new one, or its engine has restarted; either way the old epoch, which
  * cannot step without it, never steps beside the new one.
  */
-class GroupEpochs
+class GroupEpochTracker
 {
 public:
     /** Takes one record, from the log or from a peer. Returns whether it is now the epoch in force. */
@@ -76,11 +76,11 @@
     const std::optional<GroupEpoch> &current() const;
 
     /** Records that were without effect. */
-    std::uint64_t ignored() const;
+    std::uint64_t ignoredCount() const;
 
 private:
     std::optional<GroupEpoch> m_current;
-    std::uint64_t m_ignored = 0;
+    std::uint64_t m_ignoredRecords = 0;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/hierarchicalplacement.cpp
+++ b/modules/heatherridge_state/groups/hierarchicalplacement.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-struct Part
+struct Domain
 {
     std::vector<int> ranks{};
     int slots = 0;
@@ -20,34 +20,34 @@
 
 /** Ranks with slots, grouped by @p key of their place. */
 template<typename Key>
-std::vector<Part> groupRanks(const LayerProblem &problem, const std::vector<int> &ranks, Key key)
+std::vector<Domain> partitionRanks(const LayerProblem &problem, const std::vector<int> &ranks, Key key)
 {
-    std::map<int, Part> parts;
+    std::map<int, Domain> domains;
     for (const int rank : ranks) {
-        auto &part = parts[key(rank)];
-        part.ranks.push_back(rank);
-        part.slots += problem.slots[rank];
+        auto &domain = domains[key(rank)];
+        domain.ranks.push_back(rank);
+        domain.slots += problem.slots[rank];
     }
-    std::vector<Part> list;
-    list.reserve(parts.size());
-    for (auto &[place, part] : parts) {
-        list.push_back(std::move(part));
+    std::vector<Domain> list;
+    list.reserve(domains.size());
+    for (auto &[place, domain] : domains) {
+        list.push_back(std::move(domain));
     }
     return list;
 }
 
-/** Divides @p experts over @p parts: heaviest first, to the part with least load a slot that has room. */
-bool divideExperts(const LayerProblem &problem, std::vector<int> experts, std::vector<Part> &parts)
+/** Divides @p experts over @p domains: heaviest first, to the part with least load a slot that has room. */
+bool distributeExperts(const LayerProblem &problem, std::vector<int> experts, std::vector<Domain> &domains)
 {
     std::stable_sort(experts.begin(), experts.end(),
                      [&](int left, int right) { return problem.load[left] > problem.load[right]; });
     for (const int expert : experts) {
-        Part *best = nullptr;
-        const auto loadWith = [&](const Part &part) { return (part.load + problem.load[expert]) / part.slots; };
-        for (auto &part : parts) {
-            const bool room = static_cast<int>(part.experts.size()) < part.slots;
-            if (room && (best == nullptr || loadWith(part) < loadWith(*best))) {
-                best = &part;
+        Domain *best = nullptr;
+        const auto loadWith = [&](const Domain &domain) { return (domain.load + problem.load[expert]) / domain.slots; };
+        for (auto &domain : domains) {
+            const bool hasFreeSlot = static_cast<int>(domain.experts.size()) < domain.slots;
+            if (hasFreeSlot && (best == nullptr || loadWith(domain) < loadWith(*best))) {
+                best = &domain;
             }
         }
         if (best == nullptr) {
@@ -61,10 +61,11 @@
 
 } // namespace
 
-std::optional<LayerPlacement> hierarchicalPlacement(const LayerProblem &problem, const std::vector<RankPlace> &places)
+std::optional<LayerPlacement> hierarchicalPlacement(const LayerProblem &problem,
+                                                    const std::vector<RankLocation> &locations)
 {
-    const auto placeOf = [&](int rank) {
-        return static_cast<std::size_t>(rank) < places.size() ? places[rank] : RankPlace{};
+    const auto locationOf = [&](int rank) {
+        return static_cast<std::size_t>(rank) < locations.size() ? locations[rank] : RankLocation{};
     };
     std::vector<int> ranks;
     for (std::size_t rank = 0; rank < problem.slots.size(); ++rank) {
@@ -74,14 +75,14 @@
     }
     std::vector<int> experts(problem.load.size());
     std::iota(experts.begin(), experts.end(), 0);
-    auto zones = groupRanks(problem, ranks, [&](int rank) { return placeOf(rank).zone; });
-    if (!divideExperts(problem, experts, zones)) {
+    auto zones = partitionRanks(problem, ranks, [&](int rank) { return locationOf(rank).zone; });
+    if (!distributeExperts(problem, experts, zones)) {
         return std::nullopt;
     }
     std::vector<std::pair<int, int>> placed;
     for (const auto &zone : zones) {
-        auto hosts = groupRanks(problem, zone.ranks, [&](int rank) { return placeOf(rank).host; });
-        if (!divideExperts(problem, zone.experts, hosts)) {
+        auto hosts = partitionRanks(problem, zone.ranks, [&](int rank) { return locationOf(rank).host; });
+        if (!distributeExperts(problem, zone.experts, hosts)) {
             return std::nullopt;
         }
         for (const auto &host : hosts) {
@@ -91,7 +92,7 @@
             }
         }
     }
-    return evenlySplit(std::move(placed));
+    return withEvenShares(std::move(placed));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/hierarchicalplacement.h
+++ b/modules/heatherridge_state/groups/hierarchicalplacement.h
@@ -10,9 +10,10 @@
  * hosts, in proportion to the slots there; on each host the hot ones are replicated and packed as in
  * replicatedPlacement(). An expert's replicas thus stay on one host. Ignores the placement in force.
  *
- * @param places where each rank sits; without it the group counts as one host
+ * @param locations where each rank sits; without it the group counts as one host
  * @returns the placement, or nothing when the experts don't fit
  */
-std::optional<LayerPlacement> hierarchicalPlacement(const LayerProblem &problem, const std::vector<RankPlace> &places);
+std::optional<LayerPlacement> hierarchicalPlacement(const LayerProblem &problem,
+                                                    const std::vector<RankLocation> &locations);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/layerbalance.cpp
+++ b/modules/heatherridge_state/groups/layerbalance.cpp
@@ -11,9 +11,9 @@
 {
 
 /** A pass that changes no rank by more than this part of the layer's load ends the dividing: below any noise. */
-constexpr double SettledPart = 1e-6;
+constexpr double ConvergenceFraction = 1e-6;
 /** Halvings when searching the bound: 2^-40 is far below the rounding of shares. */
-constexpr int BoundHalvings = 40;
+constexpr int BisectionSteps = 40;
 
 double totalOf(const std::vector<double> &values)
 {
@@ -26,8 +26,8 @@
 {
     std::vector<double> times(problem.slots.size(), 0);
     for (const auto &slot : placement) {
-        const double part = static_cast<double>(slot.share) / ExpertSlot::WholeShare;
-        times[slot.rank] += problem.load[slot.expert] * part * problem.slowness[slot.rank];
+        const double fraction = static_cast<double>(slot.share) / ExpertSlot::WholeShare;
+        times[slot.rank] += problem.load[slot.expert] * fraction * problem.slowness[slot.rank];
     }
     return times;
 }
@@ -49,58 +49,58 @@
     return balance;
 }
 
-double slowestRankBound(const LayerProblem &problem)
+double slowestTimeLowerBound(const LayerProblem &problem)
 {
-    double speed = 0;
-    double leastSlowness = HUGE_VAL;
+    double totalSpeed = 0;
+    double minSlowness = HUGE_VAL;
     int slots = 0;
     for (std::size_t rank = 0; rank < problem.slots.size(); ++rank) {
         if (problem.slots[rank] > 0) {
-            speed += 1 / problem.slowness[rank];
-            leastSlowness = std::min(leastSlowness, problem.slowness[rank]);
+            totalSpeed += 1 / problem.slowness[rank];
+            minSlowness = std::min(minSlowness, problem.slowness[rank]);
             slots += problem.slots[rank];
         }
     }
     const double total = totalOf(problem.load);
-    if (speed <= 0 || total <= 0) {
+    if (totalSpeed <= 0 || total <= 0) {
         return 0;
     }
     const auto fits = [&](double time) {
         double replicas = 0;
         for (const double load : problem.load) {
-            replicas += std::max(1.0, std::ceil(load * leastSlowness / time - 1e-9));
+            replicas += std::max(1.0, std::ceil(load * minSlowness / time - 1e-9));
         }
         return replicas <= slots;
     };
-    double low = total / speed;
-    double high = total * leastSlowness;
+    double low = total / totalSpeed;
+    double high = total * minSlowness;
     if (fits(low)) {
         return low;
     }
-    for (int i = 0; i < BoundHalvings; ++i) {
+    for (int i = 0; i < BisectionSteps; ++i) {
         const double middle = (low + high) / 2;
         (fits(middle) ? high : low) = middle;
     }
     return low;
 }
 
-LayerWork::LayerWork(const LayerProblem &problem, const LayerPlacement &current)
+LayerAssignment::LayerAssignment(const LayerProblem &problem, const LayerPlacement &current)
     : m_problem(&problem)
     , m_replicas(problem.load.size())
-    , m_rankLoad(problem.slots.size(), 0)
-    , m_used(problem.slots.size(), 0)
+    , m_rankLoads(problem.slots.size(), 0)
+    , m_usedSlots(problem.slots.size(), 0)
 {
     for (const auto &slot : current) {
-        if (slot.rank < problem.slots.size() && slot.expert < problem.load.size() && hasRoom(slot.rank)) {
+        if (slot.rank < problem.slots.size() && slot.expert < problem.load.size() && hasFreeSlot(slot.rank)) {
             const double load = problem.load[slot.expert] * slot.share / ExpertSlot::WholeShare;
             m_replicas[slot.expert].push_back({.rank = slot.rank, .load = load});
-            m_rankLoad[slot.rank] += load;
-            ++m_used[slot.rank];
+            m_rankLoads[slot.rank] += load;
+            ++m_usedSlots[slot.rank];
         }
     }
 }
 
-bool LayerWork::placeMissing()
+bool LayerAssignment::placeMissingExperts()
 {
     std::vector<int> missing;
     for (std::size_t expert = 0; expert < m_replicas.size(); ++expert) {
@@ -111,86 +111,87 @@
     std::stable_sort(missing.begin(), missing.end(),
                      [this](int left, int right) { return m_problem->load[left] > m_problem->load[right]; });
     for (const int expert : missing) {
-        const auto ranks = ranksBySlowness();
-        const auto free = std::find_if(ranks.rbegin(), ranks.rend(), [this](int rank) { return hasRoom(rank); });
-        if (free != ranks.rend()) {
-            add(expert, *free);
+        const auto ranks = ranksSlowestFirst();
+        const auto freeRank =
+            std::find_if(ranks.rbegin(), ranks.rend(), [this](int rank) { return hasFreeSlot(rank); });
+        if (freeRank != ranks.rend()) {
+            addReplica(expert, *freeRank);
             continue;
         }
-        const auto spare =
-            std::find_if(ranks.rbegin(), ranks.rend(), [this](int rank) { return spareOn(rank).has_value(); });
-        if (spare == ranks.rend()) {
+        const auto redundant = std::find_if(ranks.rbegin(), ranks.rend(),
+                                            [this](int rank) { return redundantExpertOn(rank).has_value(); });
+        if (redundant == ranks.rend()) {
             return false;
         }
-        remove(*spareOn(*spare), *spare);
-        add(expert, *spare);
+        removeReplica(*redundantExpertOn(*redundant), *redundant);
+        addReplica(expert, *redundant);
     }
     return true;
 }
 
-void LayerWork::settle(int passes)
+void LayerAssignment::redistributeLoad(int maxPasses)
 {
-    const double settled = totalOf(m_problem->load) * SettledPart;
-    for (int pass = 0; pass < passes; ++pass) {
-        const auto before = m_rankLoad;
+    const double tolerance = totalOf(m_problem->load) * ConvergenceFraction;
+    for (int pass = 0; pass < maxPasses; ++pass) {
+        const auto previousLoads = m_rankLoads;
         for (std::size_t expert = 0; expert < m_replicas.size(); ++expert) {
-            divide(static_cast<int>(expert));
+            distributeLoad(static_cast<int>(expert));
         }
-        double change = 0;
-        for (std::size_t rank = 0; rank < before.size(); ++rank) {
-            change = std::max(change, std::abs(before[rank] - m_rankLoad[rank]));
+        double maxChange = 0;
+        for (std::size_t rank = 0; rank < previousLoads.size(); ++rank) {
+            maxChange = std::max(maxChange, std::abs(previousLoads[rank] - m_rankLoads[rank]));
         }
-        if (change <= settled) {
+        if (maxChange <= tolerance) {
             return;
         }
     }
 }
 
-void LayerWork::add(int expert, int rank)
+void LayerAssignment::addReplica(int expert, int rank)
 {
     m_replicas[expert].push_back({.rank = rank, .load = 0});
-    ++m_used[rank];
-    divide(expert);
+    ++m_usedSlots[rank];
+    distributeLoad(expert);
 }
 
-void LayerWork::remove(int expert, int rank)
+void LayerAssignment::removeReplica(int expert, int rank)
 {
     auto &replicas = m_replicas[expert];
     const auto found =
         std::find_if(replicas.begin(), replicas.end(), [rank](const auto &replica) { return replica.rank == rank; });
-    m_rankLoad[rank] -= found->load;
-    --m_used[rank];
+    m_rankLoads[rank] -= found->load;
+    --m_usedSlots[rank];
     replicas.erase(found);
-    divide(expert);
+    distributeLoad(expert);
 }
 
-std::optional<int> LayerWork::spareOn(int rank) const
+std::optional<int> LayerAssignment::redundantExpertOn(int rank) const
 {
-    std::optional<int> spare;
-    double least = HUGE_VAL;
+    std::optional<int> redundant;
+    double minLoad = HUGE_VAL;
     for (std::size_t expert = 0; expert < m_replicas.size(); ++expert) {
         for (const auto &replica : m_replicas[expert]) {
-            if (replica.rank == rank && m_replicas[expert].size() > 1 && replica.load < least) {
-                least = replica.load;
-                spare = static_cast<int>(expert);
+            if (replica.rank == rank && m_replicas[expert].size() > 1 && replica.load < minLoad) {
+                minLoad = replica.load;
+                redundant = static_cast<int>(expert);
             }
         }
     }
-    return spare;
+    return redundant;
 }
 
-bool LayerWork::holds(int expert, int rank) const
+bool LayerAssignment::holdsExpert(int expert, int rank) const
 {
     return std::any_of(m_replicas[expert].begin(), m_replicas[expert].end(),
                        [rank](const auto &replica) { return replica.rank == rank; });
 }
 
-bool LayerWork::hasRoom(int rank) const
+bool LayerAssignment::hasFreeSlot(int rank) const
 {
-    return m_used[rank] < m_problem->slots[rank];
+    return m_usedSlots[rank] < m_problem->slots[rank];
 }
 
-std::vector<int> LayerWork::heaviestOn(int rank) const
+std::vector<int> LayerAssignment::expertsByLoadOn(int rank) const
 {
     std::vector<std::pair<double, int>> loads;
     for (std::size_t expert = 0; expert < m_replicas.size(); ++expert) {
@@ -209,29 +210,29 @@
     return experts;
 }
 
-const std::vector<LayerWork::Replica> &LayerWork::replicasOf(int expert) const
+const std::vector<LayerAssignment::Replica> &LayerAssignment::replicasOf(int expert) const
 {
     return m_replicas[expert];
 }
 
-double LayerWork::timeOf(int rank) const
+double LayerAssignment::timeOf(int rank) const
 {
-    return m_rankLoad[rank] * m_problem->slowness[rank];
+    return m_rankLoads[rank] * m_problem->slowness[rank];
 }
 
-double LayerWork::slowest() const
+double LayerAssignment::slowestTime() const
 {
     double slowest = 0;
-    for (std::size_t rank = 0; rank < m_rankLoad.size(); ++rank) {
+    for (std::size_t rank = 0; rank < m_rankLoads.size(); ++rank) {
         slowest = std::max(slowest, timeOf(static_cast<int>(rank)));
     }
     return slowest;
 }
 
-std::vector<int> LayerWork::ranksBySlowness() const
+std::vector<int> LayerAssignment::ranksSlowestFirst() const
 {
     std::vector<int> ranks;
-    for (std::size_t rank = 0; rank < m_rankLoad.size(); ++rank) {
+    for (std::size_t rank = 0; rank < m_rankLoads.size(); ++rank) {
         if (m_problem->slots[rank] > 0) {
             ranks.push_back(static_cast<int>(rank));
         }
@@ -240,19 +241,19 @@
     return ranks;
 }
 
-LayerPlacement LayerWork::placement() const
+LayerPlacement LayerAssignment::placement() const
 {
     LayerPlacement placement;
     for (std::size_t expert = 0; expert < m_replicas.size(); ++expert) {
         auto replicas = m_replicas[expert];
         std::sort(replicas.begin(), replicas.end(), [](const auto &a, const auto &b) { return a.rank < b.rank; });
         const double total = m_problem->load[expert];
-        int left = ExpertSlot::WholeShare;
+        int remainingShare = ExpertSlot::WholeShare;
         for (std::size_t i = 0; i < replicas.size(); ++i) {
-            const double part = total > 0 ? replicas[i].load / total : 1.0 / static_cast<double>(replicas.size());
-            const int rounded = static_cast<int>(std::lround(part * ExpertSlot::WholeShare));
-            const int share = i + 1 == replicas.size() ? left : std::min(left, rounded);
-            left -= share;
+            const double fraction = total > 0 ? replicas[i].load / total : 1.0 / static_cast<double>(replicas.size());
+            const int rounded = static_cast<int>(std::lround(fraction * ExpertSlot::WholeShare));
+            const int share = i + 1 == replicas.size() ? remainingShare : std::min(remainingShare, rounded);
+            remainingShare -= share;
             placement.push_back({.expert = static_cast<std::uint16_t>(expert),
                                  .rank = static_cast<std::uint16_t>(replicas[i].rank),
                                  .share = static_cast<std::uint16_t>(share)});
@@ -261,31 +262,31 @@
     return placement;
 }
 
-void LayerWork::divide(int expert)
+void LayerAssignment::distributeLoad(int expert)
 {
     auto &replicas = m_replicas[expert];
     for (auto &replica : replicas) {
-        m_rankLoad[replica.rank] -= replica.load;
+        m_rankLoads[replica.rank] -= replica.load;
     }
     std::sort(replicas.begin(), replicas.end(),
               [this](const auto &a, const auto &b) { return timeOf(a.rank) < timeOf(b.rank); });
     // The first k replicas are filled up to one level, the least k for which the next is no lower than that level.
-    double speed = 0;
-    double work = m_problem->load[expert];
+    double totalSpeed = 0;
+    double levelledLoad = m_problem->load[expert];
     double level = 0;
     for (std::size_t filled = 0; filled < replicas.size(); ++filled) {
         const int rank = replicas[filled].rank;
-        speed += 1 / m_problem->slowness[rank];
-        work += m_rankLoad[rank];
-        level = work / speed;
+        totalSpeed += 1 / m_problem->slowness[rank];
+        levelledLoad += m_rankLoads[rank];
+        level = levelledLoad / totalSpeed;
         if (filled + 1 < replicas.size() && timeOf(replicas[filled + 1].rank) >= level) {
             break;
         }
     }
     for (auto &replica : replicas) {
-        const double room = level / m_problem->slowness[replica.rank] - m_rankLoad[replica.rank];
-        replica.load = std::max(0.0, room);
-        m_rankLoad[replica.rank] += replica.load;
+        const double headroom = level / m_problem->slowness[replica.rank] - m_rankLoads[replica.rank];
+        replica.load = std::max(0.0, headroom);
+        m_rankLoads[replica.rank] += replica.load;
     }
 }
 
--- a/modules/heatherridge_state/groups/layerbalance.h
+++ b/modules/heatherridge_state/groups/layerbalance.h
@@ -41,7 +41,7 @@
  * No placement can be faster than the work over all speeds. And in a time T a rank does at most T/slowness, so an
  * expert needs at least ceil(load x least slowness / T) replicas; they must fit into all slots together.
  */
-double slowestRankBound(const LayerProblem &problem);
+double slowestTimeLowerBound(const LayerProblem &problem);
 
 /**
  * The placement of one layer while it is being improved: who holds what, and how the load is divided.
@@ -50,7 +50,7 @@
  * Done expert by expert until nothing changes, this minimises the sum of squared rank times, whose minimum is also the
  * least slowest rank that the given replicas allow. Value type; one thread.
  */
-class LayerWork
+class LayerAssignment
 {
 public:
     /** One replica and the load divided to it. */
@@ -61,35 +61,35 @@
     };
 
     /** Passes that leave less than 1e-4 of a rank's load undivided in the sizes in use. */
-    static constexpr int SettlePasses = 24;
+    static constexpr int MaxRedistributionPasses = 24;
 
     /** Takes over @p current as far as it fits @p problem, which must outlive this object. */
-    LayerWork(const LayerProblem &problem, const LayerPlacement &current);
+    LayerAssignment(const LayerProblem &problem, const LayerPlacement &current);
 
     /** Gives every expert without a replica one, heaviest first, to the rank that is done first. False when there is no
      * room. */
-    bool placeMissing();
+    bool placeMissingExperts();
 
-    /** Divides all loads anew over the replicas there are, in at most @p passes over the experts. */
-    void settle(int passes = SettlePasses);
+    /** Divides all loads anew over the replicas there are, in at most @p maxPasses over the experts. */
+    void redistributeLoad(int maxPasses = MaxRedistributionPasses);
 
     /** Adds a replica of @p expert on @p rank and divides only its load. */
-    void add(int expert, int rank);
+    void addReplica(int expert, int rank);
 
     /** Removes the replica of @p expert on @p rank and divides its load over the others. */
-    void remove(int expert, int rank);
+    void removeReplica(int expert, int rank);
 
     /** The replica on @p rank that is missed least: one with siblings and the least load; nothing when all are sole. */
-    std::optional<int> spareOn(int rank) const;
+    std::optional<int> redundantExpertOn(int rank) const;
 
     /** Whether @p rank holds @p expert. */
-    bool holds(int expert, int rank) const;
+    bool holdsExpert(int expert, int rank) const;
 
     /** Whether @p rank has a slot left. */
-    bool hasRoom(int rank) const;
+    bool hasFreeSlot(int rank) const;
 
     /** Experts on @p rank, the one with most load there first. */
-    std::vector<int> heaviestOn(int rank) const;
+    std::vector<int> expertsByLoadOn(int rank) const;
 
     /** The replicas of @p expert, in no particular order. This object keeps ownership. */
     const std::vector<Replica> &replicasOf(int expert) const;
@@ -98,21 +98,21 @@
     double timeOf(int rank) const;
 
     /** Time of the slowest rank. */
-    double slowest() const;
+    double slowestTime() const;
 
     /** Ranks with slots, slowest first. */
-    std::vector<int> ranksBySlowness() const;
+    std::vector<int> ranksSlowestFirst() const;
 
     /** The placement with its shares rounded to ExpertSlot's unit. */
     LayerPlacement placement() const;
 
 private:
-    void divide(int expert);
+    void distributeLoad(int expert);
 
     const LayerProblem *m_problem;
     std::vector<std::vector<Replica>> m_replicas;
-    std::vector<double> m_rankLoad;
-    std::vector<int> m_used;
+    std::vector<double> m_rankLoads;
+    std::vector<int> m_usedSlots;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/placement.cpp
+++ b/modules/heatherridge_state/groups/placement.cpp
@@ -13,16 +13,16 @@
 {
 
 /** A layer this near to its bound is left alone: rounding of shares alone is of this order. */
-constexpr double CloseEnough = 0.002;
+constexpr double BoundTolerance = 0.002;
 /** Ranks tried as receivers a round; the least busy ones are nearly equal, more of them only cost time. */
-constexpr std::size_t ReceiversTried = 8;
+constexpr std::size_t MaxReceivers = 8;
 /** Changes whose effect on all ranks is worked out, of those that look best for the two ranks alone. */
-constexpr std::size_t ChangesWorkedOut = 6;
+constexpr std::size_t MaxEvaluatedChanges = 6;
 /** Passes for working out a trial; it starts from a settled division. */
 constexpr int TrialPasses = 6;
 /** Norm by which placements on the way are compared. The plain maximum doesn't move when one of two slowest ranks is
  * relieved, which would end the search there; this norm does and still follows the slowest rank. */
-constexpr int Norm = 8;
+constexpr int NormExponent = 8;
 
 /** One change of who holds what: a replica for a free or given up slot, or an exchange of two sole experts. */
 struct Change
@@ -31,52 +31,52 @@
     int from = 0; ///< the slow rank
     int to = 0;
     int evicted = -1; ///< expert that leaves `to`; -1 when there is room
-    bool exchanged = false; ///< whether `expert` leaves `from` and `evicted` goes there
-    double peak = 0; ///< slowest of the ranks that it touches, as estimated
+    bool isSwap = false; ///< whether `expert` leaves `from` and `evicted` goes there
+    double estimatedPeak = 0; ///< slowest of the ranks that it touches, as estimated
 
     int loads() const
     {
-        return exchanged ? 2 : 1;
+        return isSwap ? 2 : 1;
     }
 };
 
-void apply(LayerWork &work, const Change &change)
+void applyChange(LayerAssignment &assignment, const Change &change)
 {
-    if (change.exchanged) {
+    if (change.isSwap) {
         // Both are added before either is removed, so that no expert is ever without a replica.
-        work.add(change.expert, change.to);
-        work.remove(change.expert, change.from);
-        work.add(change.evicted, change.from);
-        work.remove(change.evicted, change.to);
+        assignment.addReplica(change.expert, change.to);
+        assignment.removeReplica(change.expert, change.from);
+        assignment.addReplica(change.evicted, change.from);
+        assignment.removeReplica(change.evicted, change.to);
         return;
     }
     if (change.evicted >= 0) {
-        work.remove(change.evicted, change.to);
+        assignment.removeReplica(change.evicted, change.to);
     }
-    work.add(change.expert, change.to);
+    assignment.addReplica(change.expert, change.to);
 }
 
-class LayerImprover
+class LayerOptimiser
 {
 public:
-    LayerImprover(const LayerProblem &problem, const LayerPlacement &current, double price)
+    LayerOptimiser(const LayerProblem &problem, const LayerPlacement &current, double penaltyPerExpert)
         : m_problem(problem)
         , m_current(current)
-        , m_price(price)
-        , m_bound(slowestRankBound(problem))
+        , m_penaltyPerExpert(penaltyPerExpert)
+        , m_bound(slowestTimeLowerBound(problem))
     {
     }
 
     /** The better of: the placement in force improved step by step, and one cut anew. */
-    std::optional<LayerPlacement> run()
+    std::optional<LayerPlacement> optimise()
     {
         if (!m_current.empty()) {
             improveFrom(m_current);
         }
-        if (!m_best.empty() && m_bestScore <= 1 + CloseEnough) {
+        if (!m_best.empty() && m_bestScore <= 1 + BoundTolerance) {
             return m_best;
         }
-        improveFrom(cutPlacement(m_problem, m_current));
+        improveFrom(splitPlacement(m_problem, m_current));
         if (m_best.empty()) {
             return std::nullopt;
         }
@@ -86,110 +86,116 @@
 private:
     void improveFrom(const LayerPlacement &start)
     {
-        LayerWork work(m_problem, start);
-        if (!work.placeMissing()) {
+        LayerAssignment assignment(m_problem, start);
+        if (!assignment.placeMissingExperts()) {
             return;
         }
-        work.settle();
-        keepIfBest(work);
-        const std::size_t mostRounds = m_problem.slots.size();
-        for (std::size_t round = 0; round < mostRounds && work.slowest() > m_bound * (1 + CloseEnough); ++round) {
+        assignment.redistributeLoad();
+        keepIfBest(assignment);
+        const std::size_t maxRounds = m_problem.slots.size();
+        for (std::size_t round = 0; round < maxRounds && assignment.slowestTime() > m_bound * (1 + BoundTolerance);
+             ++round) {
             // What the price of one more load could not bring back need not be tried.
-            if (work.slowest() / m_bound - 1 < m_price) {
+            if (assignment.slowestTime() / m_bound - 1 < m_penaltyPerExpert) {
                 return;
             }
-            auto next = bestChange(work);
+            auto next = bestChange(assignment);
             if (!next) {
                 return;
             }
-            work = std::move(*next);
-            work.settle();
-            keepIfBest(work);
+            assignment = std::move(*next);
+            assignment.redistributeLoad();
+            keepIfBest(assignment);
         }
     }
 
-    void keepIfBest(const LayerWork &work)
+    void keepIfBest(const LayerAssignment &assignment)
     {
-        auto placement = work.placement();
+        auto placement = assignment.placement();
         const auto loads = static_cast<double>(expertsToLoad(m_current, placement));
-        const double score = (m_bound > 0 ? work.slowest() / m_bound : 1) + m_price * loads;
+        const double score = (m_bound > 0 ? assignment.slowestTime() / m_bound : 1) + m_penaltyPerExpert * loads;
         if (m_best.empty() || score < m_bestScore) {
             m_best = std::move(placement);
             m_bestScore = score;
         }
     }
 
-    double norm(const LayerWork &work) const
+    double timeNorm(const LayerAssignment &assignment) const
     {
         double sum = 0;
         for (std::size_t rank = 0; rank < m_problem.slots.size(); ++rank) {
-            sum += std::pow(work.timeOf(static_cast<int>(rank)) / m_bound, Norm);
+            sum += std::pow(assignment.timeOf(static_cast<int>(rank)) / m_bound, NormExponent);
         }
         return sum;
     }
 
-    std::optional<LayerWork> bestChange(const LayerWork &work) const
+    std::optional<LayerAssignment> bestChange(const LayerAssignment &assignment) const
     {
-        const auto ranks = work.ranksBySlowness();
+        const auto ranks = assignment.ranksSlowestFirst();
         if (ranks.size() < 2) {
             return std::nullopt;
         }
-        const int slow = ranks.front();
+        const int slowestRank = ranks.front();
         std::vector<Change> changes;
-        const std::size_t receivers = std::min(ranks.size() - 1, ReceiversTried);
-        for (const int expert : work.heaviestOn(slow)) {
+        const std::size_t receivers = std::min(ranks.size() - 1, MaxReceivers);
+        for (const int expert : assignment.expertsByLoadOn(slowestRank)) {
             for (std::size_t i = 0; i < receivers; ++i) {
-                consider(work, {.expert = expert, .from = slow, .to = ranks[ranks.size() - 1 - i]}, changes);
+                addCandidates(assignment, {.expert = expert, .from = slowestRank, .to = ranks[ranks.size() - 1 - i]},
+                              changes);
             }
         }
-        std::stable_sort(changes.begin(), changes.end(), [](const auto &a, const auto &b) { return a.peak < b.peak; });
-        changes.resize(std::min(changes.size(), ChangesWorkedOut));
-        std::optional<LayerWork> best;
-        double least = norm(work) * (1 - CloseEnough); // strictly falling, so that the search can't go in circles
+        std::stable_sort(changes.begin(), changes.end(),
+                         [](const auto &a, const auto &b) { return a.estimatedPeak < b.estimatedPeak; });
+        changes.resize(std::min(changes.size(), MaxEvaluatedChanges));
+        std::optional<LayerAssignment> best;
+        double minNorm =
+            timeNorm(assignment) * (1 - BoundTolerance); // strictly falling, so that the search can't go in circles
         for (const auto &change : changes) {
-            LayerWork tried = work;
-            apply(tried, change);
-            tried.settle(TrialPasses);
-            if (const double now = norm(tried); now < least) {
-                least = now;
-                best = std::move(tried);
+            LayerAssignment trial = assignment;
+            applyChange(trial, change);
+            trial.redistributeLoad(TrialPasses);
+            if (const double trialNorm = timeNorm(trial); trialNorm < minNorm) {
+                minNorm = trialNorm;
+                best = std::move(trial);
             }
         }
         return best;
     }
 
     /** Adds the ways to give @p change's expert a place on its receiver, with an estimate of their effect. */
-    void consider(const LayerWork &work, Change change, std::vector<Change> &changes) const
+    void addCandidates(const LayerAssignment &assignment, Change change, std::vector<Change> &changes) const
     {
-        if (work.holds(change.expert, change.to)) {
+        if (assignment.holdsExpert(change.expert, change.to)) {
             return;
         }
-        const double together = work.timeOf(change.from) + work.timeOf(change.to);
-        if (work.hasRoom(change.to)) {
-            change.peak = together / 2;
+        const double combinedTime = assignment.timeOf(change.from) + assignment.timeOf(change.to);
+        if (assignment.hasFreeSlot(change.to)) {
+            change.estimatedPeak = combinedTime / 2;
             changes.push_back(change);
             return;
         }
-        for (const int evicted : work.heaviestOn(change.to)) {
+        for (const int evicted : assignment.expertsByLoadOn(change.to)) {
             change.evicted = evicted;
-            const double gone = loadOn(work, evicted, change.to);
-            if (work.replicasOf(evicted).size() > 1) {
-                change.exchanged = false;
-                const double moved = gone * m_problem.slowness[change.to];
-                change.peak = std::max((together - moved) / 2, leastSibling(work, evicted, change.to) + moved);
+            const double freedLoad = replicaLoad(assignment, evicted, change.to);
+            if (assignment.replicasOf(evicted).size() > 1) {
+                change.isSwap = false;
+                const double movedTime = freedLoad * m_problem.slowness[change.to];
+                change.estimatedPeak = std::max((combinedTime - movedTime) / 2,
+                                                fastestSiblingTime(assignment, evicted, change.to) + movedTime);
                 changes.push_back(change);
-            } else if (!work.holds(evicted, change.from)) {
-                change.exchanged = true;
-                const double swap = loadOn(work, change.expert, change.from) - gone;
-                change.peak = std::max(work.timeOf(change.from) - swap, work.timeOf(change.to) + swap);
+            } else if (!assignment.holdsExpert(evicted, change.from)) {
+                change.isSwap = true;
+                const double loadDifference = replicaLoad(assignment, change.expert, change.from) - freedLoad;
+                change.estimatedPeak = std::max(assignment.timeOf(change.from) - loadDifference,
+                                                assignment.timeOf(change.to) + loadDifference);
                 changes.push_back(change);
             }
         }
     }
 
-    static double loadOn(const LayerWork &work, int expert, int rank)
+    static double replicaLoad(const LayerAssignment &assignment, int expert, int rank)
     {
-        for (const auto &replica : work.replicasOf(expert)) {
+        for (const auto &replica : assignment.replicasOf(expert)) {
             if (replica.rank == rank) {
                 return replica.load;
             }
@@ -197,20 +203,20 @@
         return 0;
     }
 
-    static double leastSibling(const LayerWork &work, int expert, int rank)
+    static double fastestSiblingTime(const LayerAssignment &assignment, int expert, int rank)
     {
-        double least = HUGE_VAL;
-        for (const auto &replica : work.replicasOf(expert)) {
+        double minTime = HUGE_VAL;
+        for (const auto &replica : assignment.replicasOf(expert)) {
             if (replica.rank != rank) {
-                least = std::min(least, work.timeOf(replica.rank));
+                minTime = std::min(minTime, assignment.timeOf(replica.rank));
             }
         }
-        return least;
+        return minTime;
     }
 
     const LayerProblem &m_problem;
     const LayerPlacement &m_current;
-    double m_price;
+    double m_penaltyPerExpert;
     double m_bound;
     LayerPlacement m_best;
     double m_bestScore = 0;
@@ -222,13 +228,13 @@
                                                      const std::vector<LayerPlacement> &current,
                                                      const PlacementOptions &options)
 {
-    static const LayerPlacement Empty;
+    static const LayerPlacement NoPlacement;
     std::vector<LayerPlacement> layers;
     layers.reserve(problem.layers.size());
     for (std::size_t layer = 0; layer < problem.layers.size(); ++layer) {
-        LayerImprover improver(problem.layers[layer], layer < current.size() ? current[layer] : Empty,
-                               options.pricePerExpert);
-        auto improved = improver.run();
+        LayerOptimiser optimiser(problem.layers[layer], layer < current.size() ? current[layer] : NoPlacement,
+                                 options.penaltyPerExpert);
+        auto improved = optimiser.optimise();
         if (!improved) {
             return Error{.kind = ErrorKind::NoTarget, .detail = "the experts don't fit on the ranks that are left"};
         }
@@ -248,34 +254,35 @@
     return step.skew();
 }
 
-double excessTime(const GroupProblem &problem, const std::vector<LayerPlacement> &layers)
+double excessTimeRatio(const GroupProblem &problem, const std::vector<LayerPlacement> &layers)
 {
     double slowest = 0;
-    double least = 0;
+    double balancedTime = 0;
     for (std::size_t layer = 0; layer < layers.size(); ++layer) {
-        const auto &part = problem.layers[layer];
-        slowest += balanceOf(part, layers[layer]).slowest;
-        double speed = 0;
-        for (std::size_t rank = 0; rank < part.slots.size(); ++rank) {
-            speed += part.slots[rank] > 0 ? 1 / part.slowness[rank] : 0;
+        const auto &layerProblem = problem.layers[layer];
+        slowest += balanceOf(layerProblem, layers[layer]).slowest;
+        double totalSpeed = 0;
+        for (std::size_t rank = 0; rank < layerProblem.slots.size(); ++rank) {
+            totalSpeed += layerProblem.slots[rank] > 0 ? 1 / layerProblem.slowness[rank] : 0;
         }
-        least += speed > 0 ? std::accumulate(part.load.begin(), part.load.end(), 0.0) / speed : 0;
+        balancedTime +=
+            totalSpeed > 0 ? std::accumulate(layerProblem.load.begin(), layerProblem.load.end(), 0.0) / totalSpeed : 0;
     }
-    return least > 0 ? slowest / least - 1 : 0;
+    return balancedTime > 0 ? slowest / balancedTime - 1 : 0;
 }
 
-double stepSkewBound(const GroupProblem &problem)
+double stepSkewLowerBound(const GroupProblem &problem)
 {
     LayerBalance step;
     for (const auto &layer : problem.layers) {
-        const double bound = slowestRankBound(layer);
-        const double speedMean = std::accumulate(layer.load.begin(), layer.load.end(), 0.0);
-        double speed = 0;
+        const double bound = slowestTimeLowerBound(layer);
+        const double totalLoad = std::accumulate(layer.load.begin(), layer.load.end(), 0.0);
+        double totalSpeed = 0;
         for (std::size_t rank = 0; rank < layer.slots.size(); ++rank) {
-            speed += layer.slots[rank] > 0 ? 1 / layer.slowness[rank] : 0;
+            totalSpeed += layer.slots[rank] > 0 ? 1 / layer.slowness[rank] : 0;
         }
         step.slowest += bound;
-        step.mean += speed > 0 ? speedMean / speed : 0;
+        step.mean += totalSpeed > 0 ? totalLoad / totalSpeed : 0;
     }
     return step.skew();
 }
--- a/modules/heatherridge_state/groups/placement.h
+++ b/modules/heatherridge_state/groups/placement.h
@@ -16,7 +16,7 @@
 struct PlacementOptions
 {
     /** A loaded expert must lower its layer's skew by this much. 0 asks for the least skew at any number of bytes. */
-    double pricePerExpert = 0;
+    double penaltyPerExpert = 0;
 };
 
 /**
@@ -43,9 +43,9 @@
 double stepSkew(const GroupProblem &problem, const std::vector<LayerPlacement> &layers);
 
 /** The part of a step's time by which @p layers is slower than with all work evenly spread over the ranks' speeds. */
-double excessTime(const GroupProblem &problem, const std::vector<LayerPlacement> &layers);
+double excessTimeRatio(const GroupProblem &problem, const std::vector<LayerPlacement> &layers);
 
-/** The least step skew that any placement can have, by slowestRankBound(). */
-double stepSkewBound(const GroupProblem &problem);
+/** The least step skew that any placement can have, by slowestTimeLowerBound(). */
+double stepSkewLowerBound(const GroupProblem &problem);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/popularityestimator.cpp
+++ b/modules/heatherridge_state/groups/popularityestimator.cpp
@@ -12,12 +12,12 @@
 /** Until this many windows the averages are plain means: the start value is a guess and must not linger. */
 constexpr std::uint64_t WarmUpWindows = 25;
 /** Part of a new window in the comparison of memories: a change of regime shows within some minutes. */
-constexpr double ComparisonGain = 0.04;
+constexpr double ComparisonSmoothingFactor = 0.04;
 
-/** Variance of an average with @p gain relative to that of one window. */
-double varianceLeft(double gain)
+/** Variance of an average with @p smoothingFactor relative to that of one window. */
+double averageVarianceFactor(double smoothingFactor)
 {
-    return gain / (2 - gain);
+    return smoothingFactor / (2 - smoothingFactor);
 }
 
 } // namespace
@@ -31,24 +31,24 @@
     }
 }
 
-void PopularityEstimator::add(const RankReport &report, const ExpertMap &map)
+void PopularityEstimator::addReport(const RankReport &report, const ExpertMap &map)
 {
     const bool fits = report.rank >= 0 && report.rank < m_shape.ranks() && report.map == map.number()
-        && report.tokens.size() == map.expertsOn(report.rank);
-    if (!fits || report.window < m_closedBefore) {
-        ++m_dropped;
+        && report.tokens.size() == map.expertCountOn(report.rank);
+    if (!fits || report.window < m_firstOpenWindow) {
+        ++m_droppedReports;
         return;
     }
-    auto &window = m_open[report.window];
-    if (window.seen.empty()) {
-        window.seen.resize(m_shape.slots.size());
+    auto &window = m_openWindows[report.window];
+    if (window.reported.empty()) {
+        window.reported.resize(m_shape.slots.size());
         window.sums.resize(m_tracks.size());
     }
-    if (window.seen[report.rank]) {
-        ++m_dropped;
+    if (window.reported[report.rank]) {
+        ++m_droppedReports;
         return;
     }
-    window.seen[report.rank] = true;
+    window.reported[report.rank] = true;
     std::size_t next = 0;
     for (std::size_t layer = 0; layer < map.layers().size(); ++layer) {
         for (const auto &slot : map.layers()[layer]) {
@@ -63,31 +63,32 @@
 
 void PopularityEstimator::closeWindows(std::uint64_t newest)
 {
-    while (!m_open.empty() && m_open.begin()->first + OpenWindows < newest) {
-        close(m_open.begin()->second);
-        m_closedBefore = m_open.begin()->first + 1;
-        m_open.erase(m_open.begin());
+    while (!m_openWindows.empty() && m_openWindows.begin()->first + OpenWindows < newest) {
+        close(m_openWindows.begin()->second);
+        m_firstOpenWindow = m_openWindows.begin()->first + 1;
+        m_openWindows.erase(m_openWindows.begin());
     }
 }
 
 Popularity PopularityEstimator::popularity(int layer, int expert) const
 {
     const auto &track = m_tracks[static_cast<std::size_t>(layer) * m_shape.experts + expert];
-    return {.part = track.averages[m_inUse], .error = std::sqrt(track.variance * varianceInUse())};
+    return {.fraction = track.averages[m_activeAverage],
+            .standardError = std::sqrt(track.variance * activeVarianceFactor())};
 }
 
-std::vector<double> PopularityEstimator::parts(int layer) const
+std::vector<double> PopularityEstimator::fractions(int layer) const
 {
-    std::vector<double> parts(m_shape.experts);
+    std::vector<double> fractions(m_shape.experts);
     double total = 0;
     for (int expert = 0; expert < m_shape.experts; ++expert) {
-        parts[expert] = popularity(layer, expert).part;
-        total += parts[expert];
+        fractions[expert] = popularity(layer, expert).fraction;
+        total += fractions[expert];
     }
-    for (auto &part : parts) {
-        part = total > 0 ? part / total : 1.0 / m_shape.experts;
+    for (auto &fraction : fractions) {
+        fraction = total > 0 ? fraction / total : 1.0 / m_shape.experts;
     }
-    return parts;
+    return fractions;
 }
 
 double PopularityEstimator::relativeError() const
@@ -97,112 +98,118 @@
     if (ranks == 0 || m_shape.layers == 0) {
         return 0;
     }
-    if (m_closedCount < 2) {
+    if (m_closedWindows < 2) {
         return 1; // nothing is known yet, so nothing is a gain
     }
     double variance = 0;
     for (const auto &track : m_tracks) {
-        variance += track.variance * varianceInUse();
+        variance += track.variance * activeVarianceFactor();
     }
     // A rank's load in a layer is 1/ranks of the layer; the layer's variance is spread over its ranks.
     return std::sqrt(variance / m_shape.layers / ranks) * ranks;
 }
 
-std::uint64_t PopularityEstimator::droppedReports() const
+std::uint64_t PopularityEstimator::droppedReportCount() const
 {
-    return m_dropped;
+    return m_droppedReports;
 }
 
-std::uint64_t PopularityEstimator::jumps() const
+std::uint64_t PopularityEstimator::jumpCount() const
 {
-    return m_jumps;
+    return m_jumpCount;
 }
 
-double PopularityEstimator::gainInUse() const
+double PopularityEstimator::activeSmoothingFactor() const
 {
-    return Gains[m_inUse];
+    return SmoothingFactors[m_activeAverage];
 }
 
 void PopularityEstimator::close(const Window &window)
 {
-    ++m_closedCount;
-    std::array<double, Gains.size()> errors{};
+    ++m_closedWindows;
+    std::array<double, SmoothingFactors.size()> errors{};
     for (int layer = 0; layer < m_shape.layers; ++layer) {
         closeLayer(window, layer, errors);
     }
-    chooseMemory(errors);
+    chooseAverage(errors);
 }
 
-void PopularityEstimator::closeLayer(const Window &window, int layer, std::array<double, Gains.size()> &errors)
+void PopularityEstimator::closeLayer(const Window &window, int layer,
+                                     std::array<double, SmoothingFactors.size()> &errors)
 {
     const std::size_t base = static_cast<std::size_t>(layer) * m_shape.experts;
     double tokens = 0;
-    double known = 0; // what the experts with reports made up until now
+    double reportedFraction = 0; // what the experts with reports made up until now
     for (int expert = 0; expert < m_shape.experts; ++expert) {
         const auto &sum = window.sums[base + expert];
-        if (sum.share >= LeastShareSeen) {
+        if (sum.share >= MinReportedShare) {
             tokens += sum.tokens / sum.share;
-            known += m_tracks[base + expert].averages[m_inUse];
+            reportedFraction += m_tracks[base + expert].averages[m_activeAverage];
         }
     }
-    if (tokens <= 0 || known <= 0) {
+    if (tokens <= 0 || reportedFraction <= 0) {
         return;
     }
     for (int expert = 0; expert < m_shape.experts; ++expert) {
         const auto &sum = window.sums[base + expert];
-        if (sum.share >= LeastShareSeen) {
-            update(m_tracks[base + expert], sum.tokens / sum.share / tokens * known, errors);
+        if (sum.share >= MinReportedShare) {
+            update(m_tracks[base + expert], sum.tokens / sum.share / tokens * reportedFraction, errors);
         }
     }
 }
 
-void PopularityEstimator::update(Track &track, double part, std::array<double, Gains.size()> &errors)
+void PopularityEstimator::update(ExpertTrack &track, double fraction,
+                                 std::array<double, SmoothingFactors.size()> &errors)
 {
-    const double innovation = part - track.averages[m_inUse];
-    for (std::size_t i = 0; i < Gains.size(); ++i) {
-        const double error = part - track.averages[i];
+    const double deviation = fraction - track.averages[m_activeAverage];
+    for (std::size_t i = 0; i < SmoothingFactors.size(); ++i) {
+        const double error = fraction - track.averages[i];
         // Errors count relative to the expert's popularity, or the hottest experts alone would choose the memory.
-        errors[i] += error * error / std::max(track.averages[m_inUse], 1e-3 / m_shape.experts);
-        const double gain = warm() ? Gains[i] : std::max(Gains[i], 1.0 / static_cast<double>(m_closedCount));
-        track.averages[i] += gain * error;
-    }
-    const double apart = std::abs(track.averages.front() - track.averages[m_inUse]);
-    const double fastError = std::sqrt(track.variance * varianceLeft(Gains.front()));
-    if (warm() && fastError > 0 && apart > JumpErrors * fastError) {
+        errors[i] += error * error / std::max(track.averages[m_activeAverage], 1e-3 / m_shape.experts);
+        const double smoothingFactor = isWarmedUp()
+            ? SmoothingFactors[i]
+            : std::max(SmoothingFactors[i], 1.0 / static_cast<double>(m_closedWindows));
+        track.averages[i] += smoothingFactor * error;
+    }
+    const double divergence = std::abs(track.averages.front() - track.averages[m_activeAverage]);
+    const double fastError = std::sqrt(track.variance * averageVarianceFactor(SmoothingFactors.front()));
+    if (isWarmedUp() && fastError > 0 && divergence > JumpStandardErrors * fastError) {
         track.averages.fill(track.averages.front());
-        ++m_jumps;
+        ++m_jumpCount;
         return;
     }
     // A single far value must not inflate the variance so much that the jump behind it goes unseen.
-    const double most = warm() ? JumpErrors * JumpErrors * track.variance : innovation * innovation;
-    const double gain = warm() ? ComparisonGain : 1.0 / static_cast<double>(m_closedCount);
-    track.variance += gain * (std::min(innovation * innovation, most) - track.variance);
+    const double cap = isWarmedUp() ? JumpStandardErrors * JumpStandardErrors * track.variance : deviation * deviation;
+    const double smoothingFactor =
+        isWarmedUp() ? ComparisonSmoothingFactor : 1.0 / static_cast<double>(m_closedWindows);
+    track.variance += smoothingFactor * (std::min(deviation * deviation, cap) - track.variance);
 }
 
-void PopularityEstimator::chooseMemory(const std::array<double, Gains.size()> &errors)
+void PopularityEstimator::chooseAverage(const std::array<double, SmoothingFactors.size()> &errors)
 {
-    if (!warm()) {
+    if (!isWarmedUp()) {
         return; // until then all memories are nearly the same
     }
-    for (std::size_t i = 0; i < Gains.size(); ++i) {
-        const double gain = m_closedCount == WarmUpWindows + 1 ? 1 : ComparisonGain;
-        m_squaredErrors[i] += gain * (errors[i] - m_squaredErrors[i]);
+    for (std::size_t i = 0; i < SmoothingFactors.size(); ++i) {
+        const double smoothingFactor = m_closedWindows == WarmUpWindows + 1 ? 1 : ComparisonSmoothingFactor;
+        m_squaredErrors[i] += smoothingFactor * (errors[i] - m_squaredErrors[i]);
     }
-    for (std::size_t i = 0; i < Gains.size(); ++i) {
-        if (m_squaredErrors[i] < m_squaredErrors[m_inUse] * (1 - BetterBy)) {
-            m_inUse = i;
+    for (std::size_t i = 0; i < SmoothingFactors.size(); ++i) {
+        if (m_squaredErrors[i] < m_squaredErrors[m_activeAverage] * (1 - SwitchMargin)) {
+            m_activeAverage = i;
         }
     }
 }
 
-double PopularityEstimator::varianceInUse() const
+double PopularityEstimator::activeVarianceFactor() const
 {
-    return warm() ? varianceLeft(gainInUse()) : 1.0 / static_cast<double>(std::max<std::uint64_t>(1, m_closedCount));
+    return isWarmedUp() ? averageVarianceFactor(activeSmoothingFactor())
+                        : 1.0 / static_cast<double>(std::max<std::uint64_t>(1, m_closedWindows));
 }
 
-bool PopularityEstimator::warm() const
+bool PopularityEstimator::isWarmedUp() const
 {
-    return m_closedCount > WarmUpWindows;
+    return m_closedWindows > WarmUpWindows;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/rankvalues.h
+++ b/modules/heatherridge_state/groups/rankvalues.h
@@ -28,18 +28,18 @@
     std::optional<std::uint64_t> heldStep{}; ///< the group does not begin this pass
     int running = 0; ///< requests
     int waiting = 0; ///< requests
-    double pace = 1; ///< over 1: the rank takes so many times as long as usual
+    double slowdown = 1; ///< over 1: the rank takes so many times as long as usual
     /** How long ago a keeper last asked the process beside the rank for its counts; nothing when nobody can tell. */
-    std::optional<std::chrono::milliseconds> countsAskedAgo{};
+    std::optional<std::chrono::milliseconds> countsLastPolledAgo{};
     /** How old it may be at most when it was asked for; engines answer from afar with a report of 200 ms ago. */
-    std::chrono::milliseconds lag{250};
+    std::chrono::milliseconds maxAge{250};
 };
 
 /** How often a rank's requests chose each expert since it started. */
 struct RankCounts
 {
     std::uint64_t epoch = 0;
-    std::vector<double> chosen{}; ///< set by set
+    std::vector<double> selectionCounts{}; ///< set by set
 };
 
 /** The experts on one rank. */
--- a/modules/heatherridge_state/groups/rebalancepolicy.cpp
+++ b/modules/heatherridge_state/groups/rebalancepolicy.cpp
@@ -14,9 +14,9 @@
 {
 
 /** Keeps a weight of zero from making a price infinite or nothing: below this the other weight decides alone. */
-constexpr double LeastWeight = 1e-3;
+constexpr double MinWeight = 1e-3;
 
-bool holdsOnlyRanksWithSlots(const GroupProblem &problem, const std::vector<LayerPlacement> &layers)
+bool usesOnlyRanksWithSlots(const GroupProblem &problem, const std::vector<LayerPlacement> &layers)
 {
     for (const auto &layer : layers) {
         for (const auto &slot : layer) {
@@ -48,7 +48,7 @@
             placement = replicatedPlacement(layer);
             break;
         case BaselinePlacement::Hierarchical:
-            placement = hierarchicalPlacement(layer, problem.shape.places);
+            placement = hierarchicalPlacement(layer, problem.shape.locations);
             break;
         }
         if (!placement) {
@@ -61,11 +61,11 @@
 
 std::optional<std::vector<LayerPlacement>> PeriodicRebalance::decide(const RebalanceInput &input)
 {
-    waited += input.sinceLast;
-    if (waited < period) {
+    elapsed += input.sinceLastCall;
+    if (elapsed < period) {
         return std::nullopt;
     }
-    waited = {};
+    elapsed = {};
     auto layers = baselinePlacement(method, input.problem);
     if (!layers || *layers == input.current) {
         return std::nullopt;
@@ -75,27 +75,29 @@
 
 std::optional<std::vector<LayerPlacement>> RegretRebalance::decide(const RebalanceInput &input)
 {
-    const double skewWeight = std::max(input.weights.skew, LeastWeight);
-    const double costWeight = std::max(input.weights.cost, LeastWeight);
-    const double expertSeconds = static_cast<double>(input.problem.shape.expertBytes) / input.storeBytesPerSecond;
-    const double excess = excessTime(input.problem, input.current);
+    const double skewWeight = std::max(input.weights.skew, MinWeight);
+    const double costWeight = std::max(input.weights.cost, MinWeight);
+    const double secondsPerExpert = static_cast<double>(input.problem.shape.expertBytes) / input.storeBytesPerSecond;
+    const double currentExcessTime = excessTimeRatio(input.problem, input.current);
     // While the store loads, the present map stays and costs its excess: under a sudden hot expert a small change that
     // is in force soon beats a perfect one that is minutes away, and the rest follows later.
-    const double loadingPrice = costWeight + skewWeight * excess;
-    const double price = expertSeconds * loadingPrice * input.problem.shape.layers / (Horizon.count() * skewWeight);
-    auto improved = improvePlacement(input.problem, input.current, {.pricePerExpert = price});
+    const double costWhileLoading = costWeight + skewWeight * currentExcessTime;
+    const double penalty =
+        secondsPerExpert * costWhileLoading * input.problem.shape.layers / (PaybackPeriod.count() * skewWeight);
+    auto improved = improvePlacement(input.problem, input.current, {.penaltyPerExpert = penalty});
     auto *layers = std::get_if<std::vector<LayerPlacement>>(&improved);
     if (layers == nullptr) {
         return std::nullopt;
     }
-    if (!holdsOnlyRanksWithSlots(input.problem, input.current)) {
+    if (!usesOnlyRanksWithSlots(input.problem, input.current)) {
         m_regret = 0;
         return std::move(*layers);
     }
-    const double gain = excess - excessTime(input.problem, *layers) - NoiseErrors * input.relativeError;
-    m_regret = std::max(0.0, m_regret + gain * skewWeight * input.sinceLast.count());
+    const double gain =
+        currentExcessTime - excessTimeRatio(input.problem, *layers) - NoiseStandardErrors * input.relativeError;
+    m_regret = std::max(0.0, m_regret + gain * skewWeight * input.sinceLastCall.count());
     const auto bytes = static_cast<double>(bytesToMove(input.problem.shape, input.current, *layers));
-    const double cost = costWeight * (bytes / input.storeBytesPerSecond + SwitchPrice.count());
+    const double cost = costWeight * (bytes / input.storeBytesPerSecond + SwitchCost.count());
     if (gain <= 0 || m_regret < cost) {
         return std::nullopt;
     }
@@ -110,7 +112,7 @@
 
 std::optional<std::vector<LayerPlacement>> decide(RebalancePolicy &policy, const RebalanceInput &input)
 {
-    return std::visit([&input](auto &chosen) { return chosen.decide(input); }, policy);
+    return std::visit([&input](auto &concretePolicy) { return concretePolicy.decide(input); }, policy);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/rebalancepolicy.h
+++ b/modules/heatherridge_state/groups/rebalancepolicy.h
@@ -15,7 +15,7 @@
     const GroupProblem &problem; ///< estimated loads, slowness, slots
     const std::vector<LayerPlacement> &current; ///< the map in force
     double relativeError = 0; ///< of a rank's load, see PopularityEstimator
-    std::chrono::duration<double> sinceLast{}; ///< time since the last call
+    std::chrono::duration<double> sinceLastCall{}; ///< time since the last call
     double storeBytesPerSecond = 0; ///< what the weight store gives this group
     BalanceWeights weights{}; ///< the deployment's
 };
@@ -42,7 +42,7 @@
 {
     BaselinePlacement method = BaselinePlacement::Replicated;
     std::chrono::duration<double> period{};
-    std::chrono::duration<double> waited{};
+    std::chrono::duration<double> elapsed{};
 
     /** The placement of the method, when the period is over. */
     std::optional<std::vector<LayerPlacement>> decide(const RebalanceInput &input);
@@ -65,11 +65,11 @@
 public:
     /** Time over which a moved expert must pay for its loading. Drift runs over hours; a quarter of one is well inside
      * and leaves single misjudged moves cheap. */
-    static constexpr std::chrono::duration<double> Horizon{900};
+    static constexpr std::chrono::duration<double> PaybackPeriod{900};
     /** The largest of 64 equal ranks looks 2.4 standard errors hot by chance; less than that is no gain. */
-    static constexpr double NoiseErrors = 2.4;
+    static constexpr double NoiseStandardErrors = 2.4;
     /** Fixed price of a switch in seconds: the records, the messages and one step's pause. */
-    static constexpr std::chrono::duration<double> SwitchPrice{0.25};
+    static constexpr std::chrono::duration<double> SwitchCost{0.25};
 
     /** The improved placement once it has paid for itself, else nothing. At once when a rank with experts has left. */
     std::optional<std::vector<LayerPlacement>> decide(const RebalanceInput &input);
--- a/modules/heatherridge_state/groups/replicatedplacement.cpp
+++ b/modules/heatherridge_state/groups/replicatedplacement.cpp
@@ -7,14 +7,14 @@
 {
 
 std::vector<PackItem> replicateHottest(const LayerProblem &problem, const std::vector<int> &experts, int slots,
-                                       int most)
+                                       int maxReplicas)
 {
     std::vector<int> replicas(experts.size(), 1);
-    const auto loadEach = [&](std::size_t i) { return problem.load[experts[i]] / replicas[i]; };
-    for (int extra = slots - static_cast<int>(experts.size()); extra > 0; --extra) {
+    const auto loadPerReplica = [&](std::size_t i) { return problem.load[experts[i]] / replicas[i]; };
+    for (int spareSlots = slots - static_cast<int>(experts.size()); spareSlots > 0; --spareSlots) {
         std::optional<std::size_t> hottest;
         for (std::size_t i = 0; i < experts.size(); ++i) {
-            if (replicas[i] < most && (!hottest || loadEach(i) > loadEach(*hottest))) {
+            if (replicas[i] < maxReplicas && (!hottest || loadPerReplica(i) > loadPerReplica(*hottest))) {
                 hottest = i;
             }
         }
@@ -26,7 +26,7 @@
     std::vector<PackItem> items;
     for (std::size_t i = 0; i < experts.size(); ++i) {
         for (int replica = 0; replica < replicas[i]; ++replica) {
-            items.push_back({.expert = experts[i], .load = loadEach(i)});
+            items.push_back({.expert = experts[i], .load = loadPerReplica(i)});
         }
     }
     return items;
@@ -48,7 +48,7 @@
     if (!packLongestFirst(problem, ranks, items, placed)) {
         return std::nullopt;
     }
-    return evenlySplit(std::move(placed));
+    return withEvenShares(std::move(placed));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/replicatedplacement.h
+++ b/modules/heatherridge_state/groups/replicatedplacement.h
@@ -12,8 +12,8 @@
  */
 std::optional<LayerPlacement> replicatedPlacement(const LayerProblem &problem);
 
-/** Replicas for @p experts of @p problem that fill @p slots, at most @p most each; loads are per replica. */
+/** Replicas for @p experts of @p problem that fill @p slots, at most @p maxReplicas each; loads are per replica. */
 std::vector<PackItem> replicateHottest(const LayerProblem &problem, const std::vector<int> &experts, int slots,
-                                       int most);
+                                       int maxReplicas);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/stageplan.cpp
+++ b/modules/heatherridge_state/groups/stageplan.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-struct LayerStep
+struct LayerChange
 {
     std::size_t layer = 0;
     std::uint64_t bytes = 0;
@@ -28,27 +28,28 @@
 }
 
 std::vector<LayerPlacement> nextStage(const GroupProblem &problem, const std::vector<LayerPlacement> &current,
-                                      const std::vector<LayerPlacement> &wanted, std::uint64_t budget)
+                                      const std::vector<LayerPlacement> &desired, std::uint64_t byteBudget)
 {
     auto stage = current;
-    std::vector<LayerStep> steps;
-    for (std::size_t layer = 0; layer < wanted.size(); ++layer) {
-        const std::uint64_t bytes = expertsToLoad(current[layer], wanted[layer]) * problem.shape.expertBytes;
+    std::vector<LayerChange> changes;
+    for (std::size_t layer = 0; layer < desired.size(); ++layer) {
+        const std::uint64_t bytes = expertsToLoad(current[layer], desired[layer]) * problem.shape.expertBytes;
         if (bytes == 0) {
-            stage[layer] = wanted[layer];
+            stage[layer] = desired[layer];
             continue;
         }
-        const double before = balanceOf(problem.layers[layer], current[layer]).slowest;
-        const double after = balanceOf(problem.layers[layer], wanted[layer]).slowest;
-        steps.push_back({.layer = layer, .bytes = bytes, .gainPerByte = (before - after) / static_cast<double>(bytes)});
+        const double timeBefore = balanceOf(problem.layers[layer], current[layer]).slowest;
+        const double timeAfter = balanceOf(problem.layers[layer], desired[layer]).slowest;
+        changes.push_back(
+            {.layer = layer, .bytes = bytes, .gainPerByte = (timeBefore - timeAfter) / static_cast<double>(bytes)});
     }
-    std::stable_sort(steps.begin(), steps.end(),
+    std::stable_sort(changes.begin(), changes.end(),
                      [](const auto &a, const auto &b) { return a.gainPerByte > b.gainPerByte; });
-    std::uint64_t used = 0;
-    for (const auto &step : steps) {
-        if (used == 0 || used + step.bytes <= budget) {
-            stage[step.layer] = wanted[step.layer];
-            used += step.bytes;
+    std::uint64_t usedBytes = 0;
+    for (const auto &change : changes) {
+        if (usedBytes == 0 || usedBytes + change.bytes <= byteBudget) {
+            stage[change.layer] = desired[change.layer];
+            usedBytes += change.bytes;
         }
     }
     return stage;
--- a/modules/heatherridge_state/groups/stragglerdetector.cpp
+++ b/modules/heatherridge_state/groups/stragglerdetector.cpp
@@ -11,12 +11,12 @@
 {
 
 /** Below this many tokens in a window, time a token says little. */
-constexpr double LeastTokens = 100;
+constexpr double MinTokens = 100;
 
 double microsecondsPerToken(const RankReport &report)
 {
     const double tokens = std::accumulate(report.tokens.begin(), report.tokens.end(), 0.0);
-    return tokens < LeastTokens ? 0 : static_cast<double>(report.busy.count()) / tokens;
+    return tokens < MinTokens ? 0 : static_cast<double>(report.busyTime.count()) / tokens;
 }
 
 } // namespace
@@ -28,17 +28,17 @@
 
 void StragglerDetector::addWindow(const std::vector<RankReport> &reports)
 {
-    std::vector<double> costs;
+    std::vector<double> tokenCosts;
     for (const auto &report : reports) {
         if (const double cost = microsecondsPerToken(report); cost > 0) {
-            costs.push_back(cost);
+            tokenCosts.push_back(cost);
         }
     }
-    if (costs.empty()) {
+    if (tokenCosts.empty()) {
         return;
     }
-    const auto middle = costs.begin() + static_cast<std::ptrdiff_t>(costs.size() / 2);
-    std::nth_element(costs.begin(), middle, costs.end());
+    const auto middle = tokenCosts.begin() + static_cast<std::ptrdiff_t>(tokenCosts.size() / 2);
+    std::nth_element(tokenCosts.begin(), middle, tokenCosts.end());
     const double median = *middle;
     for (const auto &report : reports) {
         const double cost = microsecondsPerToken(report);
@@ -46,12 +46,12 @@
             continue;
         }
         auto &track = m_tracks[report.rank];
-        track.average += Gain * (cost / median - track.average);
-        track.above = track.average > EnterSlowness ? track.above + 1 : 0;
+        track.average += SmoothingFactor * (cost / median - track.average);
+        track.windowsAbove = track.average > EnterSlowness ? track.windowsAbove + 1 : 0;
         if (track.straggler) {
-            track.straggler = track.average >= LeaveSlowness;
+            track.straggler = track.average >= ExitSlowness;
         } else {
-            track.straggler = track.above >= WindowsToEnter;
+            track.straggler = track.windowsAbove >= WindowsToEnter;
         }
     }
 }
@@ -59,7 +59,7 @@
 double StragglerDetector::slowness(int rank) const
 {
     const auto &track = m_tracks[rank];
-    return track.straggler ? std::max(1.0, std::round(track.average / Step) * Step) : 1.0;
+    return track.straggler ? std::max(1.0, std::round(track.average / SlownessStep) * SlownessStep) : 1.0;
 }
 
 bool StragglerDetector::isStraggler(int rank) const
--- a/modules/heatherridge_state/groups/stragglerdetector.h
+++ b/modules/heatherridge_state/groups/stragglerdetector.h
@@ -22,15 +22,15 @@
 public:
     /** Part of a new window in the average: about 4 windows, so a straggler shows within a minute and a short stall
      * doesn't. */
-    static constexpr double Gain = 0.2;
+    static constexpr double SmoothingFactor = 0.2;
     /** Time a token relative to the median from which a rank is a straggler: above the spread of equal machines. */
     static constexpr double EnterSlowness = 1.15;
     /** Below this it no longer is; the gap keeps a rank near the line from toggling. */
-    static constexpr double LeaveSlowness = 1.07;
+    static constexpr double ExitSlowness = 1.07;
     /** Windows in a row above EnterSlowness before it counts: one long pause of a rank is no reason to move work. */
     static constexpr int WindowsToEnter = 4;
     /** Steps in which slowness is told to the placement: finer ones would make it follow noise. */
-    static constexpr double Step = 0.05;
+    static constexpr double SlownessStep = 0.05;
 
     /** Starts with @p ranks healthy ranks. */
     explicit StragglerDetector(int ranks);
@@ -45,14 +45,14 @@
     bool isStraggler(int rank) const;
 
 private:
-    struct Track
+    struct RankTrack
     {
         double average = 1;
-        int above = 0;
+        int windowsAbove = 0;
         bool straggler = false;
     };
 
-    std::vector<Track> m_tracks;
+    std::vector<RankTrack> m_tracks;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/sidecarranks.cpp
+++ b/modules/heatherridge_transport/direct/sidecarranks.cpp
@@ -34,7 +34,7 @@
 {
     const auto fresh = [done](Result<RankStatus> status) {
         if (auto *known = std::get_if<RankStatus>(&status)) {
-            known->lag = FreshLag;
+            known->maxAge = FreshLag;
         }
         done(std::move(status));
     };
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -106,7 +106,7 @@
             auto *status = std::get_if<RankStatus>(&result);
             if (status != nullptr) {
                 const auto ago = std::chrono::steady_clock::now() - m_countsAskedAt;
-                status->countsAskedAgo = std::chrono::duration_cast<std::chrono::milliseconds>(ago);
+                status->countsLastPolledAgo = std::chrono::duration_cast<std::chrono::milliseconds>(ago);
             }
             answerWith<RankStatus>(exchange)(result);
         });
--- a/modules/heatherridge_transport/target/groupagent.cpp
+++ b/modules/heatherridge_transport/target/groupagent.cpp
@@ -91,7 +91,7 @@
         nlohmann::ordered_json json{{"group", m_group.text()},
                                     {"rank", m_rank},
                                     {"leads", m_leader != nullptr},
-                                    {"fencing", m_claims.present() ? toNumber(m_claims.present()->fencing) : 0}};
+                                    {"fencing", m_claims.current() ? toNumber(m_claims.current()->fencing) : 0}};
         if (const auto &engine = m_gate->engineState()) {
             json["epoch"] = toNumber(engine->epoch);
             json["ranks"] = engine->ranks.size();
@@ -192,7 +192,7 @@
     {
         for (const auto *rank : m_view->inventory->ranksOf(m_group)) {
             // Regular word from the leader keeps the others from claiming.
-            send(rank->rank, StatusRequest{.leader = m_claims.present()->fencing});
+            send(rank->rank, StatusRequest{.leader = m_claims.current()->fencing});
         }
         perform(m_leader->tick());
         const auto &engine = m_gate->engineState();
@@ -230,8 +230,8 @@
     {
         m_leaderSilent = {};
         const GroupClaim claim{.rank = m_rank,
-                               .run = m_run,
-                               .replaces = m_claims.present() ? m_claims.present()->fencing : FencingNumber{}};
+                               .incarnation = m_run,
+                               .replaces = m_claims.current() ? m_claims.current()->fencing : FencingNumber{}};
         // Whether it counts is only known once it is read back, so the reply is of no interest.
         m_log->append(stream(), encodeGroupRecord(claim), [](const Result<LogOffset> &) {});
     }
@@ -302,12 +302,12 @@
 
     void changeLeader()
     {
-        const auto &present = *m_claims.present();
+        const auto &present = *m_claims.current();
         m_gate->handleClaim(present.fencing);
         m_leaderSilent = {};
         m_leader.reset();
         m_planner.reset();
-        if (present.claim.rank != m_rank || present.claim.run != m_run) {
+        if (present.claim.rank != m_rank || present.claim.incarnation != m_run) {
             return;
         }
         std::vector<int> ranks;
@@ -324,7 +324,7 @@
 
     void take(const GroupMessage &message, int from, Incarnation run)
     {
-        const int leader = m_claims.present() ? m_claims.present()->claim.rank : -1;
+        const int leader = m_claims.current() ? m_claims.current()->claim.rank : -1;
         if (from == leader) {
             m_leaderSilent = {};
         }
@@ -351,8 +351,8 @@
         for (const auto &action : actions) {
             std::visit(Visitor{
                            [this](const SendToLeader &message) {
-                               if (m_claims.present()) {
-                                   send(m_claims.present()->claim.rank, message.message);
+                               if (m_claims.current()) {
+                                   send(m_claims.current()->claim.rank, message.message);
                                }
                            },
                            [this](const SendToRank &message) { send(message.rank, message.message); },
@@ -467,8 +467,8 @@
     std::unique_ptr<RankGate> m_gate;
     std::unique_ptr<GroupLeader> m_leader;
     std::unique_ptr<GroupPlanner> m_planner;
-    GroupClaims m_claims;
-    GroupEpochs m_epochs;
+    GroupClaimTracker m_claims;
+    GroupEpochTracker m_epochs;
     std::map<MapNumber, ExpertMap> m_maps;
     OrderQueue m_orders{[this](const OrderEngine &order) { return sendOrder(order); }};
     std::chrono::milliseconds m_leaderSilent{};
--- a/tests/groups/controlbudget_test.cpp
+++ b/tests/groups/controlbudget_test.cpp
@@ -14,29 +14,29 @@
 constexpr double BytesPerMegabit = 1e6 / 8;
 constexpr auto Period = 175ms;
 
-std::vector<TargetEntry> ranksOf(std::size_t near, std::size_t far)
+std::vector<TargetEntry> ranksOf(std::size_t ownZone, std::size_t remote)
 {
     std::vector<TargetEntry> ranks;
-    for (std::size_t rank = 0; rank < near + far; ++rank) {
+    for (std::size_t rank = 0; rank < ownZone + remote; ++rank) {
         // Near and far ones by turns, as names order them.
-        const bool isNear = rank % 2 == 0 ? rank / 2 < near : rank / 2 >= far;
-        ranks.push_back({.id = TargetName(std::to_string(rank)), .zone = isNear ? Zone : ZoneName("b")});
+        const bool isOwnZone = rank % 2 == 0 ? rank / 2 < ownZone : rank / 2 >= remote;
+        ranks.push_back({.id = TargetName(std::to_string(rank)), .zone = isOwnZone ? Zone : ZoneName("b")});
     }
     return ranks;
 }
 
-struct BudgetRow
+struct BudgetCase
 {
-    const char *story;
+    const char *description;
     double linkMbps;
-    std::size_t near;
-    std::size_t far;
+    std::size_t ownZone;
+    std::size_t remote;
     std::size_t counts; ///< of one rank
-    std::size_t leastSurveyed;
-    std::size_t mostSurveyed;
+    std::size_t minPolled;
+    std::size_t maxPolled;
 };
 
-const BudgetRow BudgetRows[] = {
+const BudgetCase BudgetCases[] = {
     {"an unknown link bounds nothing", 0, 50, 100, 3'072, 150, 150},
     {"a wide link carries all of a small site", 1'000, 6, 10, 384, 16, 16},
     {"64 ranks of a middling model", 60, 22, 42, 1'536, 64, 64},
@@ -46,37 +46,37 @@
     {"a thin link still learns what is liked", 1, 4, 12, 3'072, 8, 8},
 };
 
-class Budgets : public testing::TestWithParam<BudgetRow>
+class ControlBudgets : public testing::TestWithParam<BudgetCase>
 {
 };
 
-TEST_P(Budgets, KeepWhatIsAskedToTheLink)
+TEST_P(ControlBudgets, LimitPollingToTheLinkShare)
 {
     const auto &row = GetParam();
     const ControlBudget budget(Zone, row.linkMbps * BytesPerMegabit);
-    const auto surveyed = budget.surveyed(ranksOf(row.near, row.far), row.counts, Period);
-    EXPECT_GE(surveyed.size(), row.leastSurveyed) << row.story;
-    EXPECT_LE(surveyed.size(), row.mostSurveyed) << row.story;
-    const auto near =
-        std::count_if(surveyed.begin(), surveyed.end(), [&](const auto &rank) { return budget.isNear(rank); });
-    EXPECT_EQ(static_cast<std::size_t>(near), std::min(row.near, surveyed.size())) << row.story;
+    const auto ranksToPoll = budget.ranksToPoll(ranksOf(row.ownZone, row.remote), row.counts, Period);
+    EXPECT_GE(ranksToPoll.size(), row.minPolled) << row.description;
+    EXPECT_LE(ranksToPoll.size(), row.maxPolled) << row.description;
+    const auto ownZone = std::count_if(ranksToPoll.begin(), ranksToPoll.end(),
+                                       [&](const auto &rank) { return budget.isInOwnZone(rank); });
+    EXPECT_EQ(static_cast<std::size_t>(ownZone), std::min(row.ownZone, ranksToPoll.size())) << row.description;
     // Far ranks are asked as often as their part of the link allows, neither more often nor less.
-    constexpr double farPart = 0.0025;
+    constexpr double remoteStatusFraction = 0.0025;
     constexpr double statusBytes = 600;
-    const auto period = budget.farPeriod(row.far, 400ms);
+    const auto period = budget.remoteStatusPeriod(row.remote, 400ms);
     const std::chrono::duration<double> seconds = period;
-    const double allowed = row.linkMbps * BytesPerMegabit * farPart * seconds.count();
-    const double asked = static_cast<double>(row.far) * statusBytes;
-    EXPECT_GE(period, 400ms) << row.story;
-    EXPECT_LE(period, 3'000ms) << row.story;
+    const double allowedBytes = row.linkMbps * BytesPerMegabit * remoteStatusFraction * seconds.count();
+    const double sentBytes = static_cast<double>(row.remote) * statusBytes;
+    EXPECT_GE(period, 400ms) << row.description;
+    EXPECT_LE(period, 3'000ms) << row.description;
     if (row.linkMbps > 0 && period < 3'000ms) {
-        EXPECT_LE(asked, allowed * 1.01) << row.story;
+        EXPECT_LE(sentBytes, allowedBytes * 1.01) << row.description;
     }
     if (period > 400ms) {
-        EXPECT_GE(asked, allowed * 0.99) << row.story;
+        EXPECT_GE(sentBytes, allowedBytes * 0.99) << row.description;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Budgets, testing::ValuesIn(BudgetRows));
+INSTANTIATE_TEST_SUITE_P(All, ControlBudgets, testing::ValuesIn(BudgetCases));
 
 } // namespace
--- a/tests/groups/groupproblems.h
+++ b/tests/groups/groupproblems.h
@@ -10,13 +10,13 @@
 {
 
 /** A group of @p ranks equal ranks. */
-inline GroupShape evenShape(int layers, int experts, int ranks, int slots)
+inline GroupShape uniformShape(int layers, int experts, int ranks, int slots)
 {
     return {.layers = layers,
             .experts = experts,
             .expertBytes = 1000,
             .slots = std::vector<int>(static_cast<std::size_t>(ranks), slots),
-            .places = {}};
+            .locations = {}};
 }
 
 /** Loads whose hottest experts carry several times the mean; @p spread 0 makes all equal. */
@@ -24,23 +24,25 @@
 {
     GroupProblem problem{.shape = shape, .layers = {}};
     for (int layer = 0; layer < shape.layers; ++layer) {
-        LayerProblem part{.load = {}, .slowness = std::vector<double>(shape.slots.size(), 1), .slots = shape.slots};
+        LayerProblem layerProblem{
+            .load = {}, .slowness = std::vector<double>(shape.slots.size(), 1), .slots = shape.slots};
         for (int expert = 0; expert < shape.experts; ++expert) {
-            part.load.push_back(std::exp(spread * (random.fraction() + random.fraction() + random.fraction() - 1.5)));
+            layerProblem.load.push_back(
+                std::exp(spread * (random.fraction() + random.fraction() + random.fraction() - 1.5)));
         }
-        problem.layers.push_back(std::move(part));
+        problem.layers.push_back(std::move(layerProblem));
     }
     return problem;
 }
 
 /** The reports that ranks would send for one window: tokens of @p problem's loads under @p map, with noise. */
-inline std::vector<RankReport> reportsFor(const GroupProblem &problem, const ExpertMap &map, std::uint64_t window,
-                                          double tokensPerLayer, RandomSource &random)
+inline std::vector<RankReport> simulateReports(const GroupProblem &problem, const ExpertMap &map, std::uint64_t window,
+                                               double tokensPerLayer, RandomSource &random)
 {
     std::vector<RankReport> reports;
     for (int rank = 0; rank < problem.shape.ranks(); ++rank) {
         RankReport report{.rank = rank, .window = window, .map = map.number()};
-        double busy = 0;
+        double busyMicroseconds = 0;
         for (std::size_t layer = 0; layer < map.layers().size(); ++layer) {
             double total = 0;
             for (const double load : problem.layers[layer].load) {
@@ -56,17 +58,17 @@
                     std::sqrt(mean) * 2 * (random.fraction() + random.fraction() + random.fraction() - 1.5);
                 const double tokens = std::max(0.0, std::round(mean + noise));
                 report.tokens.push_back(static_cast<std::uint32_t>(tokens));
-                busy += tokens * problem.layers[layer].slowness[rank];
+                busyMicroseconds += tokens * problem.layers[layer].slowness[rank];
             }
         }
-        report.busy = std::chrono::microseconds(static_cast<std::int64_t>(busy * 10));
+        report.busyTime = std::chrono::microseconds(static_cast<std::int64_t>(busyMicroseconds * 10));
         reports.push_back(std::move(report));
     }
     return reports;
 }
 
 /** A first map for @p problem. */
-inline ExpertMap firstMap(const GroupProblem &problem)
+inline ExpertMap initialMap(const GroupProblem &problem)
 {
     auto layers = std::get<std::vector<LayerPlacement>>(improvePlacement(problem, {}, {}));
     return std::get<ExpertMap>(ExpertMap::create(MapNumber{1}, problem.shape, std::move(layers)));
--- a/tests/groups/message_test.cpp
+++ b/tests/groups/message_test.cpp
@@ -14,11 +14,11 @@
 GroupEpoch randomEpoch(std::uint32_t seed)
 {
     SeededRandom random(seed);
-    const auto problem = randomProblem(evenShape(3, 6, 4, 2), random, 2);
+    const auto problem = randomProblem(uniformShape(3, 6, 4, 2), random, 2);
     return {.number = EpochNumber{7},
             .leader = FencingNumber{3},
             .members = {{0, Incarnation{1}}, {1, Incarnation{2}}, {2, Incarnation{3}}, {3, Incarnation{seed}}},
-            .map = firstMap(problem)};
+            .map = initialMap(problem)};
 }
 
 std::vector<GroupMessage> allMessages(std::uint32_t seed)
@@ -74,15 +74,15 @@
     }
 }
 
-TEST(GroupEpochs, FirstRecordOfANumberWinsAndSuccessiveEpochsShareARank)
+TEST(GroupEpochTracker, FirstRecordOfANumberWinsAndSuccessiveEpochsShareARank)
 {
-    GroupEpochs epochs;
+    GroupEpochTracker epochs;
     auto epoch = randomEpoch(1);
     EXPECT_TRUE(epochs.apply(epoch));
     auto conflicting = epoch;
     conflicting.leader = FencingNumber{99};
     EXPECT_FALSE(epochs.apply(conflicting));
-    EXPECT_EQ(epochs.ignored(), 1U);
+    EXPECT_EQ(epochs.ignoredCount(), 1U);
     auto successor = epoch;
     successor.number = EpochNumber{8};
     successor.members = {{8, Incarnation{1}}};
--- a/tests/groups/placement_test.cpp
+++ b/tests/groups/placement_test.cpp
@@ -13,14 +13,14 @@
 namespace
 {
 
-struct MapRow
+struct MapCase
 {
-    const char *story;
+    const char *description;
     std::vector<LayerPlacement> layers;
     bool valid;
 };
 
-const MapRow MapRows[] = {
+const MapCase MapCases[] = {
     {"two experts on two ranks", {{{0, 0, 4096}, {1, 1, 4096}}}, true},
     {"a replica with a split", {{{0, 0, 96}, {0, 1, 4000}, {1, 1, 4096}}}, true},
     {"an expert nowhere", {{{0, 0, 4096}}}, false},
@@ -33,31 +33,31 @@
     {"a layer missing", {}, false},
 };
 
-class MapFaults : public testing::TestWithParam<MapRow>
+class ExpertMapValidation : public testing::TestWithParam<MapCase>
 {
 };
 
-TEST_P(MapFaults, AreRefused)
+TEST_P(ExpertMapValidation, AcceptsOnlyExecutableMaps)
 {
-    const auto made = ExpertMap::create(MapNumber{1}, evenShape(1, 2, 2, 2), GetParam().layers);
-    EXPECT_EQ(errorIn(made) == nullptr, GetParam().valid) << GetParam().story;
+    const auto result = ExpertMap::create(MapNumber{1}, uniformShape(1, 2, 2, 2), GetParam().layers);
+    EXPECT_EQ(errorIn(result) == nullptr, GetParam().valid) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, MapFaults, testing::ValuesIn(MapRows));
+INSTANTIATE_TEST_SUITE_P(Table, ExpertMapValidation, testing::ValuesIn(MapCases));
 
-TEST(BytesToMove, ChangedSharesLoadNothingAndEachNewPlaceLoadsOneExpert)
+TEST(BytesToMove, ShareChangesLoadNothingAndEachNewReplicaLoadsOneExpert)
 {
-    const auto shape = evenShape(1, 2, 2, 2);
+    const auto shape = uniformShape(1, 2, 2, 2);
     const std::vector<LayerPlacement> from{{{0, 0, 4096}, {1, 0, 96}, {1, 1, 4000}}};
     EXPECT_EQ(bytesToMove(shape, from, {{{0, 0, 4096}, {1, 0, 4000}, {1, 1, 96}}}), 0U);
     EXPECT_EQ(bytesToMove(shape, from, {{{0, 0, 2000}, {0, 1, 2096}, {1, 1, 4096}}}), 1000U);
 }
 
-GroupProblem drawnProblem()
+GroupProblem generateProblem()
 {
     const int experts = *rc::gen::inRange(1, 20);
     const int ranks = *rc::gen::inRange(1, 9);
-    auto shape = evenShape(2, experts, ranks, 0);
+    auto shape = uniformShape(2, experts, ranks, 0);
     for (auto &slots : shape.slots) {
         slots = *rc::gen::inRange(0, 5);
     }
@@ -71,60 +71,60 @@
     return problem;
 }
 
-void checkAgainstBound(const GroupProblem &problem, const std::vector<LayerPlacement> &layers)
+void checkLowerBound(const GroupProblem &problem, const std::vector<LayerPlacement> &layers)
 {
     for (std::size_t layer = 0; layer < layers.size(); ++layer) {
         const double slowest = balanceOf(problem.layers[layer], layers[layer]).slowest;
         // Shares are rounded to 1/4096 of an expert.
-        RC_ASSERT(slowest >= slowestRankBound(problem.layers[layer]) * 0.999);
+        RC_ASSERT(slowest >= slowestTimeLowerBound(problem.layers[layer]) * 0.999);
     }
 }
 
-RC_GTEST_PROP(Placement, IsAValidMapWheneverTheExpertsFitAndNeverBeatsTheBound, ())
+RC_GTEST_PROP(Placement, IsValidWheneverExpertsFitAndRespectsLowerBound, ())
 {
-    const auto problem = drawnProblem();
+    const auto problem = generateProblem();
     const int slots = std::accumulate(problem.shape.slots.begin(), problem.shape.slots.end(), 0);
     const auto improved = improvePlacement(problem, {}, {});
     RC_ASSERT((errorIn(improved) == nullptr) == (slots >= problem.shape.experts));
     if (const auto *layers = std::get_if<std::vector<LayerPlacement>>(&improved)) {
         RC_ASSERT(errorIn(ExpertMap::create(MapNumber{1}, problem.shape, *layers)) == nullptr);
-        checkAgainstBound(problem, *layers);
-        const auto again = std::get<std::vector<LayerPlacement>>(improvePlacement(problem, *layers, {}));
-        RC_ASSERT(excessTime(problem, again) <= excessTime(problem, *layers) + 0.01);
+        checkLowerBound(problem, *layers);
+        const auto improvedAgain = std::get<std::vector<LayerPlacement>>(improvePlacement(problem, *layers, {}));
+        RC_ASSERT(excessTimeRatio(problem, improvedAgain) <= excessTimeRatio(problem, *layers) + 0.01);
     }
 }
 
-RC_GTEST_PROP(Placement, BaselinesAreValidMapsToo, ())
+RC_GTEST_PROP(Placement, BaselinesAreValidMaps, ())
 {
-    const auto problem = drawnProblem();
+    const auto problem = generateProblem();
     for (const auto method :
          {BaselinePlacement::Greedy, BaselinePlacement::Replicated, BaselinePlacement::Hierarchical}) {
         if (const auto layers = baselinePlacement(method, problem)) {
             RC_ASSERT(errorIn(ExpertMap::create(MapNumber{1}, problem.shape, *layers)) == nullptr);
-            checkAgainstBound(problem, *layers);
+            checkLowerBound(problem, *layers);
         }
     }
 }
 
-RC_GTEST_PROP(Placement, TakesAllExpertsOffARankThatLeft, ())
+RC_GTEST_PROP(Placement, MovesAllExpertsOffRankThatLeft, ())
 {
     SeededRandom random(*rc::gen::arbitrary<std::uint32_t>());
-    auto problem = randomProblem(evenShape(2, 8, 5, 2), random, 2);
-    const auto map = firstMap(problem);
-    const int left = *rc::gen::inRange(0, 5);
-    problem.shape.slots[left] = 0;
+    auto problem = randomProblem(uniformShape(2, 8, 5, 2), random, 2);
+    const auto map = initialMap(problem);
+    const int removedRank = *rc::gen::inRange(0, 5);
+    problem.shape.slots[removedRank] = 0;
     for (auto &layer : problem.layers) {
-        layer.slots[left] = 0;
+        layer.slots[removedRank] = 0;
     }
     const auto layers = std::get<std::vector<LayerPlacement>>(improvePlacement(problem, map.layers(), {}));
     RC_ASSERT(errorIn(ExpertMap::create(MapNumber{2}, problem.shape, layers)) == nullptr);
 }
 
-TEST(Placement, WithTwoSlotsARankAndAsManyRanksAsExpertsComesOutEven)
+TEST(Placement, BalancesWithTwoSlotsPerRankAndOneRankPerExpert)
 {
     SeededRandom random(7);
-    const auto problem = randomProblem(evenShape(8, 64, 64, 2), random, 3);
-    EXPECT_LT(stepSkew(problem, firstMap(problem).layers()), 1.005);
+    const auto problem = randomProblem(uniformShape(8, 64, 64, 2), random, 3);
+    EXPECT_LT(stepSkew(problem, initialMap(problem).layers()), 1.005);
     const auto packed = baselinePlacement(BaselinePlacement::Replicated, problem);
     ASSERT_TRUE(packed);
     EXPECT_GT(stepSkew(problem, *packed), 1.05);
@@ -133,51 +133,51 @@
 TEST(Placement, AmongNearEqualsKeepsWhatIsThere)
 {
     SeededRandom random(7);
-    auto problem = randomProblem(evenShape(4, 64, 64, 2), random, 2);
-    const auto map = firstMap(problem);
+    auto problem = randomProblem(uniformShape(4, 64, 64, 2), random, 2);
+    const auto map = initialMap(problem);
     for (auto &layer : problem.layers) {
         for (auto &load : layer.load) {
             load *= 1 + 0.02 * (random.fraction() - 0.5);
         }
     }
     const auto layers =
-        std::get<std::vector<LayerPlacement>>(improvePlacement(problem, map.layers(), {.pricePerExpert = 0.03}));
+        std::get<std::vector<LayerPlacement>>(improvePlacement(problem, map.layers(), {.penaltyPerExpert = 0.03}));
     EXPECT_EQ(bytesToMove(problem.shape, map.layers(), layers), 0U);
-    EXPECT_LT(excessTime(problem, layers), excessTime(problem, map.layers()));
+    EXPECT_LT(excessTimeRatio(problem, layers), excessTimeRatio(problem, map.layers()));
 }
 
-TEST(Placement, TakesWorkOffAStragglerWithoutReshufflingTheRest)
+TEST(Placement, MovesWorkOffStragglerWithFewLoads)
 {
     SeededRandom random(3);
-    auto problem = randomProblem(evenShape(2, 64, 32, 4), random, 1);
-    const auto map = firstMap(problem);
+    auto problem = randomProblem(uniformShape(2, 64, 32, 4), random, 1);
+    const auto map = initialMap(problem);
     for (auto &layer : problem.layers) {
         layer.slowness[5] = 1.5;
     }
     const auto layers =
-        std::get<std::vector<LayerPlacement>>(improvePlacement(problem, map.layers(), {.pricePerExpert = 0.01}));
+        std::get<std::vector<LayerPlacement>>(improvePlacement(problem, map.layers(), {.penaltyPerExpert = 0.01}));
     for (std::size_t layer = 0; layer < layers.size(); ++layer) {
-        const auto &part = problem.layers[layer];
-        EXPECT_LT(rankTimes(part, layers[layer])[5], 0.85 * rankTimes(part, map.layers()[layer])[5]);
+        const auto &layerProblem = problem.layers[layer];
+        EXPECT_LT(rankTimes(layerProblem, layers[layer])[5], 0.85 * rankTimes(layerProblem, map.layers()[layer])[5]);
     }
     EXPECT_LE(bytesToMove(problem.shape, map.layers(), layers) / problem.shape.expertBytes, 8U);
 }
 
-TEST(NextStage, TakesTheMostGainAByteWithinItsBudgetAndEndsAtTheWantedMap)
+TEST(NextStage, StaysWithinByteBudgetAndReachesDesiredMap)
 {
     SeededRandom random(11);
-    auto problem = randomProblem(evenShape(6, 16, 8, 3), random, 2);
-    auto current = firstMap(randomProblem(problem.shape, random, 2)).layers();
-    const auto wanted = firstMap(problem).layers();
-    const std::uint64_t budget = 24 * 1000;
+    auto problem = randomProblem(uniformShape(6, 16, 8, 3), random, 2);
+    auto current = initialMap(randomProblem(problem.shape, random, 2)).layers();
+    const auto desired = initialMap(problem).layers();
+    const std::uint64_t byteBudget = 24 * 1000;
     int stages = 0;
-    while (current != wanted && ++stages < 10) {
-        const auto stage = nextStage(problem, current, wanted, budget);
-        EXPECT_LE(bytesToMove(problem.shape, current, stage), budget);
-        EXPECT_LE(excessTime(problem, stage), excessTime(problem, current));
+    while (current != desired && ++stages < 10) {
+        const auto stage = nextStage(problem, current, desired, byteBudget);
+        EXPECT_LE(bytesToMove(problem.shape, current, stage), byteBudget);
+        EXPECT_LE(excessTimeRatio(problem, stage), excessTimeRatio(problem, current));
         current = stage;
     }
-    EXPECT_EQ(current, wanted);
+    EXPECT_EQ(current, desired);
     EXPECT_GT(stages, 1);
 }
 
--- a/tests/groups/rebalance_test.cpp
+++ b/tests/groups/rebalance_test.cpp
@@ -13,41 +13,41 @@
 constexpr double TokensPerLayer = 200'000;
 constexpr std::chrono::duration<double> WindowLength{10};
 
-struct EstimateRow
+struct EstimateCase
 {
-    const char *story;
+    const char *description;
     double jumpFactor; ///< what expert 0's load is multiplied by after half of the windows
-    int missingEvery; ///< every so many reports is lost; 0 for none
-    double mostError; ///< of expert 0's part at the end, relative
-    bool jumps;
+    int dropEveryNth; ///< every so many reports is lost; 0 for none
+    double maxRelativeError; ///< of expert 0's part at the end, relative
+    bool expectsJump;
 };
 
-const EstimateRow EstimateRows[] = {
+const EstimateCase EstimateCases[] = {
     {"noise only", 1, 0, 0.03, false},
     {"noise only, every third report missing", 1, 3, 0.05, false},
     {"expert gets hot at once", 6, 0, 0.05, true},
     {"expert gets hot at once, every third report missing", 6, 3, 0.07, true},
 };
 
-class Estimates : public testing::TestWithParam<EstimateRow>
+class PopularityEstimates : public testing::TestWithParam<EstimateCase>
 {
 };
 
-TEST_P(Estimates, FollowTheLoadAndNotTheNoise)
+TEST_P(PopularityEstimates, TrackLoadChangesButNotNoise)
 {
     const auto &row = GetParam();
     SeededRandom random(5);
-    auto problem = randomProblem(evenShape(2, 16, 8, 3), random, 1);
-    const auto map = firstMap(problem);
+    auto problem = randomProblem(uniformShape(2, 16, 8, 3), random, 1);
+    const auto map = initialMap(problem);
     PopularityEstimator estimator(problem.shape);
     int count = 0;
     for (int window = 1; window <= Windows; ++window) {
         if (window == Windows / 2) {
             problem.layers[0].load[0] *= row.jumpFactor;
         }
-        for (const auto &report : reportsFor(problem, map, window, TokensPerLayer, random)) {
-            if (row.missingEvery == 0 || ++count % row.missingEvery != 0) {
-                estimator.add(report, map);
+        for (const auto &report : simulateReports(problem, map, window, TokensPerLayer, random)) {
+            if (row.dropEveryNth == 0 || ++count % row.dropEveryNth != 0) {
+                estimator.addReport(report, map);
             }
         }
         estimator.closeWindows(window);
@@ -56,88 +56,89 @@
     for (const double load : problem.layers[0].load) {
         total += load;
     }
-    const double truth = problem.layers[0].load[0] / total;
-    EXPECT_NEAR(estimator.parts(0)[0] / truth, 1, row.mostError) << row.story;
-    EXPECT_EQ(estimator.jumps() > 0, row.jumps) << row.story << ": " << estimator.jumps();
+    const double expectedFraction = problem.layers[0].load[0] / total;
+    EXPECT_NEAR(estimator.fractions(0)[0] / expectedFraction, 1, row.maxRelativeError) << row.description;
+    EXPECT_EQ(estimator.jumpCount() > 0, row.expectsJump) << row.description << ": " << estimator.jumpCount();
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, Estimates, testing::ValuesIn(EstimateRows));
+INSTANTIATE_TEST_SUITE_P(Table, PopularityEstimates, testing::ValuesIn(EstimateCases));
 
-TEST(PopularityEstimator, DropsDoubledLateAndForeignReports)
+TEST(PopularityEstimator, DropsDuplicateLateAndMismatchedReports)
 {
     SeededRandom random(5);
-    const auto problem = randomProblem(evenShape(1, 4, 2, 2), random, 1);
-    const auto map = firstMap(problem);
+    const auto problem = randomProblem(uniformShape(1, 4, 2, 2), random, 1);
+    const auto map = initialMap(problem);
     PopularityEstimator estimator(problem.shape);
-    auto report = reportsFor(problem, map, 1, TokensPerLayer, random)[0];
-    estimator.add(report, map);
-    estimator.add(report, map);
-    EXPECT_EQ(estimator.droppedReports(), 1U);
+    auto report = simulateReports(problem, map, 1, TokensPerLayer, random)[0];
+    estimator.addReport(report, map);
+    estimator.addReport(report, map);
+    EXPECT_EQ(estimator.droppedReportCount(), 1U);
     estimator.closeWindows(2 + PopularityEstimator::OpenWindows);
     report.rank = 1;
-    estimator.add(report, map);
-    EXPECT_EQ(estimator.droppedReports(), 2U);
+    estimator.addReport(report, map);
+    EXPECT_EQ(estimator.droppedReportCount(), 2U);
     report.window = 9;
     report.map = MapNumber{99};
-    estimator.add(report, map);
-    EXPECT_EQ(estimator.droppedReports(), 3U);
+    estimator.addReport(report, map);
+    EXPECT_EQ(estimator.droppedReportCount(), 3U);
 }
 
-struct SlowRow
+struct StragglerCase
 {
-    const char *story;
+    const char *description;
     double slowness; ///< of rank 2
-    double heat; ///< factor on expert 0's load
+    double loadFactor; ///< factor on expert 0's load
     int slowWindows; ///< how long it lasts
-    bool straggler;
+    bool expectsStraggler;
 };
 
-const SlowRow SlowRows[] = {
+const StragglerCase StragglerCases[] = {
     {"healthy", 1, 1, 30, false},       {"hot expert", 1, 5, 30, false},
     {"slow rank", 1.4, 1, 30, true},    {"slow rank with a hot expert elsewhere", 1.4, 5, 30, true},
     {"one long pause", 2, 1, 1, false},
 };
 
-class Stragglers : public testing::TestWithParam<SlowRow>
+class StragglerDetection : public testing::TestWithParam<StragglerCase>
 {
 };
 
-TEST_P(Stragglers, AreToldFromHotExperts)
+TEST_P(StragglerDetection, DistinguishesSlowRanksFromHotExperts)
 {
     const auto &row = GetParam();
     SeededRandom random(9);
-    auto problem = randomProblem(evenShape(2, 16, 8, 2), random, 0);
-    const auto map = firstMap(problem);
+    auto problem = randomProblem(uniformShape(2, 16, 8, 2), random, 0);
+    const auto map = initialMap(problem);
     StragglerDetector detector(8);
     for (int window = 1; window <= 30; ++window) {
         for (auto &layer : problem.layers) {
-            layer.load[0] = row.heat;
+            layer.load[0] = row.loadFactor;
             layer.slowness[2] = window <= row.slowWindows ? row.slowness : 1;
         }
-        detector.addWindow(reportsFor(problem, map, window, TokensPerLayer, random));
+        detector.addWindow(simulateReports(problem, map, window, TokensPerLayer, random));
     }
     for (int rank = 0; rank < 8; ++rank) {
-        EXPECT_EQ(detector.isStraggler(rank), row.straggler && rank == 2) << row.story << ", rank " << rank;
+        EXPECT_EQ(detector.isStraggler(rank), row.expectsStraggler && rank == 2)
+            << row.description << ", rank " << rank;
     }
-    if (row.straggler) {
+    if (row.expectsStraggler) {
         EXPECT_NEAR(detector.slowness(2), row.slowness, 0.1);
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, Stragglers, testing::ValuesIn(SlowRows));
+INSTANTIATE_TEST_SUITE_P(Table, StragglerDetection, testing::ValuesIn(StragglerCases));
 
-struct DecideRow
+struct DecisionCase
 {
-    const char *story;
+    const char *description;
     BalanceWeights weights;
-    double heat; ///< factor on expert 0 while it is hot
+    double loadFactor; ///< factor on expert 0 while it is hot
     int hotWindows; ///< how many windows it stays so, out of 60
     double error; ///< relative error that the estimate claims
-    bool switches;
+    bool expectsSwitch;
 };
 
 /** Loading one expert takes 20 s of the store here, so a change must last to be worth it. */
-const DecideRow DecideRows[] = {
+const DecisionCase DecisionCases[] = {
     {"nothing changes", {1, 1}, 1, 60, 0, false},
     {"lasting change, even weights", {1, 1}, 4, 60, 0, true},
     {"lasting change, cost heavy", {1, 8}, 4, 60, 0, true},
@@ -146,43 +147,43 @@
     {"change within the noise", {1, 1}, 1.15, 60, 0.1, false},
 };
 
-class Decisions : public testing::TestWithParam<DecideRow>
+class RebalanceDecisions : public testing::TestWithParam<DecisionCase>
 {
 };
 
-TEST_P(Decisions, FollowGainAgainstCost)
+TEST_P(RebalanceDecisions, WeighGainAgainstCost)
 {
     const auto &row = GetParam();
     SeededRandom random(4);
-    auto problem = randomProblem(evenShape(2, 16, 8, 3), random, 1);
-    auto current = firstMap(problem).layers();
+    auto problem = randomProblem(uniformShape(2, 16, 8, 3), random, 1);
+    auto current = initialMap(problem).layers();
     RegretRebalance policy;
-    int switches = 0;
-    const double calm = problem.layers[0].load[0];
+    int switchCount = 0;
+    const double baseLoad = problem.layers[0].load[0];
     for (int window = 1; window <= 60; ++window) {
-        problem.layers[0].load[0] = window <= row.hotWindows ? calm * row.heat : calm;
+        problem.layers[0].load[0] = window <= row.hotWindows ? baseLoad * row.loadFactor : baseLoad;
         const auto next = policy.decide({.problem = problem,
                                          .current = current,
                                          .relativeError = row.error,
-                                         .sinceLast = WindowLength,
+                                         .sinceLastCall = WindowLength,
                                          .storeBytesPerSecond = 50,
                                          .weights = row.weights});
         if (next) {
             current = *next;
-            ++switches;
+            ++switchCount;
         }
     }
-    EXPECT_EQ(switches > 0, row.switches) << row.story;
-    EXPECT_LE(switches, 6) << row.story;
+    EXPECT_EQ(switchCount > 0, row.expectsSwitch) << row.description;
+    EXPECT_LE(switchCount, 6) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, Decisions, testing::ValuesIn(DecideRows));
+INSTANTIATE_TEST_SUITE_P(Table, RebalanceDecisions, testing::ValuesIn(DecisionCases));
 
-TEST(RegretRebalance, RepairsAtOnceWhenARankHasLeft)
+TEST(RegretRebalance, SwitchesAtOnceWhenARankHasLeft)
 {
     SeededRandom random(4);
-    auto problem = randomProblem(evenShape(2, 16, 8, 3), random, 1);
-    const auto map = firstMap(problem);
+    auto problem = randomProblem(uniformShape(2, 16, 8, 3), random, 1);
+    const auto map = initialMap(problem);
     problem.shape.slots[3] = 0;
     for (auto &layer : problem.layers) {
         layer.slots[3] = 0;
@@ -190,7 +191,7 @@
     RegretRebalance policy;
     const auto next = policy.decide({.problem = problem,
                                      .current = map.layers(),
-                                     .sinceLast = WindowLength,
+                                     .sinceLastCall = WindowLength,
                                      .storeBytesPerSecond = 1,
                                      .weights = {.skew = 0, .cost = 100}});
     ASSERT_TRUE(next);
--- a/tests/groups/switch_test.cpp
+++ b/tests/groups/switch_test.cpp
@@ -177,9 +177,10 @@
     const auto makeMap = [&](std::uint64_t number) {
         return std::get<ExpertMap>(ExpertMap::create(static_cast<MapNumber>(number), shape, layers));
     };
-    const GroupEpoch epoch{.number = EpochNumber{1},
-                           .members = {{.rank = 0, .engine = Incarnation{9}}, {.rank = 1, .engine = Incarnation{8}}},
-                           .map = makeMap(1)};
+    const GroupEpoch epoch{
+        .number = EpochNumber{1},
+        .members = {{.rank = 0, .incarnation = Incarnation{9}}, {.rank = 1, .incarnation = Incarnation{8}}},
+        .map = makeMap(1)};
     const LoadMap load{.epoch = EpochNumber{1}, .addressee = Incarnation{1}, .map = makeMap(2)};
     const VoteRequest request{.epoch = EpochNumber{1}, .map = MapNumber{2}};
     LockStepEngine engine(Incarnation{9});
--- a/tests/heldgroups/heldgroupsimulation.cpp
+++ b/tests/heldgroups/heldgroupsimulation.cpp
@@ -72,7 +72,7 @@
     {
         const auto rank = indexOf(target);
         answerLater([this, rank, done = std::move(done)] {
-            done(RankCounts{.epoch = Epoch, .chosen = m_simulation.m_engines[rank]->expertCounts});
+            done(RankCounts{.epoch = Epoch, .selectionCounts = m_simulation.m_engines[rank]->expertCounts});
         });
     }
 
@@ -512,7 +512,7 @@
                      .map = engine.map,
                      .prepared = engine.prepared,
                      .heldStep = engine.heldStep,
-                     .lag = m_options.maxStatusAge};
+                     .maxAge = m_options.maxStatusAge};
     if (engine.armed) {
         fresh.armed = engine.armed->map;
     }
--- a/tests/heldgroups/pending_test.cpp
+++ b/tests/heldgroups/pending_test.cpp
@@ -60,7 +60,7 @@
         for (auto &count : m_chosen) {
             count += 100;
         }
-        done(RankCounts{.epoch = 1, .chosen = m_chosen});
+        done(RankCounts{.epoch = 1, .selectionCounts = m_chosen});
     }
 
     void fetchExperts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done) override
--- a/tests/heldgroups/watched_test.cpp
+++ b/tests/heldgroups/watched_test.cpp
@@ -46,7 +46,7 @@
                         .size = GroupSize,
                         .isOpen = answer == RankAnswer::Open,
                         .step = 10,
-                        .countsAskedAgo = countsAskedAgo});
+                        .countsLastPolledAgo = countsLastPolledAgo});
     }
 
     void fetchCounts(const TargetEntry &, std::function<void(Result<RankCounts>)> done) override
@@ -66,7 +66,7 @@
     }
 
     std::vector<RankAnswer> answers;
-    std::optional<std::chrono::milliseconds> countsAskedAgo{}; ///< as each rank says
+    std::optional<std::chrono::milliseconds> countsLastPolledAgo{}; ///< as each rank says
     int countsRequests = 0;
     std::map<TargetName, int> statusRequests{}; ///< for their status
 };
@@ -201,7 +201,7 @@
 {
     const char *name;
     bool isConfirmed; ///< the log answers this keeper
-    std::optional<std::chrono::milliseconds> countsAskedAgo;
+    std::optional<std::chrono::milliseconds> countsLastPolledAgo;
     bool fallsSilent; ///< ranks fall silent after their first word
     bool takesOver;
 };
@@ -225,7 +225,7 @@
     const auto &testCase = GetParam();
     ScriptedRanks ranks;
     ranks.answers.assign(GroupSize, RankAnswer::Open);
-    ranks.countsAskedAgo = testCase.countsAskedAgo;
+    ranks.countsLastPolledAgo = testCase.countsLastPolledAgo;
     std::vector<std::string> decisions;
     const FixedClock clock;
     ExpertRebalancer rebalancer(
--- a/tests/protocol/countsreading_test.cpp
+++ b/tests/protocol/countsreading_test.cpp
@@ -18,13 +18,13 @@
     explicit GrowingCounts(std::uint64_t seed, std::size_t size = 48)
         : m_random(seed)
     {
-        m_counts = {.epoch = 3, .chosen = std::vector<double>(size, 0)};
+        m_counts = {.epoch = 3, .selectionCounts = std::vector<double>(size, 0)};
     }
 
     /** Each grows by less than @p bound. */
     const RankCounts &grow(std::uint64_t bound)
     {
-        for (auto &count : m_counts.chosen) {
+        for (auto &count : m_counts.selectionCounts) {
             count += static_cast<double>(m_random.below(bound));
         }
         return m_counts;
@@ -92,9 +92,9 @@
         const auto &counts = engine.grow(row.bound);
         const auto known = listener.take(overTheWire(teller.tell(Rank, counts, listener.mark())));
         ASSERT_TRUE(known) << row.story;
-        for (std::size_t index = 0; index < counts.chosen.size(); ++index) {
-            ASSERT_LE(known->chosen[index], counts.chosen[index]) << row.story;
-            ASSERT_GE(known->chosen[index], counts.chosen[index] - row.error) << row.story;
+        for (std::size_t index = 0; index < counts.selectionCounts.size(); ++index) {
+            ASSERT_LE(known->selectionCounts[index], counts.selectionCounts[index]) << row.story;
+            ASSERT_GE(known->selectionCounts[index], counts.selectionCounts[index] - row.error) << row.story;
         }
     }
 }
@@ -176,7 +176,7 @@
     const auto known = listener.take(overTheWire(teller->tell(target, counts, listener.mark())));
     ASSERT_TRUE(known) << row.story;
     EXPECT_EQ(known->epoch, counts.epoch) << row.story;
-    EXPECT_EQ(known->chosen, counts.chosen) << row.story;
+    EXPECT_EQ(known->selectionCounts, counts.selectionCounts) << row.story;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, DisturbedReadings, testing::ValuesIn(MishapRows));
