--- a/modules/heatherridge_state/groups/placement.cpp
+++ b/modules/heatherridge_state/groups/placement.cpp
@@ -1,6 +1,6 @@
 #include "heatherridge_state/groups/placement.h"
 
-#include "heatherridge_state/groups/cutplacement.h"
+#include "heatherridge_state/groups/splitplacement.h"
 
 #include <algorithm>
 #include <cmath>
--- a/modules/heatherridge_state/groups/cutplacement.cpp
+++ b/modules/heatherridge_state/groups/splitplacement.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_state/groups/cutplacement.h"
+#include "heatherridge_state/groups/splitplacement.h"
 
 #include <algorithm>
 #include <cmath>
