--- a/modules/heatherridge_coordination/groups/demandsampler.cpp
+++ b/modules/heatherridge_coordination/groups/demandsampler.cpp
@@ -9,10 +9,12 @@
 namespace
 {
 
-/** A round is closed with what has come by then. */
+/** A round is closed after this time with the answers that have arrived. */
 constexpr std::chrono::milliseconds RoundTimeout{400};
-/** While nothing is known rounds come so many times as often: after a loss of power every group works with the map that
- * fits no demand, and its passes take two to three times as long until the first round tells something. */
+/**
+ * While no demand is known, rounds are this many times as frequent: after a power failure every group uses a map that
+ * fits no demand, and its passes take two to three times as long until the first round has a result.
+ */
 constexpr int InitialRateFactor = 3;
 
 } // namespace
@@ -99,7 +101,7 @@
     }
     const auto previous = m_lastCounts.find(rank);
     const bool isComparable = previous != m_lastCounts.end() && previous->second.epoch == counts.epoch;
-    // Who knows nothing yet takes what was chosen since the engine's start: better than nothing.
+    // The first reading has nothing to compare with: counts since the start of the engine are better than no data.
     const bool isFirst = previous == m_lastCounts.end() && m_demand->bySet().empty();
     for (std::size_t index = 0; (isComparable || isFirst) && index < m_expertCount; ++index) {
         const double baseline = isFirst ? 0 : previous->second.selectionCounts[index];
--- a/modules/heatherridge_coordination/groups/expertrebalancer.cpp
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.cpp
@@ -12,34 +12,38 @@
 
 using std::chrono::milliseconds;
 
-/** After a switch that failed, so that a fault that lasts does not cost orders all the while. */
+/** Delay after a failed switch, so that a persistent fault does not cost orders all the time. */
 constexpr milliseconds FailureRetryDelay{1'500};
-/** Bounds of the pause before a recovery that failed is tried again; one takes half a second by itself. */
+/** Bounds of the delay before a failed recovery is retried; one recovery takes half a second. */
 constexpr milliseconds MinRecoveryBackoff{600};
 constexpr milliseconds MaxRecoveryBackoff{4'000};
-/** A hold that is as old is taken up even if another recovery seems to be under way: whoever began it may be gone. */
+/**
+ * A hold of this age is recovered even if another recovery seems to be running: whoever started that one may be gone.
+ */
 constexpr milliseconds JoinRecoveryAfter{1'700};
-/** A switch that needed so many copies of one order tells of orders that get lost. */
+/** A switch that needed this many copies of one order indicates that orders get lost. */
 constexpr int SendsIndicatingLoss = 3;
-/** How long that is taken to last. */
+/** How long orders are assumed to get lost after that. */
 constexpr milliseconds LossyPeriod{4'000};
-/** Own numbers that are remembered: far more than are given out while statuses are under way. */
+/** Own map numbers that are remembered: far more than are allocated while a status is in transit. */
 constexpr std::size_t MaxOwnMapNumbers = 256;
-/** A switch waits so long for the statuses of its ranks. */
+/** How long a switch waits for the statuses of its ranks. */
 constexpr milliseconds StatusTimeout{300};
-/** What a switch takes beside copies: statuses, the held pass and the orders for it. */
+/** Duration of a switch besides copying: statuses, the held pass and its orders. */
 constexpr milliseconds SwitchOverhead{150};
-/** Copies that a rank may be given for one switch. */
+/** Upper bound of the copies to one rank for one switch. */
 constexpr std::size_t MaxStages = 12;
-/** By how much passes are longer while experts are copied, as the engines' makers say. */
+/** Fraction by which passes take longer while experts are copied, as stated by the vendors of the engines. */
 constexpr double CopySlowdown = 0.15;
-/** After a switch or a status that was not as expected, before the next try. */
+/** Delay before the next attempt after a switch, or after a status that did not match the expected state. */
 constexpr milliseconds SettleDelay{350};
-/** Low bits of a map's number that are drawn at random, so that two keepers never use one number for two maps: with 12
- * of them a model of the protocol found two maps of one number in 3,000 schedules. With the seconds since EpochStart
- * above them, numbers stay whole in a 53-bit fraction until 2054. */
+/**
+ * Low bits of a map number that are random, so that two rebalancers never use one number for two maps: with 12 of them
+ * a model of the protocol found two maps of one number in 3,000 schedules. With the seconds since MapNumberEpoch above
+ * them, numbers fit the 53-bit mantissa of a double until 2054.
+ */
 constexpr unsigned RandomBits = 23;
-/** Numbers count from here. */
+/** Start of the seconds in map numbers. */
 constexpr std::chrono::sys_days MapNumberEpoch = std::chrono::year(2020) / 1 / 1;
 
 std::string formatTwoDecimals(double number)
@@ -113,8 +117,8 @@
         return;
     }
     m_rankMonitor.setFullRate(true);
-    recordKnownMaps(); // what the keeper that is gone has made ranks prepare is not another's at work
-    reportDecision("keeper-takes-over", {}, "no keeper has asked for counts and the log gives its share to nobody");
+    recordKnownMaps(); // maps prepared by the rebalancer that is gone do not count as another's activity
+    reportDecision("keeper-takes-over", {}, "no keeper has requested counts, and the log cannot assign the share");
 }
 
 void ExpertRebalancer::tick(SteadyTime now)
@@ -160,7 +164,7 @@
     const bool isLeader = status.rank == 0 && status.epoch == m_rankMonitor.group(name).epoch;
     const bool hasOtherMap = status.map != group.layoutMap && status.step >= group.layoutSinceStep;
     if (isLeader && hasOtherMap && group.layout && !group.mapSwitch) {
-        group.layout.reset(); // somebody else has switched
+        group.layout.reset(); // another rebalancer has switched the map
     }
 }
 
@@ -174,14 +178,14 @@
 
 bool ExpertRebalancer::mustYield(SteadyTime now) const
 {
-    // Two keepers that switch one group make each other fail, and each failure holds it for a second.
+    // Two rebalancers that switch one group make each other fail, and each failure holds the group for a second.
     return !m_isConfirmed && (m_hasSeenOther || now - m_unconfirmedSince < UnconfirmedYieldPeriod);
 }
 
 bool ExpertRebalancer::mustDelayUnconfirmedSwitch(const GroupState &group, SteadyTime now) const
 {
-    // The log turns away this process alone, perhaps, and has given its share to another that has had nothing to do
-    // yet. Without the pause both switched at the next shift of demand, and the group stood still for 1.3 s.
+    // The log may be unreachable for this process only, and may have given the share to another that has had nothing to
+    // do yet. Without this delay both switched at the next shift in demand, and the group stood still for 1.3 s.
     return !m_isConfirmed && now - *group.imbalancedSince < UnconfirmedSwitchDelay;
 }
 
@@ -252,15 +256,15 @@
     }
     reportDecision(state == HoldRecovery::State::Released ? "hold-released" : "hold-recovery-ended", name,
                    group.recovery->reason());
-    // Drawn pauses that grow, so that processes that recover one group don't overtake each other for ever.
+    // Random delays that grow, so that processes that recover the same group do not interfere with each other forever.
     group.recoveryBackoff = state == HoldRecovery::State::Failed
         ? std::clamp(group.recoveryBackoff * 2, MinRecoveryBackoff, MaxRecoveryBackoff)
         : milliseconds(0);
     const auto jitterWidth = static_cast<std::uint64_t>(group.recoveryBackoff.count()) + 1;
     group.recoveryNotBefore = now + SettleDelay + milliseconds(m_randomBits() % jitterWidth);
     group.switchStartedAt = {};
-    // Ranks that could be fenced answer, so a switch can be tried again at once: the group has waited for an even map
-    // all the while, and its passes are two to three times as long until then.
+    // Ranks that could be fenced do answer, so a switch can be retried at once: the group has been unbalanced in the
+    // meantime, and its passes take two to three times as long until it is switched.
     group.noSwitchBefore = now + (state == HoldRecovery::State::Failed ? FailureRetryDelay : SettleDelay);
     group.layout.reset();
     group.recovery.reset();
@@ -288,7 +292,7 @@
         group.layout = plan.layout;
         group.layoutMap = plan.mapNumber;
         group.layoutSinceStep = group.mapSwitch->heldStep();
-        // The next stage follows as soon as statuses show this one, without another reading of counts.
+        // The next stage starts as soon as statuses show this one, without another reading of counts.
         group.noSwitchBefore = now + m_rankMonitor.group(name).passTime;
         group.needsEvaluation = true;
         group.switchStartedAt = {};
@@ -306,8 +310,8 @@
 
 bool ExpertRebalancer::isAnotherGroupHeld(const GroupState &group) const
 {
-    // One at a time: if this process dies or is paused in the midst of its switches, no more than one group waits for
-    // somebody to let it go. With two switched at once all engines stood still for 2 s and more.
+    // One at a time: if this process dies or is paused during its switches, at most one group waits for another process
+    // to release it. With two switched at once all engines stood still for 2 s and more.
     return std::any_of(m_groups.begin(), m_groups.end(), [&group](const auto &entry) {
         return &entry.second != &group && entry.second.mapSwitch && entry.second.mapSwitch->isHolding();
     });
@@ -353,7 +357,7 @@
     for (std::size_t rank = 0; rank < reading.ranks.size(); ++rank) {
         const auto &experts = reading.experts[rank];
         if (!experts || experts->bySet.size() != layout.size() || (map && *map != experts->map)) {
-            return; // a switch is on its way; read again at the next tick
+            return; // a switch is in progress; the experts are read again at the next tick
         }
         map = experts->map;
         for (std::size_t set = 0; set < layout.size(); ++set) {
@@ -383,7 +387,7 @@
     }
     const auto counts = static_cast<std::size_t>(m_profile.layerSets) * static_cast<std::size_t>(m_profile.experts);
     auto asked = m_options.budget.ranksToPoll(std::move(ranks), counts, m_options.countPeriod);
-    addLeadingRanks(asked); // by their word other keepers know that there is one
+    addLeadingRanks(asked); // their statuses tell the other rebalancers that one is active
     return asked;
 }
 
@@ -439,7 +443,7 @@
     auto &stage = stages[fastestGainStage(stages, group.skewBefore, m_profile.expertCopy, SwitchOverhead)];
     group.skewAfter = stage.skew;
     const auto maxCopies = stage.copies;
-    // While orders get lost a switch holds its group for many passes, and may have to be taken back.
+    // While orders get lost a switch holds its group for many passes, and may have to be reverted.
     const bool isCalm = isShort || now < group.lossyUntil;
     const auto copyTime = m_profile.expertCopy * static_cast<double>(maxCopies);
     const double gain = group.skewBefore - (isCalm ? stages.back().skew : stage.skew);
@@ -497,7 +501,7 @@
         const auto &status = *m_rankMonitor.statusOf(id);
         const bool hasExpectedMap = status.map == group.layoutMap || status.step < group.layoutSinceStep;
         if (status.armed || status.heldStep || status.epoch != seen.epoch || !hasExpectedMap) {
-            reportDecision("map-switch-put-off", name, "a rank is not as expected: " + id.text());
+            reportDecision("map-switch-put-off", name, "a rank is not in the expected state: " + id.text());
             group.noSwitchBefore = now + SettleDelay;
             group.layout.reset();
             return;
@@ -514,7 +518,8 @@
 
 bool ExpertRebalancer::isSwitchPassPending(const GroupState &group, const MonitoredGroup &seen) const
 {
-    // A switch ends when its pass is let go, and the pass may be several passes ahead: its ranks are as expected.
+    // A switch ends when its pass is released, and that pass may still be several passes ahead. Ranks that wait for it
+    // are in the expected state.
     return std::any_of(seen.ranks.begin(), seen.ranks.end(), [&](const auto &id) {
         const auto &status = *m_rankMonitor.statusOf(id);
         return status.armed == group.layoutMap && status.epoch == seen.epoch && status.step < group.layoutSinceStep;
@@ -523,7 +528,8 @@
 
 MapNumber ExpertRebalancer::allocateMapNumber(const GroupName &name)
 {
-    // Calendar time goes before: ranks refuse numbers below any that they had, also from keepers that are gone.
+    // Wall-clock time forms the high bits: ranks refuse numbers below any that they have had, also from rebalancers
+    // that are gone.
     const auto sinceEpoch = std::chrono::duration_cast<std::chrono::seconds>(m_clock.wallNow() - MapNumberEpoch);
     const auto seconds = static_cast<std::uint64_t>(std::max<std::int64_t>(sinceEpoch.count(), 0));
     const auto prefix = std::max((toNumber(m_rankMonitor.group(name).highestMap) >> RandomBits) + 1, seconds);
--- a/modules/heatherridge_coordination/groups/expertrebalancer.h
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.h
@@ -19,118 +19,138 @@
 namespace Heatherridge
 {
 
-/** How a ExpertRebalancer works; what is weighed differently by each deployment. */
+/** Settings of an ExpertRebalancer that depend on the deployment. */
 struct ExpertRebalancerOptions
 {
-    /** Between readings of what was chosen. Shorter follows a jump sooner; each reading is paid for and pauses its
-     * group by half a millisecond a rank. */
+    /**
+     * Interval between rounds of reading the ranks' expert counts. A shorter interval reacts sooner to a jump in
+     * demand, but each reading costs bandwidth and pauses its group for half a millisecond per rank.
+     */
     std::chrono::milliseconds countPeriod{175};
-    /** Between looks at every rank, for holds, new epochs and load. */
+    /** Interval between status requests to every rank, for holds, new epochs and load. */
     std::chrono::milliseconds statusPeriod{400};
-    /** How much of a pass's expert time a switch must save. */
+    /** Fraction of a pass's expert time that a switch must save. */
     double minGain = 0.06;
-    /** The same while passes are short: copies are paid for, and callers would notice nothing. */
+    /** The same while passes are short: copies still cost time, and callers would notice no gain. */
     double minGainWhenCalm = 0.4;
-    /** Passes up to this part of the promised pause between events are short. */
+    /** A pass is short if it takes at most this fraction of the pause between events that callers are promised. */
     double shortPassFraction = 0.5;
-    /** How long demand usually stands still, for weighing copies against what they save. */
+    /** How long demand typically stays stable, for weighing the cost of copies against what they save. */
     std::chrono::milliseconds demandStablePeriod{2'000};
-    /** Experts of a set that a rank may copy for one switch; fewer make the switch sooner. */
+    /** Experts of a set that a rank may copy for one switch; with fewer the switch completes sooner. */
     std::size_t maxCopiesPerRank = 2;
-    /** What asking ranks may cost, and which of them are near. */
+    /** How much requests to ranks may cost, and which ranks are near. */
     ControlBudget budget{{}, 0};
 };
 
-/** What a keeper tells. */
+/** Callbacks of an ExpertRebalancer. */
 struct ExpertRebalancerEvents
 {
-    /** Statuses have come: all engines whose status is known. */
+    /** Called after new statuses have arrived, with all engines that have ever reported a status. */
     std::function<void(std::vector<EngineView> engines)> enginesUpdated{};
-    /** Something was decided or ended: what, at which group, and the inputs as text. */
+    /** Called when a decision was made or an action has ended: the event's name, the group, and the inputs as text. */
     std::function<void(std::string_view event, const GroupName &group, const std::string &details)> decisionMade{};
 };
 
 /**
- * Keeps the expert maps of one service's groups even, as their only active keeper or beside others.
+ * Rebalances the experts of one service's groups: measures demand and switches each group to an expert map that spreads
+ * the load evenly over its ranks.
  *
- * Any number of keepers may be active: each switch is safe by itself. That one is active at a time only saves orders.
- * An inactive one only watches, lets go of passes that stay held, and takes over when the active one is gone and the
- * log out, see RebalancerTakeover. One thread; tick() moves it on.
+ * Log events and the work share `group-keepers` call an active rebalancer the keeper. Any number of rebalancers may be
+ * active at once, as each switch is safe by itself; limiting it to one only saves orders. An inactive one monitors the
+ * groups, releases passes that stay held, and takes over when the active one is gone and the log is unreachable, see
+ * RebalancerTakeover. One thread; driven by tick().
  */
 class ExpertRebalancer
 {
 public:
-    /** A pass that stays held for so long without a switch of this keeper is let go: whole switches take half. */
+    /**
+     * A pass that is held this long without a switch of this rebalancer is recovered; a complete switch takes half of
+     * it.
+     */
     static constexpr std::chrono::milliseconds ForeignHoldTimeout{1'200};
 
-    /** The same once the group has come to the held pass and stands still. Switches let go before that, unless most of
-     * their orders get lost. */
+    /**
+     * The same once the group has reached the held pass and stands still. Switches release before that, unless most of
+     * their orders get lost.
+     */
     static constexpr std::chrono::milliseconds StandstillTimeout{550};
 
-    /** What inactive keepers wait beyond it, so that they don't hinder the active one, and the width of a draw on top,
-     * so that they don't hinder each other. For a while there is no active one: the holder has stopped, and nobody has
-     * its share before its lease is over. */
+    /**
+     * What inactive rebalancers wait in addition, so that they do not interfere with the active one, and the width of a
+     * random delay on top, so that they do not interfere with each other. There may temporarily be no active one: after
+     * the holder of the share has stopped, nobody is given the share before its lease has expired.
+     */
     static constexpr std::chrono::milliseconds InactiveExtraDelay{150};
     static constexpr std::chrono::milliseconds InactiveJitterWidth{450};
 
-    /** An unconfirmed keeper waits so long for another to show before it goes on: whoever takes over begins within it.
+    /**
+     * An unconfirmed rebalancer waits this long for another to show up before it continues: whoever takes over starts
+     * within this time.
      */
     static constexpr std::chrono::milliseconds UnconfirmedYieldPeriod{1'500};
 
-    /** An unconfirmed keeper leaves a group uneven for so long before each switch: whoever has taken over reads the
-     * same demand within a period of counts, and what it prepares is seen within a period of statuses. */
+    /**
+     * An unconfirmed rebalancer leaves a group unbalanced this long before each switch: a rebalancer that has taken
+     * over reads the same demand within one countPeriod, and the map that it prepares is seen within one statusPeriod.
+     */
     static constexpr std::chrono::milliseconds UnconfirmedSwitchDelay{900};
 
     ExpertRebalancer(RankControl &control, ExpertRebalancerOptions options, ExpertRebalancerEvents events,
                      const Clock &clock, std::function<std::uint64_t()> randomBits);
 
     /**
-     * The targets of the service and how its engines work.
-     * @param longestPause between the events of its streams, that is promised to callers
+     * Sets the targets of the service and the profile of its engines.
+     * @param longestPause between the events of a stream, as promised to callers
      */
     void setTargets(const std::vector<TargetEntry> &targets, const EngineProfile &profile,
                     std::chrono::milliseconds longestPause);
 
     /**
-     * Whether this keeper measures and switches.
-     * @param isConfirmed false while it cannot know whether another has taken over; then it gives way to any that shows
+     * Sets whether this rebalancer measures demand and switches maps.
+     * @param isConfirmed false while it cannot know whether another has taken over; it then yields to any other that it
+     * detects
      */
     void setActive(bool isActive, bool isConfirmed);
 
-    /** Does what is due. */
+    /** Performs all actions that are due. */
     void tick(SteadyTime now);
 
-    /** Most loaded over mean, as the last reading and the present layout say, over all groups; 0 when unknown. */
+    /**
+     * Returns the highest load of a rank over the mean load, by the last reading and the present layouts; the maximum
+     * over all groups, 0 when unknown.
+     */
     double lastSkew() const;
 
 private:
-    /** What one round of questions for the experts of a group's ranks has brought. */
+    /** The answers to one round of requests for the experts of a group's ranks. */
     struct ExpertReading
     {
         std::vector<TargetName> ranks{};
         std::vector<std::optional<RankExperts>> experts{}; ///< by rank
-        std::size_t pendingAnswers = 0; ///< answers
+        std::size_t pendingAnswers = 0; ///< answers that have not arrived yet
     };
 
-    /** What this keeper does about one group. */
+    /** The state of one group. */
     struct GroupState
     {
         std::optional<ExpertLayout> layout{}; ///< of the map in use
         MapNumber layoutMap{};
-        std::uint64_t layoutSinceStep = 0; ///< the pass from which `layoutMap` is in use, where this keeper switched
-        SteadyTime jitterDrawnForHoldSince{}; ///< the beginning of the hold that `patienceDraw` is for
-        std::chrono::milliseconds holdTimeoutJitter{}; ///< this time's, of an inactive keeper
-        std::chrono::milliseconds recoveryBackoff{0}; ///< longest pause before the next try
+        std::uint64_t layoutSinceStep =
+            0; ///< the pass from which `layoutMap` is in use, if this rebalancer switched to it
+        SteadyTime jitterDrawnForHoldSince{}; ///< the start of the hold that `holdTimeoutJitter` was drawn for
+        std::chrono::milliseconds holdTimeoutJitter{}; ///< of an inactive rebalancer, for the present hold
+        std::chrono::milliseconds recoveryBackoff{0}; ///< upper bound of the random delay before the next attempt
         SteadyTime recoveryNotBefore{};
         bool isReadingExperts = false;
-        bool needsEvaluation = false; ///< demand or layout have changed since a switch was last considered
+        bool needsEvaluation = false; ///< demand or layout has changed since a switch was last considered
         std::unique_ptr<MapSwitch> mapSwitch{};
         std::unique_ptr<HoldRecovery> recovery{};
         std::optional<MapSwitchPlan> pendingPlan{}; ///< a switch that waits for fresh statuses
-        SteadyTime statusesRequestedAt{}; ///< when fresh statuses were asked for
-        SteadyTime noSwitchBefore{}; ///< no switch before
-        std::optional<SteadyTime> imbalancedSince{}; ///< a switch is worth it, and has not begun
-        SteadyTime lossyUntil{}; ///< orders got lost; only switches with great gains until then
+        SteadyTime statusesRequestedAt{}; ///< when the fresh statuses were requested
+        SteadyTime noSwitchBefore{}; ///< no switch starts earlier
+        std::optional<SteadyTime> imbalancedSince{}; ///< since when a switch is worthwhile but has not started
+        SteadyTime lossyUntil{}; ///< orders were lost; until then only switches with a large gain
         SteadyTime switchStartedAt{};
         double skewBefore = 0;
         double skewAfter = 0;
@@ -177,9 +197,9 @@
     RebalancerTakeover m_takeover;
     SteadyTime m_now{}; ///< of the last tick
     SteadyTime m_unconfirmedSince{};
-    bool m_hasSeenOther = false; ///< another keeper's map was seen since then
-    std::set<MapNumber> m_ownMapNumbers; ///< maps that this keeper has made ranks prepare
-    MapNumber m_highestKnownMap{}; ///< of all maps seen while it was confirmed
+    bool m_hasSeenOther = false; ///< a map of another rebalancer was seen since then
+    std::set<MapNumber> m_ownMapNumbers; ///< numbers of the maps that this rebalancer has made ranks prepare
+    MapNumber m_highestKnownMap{}; ///< of all maps that were seen while it was confirmed
     double m_lastSkew = 0;
     std::shared_ptr<int> m_alive;
 };
--- a/modules/heatherridge_coordination/groups/holdrecovery.cpp
+++ b/modules/heatherridge_coordination/groups/holdrecovery.cpp
@@ -20,7 +20,7 @@
         m_startedAt = now;
     }
     if (m_phase != Phase::Finished && now - m_startedAt > Timeout) {
-        finish(State::Failed, "it took too long");
+        finish(State::Failed, "timed out");
         return;
     }
     switch (m_phase) {
@@ -87,7 +87,7 @@
                                   return;
                               }
                               if (known->epoch != m_plan.epoch) {
-                                  finish(State::NothingHeld, "the group has formed anew");
+                                  finish(State::NothingHeld, "the group has entered another epoch");
                                   return;
                               }
                               queried.status = *known;
@@ -118,14 +118,15 @@
 {
     const auto holdsThisStep = [this](const RankState &rank) { return rank.status->heldStep == m_plan.heldStep; };
     if (std::none_of(m_ranks.begin(), m_ranks.end(), holdsThisStep)) {
-        finish(State::NothingHeld, "nothing is held");
+        finish(State::NothingHeld, "the pass is not held any more");
         return;
     }
     if (!m_plan.mayJoin && isOtherRecoveryRunning()) {
-        finish(State::YieldedToOther, "another recovery is under way");
+        finish(State::YieldedToOther, "another recovery is running");
         return;
     }
-    // Rank 0 is where switches hold; a rank that holds another pass refuses a second one.
+    // Switches hold at rank 0, so the second hold needs another rank; a rank that holds another pass refuses a second
+    // hold.
     m_secondHoldRank = 0;
     for (std::size_t index = m_ranks.size(); index-- > 1;) {
         if (!m_ranks[index].status->heldStep || holdsThisStep(m_ranks[index])) {
@@ -133,7 +134,7 @@
         }
     }
     if (m_secondHoldRank == 0) {
-        finish(State::Failed, "no rank to hold the pass at");
+        finish(State::Failed, "no rank is free to take the second hold");
         return;
     }
     m_phase = Phase::PlacingSecondHold;
@@ -150,7 +151,7 @@
         return;
     }
     if (m_orders->reply(0) == OrderReply::Refused) {
-        finish(State::NothingHeld, "the pass has begun");
+        finish(State::NothingHeld, "the group has already begun the pass");
         return;
     }
     m_phase = Phase::Fencing;
@@ -196,7 +197,7 @@
     rank.pendingOrder.reset();
     rank.isFenced = isAccepted && rank.fenceMap.has_value();
     if (!rank.isFenced) {
-        // Disarmed, or refused: what it has now is told by a status that is younger than the order.
+        // Disarmed, or refused: only a status that is younger than the order shows the rank's present state.
         rank.armedSince.reset();
         invalidateStatus(rank, now);
     }
@@ -206,7 +207,7 @@
 {
     auto &rank = m_ranks[index];
     if (rank.fenceMap && rank.status->prepared == rank.fenceMap && !rank.status->armed) {
-        rank.isFenced = true; // its answer was lost
+        rank.isFenced = true; // the order was executed, its answer was lost
         return;
     }
     rank.fenceMap.reset();
@@ -256,13 +257,13 @@
                               m_isConfirmingSecondHold = false;
                               const auto *known = std::get_if<RankStatus>(&status);
                               if (known == nullptr) {
-                                  return; // asked again at the next tick
+                                  return; // retried at the next tick
                               }
                               if (known->heldStep == m_plan.heldStep) {
                                   m_secondHoldConfirmedAt = now - known->maxAge;
                                   m_nextConfirmationAt = now + known->maxAge;
                               } else {
-                                  finish(State::NothingHeld, "another recovery has ended");
+                                  finish(State::NothingHeld, "another recovery has released the pass");
                               }
                           });
 }
@@ -291,7 +292,7 @@
 
 bool HoldRecovery::isOtherRecoveryRunning() const
 {
-    // Switches hold at rank 0 alone.
+    // Switches hold at rank 0 only.
     return std::any_of(m_ranks.begin() + 1, m_ranks.end(),
                        [this](const auto &rank) { return rank.status->heldStep == m_plan.heldStep; });
 }
@@ -312,13 +313,13 @@
         releaseHolds(now);
         return;
     }
-    // Another recovery, or a switch: two that fence each other's fences away would never end. So the one whose fence
-    // stands at rank 0 goes on, once, and the other ends.
+    // Another recovery or a switch is running. Two recoveries that replace each other's fences would never end, so the
+    // one whose fence is in place at rank 0 continues, once, and the other ends.
     if (isFenceIntact(0) && !m_hasRepeatedFencing) {
         repeatFencing(now);
         return;
     }
-    finish(State::Failed, "another process is at work");
+    finish(State::Failed, "another process has changed the ranks in the meantime");
 }
 
 void HoldRecovery::repeatFencing(SteadyTime now)
--- a/modules/heatherridge_coordination/groups/holdrecovery.h
+++ b/modules/heatherridge_coordination/groups/holdrecovery.h
@@ -15,57 +15,57 @@
 {
     std::vector<TargetEntry> ranks{}; ///< by rank
     std::uint64_t epoch = 0;
-    std::uint64_t heldStep = 0; ///< the pass that is not begun
+    std::uint64_t heldStep = 0; ///< the pass that is held
     std::size_t experts = 0; ///< in each set
-    bool mayJoin = true; ///< false: it ends at once when another recovery is seen to be under way
+    bool mayJoin = true; ///< if false, the recovery ends at once when it detects another one
 };
 
 /**
- * Lets a group go on that somebody holds and does not release: a process that died, was paused or cut off in the midst
- * of a switch, or this one when its switch got stuck.
+ * Releases a group whose pass is held and not released: the holder died, was paused or disconnected during a switch, or
+ * the switch of this process got stuck.
  *
- * A hold has no end of its own. Released as it stands, with some ranks armed and others not, the group would use two
- * maps. And the process that holds it may only be slow: it can still send its release, or have sent it. So the pass is
- * first held a second time, at another rank; from then on only recoveries can let it go. Then each rank is disarmed and
- * made to prepare a map that nobody will ever arm. That copies nothing, but replaces the map that was to be armed, so
- * that an order to arm it which comes late is refused. Once all ranks are seen to have these maps, nothing is armed and
- * nothing can be; then the pass is released at all ranks.
+ * A hold does not expire. If it were simply released while some ranks are armed and others are not, the group would use
+ * two maps. In addition, its holder may only be slow: its release may still be sent or already be in transit. Therefore
+ * the pass is first held a second time, at another rank; from then on only recoveries can release it. Then each rank is
+ * disarmed and fenced: it is made to prepare a map that nobody will ever arm. This copies nothing, but replaces the map
+ * that was to be armed, so that a late order to arm that map is refused. Once all ranks are seen to have these maps,
+ * nothing is armed and nothing can be; then the pass is released at all ranks.
  *
- * Any number of processes may recover one group, and switches may begin meanwhile. A map that one of them prepares
- * behind the back of this recovery is seen before the release; then it ends, to be tried again after a drawn pause. A
- * map that is armed is taken back only when this recovery's hold is seen to stand later than it was seen armed: another
- * recovery that ended while this process was paused has let the hold go, and what is armed then belongs to a new
- * switch. One thread; moved on by tick() alone.
+ * Any number of processes may recover the same group, and switches may begin in the meantime. A map that one of them
+ * prepares concurrently is detected before the release; this recovery then ends and is retried after a random delay. An
+ * armed map is disarmed only if this recovery's hold is known to have existed after the map was seen armed: otherwise
+ * another recovery may have ended and released the group while this process was paused, and what is armed may belong to
+ * a new switch. One thread; driven by tick() only.
  */
 class HoldRecovery
 {
 public:
-    /** How it stands. */
+    /** State of the recovery. */
     enum class State {
         Running,
         Released, ///< by this recovery
-        NothingHeld, ///< nothing is held any more
-        YieldedToOther, ///< another recovery is under way
-        Failed, ///< ranks don't answer; to be tried again
+        NothingHeld, ///< no hold is left to release
+        YieldedToOther, ///< another recovery is running
+        Failed, ///< ranks did not answer or another process interfered; to be retried
     };
 
-    /** A recovery that takes longer starts anew, if there is still need. */
+    /** A recovery that takes longer ends and is started again if it is still needed. */
     static constexpr std::chrono::milliseconds Timeout{5'000};
-    /** A rank that did not answer is asked again after this: a round trip many times over. */
+    /** Delay before a rank that did not answer is asked again: many times the round trip. */
     static constexpr std::chrono::milliseconds RetryDelay{250};
 
-    /** Draws a number of a map, above @p seen, that no rank has had and no one else uses. */
+    /** Allocates a map number above @p seen that no rank has had and nobody else uses. */
     using AllocateMapNumber = std::function<MapNumber(MapNumber seen)>;
 
     HoldRecovery(RankControl &control, RecoveryPlan plan, AllocateMapNumber allocateMapNumber);
 
-    /** Does what is due. */
+    /** Performs all actions that are due. */
     void tick(SteadyTime now);
 
-    /** How it stands. */
+    /** Returns the present state. */
     State state() const;
 
-    /** Why it failed or had nothing to do. */
+    /** Returns why it failed or had nothing to do. */
     const std::string &reason() const;
 
 private:
@@ -78,18 +78,18 @@
         Finished,
     };
 
-    /** One rank on its way to being fenced. */
+    /** State of one rank while it is being fenced. */
     struct RankState
     {
         std::optional<RankStatus> status{};
         std::optional<RankExperts> experts{};
         bool isQueryPending = false;
         SteadyTime nextQueryAt{};
-        SteadyTime minStatusTime{}; ///< a status that may be older tells nothing
-        std::unique_ptr<OrderBatch> pendingOrder{}; ///< one order at a time
-        std::optional<MapNumber> fenceMap{}; ///< the map that it was made to prepare
+        SteadyTime minStatusTime{}; ///< statuses that may be older are discarded
+        std::unique_ptr<OrderBatch> pendingOrder{}; ///< at most one at a time
+        std::optional<MapNumber> fenceMap{}; ///< the map that the rank was ordered to prepare as a fence
         bool isFenced = false;
-        std::optional<SteadyTime> armedSince{}; ///< since when a map is seen armed that is to be taken back
+        std::optional<SteadyTime> armedSince{}; ///< since when a map that has to be disarmed is seen armed
     };
 
     void queryStatus(std::size_t index, SteadyTime now);
@@ -119,11 +119,11 @@
     std::vector<RankState> m_ranks;
     std::size_t m_secondHoldRank = 0; ///< the rank at which this recovery holds the pass
     bool m_isConfirmingSecondHold = false;
-    SteadyTime m_secondHoldConfirmedAt{}; ///< until when this recovery's hold is known to have stood
-    SteadyTime m_nextConfirmationAt{}; ///< the guard is not asked again before
+    SteadyTime m_secondHoldConfirmedAt{}; ///< the last time at which this recovery's hold is known to have existed
+    SteadyTime m_nextConfirmationAt{}; ///< the second hold is not checked again before
     bool m_hasRepeatedFencing = false;
     std::unique_ptr<OrderBatch> m_orders;
-    std::shared_ptr<int> m_alive; ///< answers that come after the end find it gone
+    std::shared_ptr<int> m_alive; ///< expired for answers that arrive after the recovery has ended
     Phase m_phase = Phase::ReadingStatuses;
     State m_state = State::Running;
     std::string m_reason;
--- a/modules/heatherridge_coordination/groups/mapswitch.cpp
+++ b/modules/heatherridge_coordination/groups/mapswitch.cpp
@@ -10,15 +10,19 @@
 
 using std::chrono::milliseconds;
 
-/** Passes between the present one and the held one beside those that the status and the order take: the hold arrives
- * while the group works on one of them. */
+/**
+ * Passes between the present and the held one in addition to those that the status and the order take: the hold arrives
+ * while the group works on one of them.
+ */
 constexpr std::uint64_t SparePasses = 1;
-/** From reading the present pass to the hold's arrival, with a process that gets a fifth of a core. */
+/** From reading the present pass to the arrival of the hold, for a process that gets a fifth of a core. */
 constexpr milliseconds HoldLatency{60};
-/** Orders to prepare a map that wait for an answer at a time: each carries the whole map, and as many take a part of
- * the time that an answer is waited for on links of a hundred megabits a second. */
+/**
+ * Prepare orders that may wait for an answer at a time: each carries the whole map, and sending this many takes only
+ * part of the answer timeout on a link of a hundred megabits per second.
+ */
 constexpr std::size_t MaxPendingPrepares = 32;
-/** What each further copy of an order takes at most: the longest that an answer is waited for, and its way. */
+/** Longest time that each further copy of an order takes: the answer timeout and the transit time. */
 constexpr milliseconds ResendDelay{90};
 
 } // namespace
@@ -46,7 +50,7 @@
         break;
     case Phase::Copying:
         if (now - m_phaseStartedAt > m_plan.copyTime + MaxHoldDelay) {
-            finish(State::Abandoned, "out of date before it held a pass");
+            finish(State::Abandoned, "expired before it held a pass");
         } else if (mayHold && now - m_phaseStartedAt >= m_plan.copyTime) {
             readStep(now);
         }
@@ -55,7 +59,7 @@
         if (m_leadingRankStatus) {
             startHold(*std::exchange(m_leadingRankStatus, {}), now);
         } else if (now - m_phaseStartedAt > OrderTimeout) {
-            finish(State::Abandoned, "rank 0 does not answer");
+            finish(State::Abandoned, "rank 0 does not report the present pass");
         }
         break;
     case Phase::Holding:
@@ -117,17 +121,18 @@
 {
     if (!m_orders->isDone()) {
         if (now - m_phaseStartedAt > OrderTimeout) {
-            finish(State::Abandoned, "a rank does not answer to prepare");
+            finish(State::Abandoned, "a rank does not answer the prepare order");
         }
         return;
     }
     m_maxSends = std::max(m_maxSends, m_orders->maxSends());
     for (std::size_t rank = 0; rank < m_orders->size(); ++rank) {
         if (m_orders->reply(rank) == OrderReply::Refused && !m_orders->isAmbiguous(rank)) {
-            finish(State::Abandoned, "rank " + std::to_string(rank) + " refused to prepare");
+            finish(State::Abandoned, "rank " + std::to_string(rank) + " refused the prepare order");
             return;
         }
-        // Refused after a lost answer: an earlier copy was carried out. Were it not so, the rank refuses to be armed.
+        // Refused after a lost answer: an earlier copy was probably executed. If it was not, the rank refuses to be
+        // armed.
     }
     m_orders.reset();
     m_phase = Phase::Copying;
@@ -153,7 +158,7 @@
 void MapSwitch::startHold(const RankStatus &status, SteadyTime now)
 {
     if (status.epoch != m_plan.epoch || !status.isOpen || status.heldStep) {
-        finish(State::Abandoned, "the group has changed");
+        finish(State::Abandoned, "the group has changed its epoch, is not open or is held");
         return;
     }
     m_heldStep = std::max(status.step + marginSteps(), m_plan.afterStep + 1);
@@ -170,18 +175,18 @@
 {
     if (!m_orders->isDone()) {
         if (now - m_phaseStartedAt > OrderTimeout) {
-            finish(State::Stuck, "rank 0 does not answer to hold");
+            finish(State::Stuck, "rank 0 does not answer the hold order");
         }
         return;
     }
     m_maxSends = std::max(m_maxSends, m_orders->maxSends());
     if (m_orders->isAmbiguous(0)) {
-        finish(State::Stuck, "the pass may be held");
+        finish(State::Stuck, "it is unknown whether the pass is held");
         return;
     }
     if (m_orders->reply(0) == OrderReply::Refused) {
         if (m_holdAttempts >= MaxHoldAttempts) {
-            finish(State::Abandoned, "the pass had begun");
+            finish(State::Abandoned, "the group had already begun each chosen pass");
             return;
         }
         m_orders.reset();
@@ -225,7 +230,7 @@
     std::string ranks;
     for (std::size_t rank = 0; rank < m_orders->size(); ++rank) {
         if (!m_orders->isAnswered(rank) || m_orders->reply(rank) == OrderReply::Refused) {
-            const auto *outcome = m_orders->reply(rank) == OrderReply::Refused ? " refused" : " silent";
+            const auto *outcome = m_orders->reply(rank) == OrderReply::Refused ? " refused" : " no answer";
             ranks += (ranks.empty() ? "" : ", ") + m_plan.ranks[rank].id.text() + outcome;
         }
     }
@@ -246,11 +251,11 @@
 {
     if (!m_orders->isDone()) {
         if (now - m_phaseStartedAt > OrderTimeout) {
-            finish(State::Stuck, "rank 0 does not answer to release");
+            finish(State::Stuck, "rank 0 does not answer the release order");
         }
         return;
     }
-    // Refused means that nothing is held any more: an earlier copy was carried out, or another process took it back.
+    // Refused means that nothing is held any more: an earlier copy was executed, or another process reverted the hold.
     finish(State::Switched, {});
 }
 
@@ -266,7 +271,7 @@
 
 std::uint64_t MapSwitch::marginSteps() const
 {
-    // Each hold that came too late and each resent order says that more time goes by than thought.
+    // Each hold that came too late and each resent order indicates that delays are longer than assumed.
     const auto lag = m_control.maxStatusAge(m_plan.ranks.front());
     const auto expectedDelay = lag + HoldLatency * m_holdAttempts + ResendDelay * (m_maxSends - 1);
     const auto passTime = std::max(m_plan.passTime, milliseconds(5));
--- a/modules/heatherridge_coordination/groups/mapswitch.h
+++ b/modules/heatherridge_coordination/groups/mapswitch.h
@@ -15,31 +15,34 @@
 {
     std::vector<TargetEntry> ranks{}; ///< by rank
     std::uint64_t epoch = 0;
-    MapNumber mapNumber{}; ///< of the new map: above all that any rank ever had, and used by no one else
+    MapNumber mapNumber{}; ///< of the new map: above all numbers that any rank has had, and used by nobody else
     ExpertLayout layout{};
-    std::chrono::milliseconds copyTime{}; ///< the longest that any rank needs to copy what is new
-    std::chrono::milliseconds passTime{50}; ///< of one pass
-    std::uint64_t afterStep = 0; ///< the held pass lies behind this one, so that no order about an earlier hold fits it
+    std::chrono::milliseconds copyTime{}; ///< the longest time that any rank needs to copy its new experts
+    std::chrono::milliseconds passTime{50}; ///< duration of one pass
+    std::uint64_t afterStep =
+        0; ///< the held pass comes after this one, so that no order for an earlier hold matches it
 };
 
 /**
- * One switch of a group to a new map, so that all ranks use it from the same pass on.
+ * One switch of a group to a new expert map, such that all ranks use the new map from the same pass on.
  *
- * The ranks don't compare maps: if one switches and another does not, both work on with wrong results. So rank 0 is
- * first made to hold a pass that lies ahead; then every rank is armed for that pass; only when all have said so is the
- * pass released. Until then the group cannot reach the pass, whatever is lost, late or dead.
+ * The ranks do not compare maps: if one switches and another does not, both continue and produce wrong results.
+ * Therefore rank 0 is first ordered to hold a pass ahead of the present one, then every rank is armed for that pass,
+ * and only when all of them have confirmed is the pass released. Until then the group cannot reach the pass, whatever
+ * gets lost, delayed or stopped.
  *
- * Nothing tells a late order from a new one but what it is about. A number of a map is used once, and a rank has one
- * prepared map at a time: an order to arm that comes late finds its map armed, its pass begun, or another map prepared.
- * Whoever takes a switch back first holds the pass at a rank of its own, so that a release that was on its way, or that
- * a paused process still sends, does not let the group go while ranks are being disarmed.
+ * A late order can be distinguished from a new one only by its contents. A map number is used once, and a rank has one
+ * prepared map at a time: an order to arm that comes late finds its map already armed, its pass already begun, or
+ * another map prepared. A process that reverts a switch first holds the pass at another rank, so that a release that
+ * was in transit, or that a paused process sends later, does not let the group continue while its ranks are being
+ * disarmed.
  *
- * One thread; moved on by tick() and by nothing else. @see HoldRecovery for what follows when it cannot end.
+ * One thread; driven by tick() only. @see HoldRecovery for what follows when a switch cannot complete.
  */
 class MapSwitch
 {
 public:
-    /** How a switch stands. */
+    /** State of a switch. */
     enum class State {
         Running,
         Switched, ///< all ranks use the map from the held pass on
@@ -47,46 +50,48 @@
         Stuck, ///< something is or may be held or armed: needs HoldRecovery
     };
 
-    /** Ranks that refuse to be armed may still be copying; they are asked again after this. */
+    /** Ranks that refuse to be armed may still be copying; they are asked again after this delay. */
     static constexpr std::chrono::milliseconds ArmRetryDelay{30};
-    /** A held pass waits no longer than this for the last rank; then the switch is taken back. */
+    /** A held pass waits at most this long for the last rank to be armed; then the switch is reverted. */
     static constexpr std::chrono::milliseconds ArmTimeout{900};
-    /** All orders to one rank have an answer within this, or the rank is not to be reached. */
+    /** A rank that does not answer an order in this time counts as unreachable. */
     static constexpr std::chrono::milliseconds OrderTimeout{3'000};
-    /** A switch that has not held its pass this long after its copies should be there is out of date: the process was
-     * paused meanwhile, and somebody else may have made the ranks prepare another map. */
+    /**
+     * A switch that has not held its pass this long after its copies should have completed has expired: the process was
+     * paused in the meantime, and another process may have made the ranks prepare another map.
+     */
     static constexpr std::chrono::milliseconds MaxHoldDelay{1'500};
-    /** How often a pass is chosen that the group turns out to have begun. */
+    /** How many times a pass to hold is chosen, if the group turns out to have begun the chosen one already. */
     static constexpr int MaxHoldAttempts = 3;
 
     MapSwitch(RankControl &control, MapSwitchPlan plan);
 
-    /** Does what is due. @param mayHold false puts off the part in which the group is held */
+    /** Performs all actions that are due. @param mayHold false defers the phases in which the group is held */
     void tick(SteadyTime now, bool mayHold = true);
 
-    /** How it stands. */
+    /** Returns the present state. */
     State state() const;
 
-    /** Whether it is in the part in which the group is held, or about to be. */
+    /** Returns whether it is in the phases in which the group is held or about to be held. */
     bool isHolding() const;
 
-    /** The pass that is or may be held; 0 before one was chosen. */
+    /** Returns the pass that is or may be held; 0 before one was chosen. */
     std::uint64_t heldStep() const;
 
-    /** Why it was abandoned or got stuck. */
+    /** Returns why it was abandoned or got stuck. */
     const std::string &reason() const;
 
-    /** Most copies of one order that it took. */
+    /** Returns how many copies were sent of the order that needed most. */
     int maxSends() const;
 
-    /** What was asked for. */
+    /** Returns the plan that it executes. */
     const MapSwitchPlan &plan() const;
 
 private:
     enum class Phase {
         Preparing,
         Copying,
-        ReadingStep, ///< asks for the present pass
+        ReadingStep, ///< requests the present pass from rank 0
         Holding,
         Arming,
         Releasing,
@@ -112,13 +117,13 @@
     State m_state = State::Running;
     std::string m_reason;
     std::unique_ptr<OrderBatch> m_orders;
-    std::shared_ptr<int> m_alive; ///< answers that come after the end find it gone
+    std::shared_ptr<int> m_alive; ///< expired for answers that arrive after the switch has ended
     SteadyTime m_startedAt{};
     SteadyTime m_phaseStartedAt{};
     std::optional<RankStatus> m_leadingRankStatus;
     std::uint64_t m_heldStep = 0;
     int m_holdAttempts = 0;
-    int m_maxSends = 1; ///< most copies of one order so far; tells how lossy the way is
+    int m_maxSends = 1; ///< copies of the order that needed most so far; indicates how lossy the connection is
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/orderbatch.cpp
+++ b/modules/heatherridge_coordination/groups/orderbatch.cpp
@@ -28,7 +28,7 @@
 void OrderBatch::sendDue(const std::shared_ptr<State> &state)
 {
     if (state->isSending) {
-        return; // an answer came at once; whoever sends goes on
+        return; // an answer arrived synchronously; the loop that is running continues
     }
     state->isSending = true;
     for (std::size_t index = 0; index < state->entries.size() && state->pendingCount < state->maxPending; ++index) {
@@ -52,7 +52,7 @@
         answered.reply = reply;
         answered.isAnswered = reply != OrderReply::NoAnswer;
         answered.hasLostAnswer = answered.hasLostAnswer || reply == OrderReply::NoAnswer;
-        // Not before the next tick: an answer that fails at once would be asked for without end.
+        // Not before the next tick: an order that fails immediately would be repeated endlessly.
         answered.notBefore = state->now + std::chrono::milliseconds(1);
         --state->pendingCount;
         if (!state->isClosed && state->maxPending != Unlimited) {
--- a/modules/heatherridge_coordination/groups/orderbatch.h
+++ b/modules/heatherridge_coordination/groups/orderbatch.h
@@ -18,47 +18,48 @@
 };
 
 /**
- * Gives orders to several ranks at once, each again until its rank has answered.
+ * Sends orders to several ranks in parallel and repeats each until its rank has answered.
  *
- * Large orders are given to some ranks at a time, the next as soon as one has answered: a hundred of them at once fill
- * the link for longer than an answer is waited for, and are all given again.
+ * The number of large orders in flight is limited, and the next is sent as soon as one was answered: a hundred of them
+ * at once occupy the link for longer than the answer timeout, and all of them are sent again.
  *
- * An order without an answer may be carried out seconds later, after others. All orders are such that a second copy
- * changes nothing, but an answer "refused" after an answer was lost does not tell whether an earlier copy was carried
- * out; see isAmbiguous(). One thread.
+ * An order without an answer may be executed seconds later, after others. All orders are idempotent, but an answer
+ * "refused" after a lost answer does not tell whether an earlier copy was executed; see isAmbiguous(). One thread.
  */
 class OrderBatch
 {
 public:
-    /** No bound on orders without an answer. */
+    /** No limit on orders that wait for an answer. */
     static constexpr std::size_t Unlimited = std::numeric_limits<std::size_t>::max();
 
-    /** @param epoch in which alone the orders hold @param mostOpen orders that wait for an answer at a time */
+    /**
+     * @param epoch in which alone the orders are valid @param maxPending orders that may wait for an answer at a time
+     */
     OrderBatch(RankControl &control, std::uint64_t epoch, std::vector<OrderBatchItem> items,
                std::size_t maxPending = Unlimited);
 
-    /** Sends what has had no answer yet. */
+    /** Sends the orders that are due and not answered yet. */
     void tick(SteadyTime now);
 
-    /** Whether all ranks have answered. */
+    /** Returns whether all ranks have answered. */
     bool isDone() const;
 
-    /** Ranks asked. */
+    /** Returns the number of orders. */
     std::size_t size() const;
 
-    /** Whether item @p index has been answered. */
+    /** Returns whether item @p index was answered. */
     bool isAnswered(std::size_t index) const;
 
-    /** The last word on item @p index. */
+    /** Returns the last reply to item @p index. */
     OrderReply reply(std::size_t index) const;
 
-    /** Whether item @p index was refused after an earlier copy got no answer. */
+    /** Returns whether item @p index was refused after an earlier copy had got no answer. */
     bool isAmbiguous(std::size_t index) const;
 
-    /** Sends item @p index again, at @p notBefore or later. */
+    /** Sends item @p index again, not earlier than @p notBefore. */
     void scheduleResend(std::size_t index, SteadyTime notBefore);
 
-    /** Most copies that any rank was sent. */
+    /** Returns how many copies were sent of the order that needed most. */
     int maxSends() const;
 
     ~OrderBatch();
@@ -78,7 +79,7 @@
         SteadyTime notBefore{};
     };
 
-    /** What answers that come late need of this object, which may be gone. */
+    /** What late answers need; they may outlive the batch. */
     struct State
     {
         RankControl &control;
--- a/modules/heatherridge_coordination/groups/orderqueue.cpp
+++ b/modules/heatherridge_coordination/groups/orderqueue.cpp
@@ -20,9 +20,10 @@
 
 void OrderQueue::finishCurrent(const std::function<void(Incarnation run)> &handleReply)
 {
-    // The answered order stays in front meanwhile. Taken out first, the queue looked idle while the answer was handled:
-    // an order that came of it was sent at once and a second time afterwards, and its second answer took an order out
-    // of an empty queue. The process ended, or left orders out and its group never became whole.
+    // The answered order stays at the front in the meantime. If it were removed first, the queue would look idle while
+    // the reply is handled: an order enqueued by the handler was sent at once and a second time afterwards, and its
+    // second reply removed an order from an empty queue. The process crashed, or skipped orders and its group never
+    // became complete.
     handleReply(m_orders.front().run);
     m_orders.pop_front();
     if (!m_orders.empty()) {
--- a/modules/heatherridge_coordination/groups/orderqueue.h
+++ b/modules/heatherridge_coordination/groups/orderqueue.h
@@ -9,24 +9,24 @@
 {
 
 /**
- * Gives orders to an engine one after the other, so that the engine follows them in the order in which they were given.
+ * Sends orders to an engine one at a time, so that the engine executes them in the order in which they were enqueued.
  *
- * One thread. An answer may lead to further orders while it is being taken: they go behind the one that was answered.
+ * One thread. Handling a reply may enqueue further orders: they are placed behind the one that was answered.
  */
 class OrderQueue
 {
 public:
-    /** Sends an order on its way. @returns false when there is nobody to send it to; then all orders are dropped */
+    /** Sends an order to the engine. @returns false if there is no engine to send to; then all orders are dropped */
     using SendOrder = std::function<bool(const OrderEngine &order)>;
 
     explicit OrderQueue(SendOrder sendOrder);
 
-    /** Adds @p order, and sends it if none is under way. */
+    /** Appends @p order, and sends it if no other is in progress. */
     void enqueue(const OrderEngine &order);
 
     /**
-     * The order under way has been answered, or its answer has been given up.
-     * @param take is called with the run that gave the order, before the next one is sent
+     * Called when the order in progress was answered, or its answer is no longer awaited.
+     * @param handleReply is called with the run that issued the order, before the next one is sent
      */
     void finishCurrent(const std::function<void(Incarnation run)> &handleReply);
 
@@ -34,7 +34,7 @@
     void sendNext();
 
     SendOrder m_sendOrder;
-    std::deque<OrderEngine> m_orders; ///< the first is under way
+    std::deque<OrderEngine> m_orders; ///< the first is in progress
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/rankmonitor.cpp
+++ b/modules/heatherridge_coordination/groups/rankmonitor.cpp
@@ -11,14 +11,19 @@
 
 using std::chrono::milliseconds;
 
-/** Statuses in a row that don't come before an engine counts as gone: two seconds' worth. Forgetting it drops a switch
- * that is under way, and what that holds stays held until it is recovered. */
+/**
+ * Consecutive missed statuses after which an engine counts as lost: two seconds' worth. Dropping it drops a switch in
+ * progress, and the pass that the switch holds stays held until it is recovered.
+ */
 constexpr int MissesUntilLost = 5;
-/** The same where questions are further apart. */
+/** Lower bound of the same where requests are further apart. */
 constexpr int MinMissesUntilLost = 2;
-/** Switches hold passes at rank 0, recoveries mostly at rank 1: what they say of holds is news for every keeper. */
+/**
+ * Switches hold passes at rank 0, recoveries mostly at rank 1: every rebalancer has to know of the holds at these
+ * ranks.
+ */
 constexpr int LastHoldingRank = 1;
-/** Bounds of what is believed of a pass, from an idle group to one with a stalled rank. */
+/** Bounds of the measured pass time, from an idle group to one with a stalled rank. */
 constexpr milliseconds MinPassTime{10};
 constexpr milliseconds MaxPassTime{1'000};
 
@@ -59,7 +64,8 @@
 
 void RankMonitor::tick(SteadyTime now)
 {
-    // A group that forms or is held takes no streams, and each moment in which nobody knows that it goes on is lost.
+    // A group that is forming or held accepts no streams, and the time until a status shows that it has resumed is
+    // lost: it is polled at twice the rate.
     const int rateFactor = isSettled() ? 1 : 2;
     for (auto &[id, engine] : m_engines) {
         if (now - engine.requestedAt >= pollPeriodOf(engine) / rateFactor) {
@@ -165,7 +171,8 @@
             continue;
         }
         if (!engine.status) {
-            // Told of as closed, or its last word would stand: dead engines drew 1,066 attempts in a day.
+            // Reported as not open, as otherwise its last status would stand: dead engines received 1,066 attempts in a
+            // day.
             views.push_back({.target = id, .group = engine.lastGroup, .requestedAt = engine.requestedAt});
             continue;
         }
@@ -211,7 +218,8 @@
     if (!engine.status || (++engine.missedStatuses < missesUntilLost(engine) && !isOtherRun)) {
         return;
     }
-    // Gone, or another run of the engine answers in its place: its group is not whole until somebody has its rank.
+    // The engine is gone, or another run of it answers in its place: its group is not operational until an engine
+    // reports the rank again.
     const auto group = engine.status->group;
     engine.status.reset();
     m_hasUpdates = true;
@@ -247,7 +255,8 @@
 
 void RankMonitor::updateHold(MonitoredGroup &group, SteadyTime now) const
 {
-    // Switches hold at rank 0 and recoveries at another, and either may have come late: any rank may hold.
+    // Switches hold at rank 0 and recoveries at another rank, and either order may have arrived late: any rank may
+    // hold.
     std::optional<std::uint64_t> held;
     for (const auto &id : group.ranks) {
         const auto *status = statusOf(id);
@@ -268,8 +277,8 @@
         const auto span = std::chrono::duration_cast<milliseconds>(now - group.lastStepAt);
         group.passTime = std::clamp(span / passes, MinPassTime, MaxPassTime);
     }
-    // A status that shows the same pass again is no beginning of one, or passes that are longer than the time between
-    // two statuses would seem as short as that time. An idle group makes no passes.
+    // A status that shows the same pass again does not mark the start of a pass; otherwise passes that are longer than
+    // the interval between two statuses would seem as short as that interval. An idle group makes no passes.
     const bool isIdle = status.running + status.waiting == 0;
     if (status.step != group.lastStep || isIdle) {
         group.lastStep = status.step;
@@ -326,7 +335,7 @@
         }
         const auto rank = static_cast<std::size_t>(std::max(engine.status->rank, 0));
         ranks.resize(std::max({ranks.size(), rank + 1, static_cast<std::size_t>(engine.status->size)}));
-        // An engine that has started anew stands in the register beside its last run for a while.
+        // An engine that has restarted is registered alongside its previous run for a while.
         if (ranks[rank].isEmpty() || m_engines.at(ranks[rank]).statusRequestedAt < engine.statusRequestedAt) {
             ranks[rank] = id;
         }
@@ -336,14 +345,14 @@
 
 bool RankMonitor::acceptsStreams(const MonitoredGroup &group) const
 {
-    // One rank that says that its group does not work speaks for all: the one that died said last that it works, and
-    // looks idle. It drew 577 attempts in a day that never reached it.
+    // One rank that reports that its group does not operate is enough: the last status of a rank that died says that
+    // the group operates, and the rank looks idle. Such ranks received 577 attempts in a day that never reached them.
     const bool isBroken = std::any_of(group.ranks.begin(), group.ranks.end(), [this](const auto &id) {
         const auto *status = statusOf(id);
         return status != nullptr && !status->isOpen;
     });
-    // After a start the first few engines whose statuses have come would get all that waits: 36 streams went to four
-    // engines of sixteen, and their callers left. Ranks that stay out of reach must not close a group, though.
+    // After a start the first few engines to report would receive all waiting streams: 36 streams went to four engines
+    // of sixteen, and their callers left. Ranks that stay unreachable must not close a group, though.
     const auto known =
         std::count_if(group.ranks.begin(), group.ranks.end(), [](const auto &id) { return !id.isEmpty(); });
     return !isBroken && static_cast<std::size_t>(known) * 2 >= group.ranks.size();
--- a/modules/heatherridge_coordination/groups/rankmonitor.h
+++ b/modules/heatherridge_coordination/groups/rankmonitor.h
@@ -13,103 +13,110 @@
 namespace Heatherridge
 {
 
-/** One engine as its status tells, for whoever places requests. */
+/** One engine as last reported by its status, for the code that places requests. */
 struct EngineView
 {
     TargetName target{};
     GroupName group{};
-    bool isOpen = false; ///< its group works
+    bool isOpen = false; ///< its group is operating
     int running = 0; ///< requests of all senders
     int waiting = 0;
-    double pace = 1; ///< over 1: it takes so many times as long as usual
+    double pace = 1; ///< over 1: it takes this many times as long as usual
     std::chrono::milliseconds passTime{}; ///< of its group, measured
-    SteadyTime requestedAt{}; ///< when it was asked
+    SteadyTime requestedAt{}; ///< when its status was last requested
 };
 
-/** One group as its ranks' statuses tell. */
+/** One group as reported by the statuses of its ranks. */
 struct MonitoredGroup
 {
-    std::vector<TargetName> ranks{}; ///< by rank; null names where nobody has spoken
+    std::vector<TargetName> ranks{}; ///< by rank; null names for ranks that have not reported
     std::uint64_t epoch = 0;
-    bool isOpen = false; ///< all ranks are known and say so
-    MapNumber highestMap{}; ///< of all numbers seen at its ranks, or noted
-    std::uint64_t lastHeldStep = 0; ///< the last pass of this epoch that was seen held, or noted
+    bool isOpen = false; ///< all ranks are known and report that the group is operating
+    MapNumber highestMap{}; ///< of all numbers seen at its ranks or recorded by recordMapNumber()
+    std::uint64_t lastHeldStep = 0; ///< the last pass of this epoch that was seen held or recorded by recordHeldStep()
     std::uint64_t lastStep = 0; ///< the last pass that was begun
     SteadyTime lastStepAt{}; ///< when a status first showed it
     std::chrono::milliseconds passTime{50};
     std::optional<std::chrono::milliseconds>
-        countsRequestedAgo{}; ///< a keeper last asked rank 0 for its counts, as it told
-    SteadyTime countsRequestReportedAt{}; ///< when rank 0 told that
+        countsRequestedAgo{}; ///< time since a rebalancer last requested counts from rank 0, as rank 0 reported
+    SteadyTime countsRequestReportedAt{}; ///< when rank 0 reported that
     std::optional<std::uint64_t> heldStep{};
     SteadyTime heldSince{};
-    std::optional<SteadyTime> standstillSince{}; ///< the pass before the held one is seen to be the last that was begun
+    std::optional<SteadyTime>
+        standstillSince{}; ///< since when the pass before the held one is seen to be the last that was begun
 };
 
 /**
- * Asks the engines of one service for their statuses again and again, and puts them together to groups.
+ * Polls the engines of one service for their statuses and derives the state of their groups.
  *
- * A status says what one rank is; which ranks make up a group, whether it works, how long its passes are and whether it
- * stands still follows from all of them. An engine that stays silent is forgotten after two seconds, or after two
- * questions if these are further apart: its rank is empty until somebody speaks for it. Ranks of other zones are asked
- * as seldom as the budget has it, but for those at which passes are held. One thread; moved on by tick().
+ * A status describes one rank; which ranks form a group, whether it operates, how long its passes take and whether it
+ * stands still follows from the statuses of all of them. An engine that does not answer is dropped after two seconds,
+ * or after two requests if these are further apart: its rank is empty until another engine reports it. Ranks of other
+ * availability zones are polled as rarely as the budget demands, except for those at which passes are held. One thread;
+ * driven by tick().
  */
 class RankMonitor
 {
 public:
     struct Events
     {
-        /** The group has other ranks, or has formed anew. */
+        /** Called when the ranks of the group have changed, or it has formed anew in another epoch. */
         std::function<void(const GroupName &group)> membershipChanged{};
-        /** A rank of the group has spoken; the group is up to date. */
+        /** Called when a rank of the group has reported a status, after the group was updated. */
         std::function<void(const GroupName &group, const RankStatus &status)> statusReceived{};
     };
 
     struct Options
     {
-        std::chrono::milliseconds period{400}; ///< between statuses of a near rank of a group that is at work
+        std::chrono::milliseconds period{400}; ///< between status requests to a near rank while all groups operate
         ControlBudget budget{{}, 0};
     };
 
     /** Uses @p control, which must outlive it. */
     RankMonitor(RankControl &control, Options options, Events events);
 
-    /** The engines to watch. */
+    /** Sets the engines to monitor. */
     void setTargets(const std::vector<TargetEntry> &targets);
 
-    /** Whether all ranks are asked like near ones: who switches maps has to know each. */
+    /**
+     * Sets whether all ranks are polled as often as near ones: a rebalancer that switches maps has to know each rank.
+     */
     void setFullRate(bool isFullRate);
 
-    /** Asks when it is time. */
+    /** Sends the status requests that are due. */
     void tick(SteadyTime now);
 
-    /** Asks the ranks of @p group at once. */
+    /** Requests the statuses of the ranks of @p group immediately. */
     void requestStatuses(const MonitoredGroup &group, SteadyTime now);
 
-    /** All groups that were ever seen. */
+    /** Returns all groups that were ever seen. */
     const std::map<GroupName, MonitoredGroup> &groups() const;
 
-    /** The group @p name; an empty one when it was never seen. */
+    /** Returns the group @p name; an empty one if it was never seen. */
     const MonitoredGroup &group(const GroupName &name) const;
 
-    /** The last status of @p target; null when there is none, or not any more. */
+    /** Returns the last status of @p target; null if there is none, or it was dropped. */
     const RankStatus *statusOf(const TargetName &target) const;
 
-    /** Whether all ranks of @p group are known and work. */
+    /** Returns whether all ranks of @p group are known and operating. */
     bool isOperational(const MonitoredGroup &group) const;
 
-    /** Whether all statuses of @p group were asked for at @p time or later. */
+    /** Returns whether all statuses of @p group were requested at @p time or later. */
     bool hasStatusesSince(const MonitoredGroup &group, SteadyTime time) const;
 
-    /** The ranks of @p group, which must be whole. */
+    /** Returns the ranks of @p group, which must be operational. */
     std::vector<TargetEntry> targetsOf(const MonitoredGroup &group) const;
 
-    /** Keeps in mind that @p number was given to a map of @p name. */
+    /** Records that @p number was given to a map of group @p name. */
     void recordMapNumber(const GroupName &name, MapNumber number);
 
-    /** Keeps in mind that pass @p step of @p name was held. */
+    /** Records that pass @p step of group @p name was held. */
     void recordHeldStep(const GroupName &name, std::uint64_t step);
 
-    /** All engines that have ever spoken; nothing when no status has come since the last call. */
+    /**
+     * Returns all engines that have ever reported a status; nothing if no status has arrived or was dropped since the
+     * last call.
+     */
     std::optional<std::vector<EngineView>> takeUpdates();
 
 private:
@@ -117,10 +124,10 @@
     {
         TargetEntry target{};
         std::optional<RankStatus> status{};
-        GroupName lastGroup{}; ///< null while it has never spoken, or is in none
+        GroupName lastGroup{}; ///< null if it has never reported a status, or is in no group
         SteadyTime requestedAt{};
-        SteadyTime statusRequestedAt{}; ///< when the last status that came was asked for
-        int missedStatuses = 0; ///< statuses in a row that did not come
+        SteadyTime statusRequestedAt{}; ///< when the last status that arrived was requested
+        int missedStatuses = 0; ///< consecutive status requests without an answer
         bool isRequestPending = false;
     };
 
@@ -145,7 +152,7 @@
     std::map<GroupName, MonitoredGroup> m_groups;
     std::chrono::milliseconds m_farPeriod{};
     bool m_isFullRate = false;
-    bool m_hasUpdates = false; ///< statuses that news() has not told of
+    bool m_hasUpdates = false; ///< changes that takeUpdates() has not returned yet
     std::shared_ptr<int> m_alive;
 };
 
--- a/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
+++ b/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
@@ -9,7 +9,9 @@
 namespace
 {
 
-/** How long ago a keeper last asked any rank for counts; nothing when no rank has told of late. */
+/**
+ * Returns how long ago a rebalancer last requested counts from any rank; nothing when no rank has reported recently.
+ */
 std::optional<std::chrono::milliseconds> timeSinceLastCountsRequest(const std::map<GroupName, MonitoredGroup> &groups,
                                                                     SteadyTime now)
 {
--- a/modules/heatherridge_coordination/groups/rebalancertakeover.h
+++ b/modules/heatherridge_coordination/groups/rebalancertakeover.h
@@ -11,35 +11,45 @@
 {
 
 /**
- * When an inactive keeper of groups takes over though the log has not given it the share.
+ * Decides when an inactive rebalancer takes over although the log has not given it the work share.
  *
- * Load pattern: demand for experts shifts every few seconds, and the host of the active keeper is stopped or lost while
- * the log is out, which can give its share to nobody before it is back. The processes beside ranks know whether any
- * keeper is at work, since it asks them for counts several times a second, and they tell so with each status. So a
- * keeper that the log does not answer takes over when none has asked for long, each after a time of its own. Should two
- * take over, each sees the other's maps and gives way as around any change of the share. One thread.
+ * Load pattern: demand for experts shifts every few seconds, and the host of the active rebalancer is stopped or lost
+ * while the log is down, so the log cannot give the share to another process until it is back. The processes beside the
+ * ranks know whether any rebalancer is active, because it requests counts from them several times a second, and they
+ * report this with each status. A rebalancer that gets no answers from the log therefore takes over when none has
+ * requested counts for a while, each after a random delay of its own. If two take over, each sees the other's maps and
+ * yields as it does around any change of the share. One thread.
  */
 class RebalancerTakeover
 {
 public:
-    /** None has asked for counts for so long, and a draw of the width below: the active one asks several times a
-     * second, and a restart of it, or the log's word on who has its share now, takes a second. */
+    /**
+     * Takes over when no rebalancer has requested counts for this time plus a random delay of the width below: the
+     * active one requests them several times a second, and its restart, or a decision of the log on who has its share,
+     * takes a second.
+     */
     static constexpr std::chrono::milliseconds TakeoverTimeout{1'500};
     static constexpr std::chrono::milliseconds JitterWidth{1'500};
 
-    /** What ranks say of that is worth nothing when it is older. */
+    /** Reports of ranks on the last request for counts are ignored when they are older. */
     static constexpr std::chrono::milliseconds MaxReportAge{1'000};
 
-    /** The log answers this keeper, or has ceased to; @p bits are drawn at random for the draw. */
+    /**
+     * Sets whether the log answers this rebalancer; @p randomBits determine the random delay when it has stopped
+     * answering.
+     */
     void setConfirmed(bool isConfirmed, std::uint64_t randomBits);
 
-    /** Whether to take over now, by what the ranks of @p groups have told. Once true, isUnderWay() is until end(). */
+    /**
+     * Returns whether to take over now, based on the reports of the ranks of @p groups. Once it has returned true,
+     * hasTakenOver() is true until cancel().
+     */
     bool tryTakeOver(const std::map<GroupName, MonitoredGroup> &groups, SteadyTime now);
 
-    /** The share is this keeper's, or the log answers: it says who keeps the groups. */
+    /** Ends the takeover: this rebalancer has the share, or the log answers and says who has it. */
     void cancel();
 
-    /** Whether this keeper has taken over. */
+    /** Returns whether this rebalancer has taken over. */
     bool hasTakenOver() const;
 
 private:
