--- a/tests/groups/orderqueue_test.cpp
+++ b/tests/groups/orderqueue_test.cpp
@@ -15,17 +15,17 @@
 struct QueueCase
 {
     const char *name;
-    int queued; ///< orders that wait behind the one under way
-    int addedByReply; ///< orders that are given while its answer is taken
+    int queued; ///< orders that wait behind the one in progress
+    int addedByReply; ///< orders that are enqueued while its reply is handled
 };
 
-// The process of a group's leader ends without a word in the midst of a switch, and all ranks wait for another leader.
-// The answer to its only order led to a new one, which was sent twice; the second answer took an order out of an empty
-// queue.
+// Guards against orders that are sent twice: the reply to the only order caused a new one, which was sent at once and
+// again afterwards; its second reply removed an order from an empty queue. The process of the group's leader then
+// crashed in the middle of a switch, and all ranks waited for another leader.
 const QueueCase QueueCases[] = {
-    {"nothing waits, nothing comes of the answer", 0, 0},
-    {"nothing waits, an order comes of the answer", 0, 1},
-    {"an order waits, two come of the answer", 1, 2},
+    {"nothing queued, the reply adds nothing", 0, 0},
+    {"nothing queued, the reply adds one order", 0, 1},
+    {"one order queued, the reply adds two", 1, 2},
 };
 
 class OrderQueues : public testing::TestWithParam<QueueCase>
--- a/tests/heldgroups/heldgroups_test.cpp
+++ b/tests/heldgroups/heldgroups_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr int SchedulesPerCase = 3;
 constexpr auto FaultDuration = 30s;
-/** Late orders are all in by then, and whoever paused has gone on. */
+/** By then all late orders have arrived and all paused processes have resumed. */
 constexpr auto FaultFreeDuration = 25s;
 
 bool isTraced()
@@ -31,9 +31,9 @@
             .isTraced = isTraced()};
 }
 
-// A caller's answer is made of passes in which one rank used another map than the rest: wrong text, with no error.
-// Orders to arm get lost or come late, keepers pause and others take over. And a group that is held by a keeper that
-// died serves nobody until somebody lets it go.
+// Guards against passes in which one rank uses another map than the rest, which gives callers wrong text without an
+// error, and against groups that stay held by a rebalancer that died and serve nobody. Orders to arm get lost or come
+// late, processes pause, and others take over.
 RC_GTEST_PROP(HeldGroups, UseOneMapInEveryPassAndAreNeverLeftHeld, (std::uint32_t seed))
 {
     int switches = 0;
@@ -51,12 +51,13 @@
     RC_ASSERT(switches > SchedulesPerCase);
 }
 
-// All streams of a group stand still for two seconds, and their callers leave: the process that switches its map
-// freezes between the hold of a pass and its release, and the others wait until its lease is over and longer.
+// Guards against groups that stand still for two seconds, so that the callers of all their streams leave: the process
+// that switches the map freezes between the hold of a pass and its release, and the others wait until its lease has
+// expired and longer.
 TEST(HeldGroups, ResumeSoonAfterTheirHolderPauses)
 {
     constexpr int schedules = 60;
-    // Two processes that begin a recovery at the same moment fence each other away, and try again one after the other.
+    // Two processes that begin a recovery at the same time replace each other's fences, and retry one after the other.
     constexpr int maxSlow = schedules / 15;
     int slow = 0;
     for (int number = 0; number < schedules; ++number) {
@@ -73,8 +74,8 @@
     EXPECT_LE(slow, maxSlow);
 }
 
-// A group stands still for a second although nothing has failed: the platform's log turns away the process that keeps
-// its map even, so the log gives the share to another. Both see demand shift, and both begin to switch the map at once.
+// Guards against a group that stands still for a second although nothing has failed: the log rejects the process that
+// rebalances it and gives the share to another; both see demand shift and both start to switch the map.
 TEST(HeldGroups, KeepRunningWithTwoActiveRebalancers)
 {
     constexpr int schedules = 150;
@@ -98,15 +99,15 @@
 };
 
 const BrokenSafeguardCase BrokenSafeguardCases[] = {
-    // The holder of a pass pauses with all ranks armed, another process takes the switch back, and the first one's
-    // release arrives while half of the ranks are disarmed.
-    {"recovers without a hold of its own", BrokenSafeguard::NoSecondHold},
-    // A rank whose order to arm got lost is passed over as not armed, the pass is released, and the order comes.
+    // The holder of a pass pauses with all ranks armed, another process reverts the switch, and the release of the
+    // first arrives while half of the ranks are disarmed.
+    {"recovers without a second hold", BrokenSafeguard::NoSecondHold},
+    // A rank whose order to arm was lost is skipped as not armed, the pass is released, and then the order arrives.
     {"releases without fences", BrokenSafeguard::NoFence},
-    // The ranks are armed one after the other while the group works on, and it reaches the pass in between.
+    // The ranks are armed one after the other while the group continues, and it reaches the pass in between.
     {"arms without a hold", BrokenSafeguard::NoHold},
-    // A rank that never got its order is counted as armed.
-    {"takes silence for consent", BrokenSafeguard::SilenceCountsAsArmed},
+    // A rank that never received its order counts as armed.
+    {"treats a missing answer as armed", BrokenSafeguard::SilenceCountsAsArmed},
 };
 
 class BrokenSafeguards : public testing::TestWithParam<BrokenSafeguardCase>
--- a/tests/heldgroups/heldgroupsimulation.cpp
+++ b/tests/heldgroups/heldgroupsimulation.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-/** One engine: the rules of its orders, and what it was told. */
+/** The state of one engine, with the rules by which it accepts orders. */
 struct HeldGroupSimulation::Engine
 {
     TargetEntry target{};
@@ -43,12 +43,12 @@
     std::optional<ArmMap> armed{};
     std::optional<std::uint64_t> heldStep{};
     std::vector<double> expertCounts{};
-    std::vector<std::pair<std::int64_t, RankStatus>> history{}; ///< statuses lag
+    std::vector<std::pair<std::int64_t, RankStatus>> history{}; ///< older statuses, for reports that lag
     std::map<MapNumber, bool> fakedFences{};
     std::optional<std::uint64_t> fakedHold{};
 };
 
-/** The way of one keeper to the ranks. */
+/** The lossy connection of one rebalancer to the ranks. */
 class HeldGroupSimulation::FaultyRankControl final : public RankControl
 {
 public:
@@ -118,7 +118,7 @@
                               [this, reply, done = std::move(done)] { deliverReply(reply, done); });
     }
 
-    /** Answers wait while the keeper is paused. */
+    /** While the process is paused, answers wait in pendingAnswers. */
     bool isPaused = false;
     std::vector<std::function<void()>> pendingAnswers{};
 
@@ -148,7 +148,7 @@
         if (prepare == nullptr || brokenSafeguard != BrokenSafeguard::NoFence) {
             return false;
         }
-        // A fence changes nothing on its own rank; a switch's map does, on some rank.
+        // A fence does not change the experts of its own rank; the map of a switch changes those of some rank.
         const auto &engine = *m_simulation.m_engines[rank];
         const bool isFence = prepare->layout != m_simulation.m_engines[0]->layout
             && std::equal(prepare->layout.begin(), prepare->layout.end(), engine.layout.begin(), engine.layout.end(),
@@ -182,7 +182,7 @@
     HeldGroupSimulation &m_simulation;
 };
 
-/** One keeper with its way. */
+/** One rebalancer and its connection to the ranks. */
 struct HeldGroupSimulation::RebalancerProcess
 {
     std::unique_ptr<FaultyRankControl> control{};
@@ -194,7 +194,7 @@
 namespace
 {
 
-/** A clock at a fixed time: numbers of maps then grow by what keepers have seen alone. */
+/** A clock at a fixed time, so that map numbers grow only by the numbers that rebalancers have seen. */
 class FixedClock final : public Clock
 {
 public:
@@ -250,7 +250,7 @@
             ExpertRebalancerEvents{.decisionMade =
                                        [this, index](auto what, const auto &, const auto &details) {
                                            if (m_options.isTraced) {
-                                               std::printf("%6lld keeper %d step %llu %.*s %s\n",
+                                               std::printf("%6lld rebalancer %d step %llu %.*s %s\n",
                                                            static_cast<long long>(m_now), index,
                                                            static_cast<unsigned long long>(m_step),
                                                            static_cast<int>(what.size()), what.data(), details.c_str());
@@ -302,7 +302,7 @@
 {
     runWithoutFaults(milliseconds(2'500));
     m_processes.at(0)->rebalancer->setActive(true, false);
-    advance(milliseconds(LeaseMs), false); // before that nobody gets the share
+    advance(milliseconds(LeaseMs), false); // no other process is given the share before the lease has expired
     m_processes.at(1)->rebalancer->setActive(true, true);
     return longestHalt(duration, [] {});
 }
@@ -402,23 +402,23 @@
     }
     ++m_step;
     const auto before = m_engines.front()->map;
-    for (auto &rank : m_engines) {
-        if (rank->armed && rank->armed->step == m_step) {
-            rank->map = rank->armed->map;
-            rank->layout = rank->preparedLayout;
-            rank->prepared.reset();
-            rank->armed.reset();
+    for (auto &engine : m_engines) {
+        if (engine->armed && engine->armed->step == m_step) {
+            engine->map = engine->armed->map;
+            engine->layout = engine->preparedLayout;
+            engine->prepared.reset();
+            engine->armed.reset();
         }
         for (std::size_t index = 0; index < m_demand.size(); ++index) {
-            rank->expertCounts[index] += m_demand[index];
+            engine->expertCounts[index] += m_demand[index];
         }
     }
     m_switches += m_engines.front()->map != before ? 1 : 0;
-    for (const auto &rank : m_engines) {
+    for (const auto &engine : m_engines) {
         const auto &first = *m_engines.front();
-        if (m_violation.empty() && (rank->map != first.map || rank->layout != first.layout)) {
-            m_violation = "pass " + std::to_string(m_step) + ": " + rank->target.id.text() + " uses map "
-                + std::to_string(toNumber(rank->map)) + ", r0 " + std::to_string(toNumber(first.map));
+        if (m_violation.empty() && (engine->map != first.map || engine->layout != first.layout)) {
+            m_violation = "pass " + std::to_string(m_step) + ": " + engine->target.id.text() + " uses map "
+                + std::to_string(toNumber(engine->map)) + ", r0 " + std::to_string(toNumber(first.map));
         }
     }
 }
@@ -522,7 +522,7 @@
     if (!engine.fakedFences.empty() && !engine.armed) {
         fresh.prepared = engine.fakedFences.rbegin()->first;
     }
-    // A status may be as old as the lag says, and is drawn from what was true in that time.
+    // Returns the oldest status within maxStatusAge.
     engine.history.emplace_back(m_now, fresh);
     std::erase_if(engine.history,
                   [this](const auto &entry) { return entry.first < m_now - m_options.maxStatusAge.count(); });
--- a/tests/heldgroups/heldgroupsimulation.h
+++ b/tests/heldgroups/heldgroupsimulation.h
@@ -11,20 +11,21 @@
 namespace Heatherridge
 {
 
-/** Safeguards of the switch and its recovery, each taken away by what stands between keeper and ranks. */
+/** Safeguards of the switch and its recovery, each of which FaultyRankControl can disable. */
 enum class BrokenSafeguard {
     None,
-    NoSecondHold, ///< the recovery's own hold is said to stand, and does not
-    NoFence, ///< the maps that a recovery makes ranks prepare are said to be prepared, and are not
-    NoHold, ///< a switch's hold is said to stand, and does not
-    SilenceCountsAsArmed, ///< a rank that does not answer to being armed is said to be armed
+    NoSecondHold, ///< the recovery's second hold is reported as accepted, but not placed
+    NoFence, ///< the fence maps of a recovery are reported as prepared, but are not
+    NoHold, ///< the hold of a switch is reported as accepted, but not placed
+    SilenceCountsAsArmed, ///< a rank that does not answer the order to arm is reported as armed
 };
 
 /**
- * One expert group of engines that hold, arm and begin passes, and several keepers that reach it through a lossy way.
+ * Simulates one expert group, whose engines hold, arm and begin passes, and several rebalancers that reach it through
+ * lossy connections.
  *
- * Virtual time in milliseconds. Orders get lost, lose their answers and are then carried out up to 12 s late; keepers
- * pause, and go on with what they believed. Every pass checks that all ranks use one map.
+ * Virtual time in milliseconds. Orders get lost, or lose their answers and are then executed up to 12 s late;
+ * rebalancer processes pause, and resume with outdated state. Every pass checks that all ranks use the same map.
  */
 class HeldGroupSimulation
 {
@@ -33,14 +34,14 @@
     {
         int ranks = 4;
         std::uint64_t seed = 1;
-        int processes = 2; ///< all of them active, as around a change of the share
-        double unansweredFraction = 0.15; ///< part of the orders without an answer
-        double lateFraction = 0.5; ///< part of these that are carried out all the same, up to 12 s later
+        int processes = 2; ///< all of them active, as around a change of the share's holder
+        double unansweredFraction = 0.15; ///< fraction of the orders without an answer
+        double lateFraction = 0.5; ///< fraction of these that are executed nevertheless, up to 12 s later
         bool pausesProcesses = true;
-        std::chrono::milliseconds maxStatusAge{200}; ///< statuses are up to so old; 10 with processes beside the ranks
+        std::chrono::milliseconds maxStatusAge{200}; ///< maximum age of a status; 10 ms with processes beside the ranks
         bool hasIdlePeriods = false; ///< the group has no work for seconds at a time
         BrokenSafeguard brokenSafeguard = BrokenSafeguard::None;
-        bool isTraced = false; ///< prints the keepers' decisions
+        bool isTraced = false; ///< prints the decisions of the rebalancers
     };
 
     explicit HeldGroupSimulation(Options options);
@@ -49,38 +50,38 @@
     HeldGroupSimulation(const HeldGroupSimulation &) = delete;
     HeldGroupSimulation &operator=(const HeldGroupSimulation &) = delete;
 
-    /** Lets @p duration pass with faults, shifting what is demanded every few seconds. */
+    /** Simulates @p duration with faults; demand shifts every few seconds. */
     void runWithFaults(std::chrono::milliseconds duration);
 
-    /** Lets @p duration pass without faults, all keepers awake and one of them active. */
+    /** Simulates @p duration without faults; no process is paused, and one rebalancer is active. */
     void runWithoutFaults(std::chrono::milliseconds duration);
 
     /**
-     * Lets the only active keeper pause for seconds as soon as it holds a pass, without other faults. Its share goes to
-     * the next keeper once its lease is over.
+     * Pauses the only active rebalancer for seconds as soon as it holds a pass, without other faults. Its share goes to
+     * the next rebalancer once the lease has expired.
      *
-     * @returns how long no pass was begun
+     * @returns the longest time without a new pass
      */
     std::chrono::milliseconds haltAfterHolderPauses();
 
     /**
-     * Lets @p duration pass without faults while the first keeper can't renew its share and does not know that the
+     * Simulates @p duration without faults while the first rebalancer cannot renew its share and does not know that the
      * second has it.
      *
-     * @returns the longest time without a pass
+     * @returns the longest time without a new pass
      */
     std::chrono::milliseconds haltWithTwoActiveRebalancers(std::chrono::milliseconds duration);
 
-    /** What went wrong first; empty when nothing did. */
+    /** Returns the first violation; empty if there was none. */
     const std::string &violation() const;
 
-    /** Whether a pass is held. */
+    /** Returns whether the next pass is held. */
     bool isNextPassHeld() const;
 
-    /** Passes so far. */
+    /** Returns the number of passes so far. */
     std::uint64_t step() const;
 
-    /** Changes of the map that took effect. */
+    /** Returns the number of map changes that took effect. */
     int switches() const;
 
 private:
--- a/tests/heldgroups/passtime_test.cpp
+++ b/tests/heldgroups/passtime_test.cpp
@@ -11,7 +11,7 @@
 
 const SteadyTime Start(1h);
 
-/** One rank, which is a group, with passes of one length. */
+/** A group of one rank whose passes all take the same time. */
 class FixedPassRank final : public SilentRanks
 {
 public:
@@ -29,7 +29,7 @@
 {
     const char *name;
     std::chrono::milliseconds passTime;
-    std::chrono::milliseconds statusInterval; ///< statuses
+    std::chrono::milliseconds statusInterval; ///< between two statuses
 };
 
 const PassTimeCase PassTimeCases[] = {
@@ -42,8 +42,8 @@
 {
 };
 
-// Guards against passes of a slow group that are taken for short because its ranks are asked often: its switches then
-// hold a pass many passes ahead.
+// Guards against passes of a slow group that are measured as short because its ranks are polled often: its switches
+// then hold a pass many passes ahead.
 TEST_P(PassTimes, DoNotDependOnThePollingRate)
 {
     const auto &testCase = GetParam();
--- a/tests/heldgroups/pending_test.cpp
+++ b/tests/heldgroups/pending_test.cpp
@@ -29,8 +29,10 @@
     }
 };
 
-/** A group that does what it is told, and begins a pass when the test says so. Another expert is liked in every
- * reading of counts. */
+/**
+ * A group that accepts all orders and begins a pass when the test calls beginPass(). The most demanded expert changes
+ * with the readings of the counts.
+ */
 class SimulatedGroup final : public RankControl
 {
 public:
@@ -111,8 +113,9 @@
     int m_countsRequests = 0;
 };
 
-// Passes are two to three times as long for a second and a half: a map is switched, its pass is some passes ahead when
-// the next map is wanted, and the ranks that wait for it are taken for ranks on which somebody else has been at work.
+// Guards against a switch that is postponed because the pass of the previous one is still ahead: the ranks that wait
+// for it were taken for ranks that another process has changed, and passes took two to three times as long for a second
+// and a half.
 TEST(PendingSwitchPasses, DoNotPostponeTheNextSwitch)
 {
     SimulatedGroup group;
@@ -133,7 +136,7 @@
     for (int tick = 0; tick < 1'000; ++tick) {
         now += 20ms;
         rebalancer.tick(now);
-        // Passes take longer than the keeper thinks that any does.
+        // A pass takes longer than the rebalancer estimates.
         if (tick % 40 == 0) {
             group.beginPass();
         }
--- a/tests/heldgroups/switches_test.cpp
+++ b/tests/heldgroups/switches_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::uint64_t Epoch = 3;
 
-/** Ranks that do at once what they are told, and keep account of it. */
+/** Ranks that accept and record all orders immediately. */
 class AcceptingRanks final : public RankControl
 {
 public:
@@ -69,15 +69,15 @@
 {
     const char *name;
     std::chrono::milliseconds frozenFor; ///< of the process, while ranks copy
-    std::chrono::milliseconds mayHoldAfter; ///< from the start on
+    std::chrono::milliseconds mayHoldAfter; ///< from the start of the switch
     MapSwitch::State state;
 };
 
 const MapSwitchCase MapSwitchCases[] = {
-    {"nothing in the way", 0ms, 0ms, MapSwitch::State::Switched},
+    {"no disturbance", 0ms, 0ms, MapSwitch::State::Switched},
     {"another group is held for a while", 0ms, 700ms, MapSwitch::State::Switched},
-    // A frozen process wakes and goes on with a switch of four seconds ago: its pass is held, but the ranks have
-    // prepared other maps since, so none can be armed and the group stands still for two seconds.
+    // Guards against a frozen process that resumes a switch of four seconds ago: its pass is held, but the ranks have
+    // prepared other maps in the meantime, so none can be armed and the group stands still for two seconds.
     {"the process was frozen while ranks copied", 4s, 0ms, MapSwitch::State::Abandoned},
     {"another group is held for too long", 0ms, 5s, MapSwitch::State::Abandoned},
 };
@@ -105,7 +105,7 @@
 
 INSTANTIATE_TEST_SUITE_P(All, MapSwitches, testing::ValuesIn(MapSwitchCases));
 
-/** Ranks that answer when the test says so. */
+/** Ranks that reply to orders only when the test calls replyToFirst(). */
 class ManualReplyRanks final : public SilentRanks
 {
 public:
@@ -133,8 +133,9 @@
     std::deque<std::function<void(OrderReply)>> m_pending;
 };
 
-// A map is in use 1.7 s after it was wanted, and passes are three times as long until then: the orders to prepare it on
-// 192 ranks fill the keeper's link, answers come too late, and every order is given again.
+// Guards against prepare orders that time out: those to 192 ranks fill the rebalancer's link, answers come too late,
+// and every order is sent again. The map is then in use 1.7 s after the decision, and passes take three times as long
+// until then.
 TEST(OrderBatches, LimitPendingOrders)
 {
     constexpr int ranks = 96;
@@ -145,12 +146,12 @@
     batch.tick(now);
     EXPECT_EQ(control.pendingCount(), maxPending);
     control.replyToFirst(OrderReply::NoAnswer);
-    EXPECT_EQ(control.pendingCount(), maxPending) << "the next goes out at once";
+    EXPECT_EQ(control.pendingCount(), maxPending) << "the next order is sent immediately";
     while (control.pendingCount() > 0) {
         EXPECT_LE(control.pendingCount(), maxPending);
         control.replyToFirst(OrderReply::Accepted);
     }
-    EXPECT_EQ(control.sentOrders, ranks) << "the one without an answer waits for the next tick";
+    EXPECT_EQ(control.sentOrders, ranks) << "the order without an answer is repeated at the next tick";
     EXPECT_FALSE(batch.isDone());
     batch.tick(now + 20ms);
     control.replyToFirst(OrderReply::Accepted);
--- a/tests/heldgroups/watched_test.cpp
+++ b/tests/heldgroups/watched_test.cpp
@@ -15,14 +15,14 @@
 
 constexpr int GroupSize = 4;
 
-/** How one rank answers in a phase. */
+/** How one rank answers status requests in a phase. */
 enum class RankAnswer {
     Open,
-    NotOpen, ///< it says that its group does not work
-    None, ///< no answer
+    NotOpen, ///< reports that its group does not operate
+    None, ///< the request fails
 };
 
-/** Ranks that answer as they are told. */
+/** Ranks that answer as the test configures them. */
 class ScriptedRanks final : public RankControl
 {
 public:
@@ -66,9 +66,9 @@
     }
 
     std::vector<RankAnswer> answers;
-    std::optional<std::chrono::milliseconds> countsLastPolledAgo{}; ///< as each rank says
+    std::optional<std::chrono::milliseconds> countsLastPolledAgo{}; ///< as each rank reports
     int countsRequests = 0;
-    std::map<TargetName, int> statusRequests{}; ///< for their status
+    std::map<TargetName, int> statusRequests{}; ///< by rank
 };
 
 class FixedClock final : public Clock
@@ -90,7 +90,7 @@
     const char *name;
     std::vector<RankAnswer> before;
     std::vector<RankAnswer> after;
-    int open; ///< engines that are told to be open afterwards
+    int open; ///< engines that are reported as open in the end
 };
 
 const MonitoringCase MonitoringCases[] = {
@@ -98,18 +98,19 @@
      {RankAnswer::Open, RankAnswer::Open, RankAnswer::Open, RankAnswer::Open},
      {RankAnswer::Open, RankAnswer::Open, RankAnswer::Open, RankAnswer::Open},
      4},
-    // An engine dies, and the rest of its group says so. Its own last word was that it works: idle as it looks, it drew
-    // 577 attempts that never reached it, and callers were refused for want of repeats.
+    // An engine dies, and the rest of its group reports it. The engine's own last status says that the group operates
+    // and that it is idle, so it received 577 attempts that never reached it, and callers were refused because no
+    // repeats were left.
     {"one has died",
      {RankAnswer::Open, RankAnswer::Open, RankAnswer::Open, RankAnswer::Open},
      {RankAnswer::NotOpen, RankAnswer::None, RankAnswer::NotOpen, RankAnswer::NotOpen},
      0},
-    {"one is out of reach from here alone",
+    {"one is unreachable from here only",
      {RankAnswer::Open, RankAnswer::Open, RankAnswer::Open, RankAnswer::Open},
      {RankAnswer::Open, RankAnswer::None, RankAnswer::Open, RankAnswer::Open},
      3},
-    // After a loss of power the first engine that has answered would get all that waits.
-    {"too few have spoken",
+    // After a power failure the first engine to answer would receive all waiting requests.
+    {"too few have reported",
      {RankAnswer::Open, RankAnswer::None, RankAnswer::None, RankAnswer::None},
      {RankAnswer::Open, RankAnswer::None, RankAnswer::None, RankAnswer::None},
      0},
@@ -131,7 +132,7 @@
     SteadyTime now(1h);
     for (const auto &answers : {testCase.before, testCase.after}) {
         ranks.answers = answers;
-        for (int tick = 0; tick < 200; ++tick) { // longer than a silent engine is kept in mind
+        for (int tick = 0; tick < 200; ++tick) { // longer than the time after which a silent engine is dropped
             now += 20ms;
             rebalancer.tick(now);
         }
@@ -141,7 +142,7 @@
     const auto knownEngines = std::count_if(testCase.before.begin(), testCase.before.end(),
                                             [](auto answer) { return answer != RankAnswer::None; });
     EXPECT_EQ(static_cast<std::ptrdiff_t>(views.size()), knownEngines)
-        << "an engine that falls silent is told of all the same";
+        << "an engine that stops answering is still reported";
 }
 
 INSTANTIATE_TEST_SUITE_P(All, MonitoredEngines, testing::ValuesIn(MonitoringCases));
@@ -149,18 +150,19 @@
 struct FarRankCase
 {
     const char *name;
-    bool isActive; ///< the keeper switches maps
+    bool isActive; ///< the rebalancer switches maps
     int rank;
-    bool isPolledLess; ///< it is asked less often than a near one
+    bool isPolledLess; ///< it is polled less often than a near rank
 };
 
-// Fourteen gateways ask 192 engines each 0.4 s: 7,000 questions a second, most of them to other zones.
+// Guards against too many status requests: fourteen gateways that poll 192 engines every 0.4 s make 7,000 requests per
+// second, most of them to other availability zones.
 const FarRankCase FarRankCases[] = {
     {"a far rank", false, 2, true},
     {"a far rank at which switches hold passes", false, 0, false},
     {"a far rank at which recoveries hold passes", false, 1, false},
     {"a near rank", false, 3, false},
-    {"a far rank while this keeper switches maps", true, 2, false},
+    {"a far rank while this rebalancer switches maps", true, 2, false},
 };
 
 class FarRanks : public testing::TestWithParam<FarRankCase>
@@ -178,7 +180,7 @@
         targets.push_back({.id = TargetName(std::to_string(rank)), .zone = ZoneName(rank == 3 ? "near" : "far")});
     }
     const FixedClock clock;
-    constexpr double thinLink = 100; // bytes a second
+    constexpr double thinLink = 100; // bytes per second
     ExpertRebalancer rebalancer(ranks, {.budget = ControlBudget(ZoneName("near"), thinLink)}, {}, clock,
                                 [] { return 1; });
     rebalancer.setTargets(targets, {.layerSets = 1, .experts = 4, .places = 2}, 120ms);
@@ -200,20 +202,21 @@
 struct TakeoverCase
 {
     const char *name;
-    bool isConfirmed; ///< the log answers this keeper
+    bool isConfirmed; ///< the log answers this rebalancer
     std::optional<std::chrono::milliseconds> countsLastPolledAgo;
-    bool fallsSilent; ///< ranks fall silent after their first word
+    bool fallsSilent; ///< ranks stop answering after their first statuses
     bool takesOver;
 };
 
-// Passes take two to three times as long for nine seconds: the machine that keeps maps is stopped while the log is
-// down. The others ask the log in vain who keeps them now, and nobody follows what is liked until it is back.
+// Guards against groups without an active rebalancer while the log is down: the host of the active one is stopped, the
+// others cannot learn from the log who has its share, and nobody follows the demand until the log is back. Passes took
+// two to three times as long for nine seconds.
 const TakeoverCase TakeoverCases[] = {
-    {"nobody has asked for counts for long, and the log can't say who should", false, 10s, false, true},
-    {"somebody asks", false, 100ms, false, false},
-    {"the log answers, and gives the share to another", true, 10s, false, false},
-    {"ranks can't tell", false, std::nullopt, false, false},
-    {"what ranks have told is old", false, 1'400ms, true, false},
+    {"no rebalancer has requested counts for long, and the log does not answer", false, 10s, false, true},
+    {"another rebalancer requests counts", false, 100ms, false, false},
+    {"the log answers and gives the share to another", true, 10s, false, false},
+    {"ranks cannot report requests for counts", false, std::nullopt, false, false},
+    {"the reports of ranks are outdated", false, 1'400ms, true, false},
 };
 
 class Takeovers : public testing::TestWithParam<TakeoverCase>
@@ -245,7 +248,7 @@
     EXPECT_EQ(std::count(decisions.begin(), decisions.end(), "keeper-takes-over"), testCase.takesOver ? 1 : 0)
         << testCase.name;
     EXPECT_EQ(ranks.countsRequests > 0, testCase.takesOver) << testCase.name;
-    // The log answers again and says whose the share is.
+    // The log answers again and says who has the share.
     rebalancer.setActive(false, true);
     const int requests = ranks.countsRequests;
     for (int tick = 0; tick < 100; ++tick) {
