--- a/modules/heatherridge_coordination/groups/expertrebalancer.cpp
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.cpp
@@ -101,8 +101,8 @@
 {
     m_hasSeenOther = false;
     m_highestKnownMap = {};
-    for (const auto &[name, seen] : m_rankMonitor.groups()) {
-        m_highestKnownMap = std::max(m_highestKnownMap, seen.highestMap);
+    for (const auto &[name, monitored] : m_rankMonitor.groups()) {
+        m_highestKnownMap = std::max(m_highestKnownMap, monitored.highestMap);
     }
 }
 
@@ -161,9 +161,9 @@
 {
     detectOtherRebalancer(status);
     auto &group = m_groups[name];
-    const bool isLeader = status.rank == 0 && status.epoch == m_rankMonitor.group(name).epoch;
+    const bool isLeadingRank = status.rank == 0 && status.epoch == m_rankMonitor.group(name).epoch;
     const bool hasOtherMap = status.map != group.layoutMap && status.step >= group.layoutSinceStep;
-    if (isLeader && hasOtherMap && group.layout && !group.mapSwitch) {
+    if (isLeadingRank && hasOtherMap && group.layout && !group.mapSwitch) {
         group.layout.reset(); // another rebalancer has switched the map
     }
 }
@@ -191,8 +191,8 @@
 
 void ExpertRebalancer::updateGroup(const GroupName &name, GroupState &group, SteadyTime now)
 {
-    const auto &seen = m_rankMonitor.group(name);
-    if (!m_rankMonitor.isOperational(seen)) {
+    const auto &monitored = m_rankMonitor.group(name);
+    if (!m_rankMonitor.isOperational(monitored)) {
         group.mapSwitch.reset();
         group.recovery.reset();
         group.pendingPlan.reset();
@@ -202,10 +202,10 @@
         updateRecovery(name, group, now);
     } else if (group.mapSwitch) {
         updateSwitch(name, group, now);
-    } else if (seen.heldStep) {
+    } else if (monitored.heldStep) {
         checkHold(name, group, now);
     } else if (group.pendingPlan
-               && (m_rankMonitor.hasStatusesSince(seen, group.statusesRequestedAt)
+               && (m_rankMonitor.hasStatusesSince(monitored, group.statusesRequestedAt)
                    || now - group.statusesRequestedAt > StatusTimeout)) {
         startSwitch(name, group, now);
     } else if (isRebalancing() && !group.layout) {
@@ -215,36 +215,38 @@
 
 void ExpertRebalancer::checkHold(const GroupName &name, GroupState &group, SteadyTime now)
 {
-    const auto &seen = m_rankMonitor.group(name);
+    const auto &monitored = m_rankMonitor.group(name);
     group.pendingPlan.reset();
-    const bool isAbandoned = isHoldAbandoned(group, seen, now);
+    const bool isAbandoned = isHoldAbandoned(group, monitored, now);
     const bool isOwnHold =
         group.switchStartedAt != SteadyTime{} && now - group.switchStartedAt < ForeignHoldTimeout * 3;
     if ((!isAbandoned && !isOwnHold) || now < group.recoveryNotBefore) {
         return;
     }
-    reportDecision("hold-recovery", name, "step " + std::to_string(*seen.heldStep));
-    group.recovery = std::make_unique<HoldRecovery>(m_control,
-                                                    RecoveryPlan{.ranks = m_rankMonitor.targetsOf(seen),
-                                                                 .epoch = seen.epoch,
-                                                                 .heldStep = *seen.heldStep,
-                                                                 .experts = static_cast<std::size_t>(m_profile.experts),
-                                                                 .mayJoin = now - seen.heldSince > JoinRecoveryAfter},
-                                                    [this, name](MapNumber seen) {
-                                                        m_rankMonitor.recordMapNumber(name, seen);
-                                                        return allocateMapNumber(name);
-                                                    });
+    reportDecision("hold-recovery", name, "step " + std::to_string(*monitored.heldStep));
+    group.recovery =
+        std::make_unique<HoldRecovery>(m_control,
+                                       RecoveryPlan{.ranks = m_rankMonitor.targetsOf(monitored),
+                                                    .epoch = monitored.epoch,
+                                                    .heldStep = *monitored.heldStep,
+                                                    .experts = static_cast<std::size_t>(m_profile.experts),
+                                                    .mayJoin = now - monitored.heldSince > JoinRecoveryAfter},
+                                       [this, name](MapNumber highestSeen) {
+                                           m_rankMonitor.recordMapNumber(name, highestSeen);
+                                           return allocateMapNumber(name);
+                                       });
 }
 
-bool ExpertRebalancer::isHoldAbandoned(GroupState &group, const MonitoredGroup &seen, SteadyTime now)
+bool ExpertRebalancer::isHoldAbandoned(GroupState &group, const MonitoredGroup &monitored, SteadyTime now)
 {
-    if (group.jitterDrawnForHoldSince != seen.heldSince) {
-        group.jitterDrawnForHoldSince = seen.heldSince;
+    if (group.jitterDrawnForHoldSince != monitored.heldSince) {
+        group.jitterDrawnForHoldSince = monitored.heldSince;
         group.holdTimeoutJitter = milliseconds(m_randomBits() % InactiveJitterWidth.count());
     }
     const auto extraDelay = isRebalancing() ? milliseconds(0) : InactiveExtraDelay + group.holdTimeoutJitter;
-    const bool standsStill = seen.standstillSince && now - *seen.standstillSince > StandstillTimeout + extraDelay;
-    return standsStill || now - seen.heldSince > ForeignHoldTimeout + extraDelay;
+    const bool isStandingStill =
+        monitored.standstillSince && now - *monitored.standstillSince > StandstillTimeout + extraDelay;
+    return isStandingStill || now - monitored.heldSince > ForeignHoldTimeout + extraDelay;
 }
 
 void ExpertRebalancer::updateRecovery(const GroupName &name, GroupState &group, SteadyTime now)
@@ -323,10 +325,10 @@
         return;
     }
     group.isReadingExperts = true;
-    const auto &seen = m_rankMonitor.group(name);
-    const auto targets = m_rankMonitor.targetsOf(seen);
+    const auto &monitored = m_rankMonitor.group(name);
+    const auto targets = m_rankMonitor.targetsOf(monitored);
     const auto reading = std::make_shared<ExpertReading>();
-    reading->ranks = seen.ranks;
+    reading->ranks = monitored.ranks;
     reading->experts.resize(targets.size());
     reading->pendingAnswers = targets.size();
     for (std::size_t rank = 0; rank < targets.size(); ++rank) {
@@ -348,8 +350,8 @@
 
 void ExpertRebalancer::assembleLayout(const GroupName &name, const ExpertReading &reading)
 {
-    const auto &seen = m_rankMonitor.group(name);
-    if (!m_rankMonitor.isOperational(seen) || seen.ranks != reading.ranks) {
+    const auto &monitored = m_rankMonitor.group(name);
+    if (!m_rankMonitor.isOperational(monitored) || monitored.ranks != reading.ranks) {
         return;
     }
     ExpertLayout layout(static_cast<std::size_t>(m_profile.layerSets), SetLayout(reading.ranks.size()));
@@ -379,9 +381,9 @@
 std::vector<TargetEntry> ExpertRebalancer::ranksToSample() const
 {
     std::vector<TargetEntry> ranks;
-    for (const auto &[name, seen] : m_rankMonitor.groups()) {
-        if (m_rankMonitor.isOperational(seen)) {
-            const auto targets = m_rankMonitor.targetsOf(seen);
+    for (const auto &[name, monitored] : m_rankMonitor.groups()) {
+        if (m_rankMonitor.isOperational(monitored)) {
+            const auto targets = m_rankMonitor.targetsOf(monitored);
             ranks.insert(ranks.end(), targets.begin(), targets.end());
         }
     }
@@ -393,11 +395,11 @@
 
 void ExpertRebalancer::addLeadingRanks(std::vector<TargetEntry> &asked) const
 {
-    for (const auto &[name, seen] : m_rankMonitor.groups()) {
-        if (!m_rankMonitor.isOperational(seen)) {
+    for (const auto &[name, monitored] : m_rankMonitor.groups()) {
+        if (!m_rankMonitor.isOperational(monitored)) {
             continue;
         }
-        const auto leader = m_rankMonitor.targetsOf(seen).front();
+        const auto leader = m_rankMonitor.targetsOf(monitored).front();
         const bool isAsked =
             std::any_of(asked.begin(), asked.end(), [&leader](const auto &rank) { return rank.id == leader.id; });
         if (!isAsked) {
@@ -410,27 +412,27 @@
 {
     m_lastSkew = 0;
     for (auto &[name, group] : m_groups) {
-        const auto &seen = m_rankMonitor.group(name);
+        const auto &monitored = m_rankMonitor.group(name);
         group.needsEvaluation = true;
-        if (m_rankMonitor.isOperational(seen) && group.layout) {
+        if (m_rankMonitor.isOperational(monitored) && group.layout) {
             m_lastSkew =
-                std::max(m_lastSkew, layoutSkew(*group.layout, m_demandSampler.demandBySet(), slownessOf(seen)));
+                std::max(m_lastSkew, layoutSkew(*group.layout, m_demandSampler.demandBySet(), slownessOf(monitored)));
         }
     }
 }
 
 void ExpertRebalancer::evaluateSwitch(const GroupName &name, GroupState &group, SteadyTime now)
 {
-    const auto &seen = m_rankMonitor.group(name);
-    const bool isFree = !group.mapSwitch && !group.recovery && !group.pendingPlan && !seen.heldStep;
+    const auto &monitored = m_rankMonitor.group(name);
+    const bool isFree = !group.mapSwitch && !group.recovery && !group.pendingPlan && !monitored.heldStep;
     if (!isFree || now < group.noSwitchBefore || mustYield(now)) {
         return;
     }
     group.needsEvaluation = false;
     const auto copies =
         std::min(m_options.maxCopiesPerRank, static_cast<std::size_t>(std::max(m_profile.sparePlaces, 0)));
-    const auto slowness = slownessOf(seen);
-    const bool isShort = seen.passTime <= m_longestPause * m_options.shortPassFraction;
+    const auto slowness = slownessOf(monitored);
+    const bool isShort = monitored.passTime <= m_longestPause * m_options.shortPassFraction;
     const auto evenness = isShort ? LooseBalance : TightBalance;
     auto stages = improveLayoutInStages(*group.layout, m_demandSampler.demandBySet(),
                                         {.slotsPerRank = static_cast<std::size_t>(m_profile.places),
@@ -454,7 +456,7 @@
                        + " then " + formatTwoDecimals(stages.back().skew) + " copies " + std::to_string(maxCopies)
                        + " of " + std::to_string(stages.back().copies) + " distance "
                        + formatTwoDecimals(m_demandSampler.lastDistance()) + " pass-ms "
-                       + std::to_string(seen.passTime.count()));
+                       + std::to_string(monitored.passTime.count()));
     if (!isWorthwhile) {
         group.imbalancedSince.reset();
         return;
@@ -468,15 +470,15 @@
     group.imbalancedSince.reset();
     group.pendingPlan = MapSwitchPlan{.layout = std::move(stage.layout),
                                       .copyTime = std::chrono::duration_cast<milliseconds>(copyTime),
-                                      .passTime = seen.passTime};
+                                      .passTime = monitored.passTime};
     group.statusesRequestedAt = now;
-    m_rankMonitor.requestStatuses(seen, now);
+    m_rankMonitor.requestStatuses(monitored, now);
 }
 
-RankSlowness ExpertRebalancer::slownessOf(const MonitoredGroup &seen) const
+RankSlowness ExpertRebalancer::slownessOf(const MonitoredGroup &monitored) const
 {
     RankSlowness slowness;
-    for (const auto &id : seen.ranks) {
+    for (const auto &id : monitored.ranks) {
         const auto *status = m_rankMonitor.statusOf(id);
         slowness.push_back(status != nullptr ? std::max(1.0, status->slowdown) : 1.0);
     }
@@ -486,43 +488,44 @@
 void ExpertRebalancer::startSwitch(const GroupName &name, GroupState &group, SteadyTime now)
 {
     auto plan = *std::exchange(group.pendingPlan, {});
-    const auto &seen = m_rankMonitor.group(name);
-    if (!m_rankMonitor.hasStatusesSince(seen, group.statusesRequestedAt)) {
+    const auto &monitored = m_rankMonitor.group(name);
+    if (!m_rankMonitor.hasStatusesSince(monitored, group.statusesRequestedAt)) {
         reportDecision("map-switch-put-off", name, "a rank does not answer");
         group.noSwitchBefore = now + SettleDelay;
         return;
     }
-    if (isSwitchPassPending(group, seen)) {
-        group.noSwitchBefore = now + seen.passTime / 2;
+    if (isSwitchPassPending(group, monitored)) {
+        group.noSwitchBefore = now + monitored.passTime / 2;
         group.needsEvaluation = true;
         return;
     }
-    for (const auto &id : seen.ranks) {
+    for (const auto &id : monitored.ranks) {
         const auto &status = *m_rankMonitor.statusOf(id);
         const bool hasExpectedMap = status.map == group.layoutMap || status.step < group.layoutSinceStep;
-        if (status.armed || status.heldStep || status.epoch != seen.epoch || !hasExpectedMap) {
+        if (status.armed || status.heldStep || status.epoch != monitored.epoch || !hasExpectedMap) {
             reportDecision("map-switch-put-off", name, "a rank is not in the expected state: " + id.text());
             group.noSwitchBefore = now + SettleDelay;
             group.layout.reset();
             return;
         }
     }
-    plan.ranks = m_rankMonitor.targetsOf(seen);
-    plan.epoch = seen.epoch;
+    plan.ranks = m_rankMonitor.targetsOf(monitored);
+    plan.epoch = monitored.epoch;
     plan.mapNumber = allocateMapNumber(name);
-    plan.afterStep = seen.lastHeldStep;
+    plan.afterStep = monitored.lastHeldStep;
     group.switchStartedAt = now;
     group.mapSwitch = std::make_unique<MapSwitch>(m_control, std::move(plan));
     group.mapSwitch->tick(now);
 }
 
-bool ExpertRebalancer::isSwitchPassPending(const GroupState &group, const MonitoredGroup &seen) const
+bool ExpertRebalancer::isSwitchPassPending(const GroupState &group, const MonitoredGroup &monitored) const
 {
     // A switch ends when its pass is released, and that pass may still be several passes ahead. Ranks that wait for it
     // are in the expected state.
-    return std::any_of(seen.ranks.begin(), seen.ranks.end(), [&](const auto &id) {
+    return std::any_of(monitored.ranks.begin(), monitored.ranks.end(), [&](const auto &id) {
         const auto &status = *m_rankMonitor.statusOf(id);
-        return status.armed == group.layoutMap && status.epoch == seen.epoch && status.step < group.layoutSinceStep;
+        return status.armed == group.layoutMap && status.epoch == monitored.epoch
+            && status.step < group.layoutSinceStep;
     });
 }
 
--- a/modules/heatherridge_coordination/groups/expertrebalancer.h
+++ b/modules/heatherridge_coordination/groups/expertrebalancer.h
@@ -160,7 +160,7 @@
     void statusReceived(const GroupName &name, const RankStatus &status);
     void updateGroup(const GroupName &name, GroupState &group, SteadyTime now);
     void checkHold(const GroupName &name, GroupState &group, SteadyTime now);
-    bool isHoldAbandoned(GroupState &group, const MonitoredGroup &seen, SteadyTime now);
+    bool isHoldAbandoned(GroupState &group, const MonitoredGroup &monitored, SteadyTime now);
     void updateSwitch(const GroupName &name, GroupState &group, SteadyTime now);
     bool isAnotherGroupHeld(const GroupState &group) const;
     void updateRecovery(const GroupName &name, GroupState &group, SteadyTime now);
@@ -170,8 +170,8 @@
     std::vector<TargetEntry> ranksToSample() const;
     void addLeadingRanks(std::vector<TargetEntry> &asked) const;
     void evaluateSwitch(const GroupName &name, GroupState &group, SteadyTime now);
-    bool isSwitchPassPending(const GroupState &group, const MonitoredGroup &seen) const;
-    RankSlowness slownessOf(const MonitoredGroup &seen) const;
+    bool isSwitchPassPending(const GroupState &group, const MonitoredGroup &monitored) const;
+    RankSlowness slownessOf(const MonitoredGroup &monitored) const;
     void startSwitch(const GroupName &name, GroupState &group, SteadyTime now);
     void checkTakeover(SteadyTime now);
     bool isRebalancing() const;
--- a/modules/heatherridge_coordination/groups/holdrecovery.cpp
+++ b/modules/heatherridge_coordination/groups/holdrecovery.cpp
@@ -224,8 +224,8 @@
         layout.push_back(
             layoutWithFixedRank(static_cast<int>(index), held, static_cast<int>(m_ranks.size()), m_plan.experts));
     }
-    const auto seen = std::max(rank.status->map, rank.status->prepared.value_or(MapNumber{}));
-    rank.fenceMap = m_allocateMapNumber(seen);
+    const auto highestSeen = std::max(rank.status->map, rank.status->prepared.value_or(MapNumber{}));
+    rank.fenceMap = m_allocateMapNumber(highestSeen);
     startOrder(index, PrepareMap{.map = *rank.fenceMap, .layout = std::move(layout)}, now);
 }
 
--- a/modules/heatherridge_coordination/groups/holdrecovery.h
+++ b/modules/heatherridge_coordination/groups/holdrecovery.h
@@ -54,8 +54,8 @@
     /** Delay before a rank that did not answer is asked again: many times the round trip. */
     static constexpr std::chrono::milliseconds RetryDelay{250};
 
-    /** Allocates a map number above @p seen that no rank has had and nobody else uses. */
-    using AllocateMapNumber = std::function<MapNumber(MapNumber seen)>;
+    /** Allocates a map number above @p highestSeen that no rank has had and nobody else uses. */
+    using AllocateMapNumber = std::function<MapNumber(MapNumber highestSeen)>;
 
     HoldRecovery(RankControl &control, RecoveryPlan plan, AllocateMapNumber allocateMapNumber);
 
--- a/modules/heatherridge_coordination/groups/rankmonitor.cpp
+++ b/modules/heatherridge_coordination/groups/rankmonitor.cpp
@@ -52,9 +52,9 @@
             rebuildGroup(name);
         }
     }
-    const auto far = std::count_if(targets.begin(), targets.end(),
-                                   [this](const auto &target) { return !m_options.budget.isInOwnZone(target); });
-    m_farPeriod = m_options.budget.remoteStatusPeriod(static_cast<std::size_t>(far), m_options.period);
+    const auto farCount = std::count_if(targets.begin(), targets.end(),
+                                        [this](const auto &target) { return !m_options.budget.isInOwnZone(target); });
+    m_farPeriod = m_options.budget.remoteStatusPeriod(static_cast<std::size_t>(farCount), m_options.period);
 }
 
 void RankMonitor::setFullRate(bool isFullRate)
@@ -177,14 +177,14 @@
             continue;
         }
         const auto &status = *engine.status;
-        const auto &seen = group(status.group);
+        const auto &monitored = group(status.group);
         views.push_back({.target = id,
                          .group = status.group,
-                         .isOpen = status.epoch == seen.epoch && acceptsStreams(seen),
+                         .isOpen = status.epoch == monitored.epoch && acceptsStreams(monitored),
                          .running = status.running,
                          .waiting = status.waiting,
                          .pace = status.slowdown,
-                         .passTime = seen.passTime,
+                         .passTime = monitored.passTime,
                          .requestedAt = engine.requestedAt});
     }
     return views;
@@ -347,15 +347,15 @@
 {
     // One rank that reports that its group does not operate is enough: the last status of a rank that died says that
     // the group operates, and the rank looks idle. Such ranks received 577 attempts in a day that never reached them.
-    const bool isBroken = std::any_of(group.ranks.begin(), group.ranks.end(), [this](const auto &id) {
+    const bool isReportedClosed = std::any_of(group.ranks.begin(), group.ranks.end(), [this](const auto &id) {
         const auto *status = statusOf(id);
         return status != nullptr && !status->isOpen;
     });
     // After a start the first few engines to report would receive all waiting streams: 36 streams went to four engines
     // of sixteen, and their callers left. Ranks that stay unreachable must not close a group, though.
-    const auto known =
+    const auto knownCount =
         std::count_if(group.ranks.begin(), group.ranks.end(), [](const auto &id) { return !id.isEmpty(); });
-    return !isBroken && static_cast<std::size_t>(known) * 2 >= group.ranks.size();
+    return !isReportedClosed && static_cast<std::size_t>(knownCount) * 2 >= group.ranks.size();
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
+++ b/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
@@ -16,9 +16,10 @@
                                                                     SteadyTime now)
 {
     std::optional<std::chrono::milliseconds> shortest;
-    for (const auto &[name, seen] : groups) {
-        if (seen.countsRequestedAgo && now - seen.countsRequestReportedAt <= RebalancerTakeover::MaxReportAge) {
-            shortest = shortest ? std::min(*shortest, *seen.countsRequestedAgo) : *seen.countsRequestedAgo;
+    for (const auto &[name, monitored] : groups) {
+        if (monitored.countsRequestedAgo
+            && now - monitored.countsRequestReportedAt <= RebalancerTakeover::MaxReportAge) {
+            shortest = shortest ? std::min(*shortest, *monitored.countsRequestedAgo) : *monitored.countsRequestedAgo;
         }
     }
     return shortest;
--- a/tests/heldgroups/heldgroups_test.cpp
+++ b/tests/heldgroups/heldgroups_test.cpp
@@ -117,16 +117,16 @@
 TEST_P(BrokenSafeguards, CauseTwoMapsInOnePass)
 {
     constexpr int maxSchedules = 4'000;
-    bool isSeen = false;
-    for (int number = 0; number < maxSchedules && !isSeen; ++number) {
+    bool isDetected = false;
+    for (int number = 0; number < maxSchedules && !isDetected; ++number) {
         auto options = makeSchedule(20261203, number);
         options.brokenSafeguard = GetParam().brokenSafeguard;
         options.processes = 3;
         HeldGroupSimulation simulation(options);
         simulation.runWithFaults(FaultDuration);
-        isSeen = !simulation.violation().empty();
+        isDetected = !simulation.violation().empty();
     }
-    EXPECT_TRUE(isSeen) << GetParam().name;
+    EXPECT_TRUE(isDetected) << GetParam().name;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, BrokenSafeguards, testing::ValuesIn(BrokenSafeguardCases));
