--- a/modules/heatherridge_state/decisions/admissionqueue.h
+++ b/modules/heatherridge_state/decisions/admissionqueue.h
@@ -2,7 +2,7 @@
 
 #include "heatherridge_state/base/result.h"
 #include "heatherridge_state/decisions/servicerate.h"
-#include "heatherridge_state/decisions/workspacelane.h"
+#include "heatherridge_state/decisions/workspacequeue.h"
 
 #include <unordered_map>
 #include <variant>
--- a/modules/heatherridge_state/decisions/pace.cpp
+++ b/modules/heatherridge_state/decisions/slewratelimiter.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_state/decisions/pace.h"
+#include "heatherridge_state/decisions/slewratelimiter.h"
 
 #include <algorithm>
 #include <cmath>
--- a/modules/heatherridge_state/decisions/slownesstracker.h
+++ b/modules/heatherridge_state/decisions/slownesstracker.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "heatherridge_state/base/clock.h"
-#include "heatherridge_state/decisions/pace.h"
+#include "heatherridge_state/decisions/slewratelimiter.h"
 
 #include <chrono>
 #include <cstddef>
--- a/modules/heatherridge_state/decisions/workspacelane.cpp
+++ b/modules/heatherridge_state/decisions/workspacequeue.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_state/decisions/workspacelane.h"
+#include "heatherridge_state/decisions/workspacequeue.h"
 
 #include <algorithm>
 #include <cassert>
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -4,7 +4,7 @@
 #include "heatherridge_state/decisions/engineplacement.h"
 #include "heatherridge_state/decisions/groupadmission.h"
 #include "heatherridge_state/decisions/loadestimate.h"
-#include "heatherridge_state/decisions/targetlimit.h"
+#include "heatherridge_state/decisions/targetratelimit.h"
 #include "heatherridge_state/routing/targetentry.h"
 #include "heatherridge_transport/direct/trafficcodec.h"
 
--- a/tests/decisions/targetlimit_test.cpp
+++ b/tests/decisions/targetratelimit_test.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_state/decisions/targetlimit.h"
+#include "heatherridge_state/decisions/targetratelimit.h"
 
 #include <gtest/gtest.h>
 
