--- a/extras/heatherridge-policies/model/fakeentry.cpp
+++ b/extras/heatherridge-policies/model/fakeentry.cpp
@@ -129,7 +129,7 @@
         failed(request, target, *how.error);
         return;
     }
-    m_health.record(nameOf(target), Attempt::Succeeded, m_loop.now());
+    m_health.record(nameOf(target), AttemptOutcome::Succeeded, m_loop.now());
     m_retries.recordSuccess();
     m_recorder.recordAnswer(request.job, how.started + how.done.first + delayTo(target), m_loop.now(), how.done);
 }
@@ -138,7 +138,7 @@
 {
     const bool isFault = error.kind == ErrorKind::TargetUnreachable || error.kind == ErrorKind::OutcomeUnknown;
     if (isFault) {
-        m_health.record(nameOf(target), Attempt::Failed, m_loop.now());
+        m_health.record(nameOf(target), AttemptOutcome::Failed, m_loop.now());
         m_prefixes.forget(static_cast<TargetSlot>(target));
     }
     if (!m_options.retries) {
--- a/extras/heatherridge-policies/model/fakegate.cpp
+++ b/extras/heatherridge-policies/model/fakegate.cpp
@@ -40,7 +40,7 @@
     }
     const RequestId id(std::to_string(m_next++));
     const auto &customer = m_customers[job.customer];
-    m_attempts.emplace(id, Attempt{.job = job, .entry = entry, .ended = std::move(ended)});
+    m_attempts.emplace(id, AttemptOutcome{.job = job, .entry = entry, .ended = std::move(ended)});
     m_load += job.cost;
     m_loadOfEntry[entry] += job.cost;
     if (!m_options.admission) {
@@ -113,7 +113,7 @@
 void FakeGate::end(const RequestId &id, const AttemptEnd &how)
 {
     const auto entry = m_attempts.find(id);
-    const Attempt attempt = std::move(entry->second);
+    const AttemptOutcome attempt = std::move(entry->second);
     m_attempts.erase(entry);
     m_load -= attempt.job.cost;
     m_loadOfEntry[attempt.entry] -= attempt.job.cost;
--- a/extras/heatherridge-policies/model/fakegate.h
+++ b/extras/heatherridge-policies/model/fakegate.h
@@ -81,7 +81,7 @@
     }
 
 private:
-    struct Attempt
+    struct AttemptOutcome
     {
         Job job{};
         std::size_t entry = 0;
@@ -103,7 +103,7 @@
     FakeEngine m_engine;
     AdmissionQueue m_queue;
     ConcurrencyLimit m_limit;
-    std::map<RequestId, Attempt> m_attempts;
+    std::map<RequestId, AttemptOutcome> m_attempts;
     std::map<std::size_t, double> m_loadOfEntry;
     double m_load = 0;
     double m_pendingPrompt = 0;
--- a/modules/heatherridge_state/decisions/concurrencylimit.cpp
+++ b/modules/heatherridge_state/decisions/concurrencylimit.cpp
@@ -89,8 +89,8 @@
         return; // too few samples: the window stays open
     }
     m_peak = m_running;
-    const double excess = std::max(first == LatencyVerdict::Unknown ? 0 : m_first.lastExcess(),
-                                   between == LatencyVerdict::Unknown ? 0 : m_between.lastExcess());
+    const double excess = std::max(first == LatencyVerdict::Unknown ? 0 : m_first.lastLatencyRatio(),
+                                   between == LatencyVerdict::Unknown ? 0 : m_between.lastLatencyRatio());
     if (excess > 1) {
         m_ceiling = m_limit;
         m_limit *= std::max(FastestDecrease, 1 - DecreasePerExcess * excess);
--- a/modules/heatherridge_state/decisions/healthtracker.cpp
+++ b/modules/heatherridge_state/decisions/healthtracker.cpp
@@ -9,7 +9,7 @@
 {
 
 /** Part that older attempts keep when a new one comes: a memory of about 20. */
-constexpr double Fading = 0.95;
+constexpr double DecayFactor = 0.95;
 
 } // namespace
 
@@ -27,29 +27,29 @@
 {
     const auto state = m_states.find(target);
     if (state != m_states.end()) {
-        m_ejected -= state->second.ejected ? 1 : 0;
+        m_ejectedCount -= state->second.ejected ? 1 : 0;
         m_states.erase(state);
     }
 }
 
-void HealthTracker::record(const TargetName &target, Attempt attempt, SteadyTime now)
+void HealthTracker::record(const TargetName &target, AttemptOutcome attempt, SteadyTime now)
 {
     const auto entry = m_states.find(target);
     if (entry == m_states.end()) {
         return;
     }
     State &state = entry->second;
-    const bool succeeded = attempt == Attempt::Succeeded;
+    const bool succeeded = attempt == AttemptOutcome::Succeeded;
     if (state.ejected) {
-        recordProbe(state, succeeded, now);
+        recordProbeResult(state, succeeded, now);
         return;
     }
-    state.attempts = state.attempts * Fading + 1;
-    state.failures = state.failures * Fading + (succeeded ? 0 : 1);
+    state.attempts = state.attempts * DecayFactor + 1;
+    state.failures = state.failures * DecayFactor + (succeeded ? 0 : 1);
     state.failuresInRow = succeeded ? 0 : state.failuresInRow + 1;
-    const bool failsOften =
-        state.attempts >= m_options.fewestAttempts && state.failures >= m_options.errorShareToEject * state.attempts;
-    if (state.failuresInRow >= m_options.failuresToEject || (!succeeded && failsOften)) {
+    const bool exceedsErrorRate =
+        state.attempts >= m_options.minAttempts && state.failures >= m_options.errorRateToEject * state.attempts;
+    if (state.failuresInRow >= m_options.failuresToEject || (!succeeded && exceedsErrorRate)) {
         eject(state, now);
     }
 }
@@ -61,11 +61,11 @@
         return;
     }
     State &state = entry->second;
-    const bool crawls = slowness >= m_options.slownessToEject;
-    if (crawls && !state.ejected) {
+    const bool isTooSlow = slowness >= m_options.slownessToEject;
+    if (isTooSlow && !state.ejected) {
         eject(state, now);
-    } else if (crawls && now >= state.until) {
-        recordProbe(state, false, now);
+    } else if (isTooSlow && now >= state.ejectedUntil) {
+        recordProbeResult(state, false, now);
     }
 }
 
@@ -75,47 +75,49 @@
     if (entry == m_states.end() || !entry->second.ejected) {
         return Health::Healthy;
     }
-    return now < entry->second.until ? Health::Ejected : Health::Probing;
+    return now < entry->second.ejectedUntil ? Health::Ejected : Health::Probing;
 }
 
 std::size_t HealthTracker::ejectedCount() const
 {
-    return m_ejected;
+    return m_ejectedCount;
 }
 
 /** Answers that come while the target is still out belong to work sent before; they neither free nor blame it. */
-void HealthTracker::recordProbe(State &state, bool succeeded, SteadyTime now)
+void HealthTracker::recordProbeResult(State &state, bool succeeded, SteadyTime now)
 {
-    if (now < state.until) {
+    if (now < state.ejectedUntil) {
         return;
     }
     if (!succeeded) {
-        state.probesPassed = 0;
-        state.span = std::min(state.span * 2, m_options.longestEjection);
-        state.until = now + state.span;
+        state.successfulProbes = 0;
+        state.ejectionDuration = std::min(state.ejectionDuration * 2, m_options.maxEjection);
+        state.ejectedUntil = now + state.ejectionDuration;
         return;
     }
-    if (++state.probesPassed >= m_options.probesToRecover) {
+    if (++state.successfulProbes >= m_options.probesToRecover) {
         state = State{};
-        --m_ejected;
+        --m_ejectedCount;
     }
 }
 
 void HealthTracker::eject(State &state, SteadyTime now)
 {
-    if (!mayEject()) {
+    if (!canEject()) {
         return;
     }
-    state = State{.ejected = true, .until = now + m_options.firstEjection, .span = m_options.firstEjection};
-    ++m_ejected;
+    state = State{.ejected = true,
+                  .ejectedUntil = now + m_options.initialEjection,
+                  .ejectionDuration = m_options.initialEjection};
+    ++m_ejectedCount;
 }
 
 /** With few targets the share rounds down to none; then one of two or more may still go. */
-bool HealthTracker::mayEject() const
+bool HealthTracker::canEject() const
 {
-    const auto share = static_cast<std::size_t>(m_options.mostEjected * static_cast<double>(m_states.size()));
-    const std::size_t most = m_states.size() >= 2 ? std::max<std::size_t>(share, 1) : 0;
-    return m_ejected < most;
+    const auto share = static_cast<std::size_t>(m_options.maxEjectedShare * static_cast<double>(m_states.size()));
+    const std::size_t maxEjected = m_states.size() >= 2 ? std::max<std::size_t>(share, 1) : 0;
+    return m_ejectedCount < maxEjected;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/healthtracker.h
+++ b/modules/heatherridge_state/decisions/healthtracker.h
@@ -18,7 +18,7 @@
 };
 
 /** How one attempt at a target went, as far as it tells of the target's health; refusals for load do not count. */
-enum class Attempt {
+enum class AttemptOutcome {
     Succeeded,
     Failed, ///< unreachable, broken off, or failed inside
     TimedOut, ///< no sign of life in time
@@ -28,14 +28,14 @@
 struct HealthOptions
 {
     int failuresToEject = 5; ///< in a row: at an error rate of 10% one in 100,000 sequences does so by chance
-    double errorShareToEject = 0.5; ///< of the recent attempts, for a target that fails now and then
-    double fewestAttempts = 10; ///< before the share says anything
+    double errorRateToEject = 0.5; ///< of the recent attempts, for a target that fails now and then
+    double minAttempts = 10; ///< before the share says anything
     double slownessToEject = 4; ///< time a unit over the median of peers: spill no longer makes up for it
-    std::chrono::milliseconds firstEjection{2000}; ///< a restart takes seconds
-    std::chrono::milliseconds longestEjection{30'000}; ///< doubles up to this for a target that fails its probes
+    std::chrono::milliseconds initialEjection{2000}; ///< a restart takes seconds
+    std::chrono::milliseconds maxEjection{30'000}; ///< doubles up to this for a target that fails its probes
     /** Share of targets that may be out at a time. When more fail, the fault is likely the entry's own or the
      * network's, and the rest would drown in the work of all. */
-    double mostEjected = 1.0 / 3;
+    double maxEjectedShare = 1.0 / 3;
     int probesToRecover = 3; ///< successes in a row: one may be luck
 };
 
@@ -59,7 +59,7 @@
     void remove(const TargetName &target);
 
     /** An attempt at @p target has ended. */
-    void record(const TargetName &target, Attempt attempt, SteadyTime now);
+    void record(const TargetName &target, AttemptOutcome attempt, SteadyTime now);
 
     /** The time @p target takes for a unit of cost over the median of its peers; above the bound it is ejected. */
     void recordSlowness(const TargetName &target, double slowness, SteadyTime now);
@@ -74,21 +74,21 @@
     struct State
     {
         int failuresInRow = 0;
-        int probesPassed = 0;
+        int successfulProbes = 0;
         double attempts = 0; ///< recent ones, fading
         double failures = 0;
         bool ejected = false;
-        SteadyTime until{}; ///< when probing begins
-        std::chrono::milliseconds span{}; ///< length of the last ejection
+        SteadyTime ejectedUntil{}; ///< when probing begins
+        std::chrono::milliseconds ejectionDuration{}; ///< length of the last ejection
     };
 
-    void recordProbe(State &state, bool succeeded, SteadyTime now);
+    void recordProbeResult(State &state, bool succeeded, SteadyTime now);
     void eject(State &state, SteadyTime now);
-    bool mayEject() const;
+    bool canEject() const;
 
     HealthOptions m_options;
     std::map<TargetName, State> m_states;
-    std::size_t m_ejected = 0;
+    std::size_t m_ejectedCount = 0;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/hedgedelay.cpp
+++ b/modules/heatherridge_state/decisions/hedgedelay.cpp
@@ -9,18 +9,18 @@
 namespace
 {
 
-constexpr double Lowest = 100; // microseconds
-constexpr double Step = 1.2;
+constexpr double FirstBucketMicroseconds = 100; // microseconds
+constexpr double BucketRatio = 1.2;
 
 } // namespace
 
 void HedgeDelay::record(std::chrono::microseconds latency)
 {
-    const double ratio = std::max(1.0, static_cast<double>(latency.count()) / Lowest);
-    const auto bucket = std::min(static_cast<std::size_t>(std::log(ratio) / std::log(Step)), Buckets - 1);
+    const double ratio = std::max(1.0, static_cast<double>(latency.count()) / FirstBucketMicroseconds);
+    const auto bucket = std::min(static_cast<std::size_t>(std::log(ratio) / std::log(BucketRatio)), BucketCount - 1);
     m_counts[bucket] += 1;
     m_total += 1;
-    if (m_total >= 2 * HalfLife) {
+    if (m_total >= 2 * HalfLifeSamples) {
         std::for_each(m_counts.begin(), m_counts.end(), [](double &count) { count /= 2; });
         m_total /= 2;
     }
@@ -28,16 +28,17 @@
 
 std::optional<std::chrono::microseconds> HedgeDelay::delay() const
 {
-    if (m_total < FewestSamples) {
+    if (m_total < MinSamples) {
         return std::nullopt;
     }
-    double below = 0;
+    double samplesBelow = 0;
     std::size_t bucket = 0;
-    while (bucket + 1 < Buckets && below + m_counts[bucket] < Percentile * m_total) {
-        below += m_counts[bucket];
+    while (bucket + 1 < BucketCount && samplesBelow + m_counts[bucket] < Percentile * m_total) {
+        samplesBelow += m_counts[bucket];
         ++bucket;
     }
-    return std::chrono::microseconds(static_cast<long long>(Lowest * std::pow(Step, static_cast<double>(bucket + 1))));
+    return std::chrono::microseconds(
+        static_cast<long long>(FirstBucketMicroseconds * std::pow(BucketRatio, static_cast<double>(bucket + 1))));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/hedgedelay.h
+++ b/modules/heatherridge_state/decisions/hedgedelay.h
@@ -23,7 +23,7 @@
     /** Beyond the 95th percentile a second copy costs at most 5% and cuts the tail; lower costs more for less. */
     static constexpr double Percentile = 0.95;
     /** Below this many samples nothing is hedged. */
-    static constexpr double FewestSamples = 50;
+    static constexpr double MinSamples = 50;
 
     /** Takes in the time to the first byte of one lookup. */
     void record(std::chrono::microseconds latency);
@@ -32,10 +32,10 @@
     std::optional<std::chrono::microseconds> delay() const;
 
 private:
-    static constexpr std::size_t Buckets = 96; ///< 100 us * 1.2^96 is about an hour
-    static constexpr double HalfLife = 1000;
+    static constexpr std::size_t BucketCount = 96; ///< 100 us * 1.2^96 is about an hour
+    static constexpr double HalfLifeSamples = 1000;
 
-    std::array<double, Buckets> m_counts{};
+    std::array<double, BucketCount> m_counts{};
     double m_total = 0;
 };
 
--- a/modules/heatherridge_state/decisions/latencybaseline.cpp
+++ b/modules/heatherridge_state/decisions/latencybaseline.cpp
@@ -9,7 +9,7 @@
 {
 
 /** Share by which the baseline follows a window of little load upwards: a new model is learnt in about 10 windows. */
-constexpr double RiseShare = 0.2;
+constexpr double RiseGain = 0.2;
 
 } // namespace
 
@@ -24,9 +24,9 @@
     ++m_samples;
 }
 
-LatencyVerdict LatencyBaseline::closeWindow(bool littleLoad)
+LatencyVerdict LatencyBaseline::closeWindow(bool isLowLoad)
 {
-    if (m_samples < FewestSamples) {
+    if (m_samples < MinSamples) {
         return LatencyVerdict::Unknown;
     }
     const double mean = m_sum / m_samples;
@@ -34,16 +34,16 @@
     m_samples = 0;
     if (!m_baseline || mean < *m_baseline) {
         m_baseline = mean;
-    } else if (littleLoad) {
-        *m_baseline += (mean - *m_baseline) * RiseShare;
+    } else if (isLowLoad) {
+        *m_baseline += (mean - *m_baseline) * RiseGain;
     }
-    m_lastExcess = mean / std::max(static_cast<double>(m_acceptable.count()), Tolerance * *m_baseline);
-    return m_lastExcess > 1 ? LatencyVerdict::Late : LatencyVerdict::Good;
+    m_lastLatencyRatio = mean / std::max(static_cast<double>(m_acceptable.count()), MaxBaselineRatio * *m_baseline);
+    return m_lastLatencyRatio > 1 ? LatencyVerdict::High : LatencyVerdict::Good;
 }
 
-double LatencyBaseline::lastExcess() const
+double LatencyBaseline::lastLatencyRatio() const
 {
-    return m_lastExcess;
+    return m_lastLatencyRatio;
 }
 
 void LatencyBaseline::reset()
--- a/modules/heatherridge_state/decisions/latencybaseline.h
+++ b/modules/heatherridge_state/decisions/latencybaseline.h
@@ -11,7 +11,7 @@
 enum class LatencyVerdict {
     Unknown, ///< too few samples
     Good, ///< within what is acceptable
-    Late, ///< above it
+    High, ///< above it
 };
 
 /**
@@ -26,9 +26,9 @@
 {
 public:
     /** A batch that doubles the time of the empty engine is past the point where its cost is shared. */
-    static constexpr double Tolerance = 2.0;
+    static constexpr double MaxBaselineRatio = 2.0;
     /** Fewer samples in a window than this decide nothing. */
-    static constexpr int FewestSamples = 8;
+    static constexpr int MinSamples = 8;
 
     /** A baseline for which latencies up to @p acceptable are always good. */
     explicit LatencyBaseline(std::chrono::microseconds acceptable);
@@ -37,10 +37,10 @@
     void record(std::chrono::microseconds latency);
 
     /** Closes the window. @param littleLoad whether so little ran that its latency is the baseline. */
-    LatencyVerdict closeWindow(bool littleLoad);
+    LatencyVerdict closeWindow(bool isLowLoad);
 
     /** Mean latency of the last closed window over the latency that would still be good; above 1 is late. */
-    double lastExcess() const;
+    double lastLatencyRatio() const;
 
     /** Forgets the baseline: the target is another one or starts anew. */
     void reset();
@@ -50,7 +50,7 @@
     std::optional<double> m_baseline; ///< microseconds
     double m_sum = 0;
     int m_samples = 0;
-    double m_lastExcess = 0;
+    double m_lastLatencyRatio = 0;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/servicerate.cpp
+++ b/modules/heatherridge_state/decisions/servicerate.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-constexpr double Longest = 1e13; // keeps the conversion to a whole number defined
+constexpr double MaxMicroseconds = 1e13; // keeps the conversion to a whole number defined
 
-std::chrono::microseconds fromFraction(double microseconds)
+std::chrono::microseconds toMicroseconds(double microseconds)
 {
-    return std::chrono::microseconds(static_cast<long long>(std::clamp(microseconds, 0.0, Longest)));
+    return std::chrono::microseconds(static_cast<long long>(std::clamp(microseconds, 0.0, MaxMicroseconds)));
 }
 
 } // namespace
@@ -27,8 +27,8 @@
         return;
     }
     // Both parts of the quotient are averaged, so that many short requests do not outweigh the few long ones.
-    const double meanDuration = m_microsecondsPerUnit * m_meanCost * (1 - NewestShare) + measured * NewestShare;
-    m_meanCost = m_meanCost * (1 - NewestShare) + units * NewestShare;
+    const double meanDuration = m_microsecondsPerUnit * m_meanCost * (1 - SmoothingFactor) + measured * SmoothingFactor;
+    m_meanCost = m_meanCost * (1 - SmoothingFactor) + units * SmoothingFactor;
     m_microsecondsPerUnit = meanDuration / m_meanCost;
 }
 
@@ -39,12 +39,12 @@
 
 std::chrono::microseconds ServiceRate::durationOf(double cost) const
 {
-    return fromFraction(m_microsecondsPerUnit * cost);
+    return toMicroseconds(m_microsecondsPerUnit * cost);
 }
 
 std::chrono::microseconds ServiceRate::drainTime(double cost, double slots) const
 {
-    return fromFraction(m_microsecondsPerUnit * cost / std::max(slots, 0.01));
+    return toMicroseconds(m_microsecondsPerUnit * cost / std::max(slots, 0.01));
 }
 
 double ServiceRate::meanCost() const
--- a/modules/heatherridge_state/decisions/servicerate.h
+++ b/modules/heatherridge_state/decisions/servicerate.h
@@ -17,7 +17,7 @@
 {
 public:
     /** Share of the newest sample in the average: a memory of about 20 requests. */
-    static constexpr double NewestShare = 0.05;
+    static constexpr double SmoothingFactor = 0.05;
 
     /** Takes in that a request of @p cost units ran for @p duration. */
     void record(double cost, std::chrono::microseconds duration);
--- a/modules/heatherridge_state/decisions/slownesstracker.cpp
+++ b/modules/heatherridge_state/decisions/slownesstracker.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr double NewestShare = 0.1;
+constexpr double SmoothingFactor = 0.1;
 /** The median moves slowly, and sorting thousands of targets for each answer would cost more than it gives. */
 constexpr std::chrono::milliseconds MedianLifetime{250};
 
@@ -21,11 +21,12 @@
     }
     State &state = m_states[target];
     const auto measured = static_cast<double>(std::max(timePerUnit, std::chrono::microseconds(1)).count());
-    state.time = state.time == 0 ? measured : state.time * (1 - NewestShare) + measured * NewestShare;
+    state.smoothedTime =
+        state.smoothedTime == 0 ? measured : state.smoothedTime * (1 - SmoothingFactor) + measured * SmoothingFactor;
     refreshMedian(now);
     // A target faster than its peers counts as fast as they are: being less loaded makes it look fast already.
-    const double speed = std::clamp(m_median / state.time, 1 / MostRatio, 1.0);
-    state.slowness = 1 / state.speed.follow(speed, now);
+    const double relativeSpeed = std::clamp(m_median / state.smoothedTime, 1 / MaxSlowness, 1.0);
+    state.slowness = 1 / state.relativeSpeed.follow(relativeSpeed, now);
 }
 
 double SlownessTracker::slowness(std::size_t target) const
@@ -33,7 +34,7 @@
     return target < m_states.size() ? m_states[target].slowness : 1;
 }
 
-void SlownessTracker::forget(std::size_t target)
+void SlownessTracker::reset(std::size_t target)
 {
     if (target < m_states.size()) {
         m_states[target] = State{};
@@ -49,8 +50,8 @@
     std::vector<double> times;
     times.reserve(m_states.size());
     for (const auto &state : m_states) {
-        if (state.time > 0) {
-            times.push_back(state.time);
+        if (state.smoothedTime > 0) {
+            times.push_back(state.smoothedTime);
         }
     }
     const auto middle = times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
--- a/modules/heatherridge_state/decisions/slownesstracker.h
+++ b/modules/heatherridge_state/decisions/slownesstracker.h
@@ -29,16 +29,16 @@
     double slowness(std::size_t target) const;
 
     /** Forgets @p target: it was restarted. */
-    void forget(std::size_t target);
+    void reset(std::size_t target);
 
     /** Beyond it a target is as good as out of use; HealthTracker ejects it sooner. */
-    static constexpr double MostRatio = 8;
+    static constexpr double MaxSlowness = 8;
 
 private:
     struct State
     {
-        double time = 0; ///< smoothed microseconds a unit; 0 while unknown
-        Pace speed{};
+        double smoothedTime = 0; ///< smoothed microseconds a unit; 0 while unknown
+        Pace relativeSpeed{};
         double slowness = 1;
     };
 
--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -450,7 +450,7 @@
         return;
     }
     leaveTarget(true);
-    m_traffic.m_targets.record(m_target, Attempt::Succeeded, now());
+    m_traffic.m_targets.record(m_target, AttemptOutcome::Succeeded, now());
     if (isSuspect()) {
         m_traffic.m_crashGuard.answered(fingerprint());
     }
@@ -468,9 +468,10 @@
         m_traffic.m_targets.refused(m_target, now());
     }
     if (end == AttemptEnd::Answered) {
-        m_traffic.m_targets.record(m_target, Attempt::Succeeded, now());
+        m_traffic.m_targets.record(m_target, AttemptOutcome::Succeeded, now());
     } else if (end != AttemptEnd::RefusedAtTarget) {
-        m_traffic.m_targets.record(m_target, end == AttemptEnd::Silent ? Attempt::TimedOut : Attempt::Failed, now());
+        m_traffic.m_targets.record(
+            m_target, end == AttemptEnd::Silent ? AttemptOutcome::TimedOut : AttemptOutcome::Failed, now());
     }
     const bool hasRunToAnEnd = end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget;
     if (hasRunToAnEnd && isSuspect()) {
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -253,7 +253,7 @@
     }
 }
 
-void GatewayTargets::record(const TargetName &id, Attempt attempt, SteadyTime now)
+void GatewayTargets::record(const TargetName &id, AttemptOutcome attempt, SteadyTime now)
 {
     const auto *target = find(id);
     if (target != nullptr && !m_gone.contains(id)) {
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -90,7 +90,7 @@
     void refused(const TargetName &id, SteadyTime now);
 
     /** An attempt at @p id ended; tells of its health. */
-    void record(const TargetName &id, Attempt attempt, SteadyTime now);
+    void record(const TargetName &id, AttemptOutcome attempt, SteadyTime now);
 
     /** Whether @p target has open requests and has said nothing for StallTime. */
     static bool isStalled(const GatewayTarget &target, SteadyTime now);
--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -216,7 +216,7 @@
     }
     ++call->redirects;
     m_journal.note(call->id, "redirected", askAt);
-    leaveTarget(*call, Attempt::Succeeded);
+    leaveTarget(*call, AttemptOutcome::Succeeded);
     call->askAt = askAt;
     attempt(call);
     return true;
@@ -423,7 +423,7 @@
     call->stream->write({reinterpret_cast<const char *>(bytes.data()), bytes.size()});
 }
 
-void EntryTraffic::leaveTarget(EntryCall &call, Attempt attempt)
+void EntryTraffic::leaveTarget(EntryCall &call, AttemptOutcome attempt)
 {
     if (call.target.isEmpty()) {
         return;
@@ -446,7 +446,7 @@
     const bool refused = error.ranOrDefault() == Ran::No;
     const auto now = std::chrono::steady_clock::now();
     const bool unreachable = error.kind == ErrorKind::TargetUnreachable;
-    leaveTarget(*call, refused && !unreachable ? Attempt::Succeeded : Attempt::Failed);
+    leaveTarget(*call, refused && !unreachable ? AttemptOutcome::Succeeded : AttemptOutcome::Failed);
     const auto others = candidates(*call);
     const FailedAttempt failed{
         .error = error,
@@ -485,7 +485,7 @@
 
 void EntryTraffic::finish(const Call &call, const std::string &outcome)
 {
-    leaveTarget(*call, Attempt::Succeeded);
+    leaveTarget(*call, AttemptOutcome::Succeeded);
     m_retries.recordSuccess();
     call->stream->end();
     m_answers.add();
@@ -501,7 +501,7 @@
     if (call->mayHaveRun && error.ranOrDefault() == Ran::No) {
         error.ran = Ran::Unknown;
     }
-    leaveTarget(*call, Attempt::TimedOut);
+    leaveTarget(*call, AttemptOutcome::TimedOut);
     m_metrics.errors(error.kind).add();
     const std::string kind(answerFor(error.kind).name);
     logEvent(Severity::Info, "request-failed",
@@ -537,7 +537,7 @@
     }
     const auto call = entry->second;
     cancelAtTarget(call);
-    leaveTarget(*call, Attempt::Succeeded);
+    leaveTarget(*call, AttemptOutcome::Succeeded);
     m_metrics.errors(ErrorKind::CallerGone).add();
     m_journal.finish(id, std::string(answerFor(ErrorKind::CallerGone).name));
     m_calls.erase(id);
--- a/modules/heatherridge_transport/entry/entrytraffic.h
+++ b/modules/heatherridge_transport/entry/entrytraffic.h
@@ -92,7 +92,7 @@
     void fail(const Call &call, Error error);
     void cancelAtTarget(const Call &call);
     void callerGone(const RequestId &id);
-    void leaveTarget(EntryCall &call, Attempt attempt);
+    void leaveTarget(EntryCall &call, AttemptOutcome attempt);
 
     Options m_options;
     Metrics &m_metrics;
--- a/modules/heatherridge_transport/entry/targetbook.cpp
+++ b/modules/heatherridge_transport/entry/targetbook.cpp
@@ -56,7 +56,7 @@
     m_prefixes.insert(entry.slot, chain, now);
 }
 
-void TargetBook::recordLeft(const TargetName &target, double cost, Attempt attempt, SteadyTime now)
+void TargetBook::recordLeft(const TargetName &target, double cost, AttemptOutcome attempt, SteadyTime now)
 {
     auto &entry = known(target);
     entry.ownLoad = std::max(0.0, entry.ownLoad - cost);
@@ -69,7 +69,7 @@
     auto &entry = known(target);
     entry.reportedAt.reset();
     m_prefixes.forget(entry.slot);
-    m_slowness.forget(static_cast<std::size_t>(entry.slot));
+    m_slowness.reset(static_cast<std::size_t>(entry.slot));
 }
 
 std::vector<TargetView> TargetBook::viewsOf(std::span<const Target *const> targets,
--- a/modules/heatherridge_transport/entry/targetbook.h
+++ b/modules/heatherridge_transport/entry/targetbook.h
@@ -33,7 +33,7 @@
                     SteadyTime now);
 
     /** A request of @p cost has ended at @p target, in the way @p attempt. */
-    void recordLeft(const TargetName &target, double cost, Attempt attempt, SteadyTime now);
+    void recordLeft(const TargetName &target, double cost, AttemptOutcome attempt, SteadyTime now);
 
     /** The connection to @p target is gone: its cache may be, too. */
     void recordDown(const TargetName &target);
--- a/tests/decisions/entryside_test.cpp
+++ b/tests/decisions/entryside_test.cpp
@@ -98,16 +98,16 @@
     }
     for (int round = 0; round < 10; ++round) {
         for (const auto &target : targets) {
-            health.record(target, Attempt::Failed, Start);
+            health.record(target, AttemptOutcome::Failed, Start);
         }
     }
     EXPECT_EQ(health.ejectedCount(), 3U);
     EXPECT_EQ(health.healthOf(targets[0], Start + 1s), Health::Ejected);
     EXPECT_EQ(health.healthOf(targets[0], Start + 2s), Health::Probing);
-    health.record(targets[0], Attempt::Failed, Start + 2s);
+    health.record(targets[0], AttemptOutcome::Failed, Start + 2s);
     EXPECT_EQ(health.healthOf(targets[0], Start + 5s), Health::Ejected);
     for (int i = 0; i < 3; ++i) {
-        health.record(targets[0], Attempt::Succeeded, Start + 7s);
+        health.record(targets[0], AttemptOutcome::Succeeded, Start + 7s);
     }
     EXPECT_EQ(health.healthOf(targets[0], Start + 7s), Health::Healthy);
 }
