--- a/modules/heatherridge_state/decisions/engineplacement.h
+++ b/modules/heatherridge_state/decisions/engineplacement.h
@@ -25,7 +25,7 @@
 struct EngineGroup
 {
     bool isStalled = false; ///< one of its engines has open streams and says nothing: so do they all
-    bool hasRoom = true; ///< its passes stay short enough with one stream more, @see streamsPerPass()
+    bool hasRoom = true; ///< its passes stay short enough with one stream more, @see maxStreamsPerPass()
     bool hasRoomForLate = true; ///< they would even if demand jumped now; what is late takes no room but that
     double room = 1; ///< requests that it can take on time beyond those that it has; weighs groups with room
     bool cannotBeOnTime = false; ///< none of its streams is on time, @see cannotBeOnTime()
--- a/modules/heatherridge_state/decisions/groupadmission.cpp
+++ b/modules/heatherridge_state/decisions/groupadmission.cpp
@@ -31,18 +31,18 @@
 }
 
 /** By how much the requests of a group that has just opened may grow after a pass of @p pass. */
-double growthAfter(std::chrono::milliseconds pass, const PassBudgetRules &rules)
+double growthAfter(std::chrono::milliseconds pass, const PassTimeModel &rules)
 {
-    const auto ofWork = std::max(pass - rules.base, PassBudgetRules::Milliseconds(1));
-    return std::clamp((rules.longestPass - rules.base) / ofWork, 0.5, MostGrowth);
+    const auto ofWork = std::max(pass - rules.baseTime, PassTimeModel::Milliseconds(1));
+    return std::clamp((rules.maxPassTime - rules.baseTime) / ofWork, 0.5, MostGrowth);
 }
 
 /** Requests an engine that a group is given before it has shown a pass: their prompts are all read in its first pass,
  * with a map that is expected to double the work of it. */
-double firstRequests(const PassBudgetRules &rules)
+double firstRequests(const PassTimeModel &rules)
 {
-    const auto each = rules.perRequest + rules.promptTime;
-    return each.count() > 0 ? std::max(1.0, (rules.longestPass - rules.base) / (each * FirstStretch)) : 1;
+    const auto each = rules.timePerRequest + rules.promptTime;
+    return each.count() > 0 ? std::max(1.0, (rules.maxPassTime - rules.baseTime) / (each * FirstStretch)) : 1;
 }
 
 double perEngine(double all, const GroupWork &work)
@@ -81,7 +81,7 @@
 void GroupAdmission::recordPause(std::chrono::milliseconds pause, SteadyTime now)
 {
     // All streams of a group have an event in each pass; one sample a pass is enough.
-    if (now - m_stretch.recordedAt() < pause / 2) {
+    if (now - m_stretch.lastRecordedAt() < pause / 2) {
         return;
     }
     // What was sent during the pass before was read in this one; the other entries send as this one does.
@@ -96,7 +96,7 @@
     m_lastPass = pause;
 }
 
-EngineGroup GroupAdmission::view(const GroupWork &work, const PassBudgetRules &rules, double share, SteadyTime now)
+EngineGroup GroupAdmission::view(const GroupWork &work, const PassTimeModel &rules, double share, SteadyTime now)
 {
     m_work = work;
     m_work.requests += othersGrowth(work, share);
@@ -104,13 +104,13 @@
     m_share = share;
     if (m_isStarting && now - m_openSince >= SlowStart) {
         m_isStarting = false;
-        m_stretch.forgetOld();
+        m_stretch.discardOldSamples();
     }
-    if (!m_isStarting && now - m_stretch.recordedAt() > PauseMemory) {
+    if (!m_isStarting && now - m_stretch.lastRecordedAt() > PauseMemory) {
         m_stretch.record(work.reportedPass, {.requests = perEngine(m_work.requests, m_work)}, rules, !work.hasSlowRank,
                          now);
     }
-    const double stretch = m_stretch.present();
+    const double stretch = m_stretch.current();
     const auto bound = m_isStarting ? startingBound(stretch) : establishedBound(stretch);
     return {.isStalled = work.isStalled,
             .hasRoom = sentWithin(now - bound.span, now) < bound.streams,
@@ -121,7 +121,7 @@
 
 GroupAdmission::Bound GroupAdmission::startingBound(double stretch) const
 {
-    const double onTime = requestsOnTime(stretch, m_work.engines, m_rules);
+    const double onTime = maxRequestsOnTime(stretch, m_work.engines, m_rules);
     const double proven = m_proven.value_or(firstRequests(m_rules)) * static_cast<double>(m_work.engines);
     const double room = std::min(onTime, proven) - m_work.requests;
     // An entry without a stream of its own in the group sees none of its passes.
@@ -131,16 +131,16 @@
             .roomForLate = room,
             .streams = maySend ? std::max(share, 1) : 0,
             .span = m_lastPass ? SteadyTime::duration(*m_lastPass)
-                               : std::chrono::duration_cast<SteadyTime::duration>(m_rules.longestPass)};
+                               : std::chrono::duration_cast<SteadyTime::duration>(m_rules.maxPassTime)};
 }
 
 GroupAdmission::Bound GroupAdmission::establishedBound(double stretch) const
 {
-    const double room = requestsOnTime(stretch, m_work.engines, m_rules) - m_work.requests;
-    const auto pass = m_rules.bestPass(perEngine(m_work.requests, m_work), 0) * stretch;
+    const double room = maxRequestsOnTime(stretch, m_work.engines, m_rules) - m_work.requests;
+    const auto pass = m_rules.idealPassTime(perEngine(m_work.requests, m_work), 0) * stretch;
     return {.room = room,
-            .roomForLate = requestsOnTime(m_stretch.usual(), m_work.engines, m_rules) - m_work.requests,
-            .streams = streamsPerPass(room, m_rules, m_share),
+            .roomForLate = maxRequestsOnTime(m_stretch.highPercentile(), m_work.engines, m_rules) - m_work.requests,
+            .streams = maxStreamsPerPass(room, m_rules, m_share),
             .span = std::chrono::duration_cast<SteadyTime::duration>(pass)};
 }
 
--- a/modules/heatherridge_state/decisions/groupadmission.h
+++ b/modules/heatherridge_state/decisions/groupadmission.h
@@ -27,8 +27,8 @@
 /**
  * How much of one expert group's room one entry may use.
  *
- * Puts together PassStretch, requestsOnTime() and streamsPerPass() with what only the entry knows: the pauses of its
- * own streams, which are the passes of the group, and what it has sent since engines last told their load.
+ * Puts together PassSlowdown, maxRequestsOnTime() and maxStreamsPerPass() with what only the entry knows: the pauses of
+ * its own streams, which are the passes of the group, and what it has sent since engines last told their load.
  *
  * Load pattern: a group that has just opened has a map that fits no demand and no load that any entry could see, while
  * all entries hold waiting streams. It starts with what its first pass can read. Each pass then allows at most twice as
@@ -58,7 +58,7 @@
      * The group as it is when a stream is placed.
      * @param share of this entry in all work, over 0 up to 1
      */
-    EngineGroup view(const GroupWork &work, const PassBudgetRules &rules, double share, SteadyTime now);
+    EngineGroup view(const GroupWork &work, const PassTimeModel &rules, double share, SteadyTime now);
 
 private:
     /** What bounds this entry's sending to the group. */
@@ -74,8 +74,8 @@
     Bound establishedBound(double stretch) const;
     int sentWithin(SteadyTime after, SteadyTime until) const;
 
-    PassStretch m_stretch;
-    PassBudgetRules m_rules;
+    PassSlowdown m_stretch;
+    PassTimeModel m_rules;
     GroupWork m_work; ///< when a stream was last placed
     double m_share = 1; ///< then
     std::deque<SteadyTime> m_sent; ///< when streams were sent, of late
--- a/modules/heatherridge_state/decisions/loadestimate.cpp
+++ b/modules/heatherridge_state/decisions/loadestimate.cpp
@@ -6,31 +6,31 @@
 namespace Heatherridge
 {
 
-void LoadEstimate::sent()
+void LoadEstimate::recordSent()
 {
-    ++m_own;
+    ++m_ownRequests;
 }
 
-void LoadEstimate::ended()
+void LoadEstimate::recordEnded()
 {
-    m_own = std::max(0, m_own - 1);
+    m_ownRequests = std::max(0, m_ownRequests - 1);
 }
 
-void LoadEstimate::reported(int total, SteadyTime now)
+void LoadEstimate::recordReport(int total, SteadyTime now)
 {
-    m_others = std::max(0, total - m_own);
-    m_ownReported = m_own;
+    m_otherRequests = std::max(0, total - m_ownRequests);
+    m_ownRequestsAtReport = m_ownRequests;
     m_reportedAt = now;
 }
 
-int LoadEstimate::own() const
+int LoadEstimate::ownRequests() const
 {
-    return m_own;
+    return m_ownRequests;
 }
 
-int LoadEstimate::ownReported() const
+int LoadEstimate::ownRequestsAtReport() const
 {
-    return m_ownReported;
+    return m_ownRequestsAtReport;
 }
 
 double LoadEstimate::freshness(SteadyTime now) const
@@ -43,15 +43,15 @@
     return std::exp2(-age / halfLife);
 }
 
-double LoadEstimate::others() const
+double LoadEstimate::otherRequests() const
 {
-    return m_others;
+    return m_otherRequests;
 }
 
-double LoadEstimate::total(SteadyTime now, double usualOthers) const
+double LoadEstimate::total(SteadyTime now, double typicalOthers) const
 {
-    const double fresh = freshness(now);
-    return m_own + m_others * fresh + usualOthers * (1 - fresh);
+    const double currentFreshness = freshness(now);
+    return m_ownRequests + m_otherRequests * currentFreshness + typicalOthers * (1 - currentFreshness);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/loadestimate.h
+++ b/modules/heatherridge_state/decisions/loadestimate.h
@@ -22,36 +22,36 @@
     static constexpr std::chrono::milliseconds HalfLife{700};
 
     /** This entry sends the target a request. */
-    void sent();
+    void recordSent();
 
     /** One of the requests has ended. */
-    void ended();
+    void recordEnded();
 
     /** The target says that it has @p total requests, running and waiting. */
-    void reported(int total, SteadyTime now);
+    void recordReport(int total, SteadyTime now);
 
     /** Own requests that have not ended. */
-    int own() const;
+    int ownRequests() const;
 
     /** Own requests when the target last told its load. */
-    int ownReported() const;
+    int ownRequestsAtReport() const;
 
     /** How much the others' part still says: 1 when the target has just told it, halving with HalfLife; 0 before. */
     double freshness(SteadyTime now) const;
 
     /** The others' part as the target last told it. */
-    double others() const;
+    double otherRequests() const;
 
     /**
      * Requests of all entries, as far as known.
      * @param usualOthers that others have at such a target on average
      */
-    double total(SteadyTime now, double usualOthers) const;
+    double total(SteadyTime now, double typicalOthers) const;
 
 private:
-    int m_own = 0;
-    int m_ownReported = 0;
-    double m_others = 0;
+    int m_ownRequests = 0;
+    int m_ownRequestsAtReport = 0;
+    double m_otherRequests = 0;
     std::optional<SteadyTime> m_reportedAt;
 };
 
--- a/modules/heatherridge_state/decisions/passbudget.cpp
+++ b/modules/heatherridge_state/decisions/passbudget.cpp
@@ -8,105 +8,105 @@
 namespace Heatherridge
 {
 
-PassBudgetRules::Milliseconds PassBudgetRules::bestPass(double requestsPerEngine, double promptsPerEngine) const
+PassTimeModel::Milliseconds PassTimeModel::idealPassTime(double requestsPerEngine, double promptsPerEngine) const
 {
-    return base + perRequest * requestsPerEngine + promptTime * promptsPerEngine;
+    return baseTime + timePerRequest * requestsPerEngine + promptTime * promptsPerEngine;
 }
 
-PassBudgetRules::Milliseconds PassBudgetRules::wholeRequest() const
+PassTimeModel::Milliseconds PassTimeModel::meanTimePerRequest() const
 {
-    return perRequest + promptTime / std::max(passesPerStream, 1.0);
+    return timePerRequest + promptTime / std::max(passesPerStream, 1.0);
 }
 
-void PassStretch::record(std::chrono::duration<double, std::milli> pass, const PassWork &work,
-                         const PassBudgetRules &rules, bool isTypical, SteadyTime now)
+void PassSlowdown::record(std::chrono::duration<double, std::milli> passTime, const PassLoad &load,
+                          const PassTimeModel &passTimes, bool isTypical, SteadyTime now)
 {
-    const auto best = rules.bestPass(work.requests, work.prompts);
-    if (best.count() <= 0) {
+    const auto idealTime = passTimes.idealPassTime(load.requests, load.prompts);
+    if (idealTime.count() <= 0) {
         return;
     }
-    m_samples.push_back({.at = now, .stretch = std::max(1.0, pass / best), .isTypical = isTypical});
-    while (now - m_samples.front().at > Memory) {
+    m_samples.push_back({.at = now, .slowdown = std::max(1.0, passTime / idealTime), .isTypical = isTypical});
+    while (now - m_samples.front().at > HistoryLength) {
         m_samples.pop_front();
     }
-    updateUsual();
+    updateHighPercentile();
 }
 
-void PassStretch::forgetOld()
+void PassSlowdown::discardOldSamples()
 {
-    while (m_samples.size() > Window) {
+    while (m_samples.size() > CurrentPasses) {
         m_samples.pop_front();
     }
-    updateUsual();
+    updateHighPercentile();
 }
 
-void PassStretch::updateUsual()
+void PassSlowdown::updateHighPercentile()
 {
-    std::vector<double> stretches;
-    stretches.reserve(m_samples.size());
+    std::vector<double> slowdowns;
+    slowdowns.reserve(m_samples.size());
     for (const auto &sample : m_samples) {
         if (sample.isTypical) {
-            stretches.push_back(sample.stretch);
+            slowdowns.push_back(sample.slowdown);
         }
     }
-    if (stretches.empty()) {
-        m_usual = 1;
+    if (slowdowns.empty()) {
+        m_highPercentile = 1;
         return;
     }
-    const auto longer = static_cast<std::ptrdiff_t>(LongerPart * static_cast<double>(stretches.size()));
-    std::nth_element(stretches.begin(), stretches.begin() + longer, stretches.end(), std::greater<>());
-    m_usual = stretches[static_cast<std::size_t>(longer)];
+    const auto exceedingCount = static_cast<std::ptrdiff_t>(ExceedingShare * static_cast<double>(slowdowns.size()));
+    std::nth_element(slowdowns.begin(), slowdowns.begin() + exceedingCount, slowdowns.end(), std::greater<>());
+    m_highPercentile = slowdowns[static_cast<std::size_t>(exceedingCount)];
 }
 
-double PassStretch::present() const
+double PassSlowdown::current() const
 {
     double longest = 1;
     double second = 1;
-    const auto begin = m_samples.size() > Window ? m_samples.size() - Window : 0;
+    const auto begin = m_samples.size() > CurrentPasses ? m_samples.size() - CurrentPasses : 0;
     for (auto index = begin; index < m_samples.size(); ++index) {
-        const auto stretch = m_samples[index].stretch;
-        second = std::max(second, std::min(longest, stretch));
-        longest = std::max(longest, stretch);
+        const auto slowdown = m_samples[index].slowdown;
+        second = std::max(second, std::min(longest, slowdown));
+        longest = std::max(longest, slowdown);
     }
     // One pass that is much longer than its neighbours has read a long prompt, which says nothing of the next one.
     return second;
 }
 
-double PassStretch::usual() const
+double PassSlowdown::highPercentile() const
 {
-    return std::max(m_usual, present());
+    return std::max(m_highPercentile, current());
 }
 
-SteadyTime PassStretch::recordedAt() const
+SteadyTime PassSlowdown::lastRecordedAt() const
 {
     return m_samples.empty() ? SteadyTime{} : m_samples.back().at;
 }
 
-double requestsOnTime(double stretch, std::size_t engines, const PassBudgetRules &rules)
+double maxRequestsOnTime(double slowdown, std::size_t engines, const PassTimeModel &passTimes)
 {
     const auto count = static_cast<double>(engines);
-    const auto left = rules.longestPass / std::max(stretch, 1.0) - rules.base;
-    const auto perRequest = rules.wholeRequest();
-    if (perRequest.count() <= 0) {
-        return left.count() > 0 ? std::numeric_limits<double>::max() : 0;
+    const auto timeForRequests = passTimes.maxPassTime / std::max(slowdown, 1.0) - passTimes.baseTime;
+    const auto timePerRequest = passTimes.meanTimePerRequest();
+    if (timePerRequest.count() <= 0) {
+        return timeForRequests.count() > 0 ? std::numeric_limits<double>::max() : 0;
     }
-    return std::max(0.0, left / perRequest * count);
+    return std::max(0.0, timeForRequests / timePerRequest * count);
 }
 
-bool cannotBeOnTime(double stretch, const PassBudgetRules &rules)
+bool cannotBeOnTime(double slowdown, const PassTimeModel &passTimes)
 {
-    return requestsOnTime(stretch, 1, rules) < 1;
+    return maxRequestsOnTime(slowdown, 1, passTimes) < 1;
 }
 
-int streamsPerPass(double room, const PassBudgetRules &rules, double share)
+int maxStreamsPerPass(double spareRequests, const PassTimeModel &passTimes, double share)
 {
-    if (room < 1) {
+    if (spareRequests < 1) {
         return 0;
     }
     // A prompt that is read weighs as much in a pass as so many requests that are written.
-    const auto perRequest = rules.wholeRequest();
-    const double weight = perRequest.count() > 0 ? std::max(1.0, rules.promptTime / perRequest) : 1;
-    return std::max(1, static_cast<int>(std::min(room, 1e6) * share / weight));
+    const auto timePerRequest = passTimes.meanTimePerRequest();
+    const double weight = timePerRequest.count() > 0 ? std::max(1.0, passTimes.promptTime / timePerRequest) : 1;
+    return std::max(1, static_cast<int>(std::min(spareRequests, 1e6) * share / weight));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/passbudget.h
+++ b/modules/heatherridge_state/decisions/passbudget.h
@@ -10,25 +10,25 @@
 {
 
 /** How the engines of a group work, by their own figures, and what is owed to their streams. */
-struct PassBudgetRules
+struct PassTimeModel
 {
     using Milliseconds = std::chrono::duration<double, std::milli>;
 
-    Milliseconds base{}; ///< a pass without any request
-    Milliseconds perRequest{}; ///< what one writing request adds to a pass of its own engine
+    Milliseconds baseTime{}; ///< a pass without any request
+    Milliseconds timePerRequest{}; ///< what one writing request adds to a pass of its own engine
     Milliseconds promptTime{}; ///< to read a usual prompt at one engine
     double passesPerStream = 1; ///< that a usual answer takes
-    Milliseconds longestPass{}; ///< passes up to this keep the promised pauses
+    Milliseconds maxPassTime{}; ///< passes up to this keep the promised pauses
 
     /** A pass of engines with so many requests each, and so many prompts to read, all at their best. */
-    Milliseconds bestPass(double requestsPerEngine, double promptsPerEngine) const;
+    Milliseconds idealPassTime(double requestsPerEngine, double promptsPerEngine) const;
 
     /** What a request takes of a pass on average, its prompt included. */
-    Milliseconds wholeRequest() const;
+    Milliseconds meanTimePerRequest() const;
 };
 
 /** What the engines of a group do in a pass, each on average. */
-struct PassWork
+struct PassLoad
 {
     double requests = 0; ///< that are there
     double prompts = 0; ///< that are read
@@ -41,47 +41,47 @@
  * it is in use. A group that is filled to what the better map carries has pauses beyond the promise at each shift. One
  * thread.
  */
-class PassStretch
+class PassSlowdown
 {
 public:
     /** How long passes are remembered: longer than demand usually stands still. */
-    static constexpr std::chrono::seconds Memory{5};
+    static constexpr std::chrono::seconds HistoryLength{5};
     /** Part of the remembered passes that may be longer. */
-    static constexpr double LongerPart = 0.05;
+    static constexpr double ExceedingShare = 0.05;
     /** Passes that are looked at for the present stretch: a second of them at most. */
-    static constexpr std::size_t Window = 8;
+    static constexpr std::size_t CurrentPasses = 8;
 
     /**
      * A pass took @p pass for @p work.
      * @param isTypical false while the group has a slow rank; usual() leaves such passes out
      */
-    void record(std::chrono::duration<double, std::milli> pass, const PassWork &work, const PassBudgetRules &rules,
-                bool isTypical, SteadyTime now);
+    void record(std::chrono::duration<double, std::milli> passTime, const PassLoad &load,
+                const PassTimeModel &passTimes, bool isTypical, SteadyTime now);
 
     /** Forgets all passes but those that present() looks at. */
-    void forgetOld();
+    void discardOldSamples();
 
     /** What passes seldom exceed at present: the longest but one of the last few. 1 before any. */
-    double present() const;
+    double current() const;
 
     /** What all but few passes of late have not exceeded. 1 before any. */
-    double usual() const;
+    double highPercentile() const;
 
     /** When the last pass was recorded. */
-    SteadyTime recordedAt() const;
+    SteadyTime lastRecordedAt() const;
 
 private:
     struct Sample
     {
         SteadyTime at{};
-        double stretch = 1;
+        double slowdown = 1;
         bool isTypical = true;
     };
 
-    void updateUsual();
+    void updateHighPercentile();
 
     std::deque<Sample> m_samples; ///< the newest last
-    double m_usual = 1;
+    double m_highPercentile = 1;
 };
 
 /**
@@ -90,10 +90,10 @@
  * Load pattern: each request makes the passes of its whole group a little longer. A group whose batches are full can
  * have passes beyond the promised pause for good, and then serves hardly more than comes.
  */
-double requestsOnTime(double stretch, std::size_t engines, const PassBudgetRules &rules);
+double maxRequestsOnTime(double slowdown, std::size_t engines, const PassTimeModel &passTimes);
 
 /** Whether not even one request an engine is on time: a slow rank, or a map that fits nothing. */
-bool cannotBeOnTime(double stretch, const PassBudgetRules &rules);
+bool cannotBeOnTime(double slowdown, const PassTimeModel &passTimes);
 
 /**
  * How many streams one entry may send to a group within one pass.
@@ -105,6 +105,6 @@
  * @param room requests that the group can take on time beyond those that it has, whether or not its batches hold them
  * @param share of this entry in all work, 0 to 1
  */
-int streamsPerPass(double room, const PassBudgetRules &rules, double share);
+int maxStreamsPerPass(double spareRequests, const PassTimeModel &passTimes, double share);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -200,7 +200,7 @@
     m_hasBegun = false;
     markSuspectAt(m_target);
     m_stream.beginAttempt();
-    if (target.load.own() == 0) {
+    if (target.load.ownRequests() == 0) {
         target.lastHeard = m_sentAt;
     }
     m_loadAtSend = load;
@@ -209,7 +209,7 @@
     m_waited = age();
     m_traffic.admitted(m_number, m_sentAt);
     m_traffic.m_targets.sentTo(m_group, m_sentAt);
-    target.load.sent();
+    target.load.recordSent();
     target.limit.sent(m_sentAt);
     ++target.sentSinceReport;
     const auto &request = m_exchange->request();
@@ -238,7 +238,7 @@
     if (auto *target = m_traffic.m_targets.find(m_target)) {
         target->lastHeard = now();
         if (m_answer.load) {
-            target->load.reported(m_answer.load->running + m_answer.load->waiting, target->lastHeard);
+            target->load.recordReport(m_answer.load->running + m_answer.load->waiting, target->lastHeard);
         }
         takeLimit(*target);
     }
@@ -530,7 +530,7 @@
     }
     const auto connection = std::exchange(m_connection, {});
     if (auto *target = m_traffic.m_targets.find(m_target)) {
-        target->load.ended();
+        target->load.recordEnded();
     }
     if (keepConnection) {
         m_traffic.m_pool.give(m_target, connection, m_answer.idleTimeout);
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -24,7 +24,7 @@
     double weight = 0;
     for (const auto *target : targets) {
         const double fresh = target->load.freshness(now);
-        sum += target->load.others() * fresh;
+        sum += target->load.otherRequests() * fresh;
         weight += fresh;
     }
     return weight > 0 ? sum / weight : 0;
@@ -54,7 +54,7 @@
         }
         gone.push_back(it->first);
         m_health[it->second.entry.service].remove(it->first);
-        if (it->second.load.own() > 0) {
+        if (it->second.load.ownRequests() > 0) {
             m_gone.insert(it->first);
             ++it;
         } else {
@@ -133,7 +133,7 @@
 
 GatewayTargets::Choice GatewayTargets::chooseEngine(const std::vector<GatewayTarget *> &targets,
                                                     const std::vector<DirectCandidate> &candidates,
-                                                    const PassBudgetRules &rules, Urgency urgency, SteadyTime now,
+                                                    const PassTimeModel &rules, Urgency urgency, SteadyTime now,
                                                     RandomSource &random)
 {
     std::vector<EngineCandidate> engines;
@@ -169,8 +169,8 @@
 {
     ++work.engines;
     work.requests += load;
-    work.own += target.load.own();
-    work.ownReported += target.load.ownReported();
+    work.own += target.load.ownRequests();
+    work.ownReported += target.load.ownRequestsAtReport();
     work.slots += target.entry.slots;
     work.hasSlowRank = work.hasSlowRank || target.engine->pace >= SlowPace;
     work.isStalled = work.isStalled || isStalled(target, now);
@@ -229,11 +229,11 @@
         }
         const auto &engine = *service.engine;
         m_engineRules.emplace(service.name,
-                              PassBudgetRules{.base = engine.step * engine.stepsPerPass,
-                                              .perRequest = engine.stepPerRequest * engine.stepsPerPass,
-                                              .promptTime = engine.promptTime,
-                                              .passesPerStream = engine.usualAnswer / std::max(engine.stepsPerPass, 1),
-                                              .longestPass = longestPauseOf(config, service.name) * UsedPartOfPause});
+                              PassTimeModel{.baseTime = engine.step * engine.stepsPerPass,
+                                            .timePerRequest = engine.stepPerRequest * engine.stepsPerPass,
+                                            .promptTime = engine.promptTime,
+                                            .passesPerStream = engine.usualAnswer / std::max(engine.stepsPerPass, 1),
+                                            .maxPassTime = longestPauseOf(config, service.name) * UsedPartOfPause});
     }
 }
 
@@ -246,7 +246,7 @@
             continue;
         }
         if (!target->engine || target->engine->requestedAt != engine.requestedAt) {
-            target->load.reported(engine.running + engine.waiting, engine.requestedAt);
+            target->load.recordReport(engine.running + engine.waiting, engine.requestedAt);
             target->sentSinceReport = 0;
         }
         target->engine = engine;
@@ -263,7 +263,7 @@
 
 bool GatewayTargets::isStalled(const GatewayTarget &target, SteadyTime now)
 {
-    return target.load.own() > 0 && now - target.lastHeard > StallTime;
+    return target.load.ownRequests() > 0 && now - target.lastHeard > StallTime;
 }
 
 bool GatewayTargets::isUsable(const GatewayTarget &target, const ServiceName &service) const
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -104,7 +104,7 @@
     std::optional<std::chrono::milliseconds> shortestHold(const std::vector<GatewayTarget *> &targets,
                                                           SteadyTime now) const;
     Choice chooseEngine(const std::vector<GatewayTarget *> &targets, const std::vector<DirectCandidate> &candidates,
-                        const PassBudgetRules &rules, Urgency urgency, SteadyTime now, RandomSource &random);
+                        const PassTimeModel &rules, Urgency urgency, SteadyTime now, RandomSource &random);
 
     ZoneName m_zone;
     double m_limitPart = 0;
@@ -113,7 +113,7 @@
     std::map<TargetName, GatewayTarget> m_targets;
     std::set<TargetName> m_gone; ///< left the register, with requests open
     std::map<ServiceName, HealthTracker> m_health;
-    std::map<ServiceName, PassBudgetRules> m_engineRules; ///< of services with expert groups
+    std::map<ServiceName, PassTimeModel> m_engineRules; ///< of services with expert groups
 };
 
 } // namespace Heatherridge
--- a/tests/decisions/direct_test.cpp
+++ b/tests/decisions/direct_test.cpp
@@ -173,14 +173,14 @@
 TEST(LoadEstimate, CountsItsOwnAndForgetsTheOthers)
 {
     LoadEstimate load;
-    load.sent();
-    load.sent();
-    load.reported(6, Start);
+    load.recordSent();
+    load.recordSent();
+    load.recordReport(6, Start);
     EXPECT_NEAR(load.total(Start, 0), 6, 1e-9);
-    load.ended();
+    load.recordEnded();
     EXPECT_NEAR(load.total(Start, 0), 5, 1e-9);
     EXPECT_NEAR(load.total(Start + LoadEstimate::HalfLife, 0), 1 + 2, 1e-9);
-    load.reported(0, Start + 1s);
+    load.recordReport(0, Start + 1s);
     EXPECT_NEAR(load.total(Start + 1s, 0), 1, 1e-9);
 }
 
@@ -190,8 +190,8 @@
 {
     LoadEstimate load;
     EXPECT_NEAR(load.total(Start, 3), 3, 1e-9);
-    load.sent();
-    load.reported(6, Start);
+    load.recordSent();
+    load.recordReport(6, Start);
     EXPECT_NEAR(load.total(Start, 3), 6, 1e-9);
     EXPECT_NEAR(load.total(Start + LoadEstimate::HalfLife, 3), 1 + 2.5 + 1.5, 1e-9);
     EXPECT_NEAR(load.total(Start + LoadEstimate::HalfLife * 20, 3), 1 + 3, 1e-4);
--- a/tests/decisions/groupadmission_test.cpp
+++ b/tests/decisions/groupadmission_test.cpp
@@ -13,8 +13,8 @@
 constexpr double Share = 0.25;
 constexpr std::size_t Engines = 8;
 
-const PassBudgetRules Rules{
-    .base = 18.2ms, .perRequest = 3.62ms, .promptTime = 13.6ms, .passesPerStream = 24, .longestPass = 108ms};
+const PassTimeModel Rules{
+    .baseTime = 18.2ms, .timePerRequest = 3.62ms, .promptTime = 13.6ms, .passesPerStream = 24, .maxPassTime = 108ms};
 
 GroupWork workOf(double requestsPerEngine)
 {
@@ -185,7 +185,7 @@
             passEnds += 50ms;
         }
     }
-    const double most = requestsOnTime(1, Engines, Rules);
+    const double most = maxRequestsOnTime(1, Engines, Rules);
     EXPECT_TRUE(group.isStarting());
     EXPECT_LE(sent, most * Share);
     EXPECT_GT(sent, most * Share / 4);
--- a/tests/decisions/passbudget_test.cpp
+++ b/tests/decisions/passbudget_test.cpp
@@ -14,28 +14,28 @@
 namespace
 {
 
-using Milliseconds = PassBudgetRules::Milliseconds;
+using Milliseconds = PassTimeModel::Milliseconds;
 
 const SteadyTime Start(1h);
 
 /** Engines whose batch of 12 has passes of 62 ms at their best. */
-const PassBudgetRules Large{.base = Milliseconds(18.2),
-                            .perRequest = Milliseconds(3.62),
-                            .promptTime = Milliseconds(13.6),
-                            .passesPerStream = 24,
-                            .longestPass = Milliseconds(108)};
+const PassTimeModel Large{.baseTime = Milliseconds(18.2),
+                          .timePerRequest = Milliseconds(3.62),
+                          .promptTime = Milliseconds(13.6),
+                          .passesPerStream = 24,
+                          .maxPassTime = Milliseconds(108)};
 /** Engines whose batch of 12 has passes of 51 ms. */
-const PassBudgetRules Quick{.base = Milliseconds(29.3),
-                            .perRequest = Milliseconds(1.78),
-                            .promptTime = Milliseconds(13.6),
-                            .passesPerStream = 24,
-                            .longestPass = Milliseconds(108)};
+const PassTimeModel Quick{.baseTime = Milliseconds(29.3),
+                          .timePerRequest = Milliseconds(1.78),
+                          .promptTime = Milliseconds(13.6),
+                          .passesPerStream = 24,
+                          .maxPassTime = Milliseconds(108)};
 
 struct BudgetRow
 {
     const char *story;
-    PassBudgetRules rules;
-    double stretch;
+    PassTimeModel rules;
+    double slowdown;
     int fewest; ///< requests an engine
     int most;
     bool cannotBeOnTime;
@@ -47,7 +47,7 @@
     {"quick engines take more with the same map", Quick, 2.3, 7, 12, false},
     {"a rank that is many times as slow", Large, 6, 0, 0, true},
     {"a pass that is too long by itself, and figures that say nothing of requests",
-     {.base = Milliseconds(200), .longestPass = Milliseconds(108)},
+     {.baseTime = Milliseconds(200), .maxPassTime = Milliseconds(108)},
      1,
      0,
      0,
@@ -61,10 +61,10 @@
 TEST_P(PassBudgets, FollowFromFiguresAndStretch)
 {
     const auto &row = GetParam();
-    const auto requests = requestsOnTime(row.stretch, 1, row.rules);
+    const auto requests = maxRequestsOnTime(row.slowdown, 1, row.rules);
     EXPECT_GE(requests, row.fewest) << row.story;
     EXPECT_LE(requests, row.most) << row.story;
-    EXPECT_EQ(cannotBeOnTime(row.stretch, row.rules), row.cannotBeOnTime) << row.story;
+    EXPECT_EQ(cannotBeOnTime(row.slowdown, row.rules), row.cannotBeOnTime) << row.story;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, PassBudgets, testing::ValuesIn(BudgetRows));
@@ -91,54 +91,54 @@
 
 TEST_P(PassRooms, AreSharedAmongEntries)
 {
-    EXPECT_EQ(streamsPerPass(GetParam().room, Large, GetParam().share), GetParam().streams) << GetParam().story;
+    EXPECT_EQ(maxStreamsPerPass(GetParam().room, Large, GetParam().share), GetParam().streams) << GetParam().story;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, PassRooms, testing::ValuesIn(PassRoomRows));
 
 /** A group of 6 requests an engine over some passes. @returns when the last one ended */
-SteadyTime pass(PassStretch &stretch, int passes, double longer, SteadyTime now, bool isTypical = true)
+SteadyTime pass(PassSlowdown &slowdown, int passes, double longer, SteadyTime now, bool isTypical = true)
 {
     for (int index = 0; index < passes; ++index) {
         now += 60ms;
-        stretch.record(Large.bestPass(6, 0) * longer, {.requests = 6}, Large, isTypical, now);
+        slowdown.record(Large.idealPassTime(6, 0) * longer, {.requests = 6}, Large, isTypical, now);
     }
     return now;
 }
 
-TEST(PassStretch, RemembersBadMomentsAndForgetsThem)
-{
-    PassStretch stretch;
-    EXPECT_EQ(stretch.present(), 1);
-    EXPECT_EQ(stretch.usual(), 1);
-    auto now = pass(stretch, 10, 2.4, Start);
-    now = pass(stretch, 20, 1.2, now);
-    EXPECT_NEAR(stretch.present(), 1.2, 1e-9);
-    EXPECT_NEAR(stretch.usual(), 2.4, 1e-9);
-    EXPECT_EQ(stretch.recordedAt(), now);
-    pass(stretch, 1 + static_cast<int>(PassStretch::Memory / 60ms), 1.2, now);
-    EXPECT_NEAR(stretch.usual(), 1.2, 1e-9);
+TEST(PassSlowdown, RemembersBadMomentsAndForgetsThem)
+{
+    PassSlowdown slowdown;
+    EXPECT_EQ(slowdown.current(), 1);
+    EXPECT_EQ(slowdown.highPercentile(), 1);
+    auto now = pass(slowdown, 10, 2.4, Start);
+    now = pass(slowdown, 20, 1.2, now);
+    EXPECT_NEAR(slowdown.current(), 1.2, 1e-9);
+    EXPECT_NEAR(slowdown.highPercentile(), 2.4, 1e-9);
+    EXPECT_EQ(slowdown.lastRecordedAt(), now);
+    pass(slowdown, 1 + static_cast<int>(PassSlowdown::HistoryLength / 60ms), 1.2, now);
+    EXPECT_NEAR(slowdown.highPercentile(), 1.2, 1e-9);
 }
 
 // A rank is twelve times as slow until its experts have moved elsewhere. Its group is empty and sound then, but was
 // kept so for seconds more for the passes that it had, while the other group was too full for its streams to be on
 // time.
-TEST(PassStretch, DoesNotRememberASlowRank)
+TEST(PassSlowdown, DoesNotRememberASlowRank)
 {
-    PassStretch stretch;
-    auto now = pass(stretch, 20, 4.7, Start, false);
-    EXPECT_NEAR(stretch.usual(), 4.7, 1e-9);
-    pass(stretch, static_cast<int>(PassStretch::Window), 1.1, now);
-    EXPECT_NEAR(stretch.usual(), 1.1, 1e-9);
+    PassSlowdown slowdown;
+    auto now = pass(slowdown, 20, 4.7, Start, false);
+    EXPECT_NEAR(slowdown.highPercentile(), 4.7, 1e-9);
+    pass(slowdown, static_cast<int>(PassSlowdown::CurrentPasses), 1.1, now);
+    EXPECT_NEAR(slowdown.highPercentile(), 1.1, 1e-9);
 }
 
-TEST(PassStretch, IsNotThatOfOnePassThatReadALongPrompt)
+TEST(PassSlowdown, IsNotThatOfOnePassThatReadALongPrompt)
 {
-    PassStretch stretch;
-    auto now = pass(stretch, 5, 1.1, Start);
-    now = pass(stretch, 1, 4, now);
-    pass(stretch, 4, 1.1, now);
-    EXPECT_NEAR(stretch.present(), 1.1, 1e-9);
+    PassSlowdown slowdown;
+    auto now = pass(slowdown, 5, 1.1, Start);
+    now = pass(slowdown, 1, 4, now);
+    pass(slowdown, 4, 1.1, now);
+    EXPECT_NEAR(slowdown.current(), 1.1, 1e-9);
 }
 
 /** What became of the streams of a replayed load. */
@@ -177,7 +177,7 @@
     };
     std::vector<Running> running;
     StreamQueue line;
-    PassStretch stretch;
+    PassSlowdown slowdown;
     SeededRandom random(3);
     Outcome outcome;
     std::uint64_t number = 0;
@@ -185,9 +185,9 @@
     for (Milliseconds now = 2s; now < 30s;) {
         const bool isJumped = std::fmod(now.count(), 3'300.0) < static_cast<double>(jump.count());
         const double perEngine = static_cast<double>(running.size()) / engines;
-        const auto pass = Large.bestPass(perEngine, 0) * (isJumped ? 2.4 : 1.2);
+        const auto pass = Large.idealPassTime(perEngine, 0) * (isJumped ? 2.4 : 1.2);
         now += pass;
-        stretch.record(pass, {.requests = perEngine}, Large, true, steady(now));
+        slowdown.record(pass, {.requests = perEngine}, Large, true, steady(now));
         for (auto &stream : running) {
             stream.isLate = stream.isLate || pass > 120ms;
             if (--stream.passesLeft == 0) {
@@ -198,8 +198,8 @@
         for (due += pass.count() / 1'000 * streamsPerSecond; due >= 1; --due) {
             line.put({.number = ++number, .onTimeUntil = steady(now) + objective}, steady(now));
         }
-        const double inBadMoments = requestsOnTime(stretch.usual(), engines, Large);
-        const double atPresent = requestsOnTime(stretch.present(), engines, Large);
+        const double inBadMoments = maxRequestsOnTime(slowdown.highPercentile(), engines, Large);
+        const double atPresent = maxRequestsOnTime(slowdown.current(), engines, Large);
         while (!line.isEmpty()) {
             const auto order = line.order(steady(now));
             const auto first = bound != Bound::Batches
--- a/tests/decisions/startreplay_test.cpp
+++ b/tests/decisions/startreplay_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-using Milliseconds = PassBudgetRules::Milliseconds;
+using Milliseconds = PassTimeModel::Milliseconds;
 
 const SteadyTime Start(1h);
 constexpr std::size_t Engines = 24;
@@ -19,11 +19,11 @@
 constexpr auto Step = 5ms;
 constexpr int PassesPerStream = 19;
 
-const PassBudgetRules Rules{.base = Milliseconds(22.75),
-                            .perRequest = Milliseconds(5.45),
-                            .promptTime = Milliseconds(13.3),
-                            .passesPerStream = PassesPerStream,
-                            .longestPass = Milliseconds(135)};
+const PassTimeModel Rules{.baseTime = Milliseconds(22.75),
+                          .timePerRequest = Milliseconds(5.45),
+                          .promptTime = Milliseconds(13.3),
+                          .passesPerStream = PassesPerStream,
+                          .maxPassTime = Milliseconds(135)};
 
 /** A group without load that has just opened, and entries that each hold more streams than it takes. */
 class OpeningGroup
@@ -101,8 +101,8 @@
             prompts += std::exchange(entry.prompts, 0);
         }
         const auto perEngine = 1.0 / static_cast<double>(Engines);
-        const auto work = Rules.perRequest * (requests() * perEngine) + Rules.promptTime * (prompts * perEngine);
-        m_pass = Rules.base + work * m_stretch;
+        const auto work = Rules.timePerRequest * (requests() * perEngine) + Rules.promptTime * (prompts * perEngine);
+        m_pass = Rules.baseTime + work * m_stretch;
         m_passes.push_back(m_pass);
         m_passEnds = m_now + std::chrono::duration_cast<SteadyTime::duration>(m_pass);
     }
@@ -142,7 +142,7 @@
     OpeningGroup group(row.entries, row.stretch);
     group.run(1s);
     const auto broken = std::count_if(group.passes().begin(), group.passes().end(),
-                                      [](auto pass) { return pass > Rules.longestPass / 0.9; });
+                                      [](auto pass) { return pass > Rules.maxPassTime / 0.9; });
     EXPECT_LE(broken, 1) << row.name;
     EXPECT_GE(group.requests(), row.fewest) << row.name;
 }
