--- a/modules/heatherridge_state/decisions/admissionqueue.cpp
+++ b/modules/heatherridge_state/decisions/admissionqueue.cpp
@@ -160,7 +160,7 @@
     }
     m_nextSweep.reset();
     for (auto &[name, share] : m_shares) {
-        while (auto waiting = share.lane.popLate(now)) {
+        while (auto waiting = share.lane.popExpired(now)) {
             giveUp(share, std::move(waiting), ErrorKind::DeadlineUnreachable, now);
         }
         giveUpStale(share, now);
@@ -226,7 +226,7 @@
     if (share.tag + share.lane.backlog() / share.weight < m_virtualTime) {
         return false;
     }
-    const auto prompt = share.lane.lastPrompt();
+    const auto prompt = share.lane.lastShortWait();
     return prompt && now - *prompt > m_options.overloadedAfter;
 }
 
@@ -282,7 +282,8 @@
     return ahead && !alone ? ErrorKind::WorkspaceOverLimit : ErrorKind::Overloaded;
 }
 
-void AdmissionQueue::giveUp(Share &share, std::optional<WorkspaceLane::Waiting> waiting, ErrorKind kind, SteadyTime now)
+void AdmissionQueue::giveUp(Share &share, std::optional<WorkspaceQueue::QueuedRequest> waiting, ErrorKind kind,
+                            SteadyTime now)
 {
     if (!waiting) {
         return;
--- a/modules/heatherridge_state/decisions/admissionqueue.h
+++ b/modules/heatherridge_state/decisions/admissionqueue.h
@@ -20,8 +20,8 @@
     /** Cost that a workspace may receive ahead of its share after a pause: about 16 calls of 500 tokens, the burst of
      * one page that asks several questions. */
     double burst = 8'000;
-    /** A lane is overloaded when for so long none of its requests started promptly (WorkspaceLane::PromptWait): a burst
-     * that fits the target ends sooner. */
+    /** A lane is overloaded when for so long none of its requests started promptly (WorkspaceQueue::MaxShortWait): a
+     * burst that fits the target ends sooner. */
     std::chrono::milliseconds overloadedAfter{1000};
     /** Longest wait in an overloaded lane: bridges the gap between two arrivals, and a refused caller knows soon. */
     std::chrono::milliseconds overloadedWait{500};
@@ -73,7 +73,7 @@
  * - Shares: start-time fair queueing over cost. Each lane has a tag that advances by cost / weight of what was
  *   started; the lowest tag goes next. Without it the workspace that sends most receives most.
  * - Priority brings a lane forward by a bounded lead of its tag (one average request a step), so that urgent work
- *   starts sooner but its workspace's share stays the same; within a lane see WorkspaceLane.
+ *   starts sooner but its workspace's share stays the same; within a lane see WorkspaceQueue.
  * - Deadlines: what cannot finish in time by the measured rate is refused at once as not run, on arrival or as soon as
  *   it becomes so while it waits (see nextSweep()).
  * - Overload of a lane: the newest viable request is served first, and what has waited overloadedWait is given up, so
@@ -133,7 +133,7 @@
 private:
     struct Share
     {
-        WorkspaceLane lane{};
+        WorkspaceQueue lane{};
         double tag = 0; ///< cost / weight started so far, on the common virtual time line
         double weight = 1;
         double promised = 0; ///< cost refused with a time to come back, worked off since
@@ -156,7 +156,7 @@
     std::chrono::milliseconds comeBackAfter(Share &share, double cost, SteadyTime now);
     Error refusal(ErrorKind kind, Share &share, double cost, SteadyTime now);
     ErrorKind overloadKind(const Share &share) const;
-    void giveUp(Share &share, std::optional<WorkspaceLane::Waiting> waiting, ErrorKind kind, SteadyTime now);
+    void giveUp(Share &share, std::optional<WorkspaceQueue::QueuedRequest> waiting, ErrorKind kind, SteadyTime now);
     void giveUpStale(Share &share, SteadyTime now);
     void scheduleSweep(const Share &share, SteadyTime now);
     bool makePlace(Share &share, SteadyTime now);
--- a/modules/heatherridge_state/decisions/groupadmission.cpp
+++ b/modules/heatherridge_state/decisions/groupadmission.cpp
@@ -102,7 +102,7 @@
     m_work.requests += othersGrowth(work, share);
     m_rules = rules;
     m_share = share;
-    if (m_isStarting && now - m_openSince >= SlowStart) {
+    if (m_isStarting && now - m_openSince >= SlowStartDuration) {
         m_isStarting = false;
         m_stretch.discardOldSamples();
     }
--- a/modules/heatherridge_state/decisions/placementwait.h
+++ b/modules/heatherridge_state/decisions/placementwait.h
@@ -9,9 +9,9 @@
 
 /** Longest wait of a stream for an engine: callers leave after 2 s of silence, and the first event takes up to 0.5 s.
  */
-constexpr std::chrono::milliseconds LongestStreamWait{1'500};
+constexpr std::chrono::milliseconds MaxStreamWait{1'500};
 /** Part of the time left that a request may wait; the rest must do for the answer. */
-constexpr int WaitPartOfTimeLeft = 2;
+constexpr int MaxWaitDivisor = 2;
 
 /**
  * How long a request may wait at its entry for a target to take it, before it is refused.
@@ -22,12 +22,12 @@
  * @param timeLeft until the caller's deadline or the route's timeout
  * @param objective within which an answer is on time
  */
-constexpr std::chrono::milliseconds placementWait(RequestKind kind, std::chrono::milliseconds timeLeft,
+constexpr std::chrono::milliseconds placementWait(RequestKind kind, std::chrono::milliseconds remainingTime,
                                                   std::chrono::milliseconds objective)
 {
-    const auto part = timeLeft / WaitPartOfTimeLeft;
-    const auto longest = kind == RequestKind::EventStream ? LongestStreamWait : objective / 2;
-    return part < longest ? part : longest;
+    const auto shareOfRemaining = remainingTime / MaxWaitDivisor;
+    const auto maxWait = kind == RequestKind::EventStream ? MaxStreamWait : objective / 2;
+    return shareOfRemaining < maxWait ? shareOfRemaining : maxWait;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/slewratelimiter.cpp
+++ b/modules/heatherridge_state/decisions/slewratelimiter.cpp
@@ -6,23 +6,23 @@
 namespace Heatherridge
 {
 
-Pace::Pace(PaceOptions options, double weight)
+SlewRateLimiter::SlewRateLimiter(SlewRateOptions options, double weight)
     : m_options(options)
     , m_weight(weight)
 {
 }
 
-double Pace::follow(double goal, SteadyTime now)
+double SlewRateLimiter::moveTowards(double targetWeight, SteadyTime now)
 {
-    const std::chrono::duration<double> passed = m_last ? now - *m_last : SteadyTime::duration::zero();
-    m_last = now;
-    const double highest = m_weight * std::exp2(passed / m_options.doubleIn);
-    const double lowest = m_weight * std::exp2(-(passed / m_options.halveIn));
-    m_weight = std::clamp(std::clamp(goal, lowest, highest), m_options.least, 1.0);
+    const std::chrono::duration<double> elapsed = m_lastUpdate ? now - *m_lastUpdate : SteadyTime::duration::zero();
+    m_lastUpdate = now;
+    const double highest = m_weight * std::exp2(elapsed / m_options.doublingTime);
+    const double lowest = m_weight * std::exp2(-(elapsed / m_options.halvingTime));
+    m_weight = std::clamp(std::clamp(targetWeight, lowest, highest), m_options.minWeight, 1.0);
     return m_weight;
 }
 
-double Pace::weight() const
+double SlewRateLimiter::weight() const
 {
     return m_weight;
 }
--- a/modules/heatherridge_state/decisions/slewratelimiter.h
+++ b/modules/heatherridge_state/decisions/slewratelimiter.h
@@ -8,12 +8,13 @@
 namespace Heatherridge
 {
 
-/** Bounds of a Pace. */
-struct PaceOptions
+/** Bounds of a SlewRateLimiter. */
+struct SlewRateOptions
 {
-    std::chrono::milliseconds halveIn{500}; ///< fastest fall: work must leave a failing target within a second or two
-    std::chrono::milliseconds doubleIn{5000}; ///< fastest rise: longer than a report's lag and the answer to it
-    double least = 0.05; ///< never lower, so that a rise can begin
+    std::chrono::milliseconds halvingTime{
+        500}; ///< fastest fall: work must leave a failing target within a second or two
+    std::chrono::milliseconds doublingTime{5000}; ///< fastest rise: longer than a report's lag and the answer to it
+    double minWeight = 0.05; ///< never lower, so that a rise can begin
 };
 
 /**
@@ -24,21 +25,21 @@
  * since staying hurts callers; rising is slower than the loop of report, shift and next report, so that the
  * effect of a step is seen before the next. Value type, one thread.
  */
-class Pace
+class SlewRateLimiter
 {
 public:
-    explicit Pace(PaceOptions options = {}, double weight = 1);
+    explicit SlewRateLimiter(SlewRateOptions options = {}, double weight = 1);
 
     /** Moves towards @p goal (0 to 1) as far as the time since the last call allows, and returns the weight. */
-    double follow(double goal, SteadyTime now);
+    double moveTowards(double targetWeight, SteadyTime now);
 
     /** The weight without moving it. */
     double weight() const;
 
 private:
-    PaceOptions m_options;
+    SlewRateOptions m_options;
     double m_weight;
-    std::optional<SteadyTime> m_last;
+    std::optional<SteadyTime> m_lastUpdate;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/slownesstracker.cpp
+++ b/modules/heatherridge_state/decisions/slownesstracker.cpp
@@ -26,7 +26,7 @@
     refreshMedian(now);
     // A target faster than its peers counts as fast as they are: being less loaded makes it look fast already.
     const double relativeSpeed = std::clamp(m_median / state.smoothedTime, 1 / MaxSlowness, 1.0);
-    state.slowness = 1 / state.relativeSpeed.follow(relativeSpeed, now);
+    state.slowness = 1 / state.relativeSpeed.moveTowards(relativeSpeed, now);
 }
 
 double SlownessTracker::slowness(std::size_t target) const
--- a/modules/heatherridge_state/decisions/slownesstracker.h
+++ b/modules/heatherridge_state/decisions/slownesstracker.h
@@ -16,8 +16,8 @@
  *
  * Load pattern: a group held back by one straggler rank, a throttled accelerator, a busy neighbour. The target still
  * answers, so health checks pass, but each request placed there is late. The ratio is bounded, smoothed over about
- * 20 answers and followed at a Pace, so that one long answer does not shift load and a recovery does not bring all
- * work back at once. Targets are numbered by the owner. One thread.
+ * 20 answers and followed at a SlewRateLimiter, so that one long answer does not shift load and a recovery does not
+ * bring all work back at once. Targets are numbered by the owner. One thread.
  */
 class SlownessTracker
 {
@@ -38,7 +38,7 @@
     struct State
     {
         double smoothedTime = 0; ///< smoothed microseconds a unit; 0 while unknown
-        Pace relativeSpeed{};
+        SlewRateLimiter relativeSpeed{};
         double slowness = 1;
     };
 
--- a/modules/heatherridge_state/decisions/slowstart.h
+++ b/modules/heatherridge_state/decisions/slowstart.h
@@ -8,7 +8,7 @@
 {
 
 /** How long a group counts as just opened: by then the first streams have ended, and reports show the loads of all. */
-constexpr std::chrono::milliseconds SlowStart{2'000};
+constexpr std::chrono::milliseconds SlowStartDuration{2'000};
 
 /**
  * How many streams one entry may send an engine between two reports of its load, while its group has just opened: its
@@ -20,10 +20,10 @@
  * @param reportedLoad requests of all entries at the engine, by its last report
  * @param share of this entry in all work, 0 to 1
  */
-inline int startRoom(double places, int reportedLoad, double share)
+inline int slowStartAllowance(double capacity, int reportedLoad, double share)
 {
-    const double room = (places - reportedLoad) * share;
-    return std::max(1, static_cast<int>(std::ceil(room)));
+    const double allowance = (capacity - reportedLoad) * share;
+    return std::max(1, static_cast<int>(std::ceil(allowance)));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/streamqueue.cpp
+++ b/modules/heatherridge_state/decisions/streamqueue.cpp
@@ -10,27 +10,27 @@
 namespace
 {
 
-enum class Rank {
-    Begun,
+enum class AdmissionOrder {
+    Started,
     Timely,
     Late,
 };
 
-Rank rankOf(const WaitingStream &stream, SteadyTime now)
+AdmissionOrder admissionOrderOf(const WaitingStream &stream, SteadyTime now)
 {
-    if (stream.isBegun) {
-        return Rank::Begun;
+    if (stream.hasStarted) {
+        return AdmissionOrder::Started;
     }
-    return stream.onTimeUntil >= now ? Rank::Timely : Rank::Late;
+    return stream.onTimeUntil >= now ? AdmissionOrder::Timely : AdmissionOrder::Late;
 }
 
 } // namespace
 
-void StreamQueue::put(const WaitingStream &stream, SteadyTime now)
+void StreamQueue::enqueue(const WaitingStream &stream, SteadyTime now)
 {
-    const auto kind = kindOf(stream, now);
-    if (waiting(kind, now) == 0) {
-        m_paces[kind].since = now;
+    const auto streamClass = classOf(stream, now);
+    if (countWaiting(streamClass, now) == 0) {
+        m_admissionRates[streamClass].lastEvent = now;
     }
     m_streams.insert_or_assign(stream.number, stream);
 }
@@ -46,32 +46,32 @@
     if (found == m_streams.end()) {
         return;
     }
-    auto &pace = m_paces[kindOf(found->second, now)];
-    pace.interval.record(now - std::exchange(pace.since, now));
+    auto &rate = m_admissionRates[classOf(found->second, now)];
+    rate.interval.record(now - std::exchange(rate.lastEvent, now));
     m_streams.erase(found);
 }
 
 std::chrono::milliseconds StreamQueue::expectedWait(const WaitingStream &stream, SteadyTime now) const
 {
-    const auto kind = kindOf(stream, now);
-    const auto pace = m_paces.find(kind);
-    const auto interval = pace == m_paces.end() ? std::nullopt : pace->second.interval.mean();
-    const auto ahead = waiting(kind, now);
+    const auto streamClass = classOf(stream, now);
+    const auto rate = m_admissionRates.find(streamClass);
+    const auto interval = rate == m_admissionRates.end() ? std::nullopt : rate->second.interval.mean();
+    const auto ahead = countWaiting(streamClass, now);
     if (!interval || ahead == 0) {
         return std::chrono::milliseconds(0);
     }
     return std::chrono::duration_cast<std::chrono::milliseconds>(*interval * static_cast<double>(ahead));
 }
 
-StreamQueue::Kind StreamQueue::kindOf(const WaitingStream &stream, SteadyTime now)
+StreamQueue::StreamClass StreamQueue::classOf(const WaitingStream &stream, SteadyTime now)
 {
-    return {.service = stream.service, .isLate = rankOf(stream, now) == Rank::Late};
+    return {.service = stream.service, .isLate = admissionOrderOf(stream, now) == AdmissionOrder::Late};
 }
 
-std::ptrdiff_t StreamQueue::waiting(const Kind &kind, SteadyTime now) const
+std::ptrdiff_t StreamQueue::countWaiting(const StreamClass &streamClass, SteadyTime now) const
 {
     return std::count_if(m_streams.begin(), m_streams.end(),
-                         [&](const auto &entry) { return kindOf(entry.second, now) == kind; });
+                         [&](const auto &entry) { return classOf(entry.second, now) == streamClass; });
 }
 
 bool StreamQueue::isEmpty() const
@@ -79,14 +79,14 @@
     return m_streams.empty();
 }
 
-bool StreamQueue::hasTimely(const ServiceName &service, SteadyTime now) const
+bool StreamQueue::hasOnTimeStream(const ServiceName &service, SteadyTime now) const
 {
     return std::any_of(m_streams.begin(), m_streams.end(), [&](const auto &entry) {
-        return entry.second.service == service && rankOf(entry.second, now) == Rank::Timely;
+        return entry.second.service == service && admissionOrderOf(entry.second, now) == AdmissionOrder::Timely;
     });
 }
 
-std::vector<WaitingStream> StreamQueue::order(SteadyTime now) const
+std::vector<WaitingStream> StreamQueue::inAdmissionOrder(SteadyTime now) const
 {
     std::vector<WaitingStream> streams;
     streams.reserve(m_streams.size());
@@ -94,9 +94,9 @@
         streams.push_back(stream);
     }
     const auto key = [now](const WaitingStream &stream) {
-        const auto rank = rankOf(stream, now);
-        const auto urgency = rank == Rank::Timely ? stream.onTimeUntil : SteadyTime{};
-        return std::tuple(rank, urgency, stream.number);
+        const auto admissionOrder = admissionOrderOf(stream, now);
+        const auto urgency = admissionOrder == AdmissionOrder::Timely ? stream.onTimeUntil : SteadyTime{};
+        return std::tuple(admissionOrder, urgency, stream.number);
     };
     std::sort(streams.begin(), streams.end(), [&key](const auto &a, const auto &b) { return key(a) < key(b); });
     return streams;
--- a/modules/heatherridge_state/decisions/streamqueue.h
+++ b/modules/heatherridge_state/decisions/streamqueue.h
@@ -17,7 +17,7 @@
 {
     std::uint64_t number = 0; ///< names it; higher ones came later
     ServiceName service{};
-    bool isBegun = false; ///< its caller has a part of it
+    bool hasStarted = false; ///< its caller has a part of it
     SteadyTime onTimeUntil{}; ///< sent later it can't be on time any more
 };
 
@@ -32,7 +32,7 @@
 {
 public:
     /** @p stream begins to wait at @p now, or goes on with other facts. */
-    void put(const WaitingStream &stream, SteadyTime now);
+    void enqueue(const WaitingStream &stream, SteadyTime now);
 
     /** The stream @p number waits no longer. */
     void remove(std::uint64_t number);
@@ -49,33 +49,33 @@
     std::chrono::milliseconds expectedWait(const WaitingStream &stream, SteadyTime now) const;
 
     /** Whether a stream of @p service waits that can be on time at @p now. */
-    bool hasTimely(const ServiceName &service, SteadyTime now) const;
+    bool hasOnTimeStream(const ServiceName &service, SteadyTime now) const;
 
     /** All streams by the order in which they get room. */
-    std::vector<WaitingStream> order(SteadyTime now) const;
+    std::vector<WaitingStream> inAdmissionOrder(SteadyTime now) const;
 
 private:
     /** Streams that compete for the same room. */
-    struct Kind
+    struct StreamClass
     {
         ServiceName service{};
         bool isLate = false;
 
-        auto operator<=>(const Kind &) const = default;
+        auto operator<=>(const StreamClass &) const = default;
     };
 
     /** How quickly streams of one kind get room while some wait. */
-    struct Pace
+    struct AdmissionRate
     {
         RunningEstimate interval{};
-        SteadyTime since{}; ///< the last one got room, or the first began to wait
+        SteadyTime lastEvent{}; ///< the last one got room, or the first began to wait
     };
 
-    static Kind kindOf(const WaitingStream &stream, SteadyTime now);
-    std::ptrdiff_t waiting(const Kind &kind, SteadyTime now) const;
+    static StreamClass classOf(const WaitingStream &stream, SteadyTime now);
+    std::ptrdiff_t countWaiting(const StreamClass &streamClass, SteadyTime now) const;
 
     std::map<std::uint64_t, WaitingStream> m_streams;
-    std::map<Kind, Pace> m_paces;
+    std::map<StreamClass, AdmissionRate> m_admissionRates;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/targetratelimit.cpp
+++ b/modules/heatherridge_state/decisions/targetratelimit.cpp
@@ -8,38 +8,39 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-void TargetLimit::named(std::optional<double> requestsPerSecond, double part, SteadyTime now, RandomSource &random)
+void TargetRateLimit::update(std::optional<double> requestsPerSecond, double share, SteadyTime now,
+                             RandomSource &random)
 {
     const bool isNew = requestsPerSecond && !m_requestsPerSecond;
     m_requestsPerSecond = requestsPerSecond;
     if (isNew) {
-        m_lastSent = now - duration_cast<milliseconds>(interval(part) * random.fraction());
+        m_lastSent = now - duration_cast<milliseconds>(sendInterval(share) * random.fraction());
     }
 }
 
-std::optional<double> TargetLimit::requestsPerSecond() const
+std::optional<double> TargetRateLimit::requestsPerSecond() const
 {
     return m_requestsPerSecond;
 }
 
-milliseconds TargetLimit::wait(double part, SteadyTime now) const
+milliseconds TargetRateLimit::timeUntilAllowed(double share, SteadyTime now) const
 {
     if (!m_requestsPerSecond) {
         return milliseconds(0);
     }
-    return std::max(milliseconds(0), duration_cast<milliseconds>(m_lastSent + interval(part) - now));
+    return std::max(milliseconds(0), duration_cast<milliseconds>(m_lastSent + sendInterval(share) - now));
 }
 
-void TargetLimit::sent(SteadyTime now)
+void TargetRateLimit::recordSent(SteadyTime now)
 {
     m_lastSent = now;
 }
 
-milliseconds TargetLimit::interval(double part) const
+milliseconds TargetRateLimit::sendInterval(double share) const
 {
-    const double perSecond = *m_requestsPerSecond * part;
-    const bool isTooSeldom = perSecond * std::chrono::duration<double>(TrialPeriod).count() <= 1;
-    return isTooSeldom ? TrialPeriod : duration_cast<milliseconds>(std::chrono::duration<double>(1 / perSecond));
+    const double perSecond = *m_requestsPerSecond * share;
+    const bool isBelowProbeRate = perSecond * std::chrono::duration<double>(ProbePeriod).count() <= 1;
+    return isBelowProbeRate ? ProbePeriod : duration_cast<milliseconds>(std::chrono::duration<double>(1 / perSecond));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/targetratelimit.h
+++ b/modules/heatherridge_state/decisions/targetratelimit.h
@@ -17,30 +17,30 @@
  * entries add up to 1. The first one after the limit was named is sent at a random time, since all entries hear of it
  * at once. One thread.
  */
-class TargetLimit
+class TargetRateLimit
 {
 public:
     /** An entry without a part sends one request in this time, to hear whether the limit still holds. */
-    static constexpr std::chrono::milliseconds TrialPeriod{60'000};
+    static constexpr std::chrono::milliseconds ProbePeriod{60'000};
 
     /**
      * The target has answered.
      * @param requestsPerSecond that it takes; nothing when it names no limit
      * @param part of this entry, 0 to 1
      */
-    void named(std::optional<double> requestsPerSecond, double part, SteadyTime now, RandomSource &random);
+    void update(std::optional<double> requestsPerSecond, double share, SteadyTime now, RandomSource &random);
 
     /** The limit as it was last named. */
     std::optional<double> requestsPerSecond() const;
 
     /** How long until a request may be sent: 0 for now, and where no limit is named. */
-    std::chrono::milliseconds wait(double part, SteadyTime now) const;
+    std::chrono::milliseconds timeUntilAllowed(double share, SteadyTime now) const;
 
     /** A request is sent. */
-    void sent(SteadyTime now);
+    void recordSent(SteadyTime now);
 
 private:
-    std::chrono::milliseconds interval(double part) const;
+    std::chrono::milliseconds sendInterval(double share) const;
 
     std::optional<double> m_requestsPerSecond;
     SteadyTime m_lastSent{}; ///< since the limit was named, or a time before
--- a/modules/heatherridge_state/decisions/workspacequeue.h
+++ b/modules/heatherridge_state/decisions/workspacequeue.h
@@ -32,7 +32,7 @@
  * step below short ones of the same priority. Within a class the oldest goes first, or the newest under overload, when
  * the oldest would come too late anyway. Owned by AdmissionQueue, one thread.
  */
-class WorkspaceLane
+class WorkspaceQueue
 {
 public:
     /** A second a step: half the 20 steps from -10 to 10 pass within a third of the default deadline of 30 s. */
@@ -40,10 +40,10 @@
 
     /** A request that starts within this wait has not met a queue worth the name: below the time to first token of
      * 360 ms that callers are to see, with room for the prompt. */
-    static constexpr std::chrono::milliseconds PromptWait{250};
+    static constexpr std::chrono::milliseconds MaxShortWait{250};
 
     /** A request in the lane and when it came. */
-    struct Waiting
+    struct QueuedRequest
     {
         WorkRequest request{};
         SteadyTime arrived{};
@@ -52,22 +52,22 @@
     };
 
     /** Adds @p waiting at the end of its class. */
-    void add(Waiting waiting, SteadyTime now);
+    void add(QueuedRequest queued, SteadyTime now);
 
     /** Whether nothing waits, or nothing but long requests when @p longAllowed is false. */
-    bool isEmpty(bool longAllowed = true) const;
+    bool isEmpty(bool allowLong = true) const;
 
     /** Takes out the request to start next; nothing when isEmpty(@p longAllowed). */
-    std::optional<Waiting> pop(SteadyTime now, bool longAllowed, bool newestFirst);
+    std::optional<QueuedRequest> pop(SteadyTime now, bool allowLong, bool newestFirst);
 
     /** Takes out the request that came first, whatever its class. */
-    std::optional<Waiting> popOldest();
+    std::optional<QueuedRequest> popOldest();
 
     /** Takes out the request named @p id. */
-    std::optional<Waiting> remove(const RequestId &id);
+    std::optional<QueuedRequest> remove(const RequestId &id);
 
     /** Takes out one request whose latest start is before @p now. */
-    std::optional<Waiting> popLate(SteadyTime now);
+    std::optional<QueuedRequest> popExpired(SteadyTime now);
 
     /** The earliest of all latest starts. */
     std::optional<SteadyTime> earliestLatestStart() const;
@@ -87,9 +87,9 @@
     /** When the newest request came, waiting still or not; nothing while the lane is empty. */
     std::optional<SteadyTime> lastArrival() const;
 
-    /** When the lane was last empty, or gave out a request while its oldest had not waited beyond PromptWait; nothing
+    /** When the lane was last empty, or gave out a request while its oldest had not waited beyond MaxShortWait; nothing
      * while it is empty. */
-    std::optional<SteadyTime> lastPrompt() const;
+    std::optional<SteadyTime> lastShortWait() const;
 
 private:
     struct ClassKey
@@ -100,20 +100,20 @@
         auto operator<=>(const ClassKey &) const = default;
     };
 
-    struct Class
+    struct PriorityClass
     {
-        std::deque<Waiting> requests{};
-        SteadyTime waitingSince{}; ///< when it was last served, or came to be
+        std::deque<QueuedRequest> requests{};
+        SteadyTime agesSince{}; ///< when it was last served, or came to be
     };
 
-    using Classes = std::map<ClassKey, Class>;
+    using Classes = std::map<ClassKey, PriorityClass>;
 
-    Waiting takeOut(Classes::iterator position, const std::deque<Waiting>::const_iterator &request);
+    QueuedRequest extract(Classes::iterator position, const std::deque<QueuedRequest>::const_iterator &request);
 
     Classes m_classes;
     double m_backlog = 0;
     std::size_t m_size = 0;
-    std::optional<SteadyTime> m_lastPrompt;
+    std::optional<SteadyTime> m_lastShortWait;
     SteadyTime m_lastArrival{};
 };
 
--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -60,7 +60,7 @@
     if (refuseIfBlocked()) {
         return;
     }
-    if (isStream() && m_traffic.m_queue.hasTimely(m_service, m_arrived)) {
+    if (isStream() && m_traffic.m_queue.hasOnTimeStream(m_service, m_arrived)) {
         enqueue(); // behind those that came before it
     } else {
         attempt();
@@ -153,11 +153,13 @@
     if (!m_waitsUntil) {
         m_waitsUntil = now() + placementWait(m_route.kind, timeLeft(), m_route.objective);
     }
-    const WaitingStream stream{
-        .number = m_number, .service = m_service, .isBegun = urgency() == Urgency::Begun, .onTimeUntil = onTimeUntil()};
+    const WaitingStream stream{.number = m_number,
+                               .service = m_service,
+                               .hasStarted = urgency() == Urgency::Begun,
+                               .onTimeUntil = onTimeUntil()};
     // Asked when it joins and when it falls behind the timely ones: at other times it has moved up.
     const bool isLate = stream.onTimeUntil < now();
-    const bool isBehind = !stream.isBegun && m_isQueuedAsLate != isLate;
+    const bool isBehind = !stream.hasStarted && m_isQueuedAsLate != isLate;
     const auto wait = isBehind ? m_traffic.m_queue.expectedWait(stream, now()) : milliseconds(0);
     if (now() + wait > *m_waitsUntil) {
         fail({.kind = ErrorKind::Overloaded, .detail = "the queue is too long", .retryAfter = wait});
@@ -210,7 +212,7 @@
     m_traffic.admitted(m_number, m_sentAt);
     m_traffic.m_targets.sentTo(m_group, m_sentAt);
     target.load.recordSent();
-    target.limit.sent(m_sentAt);
+    target.limit.recordSent(m_sentAt);
     ++target.sentSinceReport;
     const auto &request = m_exchange->request();
     const auto headers =
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -109,7 +109,7 @@
 {
     std::optional<std::chrono::milliseconds> shortest;
     for (const auto *target : targets) {
-        const auto wait = target->limit.wait(m_limitPart, now);
+        const auto wait = target->limit.timeUntilAllowed(m_limitPart, now);
         if (wait.count() > 0) {
             shortest = std::min(shortest.value_or(wait), wait);
         }
@@ -127,7 +127,7 @@
             .isNear = target.entry.zone == m_zone,
             .isCold = target.entry.coldFor.count() > 0,
             .wasTried = tried.contains(target.entry.id),
-            .isHeldBack = target.limit.wait(m_limitPart, now).count() > 0,
+            .isHeldBack = target.limit.timeUntilAllowed(m_limitPart, now).count() > 0,
             .health = isOut ? Health::Ejected : health.healthOf(target.entry.id, now)};
 }
 
@@ -195,7 +195,7 @@
     const auto found = m_groups.find(target.engine->group);
     const int reported = target.engine->running + target.engine->waiting;
     return found != m_groups.end() && found->second.isStarting()
-        && target.sentSinceReport >= startRoom(target.entry.slots, reported, m_part);
+        && target.sentSinceReport >= slowStartAllowance(target.entry.slots, reported, m_part);
 }
 
 void GatewayTargets::setParts(double limitPart, double roomPart)
@@ -209,7 +209,7 @@
                                RandomSource &random) const
 {
     const bool isOther = target.limit.requestsPerSecond() != requestsPerSecond;
-    target.limit.named(requestsPerSecond, m_limitPart, now, random);
+    target.limit.update(requestsPerSecond, m_limitPart, now, random);
     return isOther;
 }
 
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -25,7 +25,7 @@
     std::optional<EngineView> engine{}; ///< of an engine in an expert group, its own last word
     int sentSinceReport = 0; ///< requests of this gateway since the engine's last word
     SteadyTime refusedUntil{}; ///< it has refused a request; nothing is sent before
-    TargetLimit limit{}; ///< of the requests that it takes from all entries together
+    TargetRateLimit limit{}; ///< of the requests that it takes from all entries together
 };
 
 /**
--- a/modules/heatherridge_transport/direct/gatewaytraffic.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.cpp
@@ -142,7 +142,7 @@
 
 void GatewayTraffic::enqueue(const std::shared_ptr<GatewayCall> &call, const WaitingStream &stream)
 {
-    m_queue.put(stream, std::chrono::steady_clock::now());
+    m_queue.enqueue(stream, std::chrono::steady_clock::now());
     m_waiting.insert_or_assign(stream.number, call);
     armQueueTimer();
 }
@@ -178,7 +178,7 @@
 void GatewayTraffic::advanceQueue()
 {
     std::set<ServiceName> full;
-    for (const auto &stream : m_queue.order(std::chrono::steady_clock::now())) {
+    for (const auto &stream : m_queue.inAdmissionOrder(std::chrono::steady_clock::now())) {
         const auto found = m_waiting.find(stream.number);
         const auto call = found == m_waiting.end() ? nullptr : found->second.lock();
         if (!call) {
@@ -191,7 +191,7 @@
         }
         call->tryAgain();
         const bool isStillWaiting = m_waiting.contains(stream.number);
-        if (!stream.isBegun && isStillWaiting) {
+        if (!stream.hasStarted && isStillWaiting) {
             full.insert(stream.service);
         }
     }
--- a/tests/decisions/direct_test.cpp
+++ b/tests/decisions/direct_test.cpp
@@ -239,7 +239,7 @@
 };
 
 const WaitRow WaitRows[] = {
-    {"a stream with all its time", EventStream, 8s, LongestStreamWait},
+    {"a stream with all its time", EventStream, 8s, MaxStreamWait},
     {"a stream with little time", EventStream, 1s, 500ms},
     {"a booking", NonIdempotent, 1500ms, 150ms},
     {"a booking with little time", NonIdempotent, 200ms, 100ms},
--- a/tests/decisions/engineplacement_test.cpp
+++ b/tests/decisions/engineplacement_test.cpp
@@ -67,10 +67,10 @@
 }
 
 /** An engine of the first group takes so many times as long, and has no request. */
-template<int Pace>
+template<int SlewRateLimiter>
 void slowEngine(EngineWorld &world)
 {
-    world.engines[0].pace = Pace;
+    world.engines[0].pace = SlewRateLimiter;
     world.engines[0].target.load = 0;
 }
 
--- a/tests/decisions/entryside_test.cpp
+++ b/tests/decisions/entryside_test.cpp
@@ -199,12 +199,12 @@
     EXPECT_LE(*hedge.delay(), 13ms);
 }
 
-TEST(Pace, FallsFastAndRisesSlowly)
+TEST(SlewRateLimiter, FallsFastAndRisesSlowly)
 {
-    Pace pace;
-    pace.follow(1, Start);
-    EXPECT_DOUBLE_EQ(pace.follow(0.1, Start + 500ms), 0.5);
-    EXPECT_DOUBLE_EQ(pace.follow(1, Start + 1000ms), 0.5 * std::exp2(0.1));
+    SlewRateLimiter limiter;
+    limiter.moveTowards(1, Start);
+    EXPECT_DOUBLE_EQ(limiter.moveTowards(0.1, Start + 500ms), 0.5);
+    EXPECT_DOUBLE_EQ(limiter.moveTowards(1, Start + 1000ms), 0.5 * std::exp2(0.1));
 }
 
 struct PlacementRow
--- a/tests/decisions/groupadmission_test.cpp
+++ b/tests/decisions/groupadmission_test.cpp
@@ -204,7 +204,7 @@
         group.recordPause(150ms, now);
     }
     EXPECT_FALSE(group.view(workOf(4), Rules, Share, now).hasRoom);
-    while (now < Start + SlowStart + 500ms) {
+    while (now < Start + SlowStartDuration + 500ms) {
         now += 45ms;
         group.recordPause(45ms, now);
         group.view(workOf(4), Rules, Share, now);
--- a/tests/decisions/passbudget_test.cpp
+++ b/tests/decisions/passbudget_test.cpp
@@ -196,12 +196,12 @@
         }
         std::erase_if(running, [](const auto &stream) { return stream.passesLeft == 0; });
         for (due += pass.count() / 1'000 * streamsPerSecond; due >= 1; --due) {
-            line.put({.number = ++number, .onTimeUntil = steady(now) + objective}, steady(now));
+            line.enqueue({.number = ++number, .onTimeUntil = steady(now) + objective}, steady(now));
         }
         const double inBadMoments = maxRequestsOnTime(slowdown.highPercentile(), engines, Large);
         const double atPresent = maxRequestsOnTime(slowdown.current(), engines, Large);
         while (!line.isEmpty()) {
-            const auto order = line.order(steady(now));
+            const auto order = line.inAdmissionOrder(steady(now));
             const auto first = bound != Bound::Batches
                 ? order.front()
                 : *std::min_element(order.begin(), order.end(),
--- a/tests/decisions/slowstart_test.cpp
+++ b/tests/decisions/slowstart_test.cpp
@@ -10,10 +10,10 @@
 struct RoomRow
 {
     const char *story;
-    double places;
+    double capacity;
     int reportedLoad;
     double share;
-    int room;
+    int allowance;
 };
 
 const RoomRow RoomRows[] = {
@@ -32,7 +32,7 @@
 TEST_P(StartRooms, AreSharedAmongEntries)
 {
     const auto &row = GetParam();
-    EXPECT_EQ(startRoom(row.places, row.reportedLoad, row.share), row.room) << row.story;
+    EXPECT_EQ(slowStartAllowance(row.capacity, row.reportedLoad, row.share), row.allowance) << row.story;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, StartRooms, testing::ValuesIn(RoomRows));
--- a/tests/decisions/streamqueue_test.cpp
+++ b/tests/decisions/streamqueue_test.cpp
@@ -31,7 +31,7 @@
       {.number = 3, .onTimeUntil = Start + 1'400ms}},
      {3, 1, 2}},
     {"one that was broken off before all others",
-     {{.number = 1, .onTimeUntil = Start + 1'200ms}, {.number = 2, .isBegun = true, .onTimeUntil = Start}},
+     {{.number = 1, .onTimeUntil = Start + 1'200ms}, {.number = 2, .hasStarted = true, .onTimeUntil = Start}},
      {2, 1}},
 };
 
@@ -43,10 +43,10 @@
 {
     StreamQueue line;
     for (const auto &stream : GetParam().streams) {
-        line.put(stream, Start);
+        line.enqueue(stream, Start);
     }
     std::vector<std::uint64_t> order;
-    for (const auto &stream : line.order(Start + 1s)) {
+    for (const auto &stream : line.inAdmissionOrder(Start + 1s)) {
         order.push_back(stream.number);
     }
     EXPECT_EQ(order, GetParam().order) << GetParam().story;
@@ -57,13 +57,13 @@
 TEST(Lines, KnowWhetherATimelyStreamOfAServiceWaits)
 {
     StreamQueue line;
-    line.put({.number = 1, .service = Service, .onTimeUntil = Start}, Start);
-    EXPECT_TRUE(line.hasTimely(Service, Start));
-    EXPECT_FALSE(line.hasTimely(ServiceName("other"), Start));
-    EXPECT_FALSE(line.hasTimely(Service, Start + 1ms));
+    line.enqueue({.number = 1, .service = Service, .onTimeUntil = Start}, Start);
+    EXPECT_TRUE(line.hasOnTimeStream(Service, Start));
+    EXPECT_FALSE(line.hasOnTimeStream(ServiceName("other"), Start));
+    EXPECT_FALSE(line.hasOnTimeStream(Service, Start + 1ms));
     line.remove(1);
     EXPECT_TRUE(line.isEmpty());
-    EXPECT_FALSE(line.hasTimely(Service, Start));
+    EXPECT_FALSE(line.hasOnTimeStream(Service, Start));
 }
 
 struct WaitRow
@@ -94,7 +94,7 @@
     StreamQueue line;
     auto now = Start;
     for (int number = 1; number <= before + row.waiting; ++number) {
-        line.put({.number = static_cast<std::uint64_t>(number), .service = Service}, now);
+        line.enqueue({.number = static_cast<std::uint64_t>(number), .service = Service}, now);
     }
     for (std::uint64_t number = 1; number <= before; ++number) {
         now += row.interval;
@@ -122,13 +122,13 @@
     int all = 0;
     for (auto now = 0ms; now < day; now += 1ms) {
         if (now % comes == 0ms) {
-            line.put({.number = ++number, .service = Service, .onTimeUntil = Start + now + objective}, Start + now);
+            line.enqueue({.number = ++number, .service = Service, .onTimeUntil = Start + now + objective}, Start + now);
             ++all;
         }
         if (now < halt || now % served != 0ms || line.isEmpty()) {
             continue;
         }
-        const auto first = line.order(Start + now).front();
+        const auto first = line.inAdmissionOrder(Start + now).front();
         onTime += first.onTimeUntil >= Start + now ? 1 : 0;
         line.remove(first.number);
     }
--- a/tests/decisions/targetratelimit_test.cpp
+++ b/tests/decisions/targetratelimit_test.cpp
@@ -47,7 +47,7 @@
 {
     const auto &row = GetParam();
     SeededRandom random(11);
-    std::vector<TargetLimit> limits(row.entries);
+    std::vector<TargetRateLimit> limits(row.entries);
     std::vector<double> parts(row.entries, 0);
     for (int partition = 0; partition < row.partitions; ++partition) {
         parts[static_cast<std::size_t>(partition) % row.entries] += 1.0 / row.partitions;
@@ -58,11 +58,11 @@
     const double chance = row.arrivals * std::chrono::duration<double>(step).count();
     for (auto now = SteadyTime{} + 1h; now < SteadyTime{} + 1h + day; now += step) {
         for (std::size_t entry = 0; entry < row.entries; ++entry) {
-            if (random.fraction() >= chance || limits[entry].wait(parts[entry], now).count() > 0) {
+            if (random.fraction() >= chance || limits[entry].timeUntilAllowed(parts[entry], now).count() > 0) {
                 continue;
             }
-            limits[entry].sent(now);
-            limits[entry].named(row.limit, parts[entry], now, random); // by the answer
+            limits[entry].recordSent(now);
+            limits[entry].update(row.limit, parts[entry], now, random); // by the answer
             times.push_back(now);
         }
     }
@@ -78,15 +78,15 @@
 TEST(Limits, EndWithTheFirstAnswerThatNamesNone)
 {
     SeededRandom random(3);
-    TargetLimit limit;
-    EXPECT_EQ(limit.wait(0.25, SteadyTime{}), 0ms);
-    limit.named(1, 0.25, SteadyTime{}, random);
-    limit.sent(SteadyTime{});
-    EXPECT_EQ(limit.wait(0.25, SteadyTime{} + 1s), 3s);
-    EXPECT_EQ(limit.wait(0.5, SteadyTime{} + 1s), 1s) << "another gateway has left";
-    EXPECT_EQ(limit.wait(0, SteadyTime{} + 1s), TargetLimit::TrialPeriod - 1s);
-    limit.named({}, 0.25, SteadyTime{} + 1s, random);
-    EXPECT_EQ(limit.wait(0.25, SteadyTime{} + 1s), 0ms);
+    TargetRateLimit limit;
+    EXPECT_EQ(limit.timeUntilAllowed(0.25, SteadyTime{}), 0ms);
+    limit.update(1, 0.25, SteadyTime{}, random);
+    limit.recordSent(SteadyTime{});
+    EXPECT_EQ(limit.timeUntilAllowed(0.25, SteadyTime{} + 1s), 3s);
+    EXPECT_EQ(limit.timeUntilAllowed(0.5, SteadyTime{} + 1s), 1s) << "another gateway has left";
+    EXPECT_EQ(limit.timeUntilAllowed(0, SteadyTime{} + 1s), TargetRateLimit::ProbePeriod - 1s);
+    limit.update({}, 0.25, SteadyTime{} + 1s, random);
+    EXPECT_EQ(limit.timeUntilAllowed(0.25, SteadyTime{} + 1s), 0ms);
 }
 
 } // namespace
