--- a/benchmarks/decisioncost.cpp
+++ b/benchmarks/decisioncost.cpp
@@ -14,7 +14,7 @@
 {
     std::vector<TargetView> views;
     for (std::size_t i = 0; i < count; ++i) {
-        views.push_back({.key = keyOf(TargetName("t" + std::to_string(i))),
+        views.push_back({.key = targetKey(TargetName("t" + std::to_string(i))),
                          .reportedLoad = static_cast<double>(i % 17) * 300,
                          .reportedCapacity = 15'000,
                          .ownLoad = static_cast<double>(i % 5) * 300,
@@ -68,12 +68,12 @@
     PrefixIndex index;
     const SteadyTime start{};
     for (std::uint32_t i = 0; i < 2'000; ++i) {
-        index.insert(static_cast<TargetSlot>(i % 64), PrefixIndex::chainOf(std::string(8'192, 'a') + std::to_string(i)),
-                     start);
+        index.insert(static_cast<TargetSlot>(i % 64),
+                     PrefixIndex::hashChain(std::string(8'192, 'a') + std::to_string(i)), start);
     }
     const std::string prompt(8'192, 'a');
     for (auto _ : state) {
-        benchmark::DoNotOptimize(index.match(PrefixIndex::chainOf(prompt), start));
+        benchmark::DoNotOptimize(index.match(PrefixIndex::hashChain(prompt), start));
     }
 }
 
@@ -82,7 +82,7 @@
 {
     std::vector<std::uint64_t> keys;
     for (std::int64_t i = 0; i < state.range(0); ++i) {
-        keys.push_back(keyOf(TargetName("t" + std::to_string(i))));
+        keys.push_back(targetKey(TargetName("t" + std::to_string(i))));
     }
     for (auto _ : state) {
         benchmark::DoNotOptimize(SubsetSelection::choose(keys, {.entryIndex = 7, .size = 64}));
--- a/extras/heatherridge-policies/model/fakeentry.cpp
+++ b/extras/heatherridge-policies/model/fakeentry.cpp
@@ -15,12 +15,12 @@
 
 std::uint64_t prefixHash(int prefix)
 {
-    return mixKeys(0x50, static_cast<std::uint64_t>(prefix)) | 1U;
+    return rendezvousHash(0x50, static_cast<std::uint64_t>(prefix)) | 1U;
 }
 
 RetryOptions withoutBudget(RetryOptions options)
 {
-    options.budget = {.share = 100, .reserve = 1e9, .most = 1e9};
+    options.budget = {.earnedPerSuccess = 100, .initialBalance = 1e9, .maxBalance = 1e9};
     return options;
 }
 
@@ -43,7 +43,7 @@
 {
     for (std::size_t target = 0; target < m_gates.size(); ++target) {
         m_health.add(nameOf(target));
-        m_views[target].key = keyOf(nameOf(target));
+        m_views[target].key = targetKey(nameOf(target));
         m_views[target].zoneDelay = delayTo(target);
     }
 }
@@ -67,7 +67,7 @@
 void FakeEntry::takeCacheEvents(std::size_t target, const std::vector<CacheEvent> &events, bool complete)
 {
     if (!complete && m_options.distrustGaps) {
-        m_prefixes.forget(static_cast<TargetSlot>(target));
+        m_prefixes.removeTarget(static_cast<TargetSlot>(target));
     }
     for (const auto &event : events) {
         const std::uint64_t chain[] = {prefixHash(event.prefix)};
@@ -139,7 +139,7 @@
     const bool isFault = error.kind == ErrorKind::TargetUnreachable || error.kind == ErrorKind::OutcomeUnknown;
     if (isFault) {
         m_health.record(nameOf(target), AttemptOutcome::Failed, m_loop.now());
-        m_prefixes.forget(static_cast<TargetSlot>(target));
+        m_prefixes.removeTarget(static_cast<TargetSlot>(target));
     }
     if (!m_options.retries) {
         refuse(request.job, error);
@@ -148,8 +148,8 @@
     request.refusedBy.insert(target);
     const auto decision = m_retries.decide({.error = error,
                                             .idempotent = true,
-                                            .otherTargets = request.refusedBy.size() < m_gates.size(),
-                                            .attempt = request.attempt,
+                                            .hasOtherTargets = request.refusedBy.size() < m_gates.size(),
+                                            .previousAttempts = request.attempt,
                                             .deadline = request.job.deadline},
                                            m_loop.now(), m_random);
     m_recorder.recordVerdict(request.job, decision.verdict);
@@ -186,14 +186,14 @@
         view.reportedLoad = link.report.load;
         view.reportedCapacity = link.report.capacity;
         view.reportedPressure = m_options.usePressure ? link.report.pressure : 1;
-        view.pendingPrompt = m_options.usePending ? link.report.pendingPrompt + link.promptSent : 0;
+        view.pendingPromptTokens = m_options.usePending ? link.report.pendingPrompt + link.promptSent : 0;
         view.ownAtReport = link.report.ofEntry;
         view.reportAge = link.reported ? duration_cast<microseconds>(m_loop.now() - *link.reported) : NeverReported;
         view.ownLoad = link.load;
         view.ownInFlight = link.inFlight;
         view.warmth = link.report.warmth;
         view.slowness = m_options.slowness ? m_slowness.slowness(target) : 1;
-        view.probe = health == Health::Probing;
+        view.awaitsProbe = health == Health::Probing;
         view.usable = health == Health::Healthy && !request.refusedBy.contains(target);
         view.prefixTokens = 0;
     }
@@ -210,7 +210,7 @@
         auto &gate = *m_gates[target];
         view.usable = gate.isUp();
         view.reportedLoad = gate.reportFor(m_number).load;
-        view.pendingPrompt = m_options.usePending ? gate.reportFor(m_number).pendingPrompt : 0;
+        view.pendingPromptTokens = m_options.usePending ? gate.reportFor(m_number).pendingPrompt : 0;
         view.reportedPressure = gate.reportFor(m_number).pressure;
         view.reportedCapacity = gate.reportFor(m_number).capacity;
         view.prefixTokens = gate.engine().holds(job.prefix) ? static_cast<std::uint32_t>(job.prefixTokens) : 0;
--- a/modules/heatherridge_state/decisions/costplacement.cpp
+++ b/modules/heatherridge_state/decisions/costplacement.cpp
@@ -124,7 +124,7 @@
     }
     const double refused = PressurePrice * means.capacity * std::log(std::max(1.0, target.reportedPressure));
     const double work = refused + load / std::max(target.warmth, LeastWarmth) + traits.cost
-        + (target.pendingPrompt - saved) * PrefixTokenValue;
+        + (target.pendingPromptTokens - saved) * PrefixTokenValue;
     const double delay = 2 * m_options.zonePrice * static_cast<double>(target.zoneDelay.count());
     return work * target.slowness * traits.timePerUnit.count() + delay;
 }
--- a/modules/heatherridge_state/decisions/hashplacement.cpp
+++ b/modules/heatherridge_state/decisions/hashplacement.cpp
@@ -11,16 +11,16 @@
     if (traits.affinityKey == 0) {
         return drawUsable(targets, random);
     }
-    std::optional<std::size_t> home;
-    std::uint64_t highest = 0;
+    std::optional<std::size_t> chosen;
+    std::uint64_t highestHash = 0;
     for (std::size_t index = 0; index < targets.size(); ++index) {
-        const std::uint64_t place = mixKeys(targets[index].key, traits.affinityKey);
-        if (targets[index].usable && (!home || place > highest)) {
-            home = index;
-            highest = place;
+        const std::uint64_t hash = rendezvousHash(targets[index].key, traits.affinityKey);
+        if (targets[index].usable && (!chosen || hash > highestHash)) {
+            chosen = index;
+            highestHash = hash;
         }
     }
-    return home;
+    return chosen;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/linkplan.cpp
+++ b/modules/heatherridge_state/decisions/linkplan.cpp
@@ -13,13 +13,13 @@
 {
 
 /** Engines between which a request may choose. */
-using Kind = std::pair<ServiceName, std::vector<ModelName>>;
+using EngineKind = std::pair<ServiceName, std::vector<ModelName>>;
 using Targets = std::vector<const Target *>;
 
 /** The part of @p perKind that falls to a zone with @p inZone of @p total targets; at least one. */
-std::size_t shareOf(std::size_t perKind, std::size_t inZone, std::size_t total)
+std::size_t zoneShare(std::size_t targetsPerKind, std::size_t inZone, std::size_t total)
 {
-    return (perKind * inZone + total - 1) / total;
+    return (targetsPerKind * inZone + total - 1) / total;
 }
 
 void addSubset(std::map<TargetName, Endpoint> &links, const Targets &targets, const SubsetOptions &options)
@@ -27,7 +27,7 @@
     std::vector<std::uint64_t> keys;
     keys.reserve(targets.size());
     for (const auto *target : targets) {
-        keys.push_back(keyOf(target->name));
+        keys.push_back(targetKey(target->name));
     }
     for (const auto index : SubsetSelection::choose(keys, options)) {
         links.emplace(targets[index]->name, targets[index]->gate);
@@ -39,22 +39,22 @@
 std::map<TargetName, Endpoint> LinkPlan::choose(const Inventory &inventory, const LinkPlanOptions &options)
 {
     std::map<TargetName, Endpoint> links;
-    std::map<Kind, std::map<ZoneName, Targets>> engines;
-    std::map<Kind, std::size_t> totals;
+    std::map<EngineKind, std::map<ZoneName, Targets>> engines;
+    std::map<EngineKind, std::size_t> totals;
     for (const auto &[name, target] : inventory.targets()) {
         if (target.kind == TargetKind::Plain) {
             links.emplace(name, target.gate);
         } else if (target.group.isEmpty() || target.rank == 0) {
-            const Kind kind{target.service, target.models};
+            const EngineKind kind{target.service, target.models};
             engines[kind][target.zone].push_back(&target);
             ++totals[kind];
         }
     }
     for (const auto &[kind, zones] : engines) {
         for (const auto &[zone, targets] : zones) {
-            addSubset(
-                links, targets,
-                {.entryIndex = options.entryNumber, .size = shareOf(options.perKind, targets.size(), totals[kind])});
+            addSubset(links, targets,
+                      {.entryIndex = options.entryNumber,
+                       .size = zoneShare(options.targetsPerKind, targets.size(), totals[kind])});
         }
     }
     return links;
--- a/modules/heatherridge_state/decisions/linkplan.h
+++ b/modules/heatherridge_state/decisions/linkplan.h
@@ -15,7 +15,7 @@
     /** Engines of one kind (service and models alike). At 64 all of today's are linked, and a decision has eight
      * samples in each of seven zones; at the size of 9 models before 4,800 replicas 24 keep an entry within its limits.
      */
-    std::size_t perKind = 64;
+    std::size_t targetsPerKind = 64;
 };
 
 /**
--- a/modules/heatherridge_state/decisions/placement.cpp
+++ b/modules/heatherridge_state/decisions/placement.cpp
@@ -6,14 +6,15 @@
 namespace
 {
 
-std::optional<std::size_t> probeTarget(std::span<const TargetView> targets, const RequestTraits &traits,
-                                       RandomSource &random)
+std::optional<std::size_t> drawProbeTarget(std::span<const TargetView> targets, const RequestTraits &traits,
+                                           RandomSource &random)
 {
     if (!traits.mayProbe) {
         return std::nullopt;
     }
     for (std::size_t index = 0; index < targets.size(); ++index) {
-        if (targets[index].probe && targets[index].ownInFlight == 0 && random.fraction() < Placement::ProbeChance) {
+        if (targets[index].awaitsProbe && targets[index].ownInFlight == 0
+            && random.fraction() < Placement::ProbeProbability) {
             return index;
         }
     }
@@ -30,12 +31,12 @@
 Result<std::size_t> Placement::choose(std::span<const TargetView> targets, const RequestTraits &traits,
                                       RandomSource &random)
 {
-    if (const auto probe = probeTarget(targets, traits, random)) {
+    if (const auto probe = drawProbeTarget(targets, traits, random)) {
         return *probe;
     }
     const auto chosen = std::visit([&](auto &policy) { return policy.choose(targets, traits, random); }, m_policy);
     if (!chosen) {
-        return Error{.kind = ErrorKind::NoTarget, .ran = Ran::No, .retryAfter = NoTargetReturn};
+        return Error{.kind = ErrorKind::NoTarget, .ran = Ran::No, .retryAfter = NoTargetRetryDelay};
     }
     return *chosen;
 }
--- a/modules/heatherridge_state/decisions/placement.h
+++ b/modules/heatherridge_state/decisions/placement.h
@@ -16,16 +16,16 @@
  * The entry's choice of a target, by the policy that the rule set names.
  *
  * Holds one of the policies and adds what holds for all: a target under probation gets one idempotent request at a
- * time, drawn with ProbeChance, so that its recovery is seen without risking a booking; without any usable target
+ * time, drawn with ProbeProbability, so that its recovery is seen without risking a booking; without any usable target
  * the request is refused as not run, since entries never queue. One thread.
  */
 class Placement
 {
 public:
     /** At 10 requests a second a recovered target is found within about 3 s, at a cost of 3% of requests at most. */
-    static constexpr double ProbeChance = 1.0 / 32;
+    static constexpr double ProbeProbability = 1.0 / 32;
     /** When a caller without any target should ask again: inventory and health change within seconds. */
-    static constexpr std::chrono::milliseconds NoTargetReturn{1000};
+    static constexpr std::chrono::milliseconds NoTargetRetryDelay{1000};
 
     /** Chooses by @p rules. */
     explicit Placement(const PlacementRules &rules);
--- a/modules/heatherridge_state/decisions/prefixindex.cpp
+++ b/modules/heatherridge_state/decisions/prefixindex.cpp
@@ -9,15 +9,15 @@
 
 PrefixIndex::PrefixIndex(PrefixOptions options)
     : m_options(options)
-    , m_blocks(std::max<std::size_t>(options.entries / Ways, 1) * Ways)
+    , m_blocks(std::max<std::size_t>(options.capacity / Ways, 1) * Ways)
 {
 }
 
-std::vector<std::uint64_t> PrefixIndex::chainOf(std::string_view prompt)
+std::vector<std::uint64_t> PrefixIndex::hashChain(std::string_view prompt)
 {
     std::vector<std::uint64_t> chain;
     std::uint64_t hash = 0;
-    while (prompt.size() >= BlockBytes && chain.size() < MostBlocks) {
+    while (prompt.size() >= BlockBytes && chain.size() < MaxBlocks) {
         hash = XXH3_64bits_withSeed(prompt.data(), BlockBytes, hash);
         chain.push_back(std::max<std::uint64_t>(hash, 1));
         prompt.remove_prefix(BlockBytes);
@@ -29,31 +29,32 @@
 {
     const auto holder = static_cast<std::uint32_t>(target) + 1;
     for (const auto hash : chain) {
-        const auto first = m_blocks.begin() + static_cast<std::ptrdiff_t>(setOf(hash));
+        const auto first = m_blocks.begin() + static_cast<std::ptrdiff_t>(setBegin(hash));
         const auto last = first + Ways;
-        auto place = std::find_if(first, last, [hash](const Block &block) { return block.hash == hash; });
-        if (place == last) {
-            place = std::min_element(first, last, [](const Block &a, const Block &b) { return a.used < b.used; });
-            *place = Block{.hash = hash};
+        auto position = std::find_if(first, last, [hash](const Block &block) { return block.hash == hash; });
+        if (position == last) {
+            position =
+                std::min_element(first, last, [](const Block &a, const Block &b) { return a.lastUsed < b.lastUsed; });
+            *position = Block{.hash = hash};
         }
-        place->used = now;
-        auto &holders = place->holders;
+        position->lastUsed = now;
+        auto &holders = position->holders;
         if (std::find(holders.begin(), holders.end(), holder) == holders.end()) {
-            holders[place->nextHolder++ % Holders] = holder;
+            holders[position->nextHolder++ % MaxHolders] = holder;
         }
     }
 }
 
 void PrefixIndex::erase(TargetSlot target, std::uint64_t hash)
 {
-    const auto first = m_blocks.begin() + static_cast<std::ptrdiff_t>(setOf(hash));
-    const auto place = std::find_if(first, first + Ways, [hash](const Block &block) { return block.hash == hash; });
-    if (place != first + Ways) {
-        std::replace(place->holders.begin(), place->holders.end(), static_cast<std::uint32_t>(target) + 1, 0U);
+    const auto first = m_blocks.begin() + static_cast<std::ptrdiff_t>(setBegin(hash));
+    const auto position = std::find_if(first, first + Ways, [hash](const Block &block) { return block.hash == hash; });
+    if (position != first + Ways) {
+        std::replace(position->holders.begin(), position->holders.end(), static_cast<std::uint32_t>(target) + 1, 0U);
     }
 }
 
-void PrefixIndex::forget(TargetSlot target)
+void PrefixIndex::removeTarget(TargetSlot target)
 {
     for (auto &block : m_blocks) {
         std::replace(block.holders.begin(), block.holders.end(), static_cast<std::uint32_t>(target) + 1, 0U);
@@ -89,17 +90,17 @@
     return matches;
 }
 
-std::size_t PrefixIndex::setOf(std::uint64_t hash) const
+std::size_t PrefixIndex::setBegin(std::uint64_t hash) const
 {
     return (hash % (m_blocks.size() / Ways)) * Ways;
 }
 
 const PrefixIndex::Block *PrefixIndex::find(std::uint64_t hash, SteadyTime now) const
 {
-    const auto first = m_blocks.begin() + static_cast<std::ptrdiff_t>(setOf(hash));
-    const auto place = std::find_if(first, first + Ways, [hash](const Block &block) { return block.hash == hash; });
-    const bool isKnown = place != first + Ways && now - place->used <= m_options.lifetime;
-    return isKnown ? &*place : nullptr;
+    const auto first = m_blocks.begin() + static_cast<std::ptrdiff_t>(setBegin(hash));
+    const auto position = std::find_if(first, first + Ways, [hash](const Block &block) { return block.hash == hash; });
+    const bool isKnown = position != first + Ways && now - position->lastUsed <= m_options.lifetime;
+    return isKnown ? &*position : nullptr;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/prefixindex.h
+++ b/modules/heatherridge_state/decisions/prefixindex.h
@@ -26,7 +26,7 @@
 /** Bounds of a PrefixIndex. */
 struct PrefixOptions
 {
-    std::size_t entries = 1U << 15U; ///< blocks known at a time; 56 bytes each, so about 1.8 MB
+    std::size_t capacity = 1U << 15U; ///< blocks known at a time; 56 bytes each, so about 1.8 MB
     std::chrono::seconds lifetime{300}; ///< an engine's cache turns over within minutes; older knowledge misleads
 };
 
@@ -46,12 +46,12 @@
     /** About 64 tokens: shorter blocks cost memory, longer ones miss shared beginnings. */
     static constexpr std::size_t BlockBytes = 256;
     /** Blocks of a prompt that are looked at: 8 KB; beyond, the match is long enough to decide. */
-    static constexpr std::size_t MostBlocks = 32;
+    static constexpr std::size_t MaxBlocks = 32;
 
     explicit PrefixIndex(PrefixOptions options = {});
 
     /** One hash a whole block of @p prompt, each over all before it too, at most MostBlocks. */
-    static std::vector<std::uint64_t> chainOf(std::string_view prompt);
+    static std::vector<std::uint64_t> hashChain(std::string_view prompt);
 
     /** @p target now holds @p chain. */
     void insert(TargetSlot target, std::span<const std::uint64_t> chain, SteadyTime now);
@@ -60,24 +60,24 @@
     void erase(TargetSlot target, std::uint64_t hash);
 
     /** @p target was restarted or is unreachable: what was known of it counts no more. Walks the whole table. */
-    void forget(TargetSlot target);
+    void removeTarget(TargetSlot target);
 
     /** Every target that holds at least the first block of @p chain, the longest match first. */
     std::vector<PrefixMatch> match(std::span<const std::uint64_t> chain, SteadyTime now) const;
 
 private:
     static constexpr std::size_t Ways = 4;
-    static constexpr std::size_t Holders = 8; ///< a hotter block than that is spread enough
+    static constexpr std::size_t MaxHolders = 8; ///< a hotter block than that is spread enough
 
     struct Block
     {
         std::uint64_t hash = 0; ///< 0 for a free place
-        SteadyTime used{};
-        std::array<std::uint32_t, Holders> holders{}; ///< slot + 1; 0 for none
+        SteadyTime lastUsed{};
+        std::array<std::uint32_t, MaxHolders> holders{}; ///< slot + 1; 0 for none
         std::uint32_t nextHolder = 0; ///< which to replace next
     };
 
-    std::size_t setOf(std::uint64_t hash) const;
+    std::size_t setBegin(std::uint64_t hash) const;
     const Block *find(std::uint64_t hash, SteadyTime now) const;
 
     PrefixOptions m_options;
--- a/modules/heatherridge_state/decisions/retrybudget.cpp
+++ b/modules/heatherridge_state/decisions/retrybudget.cpp
@@ -7,16 +7,16 @@
 
 RetryBudget::RetryBudget(RetryBudgetOptions options)
     : m_options(options)
-    , m_balance(options.reserve)
+    , m_balance(options.initialBalance)
 {
 }
 
 void RetryBudget::recordSuccess()
 {
-    m_balance = std::min(m_balance + m_options.share, m_options.most);
+    m_balance = std::min(m_balance + m_options.earnedPerSuccess, m_options.maxBalance);
 }
 
-bool RetryBudget::tryTake()
+bool RetryBudget::tryConsume()
 {
     if (m_balance < 1) {
         return false;
--- a/modules/heatherridge_state/decisions/retrybudget.h
+++ b/modules/heatherridge_state/decisions/retrybudget.h
@@ -8,9 +8,9 @@
 /** Bounds of a RetryBudget. */
 struct RetryBudgetOptions
 {
-    double share = 0.08; ///< retries that a good answer earns: below a tenth, with room for the reserve
-    double reserve = 3; ///< retries in hand at the start, so that an entry with little traffic can retry at all
-    double most = 30; ///< retries that can be saved up: a calm hour must not pay for a storm
+    double earnedPerSuccess = 0.08; ///< retries that a good answer earns: below a tenth, with room for the reserve
+    double initialBalance = 3; ///< retries in hand at the start, so that an entry with little traffic can retry at all
+    double maxBalance = 30; ///< retries that can be saved up: a calm hour must not pay for a storm
 };
 
 /**
@@ -31,7 +31,7 @@
     void recordSuccess();
 
     /** Takes one retry out of the budget; false when none is left. */
-    bool tryTake();
+    bool tryConsume();
 
     /** How many retries are in hand. */
     double balance() const;
--- a/modules/heatherridge_state/decisions/retrypolicy.cpp
+++ b/modules/heatherridge_state/decisions/retrypolicy.cpp
@@ -23,7 +23,7 @@
  * Whether another attempt can end otherwise. A refusal for the workspace's share is final: the shares are the same at
  * every target, and the hog's retries would use up the budget of all others.
  */
-bool canEndOtherwise(ErrorKind kind)
+bool isRetryable(ErrorKind kind)
 {
     switch (kind) {
     case ErrorKind::DeadlineUnreachable:
@@ -74,28 +74,28 @@
 
 RetryDecision RetryPolicy::decide(const FailedAttempt &failed, SteadyTime now, RandomSource &random)
 {
-    const auto wish = failed.otherTargets ? std::nullopt : failed.error.retryAfter;
-    const auto delay = m_backoff.delay(failed.attempt, wish, random);
-    const auto verdict = verdictOf(failed, delay, now);
+    const auto requestedDelay = failed.hasOtherTargets ? std::nullopt : failed.error.retryAfter;
+    const auto delay = m_backoff.delay(failed.previousAttempts, requestedDelay, random);
+    const auto verdict = verdictFor(failed, delay, now);
     // A lost target does nothing more for its requests: sending them elsewhere, at most mostAttempts times, moves work
     // instead of adding some, and what a resumed stream has received is not made again. Charged to the budget, all but
     // a few callers of a target that dies would see their answers fail.
-    if (verdict == RetryVerdict::Retry && !failed.resumes && !failed.targetLost && !m_budget.tryTake()) {
+    if (verdict == RetryVerdict::Retry && !failed.canResume && !failed.targetLost && !m_budget.tryConsume()) {
         return {.verdict = RetryVerdict::BudgetSpent};
     }
     return {.verdict = verdict, .delay = verdict == RetryVerdict::Retry ? delay : std::chrono::milliseconds(0)};
 }
 
-RetryVerdict RetryPolicy::verdictOf(const FailedAttempt &failed, std::chrono::milliseconds delay, SteadyTime now) const
+RetryVerdict RetryPolicy::verdictFor(const FailedAttempt &failed, std::chrono::milliseconds delay, SteadyTime now) const
 {
     const bool didNotRun = failed.error.ranOrDefault() == Ran::No;
-    if ((failed.answerBegun && !failed.resumes) || (!didNotRun && !failed.idempotent)) {
+    if ((failed.answerStarted && !failed.canResume) || (!didNotRun && !failed.idempotent)) {
         return RetryVerdict::MayHaveRun;
     }
-    if (!canEndOtherwise(failed.error.kind)) {
+    if (!isRetryable(failed.error.kind)) {
         return RetryVerdict::NotHelpful;
     }
-    if (failed.attempt + 1 >= (failed.resumes ? m_options.mostResumeAttempts : m_options.mostAttempts)) {
+    if (failed.previousAttempts + 1 >= (failed.canResume ? m_options.maxResumeAttempts : m_options.maxAttempts)) {
         return RetryVerdict::AttemptsSpent;
     }
     if (now + delay + failed.expectedDuration > failed.deadline) {
--- a/modules/heatherridge_state/decisions/retrypolicy.h
+++ b/modules/heatherridge_state/decisions/retrypolicy.h
@@ -41,11 +41,11 @@
 {
     Error error{};
     bool idempotent = false; ///< the rule set allows to repeat the call, or an idempotency key makes it safe
-    bool answerBegun = false; ///< part of the answer has gone to the caller: it cannot be begun again
+    bool answerStarted = false; ///< part of the answer has gone to the caller: it cannot be begun again
     bool targetLost = false; ///< the process beside the target is gone, and with it the work
-    bool resumes = false; ///< another target can go on behind that part
-    bool otherTargets = false; ///< whether a target is left that has not refused it
-    int attempt = 0; ///< how many attempts there have been before this one
+    bool canResume = false; ///< another target can go on behind that part
+    bool hasOtherTargets = false; ///< whether a target is left that has not refused it
+    int previousAttempts = 0; ///< how many attempts there have been before this one
     SteadyTime deadline{};
     std::chrono::microseconds expectedDuration{}; ///< of another attempt
 };
@@ -60,9 +60,9 @@
 /** Bounds of a RetryPolicy. */
 struct RetryOptions
 {
-    int mostAttempts = 3; ///< the first included: the third target that refuses speaks for all
+    int maxAttempts = 3; ///< the first included: the third target that refuses speaks for all
     /** Attempts of a stream whose caller has a part of it: its deadline ends them, not a count. */
-    int mostResumeAttempts = 100;
+    int maxResumeAttempts = 100;
     RetryBudgetOptions budget{};
     BackoffOptions backoff{};
 };
@@ -87,7 +87,7 @@
     RetryDecision decide(const FailedAttempt &failed, SteadyTime now, RandomSource &random);
 
 private:
-    RetryVerdict verdictOf(const FailedAttempt &failed, std::chrono::milliseconds delay, SteadyTime now) const;
+    RetryVerdict verdictFor(const FailedAttempt &failed, std::chrono::milliseconds delay, SteadyTime now) const;
 
     RetryOptions m_options;
     RetryBudget m_budget;
--- a/modules/heatherridge_state/decisions/subsetselection.cpp
+++ b/modules/heatherridge_state/decisions/subsetselection.cpp
@@ -18,10 +18,11 @@
     }
     const std::size_t subsets = targetKeys.size() / options.size;
     const std::uint64_t round = options.entryIndex / subsets;
-    std::vector<std::uint64_t> places(targetKeys.size());
-    std::transform(targetKeys.begin(), targetKeys.end(), places.begin(),
-                   [round](std::uint64_t key) { return mixKeys(key, round); });
-    std::sort(order.begin(), order.end(), [&places](std::size_t a, std::size_t b) { return places[a] < places[b]; });
+    std::vector<std::uint64_t> positions(targetKeys.size());
+    std::transform(targetKeys.begin(), targetKeys.end(), positions.begin(),
+                   [round](std::uint64_t key) { return rendezvousHash(key, round); });
+    std::sort(order.begin(), order.end(),
+              [&positions](std::size_t a, std::size_t b) { return positions[a] < positions[b]; });
     // Cut into equal parts: the remainder of the division is spread over them, no target is left out.
     const std::size_t part = options.entryIndex % subsets;
     const auto first = order.begin() + static_cast<std::ptrdiff_t>(part * order.size() / subsets);
--- a/modules/heatherridge_transport/entry/callerrequest.cpp
+++ b/modules/heatherridge_transport/entry/callerrequest.cpp
@@ -192,7 +192,7 @@
         m_result.submit.cost =
             static_cast<std::uint64_t>(requestCost(m_result.promptTokens, static_cast<double>(answerTokens)) + 1);
         m_result.affinityKey = XXH3_64bits(prompt.data(), std::min(prompt.size(), AffinityBytes));
-        m_result.prefixChain = PrefixIndex::chainOf(prompt);
+        m_result.prefixChain = PrefixIndex::hashChain(prompt);
     }
 
     Outcome findService()
--- a/modules/heatherridge_transport/entry/entryserver.cpp
+++ b/modules/heatherridge_transport/entry/entryserver.cpp
@@ -35,8 +35,8 @@
             EntryTraffic::Options{.process = m_options.process,
                                   .incarnation = m_options.incarnation,
                                   .zone = m_options.zone,
-                                  .links = {.entryNumber = keyOf(TargetName(m_options.process.text())),
-                                            .perKind = m_options.targetsPerKind}},
+                                  .links = {.entryNumber = targetKey(TargetName(m_options.process.text())),
+                                            .targetsPerKind = m_options.targetsPerKind}},
             m_metrics, m_journal));
     }
     m_control.addListener([this](const std::shared_ptr<const ConfigView> &view) {
--- a/modules/heatherridge_transport/entry/entryserver.h
+++ b/modules/heatherridge_transport/entry/entryserver.h
@@ -29,7 +29,7 @@
         std::vector<Endpoint> peers{}; ///< gates that are asked for a state while there is no inventory
         int httpThreads = 2;
         int trafficThreads = 1;
-        std::size_t targetsPerKind = LinkPlanOptions{}.perKind; ///< @see LinkPlan
+        std::size_t targetsPerKind = LinkPlanOptions{}.targetsPerKind; ///< @see LinkPlan
         CallerLimits limits{};
         std::chrono::milliseconds callerTimeout{60'000}; ///< a caller that takes nothing for so long is dropped
         std::chrono::milliseconds sendTimeout{10'000}; ///< a request that takes longer to arrive is dropped
--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -283,7 +283,7 @@
         const bool reachable = isUsable(*targets[index], call);
         views[index].zoneDelay = m_view->inventory->delayBetween(m_options.zone, targets[index]->zone);
         views[index].usable = views[index].usable && reachable;
-        views[index].probe = views[index].probe && reachable;
+        views[index].awaitsProbe = views[index].awaitsProbe && reachable;
     }
     return views;
 }
@@ -451,12 +451,12 @@
     const FailedAttempt failed{
         .error = error,
         .idempotent = call->request.submit.mayRepeat || call->key.has_value(),
-        .answerBegun = call->answerBegun,
+        .answerStarted = call->answerBegun,
         .targetLost = targetLost,
-        .resumes = call->resume.has_value(),
-        .otherTargets =
+        .canResume = call->resume.has_value(),
+        .hasOtherTargets =
             std::any_of(others.begin(), others.end(), [&](const Target *target) { return isUsable(*target, *call); }),
-        .attempt = call->attempts - 1,
+        .previousAttempts = call->attempts - 1,
         .deadline = call->deadline,
         .expectedDuration = ShortestAttempt};
     const auto decision = m_retries.decide(failed, now, m_random);
@@ -471,7 +471,7 @@
         m_metrics.counter("heatherridge_streams_resumed_total").add();
         call->beginResume();
     }
-    if (!failed.otherTargets) {
+    if (!failed.hasOtherTargets) {
         call->tried.clear();
     }
     call->timer = std::make_unique<asio::steady_timer>(m_loop.context(), decision.delay);
--- a/modules/heatherridge_transport/entry/targetbook.cpp
+++ b/modules/heatherridge_transport/entry/targetbook.cpp
@@ -68,7 +68,7 @@
 {
     auto &entry = known(target);
     entry.reportedAt.reset();
-    m_prefixes.forget(entry.slot);
+    m_prefixes.removeTarget(entry.slot);
     m_slowness.reset(static_cast<std::size_t>(entry.slot));
 }
 
@@ -86,20 +86,20 @@
         const auto age = known.reportedAt ? now - *known.reportedAt : NoReportAge;
         const auto held = std::find_if(matches.begin(), matches.end(),
                                        [&known](const PrefixMatch &match) { return match.target == known.slot; });
-        views.push_back({.key = keyOf(target->name),
+        views.push_back({.key = targetKey(target->name),
                          .reportedLoad = known.report.load,
                          .reportAge = std::chrono::duration_cast<std::chrono::microseconds>(age),
                          .ownAtReport = known.report.ofEntry,
                          .reportedCapacity = known.report.capacity,
                          .reportedPressure = known.report.pressure,
-                         .pendingPrompt = known.report.pendingPrompt + known.promptSent,
+                         .pendingPromptTokens = known.report.pendingPrompt + known.promptSent,
                          .ownLoad = known.ownLoad,
                          .ownInFlight = known.ownInFlight,
                          .prefixTokens = held == matches.end() ? 0 : held->blocks * TokensPerBlock,
                          .slowness = m_slowness.slowness(static_cast<std::size_t>(known.slot)),
                          .warmth = known.reportedAt ? known.report.warmth : 1,
                          .usable = health == Health::Healthy && !known.report.draining,
-                         .probe = health == Health::Probing && !known.report.draining});
+                         .awaitsProbe = health == Health::Probing && !known.report.draining});
     }
     return views;
 }
--- a/tests/decisions/entryside_test.cpp
+++ b/tests/decisions/entryside_test.cpp
@@ -23,7 +23,7 @@
 
 FailedAttempt failure(ErrorKind kind, bool idempotent = false)
 {
-    return {.error = {.kind = kind}, .idempotent = idempotent, .otherTargets = true, .deadline = Start + 10s};
+    return {.error = {.kind = kind}, .idempotent = idempotent, .hasOtherTargets = true, .deadline = Start + 10s};
 }
 
 FailedAttempt changed(FailedAttempt failed, void (*change)(FailedAttempt &))
@@ -37,12 +37,12 @@
     {"may have run, a booking", failure(ErrorKind::OutcomeUnknown), RetryVerdict::MayHaveRun},
     {"may have run, a lookup", failure(ErrorKind::OutcomeUnknown, true), RetryVerdict::Retry},
     {"a lookup whose answer has begun",
-     changed(failure(ErrorKind::StreamBroken, true), [](auto &failed) { failed.answerBegun = true; }),
+     changed(failure(ErrorKind::StreamBroken, true), [](auto &failed) { failed.answerStarted = true; }),
      RetryVerdict::MayHaveRun},
     {"the caller's own fault", failure(ErrorKind::UnknownModel), RetryVerdict::NotHelpful},
     {"over the workspace's share: the same everywhere", failure(ErrorKind::WorkspaceOverLimit),
      RetryVerdict::NotHelpful},
-    {"third attempt", changed(failure(ErrorKind::QueueFull), [](auto &failed) { failed.attempt = 2; }),
+    {"third attempt", changed(failure(ErrorKind::QueueFull), [](auto &failed) { failed.previousAttempts = 2; }),
      RetryVerdict::AttemptsSpent},
     {"deadline passes first",
      changed(failure(ErrorKind::QueueFull), [](auto &failed) { failed.expectedDuration = 11s; }),
@@ -50,7 +50,7 @@
     {"the last target names a time beyond the deadline",
      changed(failure(ErrorKind::Overloaded),
              [](auto &failed) {
-                 failed.otherTargets = false;
+                 failed.hasOtherTargets = false;
                  failed.error.retryAfter = 20s;
              }),
      RetryVerdict::DeadlineTooClose},
@@ -120,7 +120,7 @@
     const auto entries = *rc::gen::inRange<std::size_t>(10, 100);
     std::vector<std::uint64_t> keys;
     for (std::size_t i = 0; i <= targets; ++i) {
-        keys.push_back(keyOf(TargetName("t" + std::to_string(i))));
+        keys.push_back(targetKey(TargetName("t" + std::to_string(i))));
     }
     const std::span<const std::uint64_t> before(keys.data(), targets);
     std::vector<int> covered(targets);
@@ -144,8 +144,8 @@
 
 TEST(PrefixIndex, MatchesLeadingBlocksOfThoseThatStillHoldThem)
 {
-    PrefixIndex index({.entries = 64});
-    const auto chain = PrefixIndex::chainOf(std::string(1000, 'x') + "tail");
+    PrefixIndex index({.capacity = 64});
+    const auto chain = PrefixIndex::hashChain(std::string(1000, 'x') + "tail");
     ASSERT_EQ(chain.size(), 3U);
     const std::span<const std::uint64_t> all(chain);
     index.insert(TargetSlot(1), all, Start);
@@ -154,7 +154,7 @@
     EXPECT_EQ(index.match(chain, Start), (Matches{{TargetSlot(1), 3}, {TargetSlot(2), 2}}));
     index.erase(TargetSlot(1), chain[1]);
     EXPECT_EQ(index.match(chain, Start), (Matches{{TargetSlot(2), 2}, {TargetSlot(1), 1}}));
-    index.forget(TargetSlot(2));
+    index.removeTarget(TargetSlot(2));
     EXPECT_EQ(index.match(chain, Start), (Matches{{TargetSlot(1), 1}}));
     index.insert(TargetSlot(1), all, Start + 1s);
     EXPECT_EQ(index.match(chain, Start + 1s), (Matches{{TargetSlot(1), 3}}));
@@ -244,7 +244,7 @@
     const auto usable = *rc::gen::container<std::vector<bool>>(rc::gen::arbitrary<bool>());
     std::vector<TargetView> views;
     for (std::size_t i = 0; i < usable.size(); ++i) {
-        views.push_back({.key = mixKeys(i, 1), .ownLoad = static_cast<double>(i), .usable = usable[i]});
+        views.push_back({.key = rendezvousHash(i, 1), .ownLoad = static_cast<double>(i), .usable = usable[i]});
     }
     SeededRandom random(7);
     for (const auto &rule : rules) {
--- a/tests/decisions/linkplan_test.cpp
+++ b/tests/decisions/linkplan_test.cpp
@@ -61,7 +61,7 @@
     const auto inventory = inventoryOf(GetParam());
     std::set<TargetName> covered;
     for (int entry = 0; entry < Entries; ++entry) {
-        const LinkPlanOptions options{.entryNumber = keyOf(TargetName("entry-" + std::to_string(entry)))};
+        const LinkPlanOptions options{.entryNumber = targetKey(TargetName("entry-" + std::to_string(entry)))};
         const auto links = LinkPlan::choose(inventory, options);
         EXPECT_EQ(links, LinkPlan::choose(inventory, options));
         EXPECT_GE(links.size(), GetParam().fewestLinks);
--- a/tests/keys/keygate_test.cpp
+++ b/tests/keys/keygate_test.cpp
@@ -47,7 +47,7 @@
     void request(int key, std::string_view body = "b")
     {
         take(gate.request({.attempt = {.entry = Entry, .number = ++attempts},
-                           .key = keyOf(key),
+                           .key = targetKey(key),
                            .fingerprint = fingerprintOf(WorkspaceName("w"), "POST", "/", body)},
                           Now));
     }
@@ -64,7 +64,7 @@
         }
     }
 
-    static Uuid7 keyOf(int key)
+    static Uuid7 targetKey(int key)
     {
         return Uuid7::make(Now, 0, static_cast<std::uint64_t>(key) << 8U);
     }
@@ -95,7 +95,7 @@
     bench.request(1, "other");
     EXPECT_EQ(bench.lastError(), ErrorKind::KeyMismatch);
     const StoredAnswer answer{.status = 201, .body = "seat 7"};
-    bench.take(bench.gate.served(Bench::keyOf(1), answer));
+    bench.take(bench.gate.served(Bench::targetKey(1), answer));
     bench.request(1);
     ASSERT_EQ(bench.replies.size(), 4U);
     for (const auto index : {1U, 2U, 3U}) {
@@ -111,7 +111,7 @@
     Bench bench;
     bench.request(1);
     bench.landAndRead();
-    bench.take(bench.gate.served(Bench::keyOf(1),
+    bench.take(bench.gate.served(Bench::targetKey(1),
                                  StoredAnswer{.status = 200, .body = std::string(StoredAnswer::MaxBody + 1, 'x')}));
     EXPECT_EQ(std::get<StoredAnswer>(bench.replies.back()).body.size(), StoredAnswer::MaxBody + 1);
     bench.request(1);
@@ -192,7 +192,7 @@
         Bench bench(safeguards);
         bench.request(1);
         bench.landAndRead();
-        bench.take(bench.gate.served(Bench::keyOf(1), Error{.kind = ErrorKind::TargetUnreachable, .ran = Ran::No}));
+        bench.take(bench.gate.served(Bench::targetKey(1), Error{.kind = ErrorKind::TargetUnreachable, .ran = Ran::No}));
         bench.take(bench.gate.tick(Now));
         const auto release = bench.lastBatch;
         bench.landAndRead();
@@ -200,14 +200,14 @@
         bench.landAndRead();
         ASSERT_EQ(bench.runs.size(), 2U);
         bench.take(bench.gate.read(static_cast<LogOffset>(++bench.offset), release, Now));
-        EXPECT_EQ(bench.gate.ledger().find(Bench::keyOf(1))->fate, skipped ? KeyFate::Open : KeyFate::NotRun);
+        EXPECT_EQ(bench.gate.ledger().find(Bench::targetKey(1))->fate, skipped ? KeyFate::Open : KeyFate::NotRun);
     }
 }
 
 TEST(KeyFrame, SurvivesItsCodecAndAnyCutIsRefused)
 {
     const PlacedClaim placed{.offset = LogOffset{4}, .claim = {.id = {Self, 2}, .witnesses = {Witness}, .until = Now}};
-    const KeyIntent intent{.key = Bench::keyOf(1), .runner = Self};
+    const KeyIntent intent{.key = Bench::targetKey(1), .runner = Self};
     const KeyMessage messages[] = {
         ActivateRequest{.claim = {Self, 1}, .until = Now},
         ActivateReply{.claim = {Self, 1}, .until = Now},
