--- a/tests/decisions/entryside_test.cpp
+++ b/tests/decisions/entryside_test.cpp
@@ -16,7 +16,7 @@
 
 struct RetryRow
 {
-    const char *story;
+    const char *description;
     FailedAttempt failed;
     RetryVerdict verdict;
 };
@@ -26,9 +26,9 @@
     return {.error = {.kind = kind}, .idempotent = idempotent, .hasOtherTargets = true, .deadline = Start + 10s};
 }
 
-FailedAttempt changed(FailedAttempt failed, void (*change)(FailedAttempt &))
+FailedAttempt modified(FailedAttempt failed, void (*modify)(FailedAttempt &))
 {
-    change(failed);
+    modify(failed);
     return failed;
 }
 
@@ -37,41 +37,41 @@
     {"may have run, a booking", failure(ErrorKind::OutcomeUnknown), RetryVerdict::MayHaveRun},
     {"may have run, a lookup", failure(ErrorKind::OutcomeUnknown, true), RetryVerdict::Retry},
     {"a lookup whose answer has begun",
-     changed(failure(ErrorKind::StreamBroken, true), [](auto &failed) { failed.answerStarted = true; }),
+     modified(failure(ErrorKind::StreamBroken, true), [](auto &failed) { failed.answerStarted = true; }),
      RetryVerdict::MayHaveRun},
     {"the caller's own fault", failure(ErrorKind::UnknownModel), RetryVerdict::NotHelpful},
     {"over the workspace's share: the same everywhere", failure(ErrorKind::WorkspaceOverLimit),
      RetryVerdict::NotHelpful},
-    {"third attempt", changed(failure(ErrorKind::QueueFull), [](auto &failed) { failed.previousAttempts = 2; }),
+    {"third attempt", modified(failure(ErrorKind::QueueFull), [](auto &failed) { failed.previousAttempts = 2; }),
      RetryVerdict::AttemptsSpent},
     {"deadline passes first",
-     changed(failure(ErrorKind::QueueFull), [](auto &failed) { failed.expectedDuration = 11s; }),
+     modified(failure(ErrorKind::QueueFull), [](auto &failed) { failed.expectedDuration = 11s; }),
      RetryVerdict::DeadlineTooClose},
     {"the last target names a time beyond the deadline",
-     changed(failure(ErrorKind::Overloaded),
-             [](auto &failed) {
-                 failed.hasOtherTargets = false;
-                 failed.error.retryAfter = 20s;
-             }),
+     modified(failure(ErrorKind::Overloaded),
+              [](auto &failed) {
+                  failed.hasOtherTargets = false;
+                  failed.error.retryAfter = 20s;
+              }),
      RetryVerdict::DeadlineTooClose},
 };
 
-class Retries : public testing::TestWithParam<RetryRow>
+class RetryVerdicts : public testing::TestWithParam<RetryRow>
 {
 };
 
-TEST_P(Retries, VerdictIsAsTheRowSays)
+TEST_P(RetryVerdicts, AreAsExpected)
 {
     RetryPolicy policy;
     SeededRandom random(1);
-    EXPECT_EQ(policy.decide(GetParam().failed, Start, random).verdict, GetParam().verdict) << GetParam().story;
+    EXPECT_EQ(policy.decide(GetParam().failed, Start, random).verdict, GetParam().verdict) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, Retries, testing::ValuesIn(RetryRows));
+INSTANTIATE_TEST_SUITE_P(Table, RetryVerdicts, testing::ValuesIn(RetryRows));
 
 // Every target fails every request for an hour. Callers keep coming; what entries send again must stay a small
 // constant, or the outage feeds itself.
-TEST(RetryBudget, AnOutageEarnsNoRetries)
+TEST(RetryBudget, OutageEarnsNoRetries)
 {
     RetryPolicy policy;
     SeededRandom random(1);
@@ -88,7 +88,7 @@
 
 // An entry loses its network: every target seems to fail. It must not leave out more than a third, or the few left
 // would get the work of all once the network is back.
-TEST(HealthTracker, NeverMoreThanAThirdAreOutAndAProbeBringsThemBack)
+TEST(HealthTracker, EjectsAtMostAThirdAndRecoversByProbes)
 {
     HealthTracker health;
     std::vector<TargetName> targets;
@@ -114,7 +114,7 @@
 
 // 500 entries each pick 64 of 4,800 targets. Every target must be picked by about as many entries, or the least picked
 // idle; and one target more must not make all entries reconnect.
-RC_GTEST_PROP(SubsetSelection, TargetsAreCoveredEvenlyAndStayPut, ())
+RC_GTEST_PROP(SubsetSelection, CoversTargetsEvenlyAndStaysStable, ())
 {
     const auto targets = *rc::gen::inRange<std::size_t>(100, 2000);
     const auto entries = *rc::gen::inRange<std::size_t>(10, 100);
@@ -142,7 +142,7 @@
     RC_ASSERT(*most - *fewest <= 1);
 }
 
-TEST(PrefixIndex, MatchesLeadingBlocksOfThoseThatStillHoldThem)
+TEST(PrefixIndex, MatchesLeadingBlocksStillHeld)
 {
     PrefixIndex index({.capacity = 64});
     const auto chain = PrefixIndex::hashChain(std::string(1000, 'x') + "tail");
@@ -163,40 +163,40 @@
 
 // An engine gets slow while it is full. The limit must come down at once, not again for each answer that began before,
 // and come back slowly.
-TEST(ConcurrencyLimit, FallsOnceForOneExcessAndRisesSlowly)
+TEST(ConcurrencyLimit, DecreasesOnceForOneExcessAndIncreasesSlowly)
 {
     ConcurrencyLimit limit({.initial = 16});
     auto now = Start;
-    const auto play = [&](std::chrono::microseconds gap, int windows) {
+    const auto runWindows = [&](std::chrono::microseconds gap, int windows) {
         for (int i = 0; i < windows * 10; ++i) {
             now += 50ms;
             limit.recordBetween(gap, std::min<std::size_t>(limit.limit(), 60), now);
         }
     };
-    play(20ms, 30);
+    runWindows(20ms, 30);
     EXPECT_GE(limit.limit(), 60U);
     EXPECT_EQ(limit.warmth(), 1);
     const auto full = limit.limit();
-    play(150ms, 2);
+    runWindows(150ms, 2);
     EXPECT_LT(limit.limit(), full * 9 / 10);
     EXPECT_GE(limit.limit(), full / 3);
-    const auto low = limit.limit();
-    play(20ms, 2);
-    EXPECT_LE(limit.limit(), low + low / 4);
+    const auto reduced = limit.limit();
+    runWindows(20ms, 2);
+    EXPECT_LE(limit.limit(), reduced + reduced / 4);
     limit.restart();
     EXPECT_EQ(limit.limit(), 16U);
     EXPECT_LT(limit.warmth(), 1);
 }
 
-TEST(HedgeDelay, IsThePercentileOfWhatWasMeasured)
+TEST(HedgeDelay, IsThePercentileOfRecordedLatencies)
 {
-    HedgeDelay hedge;
-    EXPECT_EQ(hedge.delay(), std::nullopt);
+    HedgeDelay hedgeDelay;
+    EXPECT_EQ(hedgeDelay.delay(), std::nullopt);
     for (int i = 0; i < 100; ++i) {
-        hedge.record(i < 96 ? 10ms : 1000ms);
+        hedgeDelay.record(i < 96 ? 10ms : 1000ms);
     }
-    EXPECT_GE(*hedge.delay(), 10ms);
-    EXPECT_LE(*hedge.delay(), 13ms);
+    EXPECT_GE(*hedgeDelay.delay(), 10ms);
+    EXPECT_LE(*hedgeDelay.delay(), 13ms);
 }
 
 TEST(SlewRateLimiter, FallsFastAndRisesSlowly)
@@ -211,7 +211,7 @@
 {
     const char *text;
     bool isCost;
-    std::size_t faults;
+    std::size_t faultCount;
 };
 
 const PlacementRow PlacementRows[] = {{"[placement]\nsamples = 3\n", true, 0},
@@ -225,11 +225,11 @@
 TEST_P(PlacementSection, IsReadAndChecked)
 {
     const auto result = RuleSet::fromDocument(IniDocument::parse(GetParam().text));
-    if (const auto *faults = std::get_if<std::vector<ConfigFault>>(&result)) {
-        EXPECT_EQ(faults->size(), GetParam().faults);
+    if (const auto *faultCount = std::get_if<std::vector<ConfigFault>>(&result)) {
+        EXPECT_EQ(faultCount->size(), GetParam().faultCount);
         return;
     }
-    EXPECT_EQ(GetParam().faults, 0U);
+    EXPECT_EQ(GetParam().faultCount, 0U);
     EXPECT_EQ(std::holds_alternative<CostPlacementOptions>(std::get<RuleSet>(result).placement()), GetParam().isCost);
 }
 
@@ -239,16 +239,16 @@
 // refused as not run.
 RC_GTEST_PROP(Placement, NeverChoosesAnUnusableTarget, ())
 {
-    const PlacementRules rules[] = {CostPlacementOptions{}, RoundRobinOptions{}, LeastRequestsOptions{},
-                                    TwoChoicesOptions{}, HashOptions{}};
+    const PlacementRules policies[] = {CostPlacementOptions{}, RoundRobinOptions{}, LeastRequestsOptions{},
+                                       TwoChoicesOptions{}, HashOptions{}};
     const auto usable = *rc::gen::container<std::vector<bool>>(rc::gen::arbitrary<bool>());
     std::vector<TargetView> views;
     for (std::size_t i = 0; i < usable.size(); ++i) {
         views.push_back({.key = rendezvousHash(i, 1), .ownLoad = static_cast<double>(i), .usable = usable[i]});
     }
     SeededRandom random(7);
-    for (const auto &rule : rules) {
-        Placement placement(rule);
+    for (const auto &placementRules : policies) {
+        Placement placement(placementRules);
         const auto choice = placement.choose(views, {.affinityKey = 5}, random);
         if (std::find(usable.begin(), usable.end(), true) == usable.end()) {
             RC_ASSERT(errorIn(choice) != nullptr);
--- a/tests/decisions/linkplan_test.cpp
+++ b/tests/decisions/linkplan_test.cpp
@@ -13,10 +13,10 @@
 {
     const char *name;
     int zones;
-    int enginesAZone;
-    int plains;
-    std::size_t fewestLinks;
-    std::size_t mostLinks;
+    int enginesPerZone;
+    int plainTargets;
+    std::size_t minLinks;
+    std::size_t maxLinks;
 };
 
 const FleetRow Fleets[] = {
@@ -24,28 +24,28 @@
     {"FullSize", 7, 76, 3, 67, 80}, // one model of nine before 4,800 replicas; subsets of 10 or 11 a zone
 };
 
-constexpr int Entries = 200;
+constexpr int EntryCount = 200;
 
 /** An inventory of @p fleet; each engine is rank 0 of a group whose rank 1 takes no requests. */
 Inventory inventoryOf(const FleetRow &fleet)
 {
     std::string text;
     int port = 1000;
-    const auto add = [&](const std::string &name, int zone, const std::string &rest) {
+    const auto add = [&](const std::string &name, int zone, const std::string &settings) {
         const auto gate = std::to_string(++port);
         text += "[target." + name + "]\nhost = " + name + "\nzone = z" + std::to_string(zone)
-            + "\ngate = 127.0.0.1:" + gate + "\nbackend = 127.0.0.1:1\n" + rest;
+            + "\ngate = 127.0.0.1:" + gate + "\nbackend = 127.0.0.1:1\n" + settings;
     };
     for (int zone = 0; zone < fleet.zones; ++zone) {
         text += "[zone.z" + std::to_string(zone) + "]\nregion = r\n";
-        for (int engine = 0; engine < fleet.enginesAZone; ++engine) {
+        for (int engine = 0; engine < fleet.enginesPerZone; ++engine) {
             const auto name = "e" + std::to_string(zone) + "-" + std::to_string(engine);
             add(name, zone, "service = llm\nmodels = m\ngroup = " + name + "\nrank = 0\n");
             add(name + "-follower", zone, "service = llm\nmodels = m\ngroup = " + name + "\nrank = 1\n");
         }
     }
-    for (int plain = 0; plain < fleet.plains; ++plain) {
-        add("p" + std::to_string(plain), 0, "service = app\nkind = plain\n");
+    for (int plainIndex = 0; plainIndex < fleet.plainTargets; ++plainIndex) {
+        add("p" + std::to_string(plainIndex), 0, "service = app\nkind = plain\n");
     }
     return std::get<Inventory>(Inventory::fromDocument(IniDocument::parse(text)));
 }
@@ -56,16 +56,16 @@
 
 // Each entry picks its targets for itself. A zone is lost: every entry must have some in the other zones. And a target
 // that no entry had picked would stand idle while its peers queue.
-TEST_P(LinkPlans, AreBoundedCoverAllTargetsAndEveryZone)
+TEST_P(LinkPlans, AreBoundedAndCoverAllTargetsAndZones)
 {
     const auto inventory = inventoryOf(GetParam());
     std::set<TargetName> covered;
-    for (int entry = 0; entry < Entries; ++entry) {
+    for (int entry = 0; entry < EntryCount; ++entry) {
         const LinkPlanOptions options{.entryNumber = targetKey(TargetName("entry-" + std::to_string(entry)))};
         const auto links = LinkPlan::choose(inventory, options);
         EXPECT_EQ(links, LinkPlan::choose(inventory, options));
-        EXPECT_GE(links.size(), GetParam().fewestLinks);
-        EXPECT_LE(links.size(), GetParam().mostLinks);
+        EXPECT_GE(links.size(), GetParam().minLinks);
+        EXPECT_LE(links.size(), GetParam().maxLinks);
         std::set<ZoneName> zones;
         for (const auto &[name, gate] : links) {
             EXPECT_EQ(inventory.find(name)->rank, 0);
@@ -74,7 +74,8 @@
         }
         EXPECT_EQ(zones.size(), static_cast<std::size_t>(GetParam().zones));
     }
-    EXPECT_EQ(covered.size(), static_cast<std::size_t>(GetParam().zones * GetParam().enginesAZone + GetParam().plains));
+    EXPECT_EQ(covered.size(),
+              static_cast<std::size_t>(GetParam().zones * GetParam().enginesPerZone + GetParam().plainTargets));
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, LinkPlans, testing::ValuesIn(Fleets),
--- a/tests/decisions/loadpatterns_test.cpp
+++ b/tests/decisions/loadpatterns_test.cpp
@@ -15,12 +15,12 @@
 struct Expectation
 {
     const char *pattern;
-    double goodput; ///< lowest answered in time, of what is offered or of the peak, whichever is less
-    double firstTokenMs; ///< highest 99th percentile of the time to first token
-    double share; ///< lowest received over due of any workspace
-    double attempts; ///< highest attempts a request
-    double refusedMs; ///< highest 99th percentile of the wait for a refusal
-    double shifts; ///< most shifts a minute and target
+    double minGoodput; ///< lowest answered in time, of what is offered or of the peak, whichever is less
+    double maxFirstTokenMs; ///< highest 99th percentile of the time to first token
+    double minShare; ///< lowest received over due of any workspace
+    double maxAttempts; ///< highest attempts a request
+    double maxRefusalWaitMs; ///< highest 99th percentile of the wait for a refusal
+    double maxShifts; ///< most shifts a minute and target
 };
 
 const Expectation Expectations[] = {
@@ -57,18 +57,18 @@
                            [](double sum, const auto &row) { return sum + row.second; });
 }
 
-TEST_P(LoadPatterns, CallersGetWhatTheRowSays)
+TEST_P(LoadPatterns, MeetsExpectation)
 {
     const auto &row = GetParam();
     auto options = loadPattern(row.pattern);
     options.seed = 20261202;
     const auto figures = run(options);
-    EXPECT_GE(figures.goodput, row.goodput * std::min(figures.offered, PeakRate));
-    EXPECT_LE(figures.first99, row.firstTokenMs);
-    EXPECT_GE(figures.lowestShare, row.share);
-    EXPECT_LE(figures.attemptsPerRequest, row.attempts);
-    EXPECT_LE(figures.refusalWait99, row.refusedMs);
-    EXPECT_LE(figures.shiftsPerMinute, row.shifts);
+    EXPECT_GE(figures.goodput, row.minGoodput * std::min(figures.offered, PeakRate));
+    EXPECT_LE(figures.first99, row.maxFirstTokenMs);
+    EXPECT_GE(figures.lowestShare, row.minShare);
+    EXPECT_LE(figures.attemptsPerRequest, row.maxAttempts);
+    EXPECT_LE(figures.refusalWait99, row.maxRefusalWaitMs);
+    EXPECT_LE(figures.shiftsPerMinute, row.maxShifts);
     // Each request that came in was answered, refused with a counted reason, or came back after a refusal.
     EXPECT_GE(figures.goodput + figures.late + sumOf(figures.refusals), figures.offered * 0.999);
 }
@@ -79,7 +79,7 @@
     return name;
 });
 
-TEST(LoadPatterns, EveryPatternHasItsRow)
+TEST(LoadPatterns, EveryPatternHasAnExpectation)
 {
     ASSERT_EQ(std::size(Expectations), allLoadPatterns().size());
     for (std::size_t i = 0; i < allLoadPatterns().size(); ++i) {
@@ -88,7 +88,7 @@
 }
 
 // Each mechanism is there for a pattern; without it callers must be worse off, or it is not worth its lines.
-struct WorthRow
+struct MechanismRow
 {
     const char *mechanism;
     const char *pattern;
@@ -96,7 +96,7 @@
     bool (*isWorse)(const Figures &without, const Figures &with);
 };
 
-const WorthRow WorthRows[] = {
+const MechanismRow MechanismRows[] = {
     {"admission", "hog", [](auto &options) { options.gate.admission = false; },
      [](const auto &without, const auto &with) {
          return without.lowestShare < with.lowestShare - 0.3 && without.first99 > 5 * with.first99;
@@ -114,11 +114,11 @@
      [](const auto &without, const auto &with) { return sumOf(without.refusals) > 3 * sumOf(with.refusals); }},
 };
 
-class Worth : public testing::TestWithParam<WorthRow>
+class Mechanisms : public testing::TestWithParam<MechanismRow>
 {
 };
 
-TEST_P(Worth, WithoutTheMechanismCallersAreWorseOff)
+TEST_P(Mechanisms, ImproveTheirPattern)
 {
     auto options = loadPattern(GetParam().pattern);
     const auto with = run(options);
@@ -126,6 +126,6 @@
     EXPECT_TRUE(GetParam().isWorse(run(options), with)) << GetParam().mechanism;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, Worth, testing::ValuesIn(WorthRows));
+INSTANTIATE_TEST_SUITE_P(Table, Mechanisms, testing::ValuesIn(MechanismRows));
 
 } // namespace
--- a/tests/decisions/passbudget_test.cpp
+++ b/tests/decisions/passbudget_test.cpp
@@ -25,26 +25,26 @@
                           .passesPerStream = 24,
                           .maxPassTime = Milliseconds(108)};
 /** Engines whose batch of 12 has passes of 51 ms. */
-const PassTimeModel Quick{.baseTime = Milliseconds(29.3),
-                          .timePerRequest = Milliseconds(1.78),
-                          .promptTime = Milliseconds(13.6),
-                          .passesPerStream = 24,
-                          .maxPassTime = Milliseconds(108)};
+const PassTimeModel Fast{.baseTime = Milliseconds(29.3),
+                         .timePerRequest = Milliseconds(1.78),
+                         .promptTime = Milliseconds(13.6),
+                         .passesPerStream = 24,
+                         .maxPassTime = Milliseconds(108)};
 
-struct BudgetRow
+struct CapacityRow
 {
-    const char *story;
-    PassTimeModel rules;
+    const char *description;
+    PassTimeModel passTimes;
     double slowdown;
-    int fewest; ///< requests an engine
+    int minRequests; ///< requests an engine
     int most;
     bool cannotBeOnTime;
 };
 
-const BudgetRow BudgetRows[] = {
+const CapacityRow CapacityRows[] = {
     {"whole batches with an even map", Large, 1.2, 12, 100, false},
     {"half of a batch with a map that does not fit", Large, 2.3, 6, 7, false},
-    {"quick engines take more with the same map", Quick, 2.3, 7, 12, false},
+    {"quick engines take more with the same map", Fast, 2.3, 7, 12, false},
     {"a rank that is many times as slow", Large, 6, 0, 0, true},
     {"a pass that is too long by itself, and figures that say nothing of requests",
      {.baseTime = Milliseconds(200), .maxPassTime = Milliseconds(108)},
@@ -54,30 +54,30 @@
      true},
 };
 
-class PassBudgets : public testing::TestWithParam<BudgetRow>
+class PassCapacities : public testing::TestWithParam<CapacityRow>
 {
 };
 
-TEST_P(PassBudgets, FollowFromFiguresAndStretch)
+TEST_P(PassCapacities, FollowFromPassTimesAndSlowdown)
 {
     const auto &row = GetParam();
-    const auto requests = maxRequestsOnTime(row.slowdown, 1, row.rules);
-    EXPECT_GE(requests, row.fewest) << row.story;
-    EXPECT_LE(requests, row.most) << row.story;
-    EXPECT_EQ(cannotBeOnTime(row.slowdown, row.rules), row.cannotBeOnTime) << row.story;
+    const auto requests = maxRequestsOnTime(row.slowdown, 1, row.passTimes);
+    EXPECT_GE(requests, row.minRequests) << row.description;
+    EXPECT_LE(requests, row.most) << row.description;
+    EXPECT_EQ(cannotBeOnTime(row.slowdown, row.passTimes), row.cannotBeOnTime) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, PassBudgets, testing::ValuesIn(BudgetRows));
+INSTANTIATE_TEST_SUITE_P(All, PassCapacities, testing::ValuesIn(CapacityRows));
 
-struct PassRoomRow
+struct StreamsPerPassRow
 {
-    const char *story;
-    double room;
+    const char *description;
+    double spareRequests;
     double share;
     int streams;
 };
 
-const PassRoomRow PassRoomRows[] = {
+const StreamsPerPassRow StreamsPerPassRows[] = {
     {"no room", 0.5, 0.25, 0},
     {"room for one: whoever comes first takes it", 1, 0.25, 1},
     {"an idle group, one of four entries", 90, 0.25, 6},
@@ -85,28 +85,29 @@
     {"one of hundreds", 90, 0.005, 1},
 };
 
-class PassRooms : public testing::TestWithParam<PassRoomRow>
+class StreamsPerPass : public testing::TestWithParam<StreamsPerPassRow>
 {
 };
 
-TEST_P(PassRooms, AreSharedAmongEntries)
+TEST_P(StreamsPerPass, AreSharedAmongEntries)
 {
-    EXPECT_EQ(maxStreamsPerPass(GetParam().room, Large, GetParam().share), GetParam().streams) << GetParam().story;
+    EXPECT_EQ(maxStreamsPerPass(GetParam().spareRequests, Large, GetParam().share), GetParam().streams)
+        << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, PassRooms, testing::ValuesIn(PassRoomRows));
+INSTANTIATE_TEST_SUITE_P(All, StreamsPerPass, testing::ValuesIn(StreamsPerPassRows));
 
 /** A group of 6 requests an engine over some passes. @returns when the last one ended */
-SteadyTime pass(PassSlowdown &slowdown, int passes, double longer, SteadyTime now, bool isTypical = true)
+SteadyTime pass(PassSlowdown &slowdown, int passes, double slowdownFactor, SteadyTime now, bool isTypical = true)
 {
     for (int index = 0; index < passes; ++index) {
         now += 60ms;
-        slowdown.record(Large.idealPassTime(6, 0) * longer, {.requests = 6}, Large, isTypical, now);
+        slowdown.record(Large.idealPassTime(6, 0) * slowdownFactor, {.requests = 6}, Large, isTypical, now);
     }
     return now;
 }
 
-TEST(PassSlowdown, RemembersBadMomentsAndForgetsThem)
+TEST(PassSlowdown, KeepsSlowPassesForItsHistoryLength)
 {
     PassSlowdown slowdown;
     EXPECT_EQ(slowdown.current(), 1);
@@ -123,7 +124,7 @@
 // A rank is twelve times as slow until its experts have moved elsewhere. Its group is empty and sound then, but was
 // kept so for seconds more for the passes that it had, while the other group was too full for its streams to be on
 // time.
-TEST(PassSlowdown, DoesNotRememberASlowRank)
+TEST(PassSlowdown, DiscardsPassesOfASlowRank)
 {
     PassSlowdown slowdown;
     auto now = pass(slowdown, 20, 4.7, Start, false);
@@ -132,7 +133,7 @@
     EXPECT_NEAR(slowdown.highPercentile(), 1.1, 1e-9);
 }
 
-TEST(PassSlowdown, IsNotThatOfOnePassThatReadALongPrompt)
+TEST(PassSlowdown, IgnoresASinglePassWithALongPrompt)
 {
     PassSlowdown slowdown;
     auto now = pass(slowdown, 5, 1.1, Start);
@@ -149,22 +150,22 @@
 };
 
 /** How many streams are let in. All but the first let in timely streams before late ones. */
-enum class Bound {
-    Batches, ///< whole batches, by arrival
-    BadMoments, ///< what the bad moments of late carry
-    LateByBadMoments, ///< late streams that; timely ones what present passes carry
+enum class AdmissionLimit {
+    BatchCapacity, ///< whole batches, by arrival
+    HighPercentile, ///< what the bad moments of late carry
+    LateByHighPercentile, ///< late streams that; timely ones what present passes carry
 };
 
 /**
  * One group of eight engines for 30 s. For the first two seconds it stands still; then demand jumps each 3.3 s, and
  * passes are 2.4 times as long for @p jump. Streams come a little faster than engines serve on average.
  */
-Outcome replay(Bound bound, std::chrono::milliseconds jump = 500ms)
+Outcome replay(AdmissionLimit limit, std::chrono::milliseconds slowPhase = 500ms)
 {
     constexpr int engines = 8;
     constexpr int batch = 12;
-    constexpr int shortest = 4; // passes of a stream
-    constexpr int longest = 44;
+    constexpr int minPasses = 4; // passes of a stream
+    constexpr int maxPasses = 44;
     constexpr double streamsPerSecond = 46;
     constexpr auto objective = 400ms;
     struct Running
@@ -176,16 +177,16 @@
         return Start + std::chrono::duration_cast<SteadyTime::duration>(time);
     };
     std::vector<Running> running;
-    StreamQueue line;
+    StreamQueue queue;
     PassSlowdown slowdown;
     SeededRandom random(3);
     Outcome outcome;
     std::uint64_t number = 0;
-    double due = streamsPerSecond * 2;
+    double pendingArrivals = streamsPerSecond * 2;
     for (Milliseconds now = 2s; now < 30s;) {
-        const bool isJumped = std::fmod(now.count(), 3'300.0) < static_cast<double>(jump.count());
+        const bool isSlowPhase = std::fmod(now.count(), 3'300.0) < static_cast<double>(slowPhase.count());
         const double perEngine = static_cast<double>(running.size()) / engines;
-        const auto pass = Large.idealPassTime(perEngine, 0) * (isJumped ? 2.4 : 1.2);
+        const auto pass = Large.idealPassTime(perEngine, 0) * (isSlowPhase ? 2.4 : 1.2);
         now += pass;
         slowdown.record(pass, {.requests = perEngine}, Large, true, steady(now));
         for (auto &stream : running) {
@@ -195,25 +196,27 @@
             }
         }
         std::erase_if(running, [](const auto &stream) { return stream.passesLeft == 0; });
-        for (due += pass.count() / 1'000 * streamsPerSecond; due >= 1; --due) {
-            line.enqueue({.number = ++number, .onTimeUntil = steady(now) + objective}, steady(now));
+        for (pendingArrivals += pass.count() / 1'000 * streamsPerSecond; pendingArrivals >= 1; --pendingArrivals) {
+            queue.enqueue({.number = ++number, .onTimeUntil = steady(now) + objective}, steady(now));
         }
-        const double inBadMoments = maxRequestsOnTime(slowdown.highPercentile(), engines, Large);
-        const double atPresent = maxRequestsOnTime(slowdown.current(), engines, Large);
-        while (!line.isEmpty()) {
-            const auto order = line.inAdmissionOrder(steady(now));
-            const auto first = bound != Bound::Batches
+        const double atHighPercentile = maxRequestsOnTime(slowdown.highPercentile(), engines, Large);
+        const double atCurrent = maxRequestsOnTime(slowdown.current(), engines, Large);
+        while (!queue.isEmpty()) {
+            const auto order = queue.inAdmissionOrder(steady(now));
+            const auto first = limit != AdmissionLimit::BatchCapacity
                 ? order.front()
                 : *std::min_element(order.begin(), order.end(),
                                     [](const auto &a, const auto &b) { return a.number < b.number; });
             const bool isTimely = first.onTimeUntil >= steady(now);
-            const double onTime = bound == Bound::LateByBadMoments && isTimely ? atPresent : inBadMoments;
-            const double most = bound == Bound::Batches ? engines * batch : std::min<double>(engines * batch, onTime);
+            const double onTime =
+                limit == AdmissionLimit::LateByHighPercentile && isTimely ? atCurrent : atHighPercentile;
+            const double most =
+                limit == AdmissionLimit::BatchCapacity ? engines * batch : std::min<double>(engines * batch, onTime);
             if (static_cast<double>(running.size()) + 1 > most) {
                 break;
             }
-            line.remove(first.number);
-            const auto passes = shortest + static_cast<int>(random.below(longest - shortest + 1));
+            queue.remove(first.number);
+            const auto passes = minPasses + static_cast<int>(random.below(maxPasses - minPasses + 1));
             running.push_back({.passesLeft = passes, .isLate = first.onTimeUntil < steady(now)});
         }
     }
@@ -224,15 +227,15 @@
 // seconds, so passes of full batches are longer than promised again and again; nothing drains, and callers see late
 // answers and pauses for the rest of the day. Filled to what the bad moments of late carry, and with new streams before
 // late ones, most streams pass through the jumps on time.
-TEST(PassBudgets, KeepStreamsOnTimeThroughJumps)
+TEST(PassCapacities, KeepStreamsOnTimeThroughDemandShifts)
 {
-    const auto unbounded = replay(Bound::Batches);
-    const auto bounded = replay(Bound::BadMoments);
-    EXPECT_GT(bounded.onTime, unbounded.onTime * 3 / 2);
-    EXPECT_GT(bounded.onTime, (bounded.onTime + bounded.late) * 7 / 10);
+    const auto unlimited = replay(AdmissionLimit::BatchCapacity);
+    const auto limited = replay(AdmissionLimit::HighPercentile);
+    EXPECT_GT(limited.onTime, unlimited.onTime * 3 / 2);
+    EXPECT_GT(limited.onTime, (limited.onTime + limited.late) * 7 / 10);
 }
 
-class JumpLengths : public testing::TestWithParam<std::chrono::milliseconds>
+class SlowPhaseLengths : public testing::TestWithParam<std::chrono::milliseconds>
 {
 };
 
@@ -240,13 +243,14 @@
 // kept to what their bad moments carry leave callers waiting before engines with room, late for the whole day; where
 // they are slow, groups that are filled by present passes have all their streams in the next bad moment. Late streams
 // kept to the one and timely ones to the other are near the better of both for any length of jump.
-TEST_P(JumpLengths, MakeTimelyStreamsLateInNeitherWay)
+TEST_P(SlowPhaseLengths, KeepTimelyStreamsOnTime)
 {
-    const auto jump = GetParam();
-    const auto best = std::max(replay(Bound::Batches, jump).onTime, replay(Bound::BadMoments, jump).onTime);
-    EXPECT_GE(replay(Bound::LateByBadMoments, jump).onTime, best * 7 / 10);
+    const auto slowPhase = GetParam();
+    const auto best = std::max(replay(AdmissionLimit::BatchCapacity, slowPhase).onTime,
+                               replay(AdmissionLimit::HighPercentile, slowPhase).onTime);
+    EXPECT_GE(replay(AdmissionLimit::LateByHighPercentile, slowPhase).onTime, best * 7 / 10);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, JumpLengths, testing::Values(250ms, 350ms, 500ms, 800ms));
+INSTANTIATE_TEST_SUITE_P(All, SlowPhaseLengths, testing::Values(250ms, 350ms, 500ms, 800ms));
 
 } // namespace
--- a/tests/decisions/slowstart_test.cpp
+++ b/tests/decisions/slowstart_test.cpp
@@ -7,16 +7,16 @@
 namespace
 {
 
-struct RoomRow
+struct AllowanceRow
 {
-    const char *story;
+    const char *description;
     double capacity;
     int reportedLoad;
     double share;
     int allowance;
 };
 
-const RoomRow RoomRows[] = {
+const AllowanceRow AllowanceRows[] = {
     {"an idle engine, one of four entries", 12, 0, 0.25, 3},
     {"the same for streams that are late", 6, 0, 0.25, 2},
     {"an engine that is half full", 12, 6, 0.25, 2},
@@ -25,16 +25,16 @@
     {"the only entry", 12, 2, 1.0, 10},
 };
 
-class StartRooms : public testing::TestWithParam<RoomRow>
+class SlowStartAllowances : public testing::TestWithParam<AllowanceRow>
 {
 };
 
-TEST_P(StartRooms, AreSharedAmongEntries)
+TEST_P(SlowStartAllowances, AreSharedAmongEntries)
 {
     const auto &row = GetParam();
-    EXPECT_EQ(slowStartAllowance(row.capacity, row.reportedLoad, row.share), row.allowance) << row.story;
+    EXPECT_EQ(slowStartAllowance(row.capacity, row.reportedLoad, row.share), row.allowance) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, StartRooms, testing::ValuesIn(RoomRows));
+INSTANTIATE_TEST_SUITE_P(All, SlowStartAllowances, testing::ValuesIn(AllowanceRows));
 
 } // namespace
--- a/tests/decisions/streamqueue_test.cpp
+++ b/tests/decisions/streamqueue_test.cpp
@@ -15,7 +15,7 @@
 
 struct OrderRow
 {
-    const char *story;
+    const char *description;
     std::vector<WaitingStream> streams;
     std::vector<std::uint64_t> order; ///< numbers, a second after Start
 };
@@ -35,40 +35,40 @@
      {2, 1}},
 };
 
-class Lines : public testing::TestWithParam<OrderRow>
+class StreamQueues : public testing::TestWithParam<OrderRow>
 {
 };
 
-TEST_P(Lines, LetTimelyStreamsGoFirst)
+TEST_P(StreamQueues, OrderOnTimeStreamsFirst)
 {
-    StreamQueue line;
+    StreamQueue queue;
     for (const auto &stream : GetParam().streams) {
-        line.enqueue(stream, Start);
+        queue.enqueue(stream, Start);
     }
     std::vector<std::uint64_t> order;
-    for (const auto &stream : line.inAdmissionOrder(Start + 1s)) {
+    for (const auto &stream : queue.inAdmissionOrder(Start + 1s)) {
         order.push_back(stream.number);
     }
-    EXPECT_EQ(order, GetParam().order) << GetParam().story;
+    EXPECT_EQ(order, GetParam().order) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Lines, testing::ValuesIn(OrderRows));
+INSTANTIATE_TEST_SUITE_P(All, StreamQueues, testing::ValuesIn(OrderRows));
 
-TEST(Lines, KnowWhetherATimelyStreamOfAServiceWaits)
+TEST(StreamQueues, ReportOnTimeStreamsOfAService)
 {
-    StreamQueue line;
-    line.enqueue({.number = 1, .service = Service, .onTimeUntil = Start}, Start);
-    EXPECT_TRUE(line.hasOnTimeStream(Service, Start));
-    EXPECT_FALSE(line.hasOnTimeStream(ServiceName("other"), Start));
-    EXPECT_FALSE(line.hasOnTimeStream(Service, Start + 1ms));
-    line.remove(1);
-    EXPECT_TRUE(line.isEmpty());
-    EXPECT_FALSE(line.hasOnTimeStream(Service, Start));
+    StreamQueue queue;
+    queue.enqueue({.number = 1, .service = Service, .onTimeUntil = Start}, Start);
+    EXPECT_TRUE(queue.hasOnTimeStream(Service, Start));
+    EXPECT_FALSE(queue.hasOnTimeStream(ServiceName("other"), Start));
+    EXPECT_FALSE(queue.hasOnTimeStream(Service, Start + 1ms));
+    queue.remove(1);
+    EXPECT_TRUE(queue.isEmpty());
+    EXPECT_FALSE(queue.hasOnTimeStream(Service, Start));
 }
 
 struct WaitRow
 {
-    const char *story;
+    const char *description;
     int waiting;
     std::chrono::milliseconds interval; ///< at which they get room
     std::chrono::milliseconds expected;
@@ -87,21 +87,21 @@
 
 // For seconds engines carry less than comes, and late streams get no room beside new ones. Each waited for its whole
 // patience and was refused then; a caller that is told at once has its second try while there is still time for it.
-TEST_P(ExpectedWait, FollowsFromThoseThatHaveLeft)
+TEST_P(ExpectedWait, FollowsFromPastAdmissions)
 {
     const auto &row = GetParam();
-    constexpr int before = 12;
-    StreamQueue line;
+    constexpr int admitted = 12;
+    StreamQueue queue;
     auto now = Start;
-    for (int number = 1; number <= before + row.waiting; ++number) {
-        line.enqueue({.number = static_cast<std::uint64_t>(number), .service = Service}, now);
+    for (int number = 1; number <= admitted + row.waiting; ++number) {
+        queue.enqueue({.number = static_cast<std::uint64_t>(number), .service = Service}, now);
     }
-    for (std::uint64_t number = 1; number <= before; ++number) {
+    for (std::uint64_t number = 1; number <= admitted; ++number) {
         now += row.interval;
-        line.admit(number, now);
+        queue.admit(number, now);
     }
-    EXPECT_EQ(line.expectedWait({.service = Service}, now), row.expected) << row.story;
-    EXPECT_EQ(line.expectedWait({.service = Service, .onTimeUntil = now + 1s}, now), 0ms) << row.story;
+    EXPECT_EQ(queue.expectedWait({.service = Service}, now), row.expected) << row.description;
+    EXPECT_EQ(queue.expectedWait({.service = Service, .onTimeUntil = now + 1s}, now), 0ms) << row.description;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, ExpectedWait, testing::ValuesIn(ExpectedWaits));
@@ -109,31 +109,32 @@
 // Engines stand still for a second after a loss of power, while streams go on coming at nine tenths of what engines
 // serve. Served in the order of arrival, the streams that waited are late, and so is all that comes behind them for
 // ten seconds. Callers see every answer late though engines have long been sound.
-TEST(Lines, KeepWhatComesAfterAHaltOnTime)
+TEST(StreamQueues, KeepStreamsAfterAnOutageOnTime)
 {
     constexpr auto objective = 300ms;
-    constexpr auto halt = 1s;
-    constexpr auto served = 10ms; // one each
-    constexpr auto comes = 11ms;
-    constexpr auto day = 8s;
-    StreamQueue line;
+    constexpr auto outage = 1s;
+    constexpr auto serviceInterval = 10ms; // one each
+    constexpr auto arrivalInterval = 11ms;
+    constexpr auto testTime = 8s;
+    StreamQueue queue;
     std::uint64_t number = 0;
     int onTime = 0;
-    int all = 0;
-    for (auto now = 0ms; now < day; now += 1ms) {
-        if (now % comes == 0ms) {
-            line.enqueue({.number = ++number, .service = Service, .onTimeUntil = Start + now + objective}, Start + now);
-            ++all;
+    int arrivals = 0;
+    for (auto now = 0ms; now < testTime; now += 1ms) {
+        if (now % arrivalInterval == 0ms) {
+            queue.enqueue({.number = ++number, .service = Service, .onTimeUntil = Start + now + objective},
+                          Start + now);
+            ++arrivals;
         }
-        if (now < halt || now % served != 0ms || line.isEmpty()) {
+        if (now < outage || now % serviceInterval != 0ms || queue.isEmpty()) {
             continue;
         }
-        const auto first = line.inAdmissionOrder(Start + now).front();
+        const auto first = queue.inAdmissionOrder(Start + now).front();
         onTime += first.onTimeUntil >= Start + now ? 1 : 0;
-        line.remove(first.number);
+        queue.remove(first.number);
     }
     // Of what came in the halt all but the last 300 ms is late; of what comes after it nearly nothing.
-    EXPECT_GT(onTime, all * 8 / 10);
+    EXPECT_GT(onTime, arrivals * 8 / 10);
 }
 
 } // namespace
--- a/tests/decisions/targetratelimit_test.cpp
+++ b/tests/decisions/targetratelimit_test.cpp
@@ -13,13 +13,13 @@
 {
 
 /** The most of @p times in any window of @p length that begins at or after @p from. */
-std::ptrdiff_t mostWithin(const std::vector<SteadyTime> &times, std::chrono::milliseconds length, SteadyTime from)
+std::ptrdiff_t maxInWindow(const std::vector<SteadyTime> &sendTimes, std::chrono::milliseconds length, SteadyTime from)
 {
-    std::ptrdiff_t most = 0;
-    for (auto begin = std::lower_bound(times.begin(), times.end(), from); begin != times.end(); ++begin) {
-        most = std::max(most, std::lower_bound(begin, times.end(), *begin + length) - begin);
+    std::ptrdiff_t maxCount = 0;
+    for (auto begin = std::lower_bound(sendTimes.begin(), sendTimes.end(), from); begin != sendTimes.end(); ++begin) {
+        maxCount = std::max(maxCount, std::lower_bound(begin, sendTimes.end(), *begin + length) - begin);
     }
-    return most;
+    return maxCount;
 }
 
 struct FleetRow
@@ -28,7 +28,7 @@
     std::size_t entries;
     int partitions; ///< of the log, dealt out among the entries
     double limit;
-    double arrivals; ///< requests a second at each entry that would go to the target
+    double arrivalsPerSecond; ///< requests a second at each entry that would go to the target
 };
 
 const FleetRow FleetRows[] = {
@@ -37,45 +37,46 @@
     {"AHighLimit", 9, 12, 30, 10}, {"NothingAllowed", 4, 12, 0, 10},
 };
 
-class Fleets : public testing::TestWithParam<FleetRow>
+class SharedRateLimits : public testing::TestWithParam<FleetRow>
 {
 };
 
 // Guards against a target in need that gets its limit from each entry, or a request of all entries at once when all
 // hear of the limit.
-TEST_P(Fleets, KeepALimitTogether)
+TEST_P(SharedRateLimits, KeepTheLimitTogether)
 {
     const auto &row = GetParam();
     SeededRandom random(11);
     std::vector<TargetRateLimit> limits(row.entries);
-    std::vector<double> parts(row.entries, 0);
+    std::vector<double> shares(row.entries, 0);
     for (int partition = 0; partition < row.partitions; ++partition) {
-        parts[static_cast<std::size_t>(partition) % row.entries] += 1.0 / row.partitions;
+        shares[static_cast<std::size_t>(partition) % row.entries] += 1.0 / row.partitions;
     }
-    std::vector<SteadyTime> times;
+    std::vector<SteadyTime> sendTimes;
     constexpr auto step = 10ms;
-    constexpr auto day = 120s;
-    const double chance = row.arrivals * std::chrono::duration<double>(step).count();
-    for (auto now = SteadyTime{} + 1h; now < SteadyTime{} + 1h + day; now += step) {
+    constexpr auto testTime = 120s;
+    const double chance = row.arrivalsPerSecond * std::chrono::duration<double>(step).count();
+    for (auto now = SteadyTime{} + 1h; now < SteadyTime{} + 1h + testTime; now += step) {
         for (std::size_t entry = 0; entry < row.entries; ++entry) {
-            if (random.fraction() >= chance || limits[entry].timeUntilAllowed(parts[entry], now).count() > 0) {
+            if (random.fraction() >= chance || limits[entry].timeUntilAllowed(shares[entry], now).count() > 0) {
                 continue;
             }
             limits[entry].recordSent(now);
-            limits[entry].update(row.limit, parts[entry], now, random); // by the answer
-            times.push_back(now);
+            limits[entry].update(row.limit, shares[entry], now, random); // by the answer
+            sendTimes.push_back(now);
         }
     }
-    const auto kept = SteadyTime{} + 1h + 3s;
-    EXPECT_LE(mostWithin(times, 4s, kept), 1.5 * row.limit * 4 + 5);
+    const auto settledAt = SteadyTime{} + 1h + 3s;
+    EXPECT_LE(maxInWindow(sendTimes, 4s, settledAt), 1.5 * row.limit * 4 + 5);
     // Callers get most of what the target takes.
-    EXPECT_GE(static_cast<double>(times.size()), 0.7 * row.limit * day / 1s);
+    EXPECT_GE(static_cast<double>(sendTimes.size()), 0.7 * row.limit * testTime / 1s);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Fleets, testing::ValuesIn(FleetRows), [](const auto &row) { return row.param.name; });
+INSTANTIATE_TEST_SUITE_P(All, SharedRateLimits, testing::ValuesIn(FleetRows),
+                         [](const auto &row) { return row.param.name; });
 
 // Guards against a target that goes on getting little after it has recovered.
-TEST(Limits, EndWithTheFirstAnswerThatNamesNone)
+TEST(TargetRateLimits, EndWithTheFirstAnswerWithoutALimit)
 {
     SeededRandom random(3);
     TargetRateLimit limit;
