--- a/modules/heatherridge_state/decisions/hashplacement.h
+++ b/modules/heatherridge_state/decisions/hashplacement.h
@@ -10,15 +10,15 @@
 {
 
 /**
- * The target to which the prompt's beginning hashes (rendezvous hashing), whatever its load.
+ * Sends each request to the target that the beginning of its prompt hashes to (rendezvous hashing), regardless of load.
  *
  * Load pattern: many prefixes of equal demand. A hot prefix overloads its one target while others idle. Requests
- * without an affinity key go to a random target. Keeps no state.
+ * without an affinity key go to a random target. Stateless.
  */
 class HashPlacement
 {
 public:
-    /** The index to send to, or nothing when no target is usable. */
+    /** Returns the index of the chosen target, or nothing when no target is usable. */
     std::optional<std::size_t> choose(std::span<const TargetView> targets, const RequestTraits &traits,
                                       RandomSource &random) const;
 };
--- a/modules/heatherridge_state/decisions/healthtracker.cpp
+++ b/modules/heatherridge_state/decisions/healthtracker.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Part that older attempts keep when a new one comes: a memory of about 20. */
+/** Factor applied to the weight of earlier attempts at each new one: an effective memory of about 20 attempts. */
 constexpr double DecayFactor = 0.95;
 
 } // namespace
@@ -83,7 +83,10 @@
     return m_ejectedCount;
 }
 
-/** Answers that come while the target is still out belong to work sent before; they neither free nor blame it. */
+/**
+ * Ignores outcomes that arrive while the target is still ejected: they belong to requests sent before the ejection and
+ * count neither for nor against it.
+ */
 void HealthTracker::recordProbeResult(State &state, bool succeeded, SteadyTime now)
 {
     if (now < state.ejectedUntil) {
@@ -112,7 +115,7 @@
     ++m_ejectedCount;
 }
 
-/** With few targets the share rounds down to none; then one of two or more may still go. */
+/** With few targets the share rounds down to zero; one of two or more targets may still be ejected. */
 bool HealthTracker::canEject() const
 {
     const auto share = static_cast<std::size_t>(m_options.maxEjectedShare * static_cast<double>(m_states.size()));
--- a/modules/heatherridge_state/decisions/healthtracker.h
+++ b/modules/heatherridge_state/decisions/healthtracker.h
@@ -10,64 +10,73 @@
 namespace Heatherridge
 {
 
-/** How an entry treats a target. */
+/** Health of a target, which determines how an entry uses it. */
 enum class Health {
-    Healthy, ///< gets its share
-    Ejected, ///< gets nothing
-    Probing, ///< gets one idempotent request at a time, to see whether it has recovered
+    Healthy, ///< receives its normal share of requests
+    Ejected, ///< receives no requests
+    Probing, ///< receives one idempotent request at a time, to test whether it has recovered
 };
 
-/** How one attempt at a target went, as far as it tells of the target's health; refusals for load do not count. */
+/**
+ * Outcome of one attempt at a target, as far as it reflects the target's health. Refusals because of load do not count.
+ */
 enum class AttemptOutcome {
     Succeeded,
-    Failed, ///< unreachable, broken off, or failed inside
-    TimedOut, ///< no sign of life in time
+    Failed, ///< unreachable, interrupted, or failed inside the target
+    TimedOut, ///< no response in time
 };
 
-/** Bounds of a HealthTracker. */
+/** Thresholds of a HealthTracker. */
 struct HealthOptions
 {
-    int failuresToEject = 5; ///< in a row: at an error rate of 10% one in 100,000 sequences does so by chance
-    double errorRateToEject = 0.5; ///< of the recent attempts, for a target that fails now and then
-    double minAttempts = 10; ///< before the share says anything
-    double slownessToEject = 4; ///< time a unit over the median of peers: spill no longer makes up for it
+    int failuresToEject = 5; ///< consecutive; at an error rate of 10%, one sequence in 100,000 fails by chance
+    double errorRateToEject = 0.5; ///< share of recent attempts, for a target that fails intermittently
+    double minAttempts = 10; ///< recent attempts required before the error rate is used
+    double slownessToEject =
+        4; ///< time per unit over the median of peers; beyond it, spilling load to peers no longer compensates
     std::chrono::milliseconds initialEjection{2000}; ///< a restart takes seconds
-    std::chrono::milliseconds maxEjection{30'000}; ///< doubles up to this for a target that fails its probes
-    /** Share of targets that may be out at a time. When more fail, the fault is likely the entry's own or the
-     * network's, and the rest would drown in the work of all. */
+    std::chrono::milliseconds maxEjection{30'000}; ///< limit of the doubling for a target that fails its probes
+    /**
+     * Largest share of targets that may be ejected at a time. When more fail, the cause is probably the entry or the
+     * network, and the remaining targets would be overloaded by the traffic of all.
+     */
     double maxEjectedShare = 1.0 / 3;
-    int probesToRecover = 3; ///< successes in a row: one may be luck
+    int probesToRecover = 3; ///< consecutive successes; a single one may be chance
 };
 
 /**
- * Which targets an entry leaves out because they fail or crawl.
+ * Tracks which targets an entry ejects because they fail or are too slow.
  *
- * Load pattern: a target that fails fast looks idle and so attracts all work; one that hangs holds it. Without ejection
- * both turn a fault of one target into a fault for every caller; without probing a recovered target stays out, and
- * without a cap a fault between entry and targets takes all of them out. One thread; each entry judges for itself, so
- * a cut between one entry and a target leaves the others' view alone.
+ * Load pattern: a target that fails fast looks idle and therefore attracts all work; one that hangs holds the work it
+ * has. Without ejection, either turns a fault of one target into a fault for every caller. Without probing, a recovered
+ * target stays ejected, and without a limit, a fault between the entry and its targets ejects all of them.
+ * Single-threaded. Each entry judges independently, so a broken connection between one entry and a target does not
+ * affect the view of the other entries.
  */
 class HealthTracker
 {
 public:
     explicit HealthTracker(HealthOptions options = {});
 
-    /** @p target exists; it starts healthy. Known targets keep their state. */
+    /** Adds @p target as healthy. Targets already known keep their state. */
     void add(const TargetName &target);
 
-    /** @p target is gone for good. */
+    /** Removes @p target permanently. */
     void remove(const TargetName &target);
 
-    /** An attempt at @p target has ended. */
+    /** Records the outcome of an attempt at @p target. */
     void record(const TargetName &target, AttemptOutcome attempt, SteadyTime now);
 
-    /** The time @p target takes for a unit of cost over the median of its peers; above the bound it is ejected. */
+    /**
+     * Records the time that @p target takes per unit of cost over the median of its peers; at or above
+     * HealthOptions::slownessToEject the target is ejected.
+     */
     void recordSlowness(const TargetName &target, double slowness, SteadyTime now);
 
-    /** How to treat @p target at @p now; unknown targets are healthy. */
+    /** Returns the health of @p target at @p now; unknown targets are healthy. */
     Health healthOf(const TargetName &target, SteadyTime now) const;
 
-    /** How many targets are out or under probation. */
+    /** Returns the number of targets that are ejected or being probed. */
     std::size_t ejectedCount() const;
 
 private:
@@ -75,11 +84,11 @@
     {
         int failuresInRow = 0;
         int successfulProbes = 0;
-        double attempts = 0; ///< recent ones, fading
+        double attempts = 0; ///< recent attempts, with exponential decay
         double failures = 0;
         bool ejected = false;
-        SteadyTime ejectedUntil{}; ///< when probing begins
-        std::chrono::milliseconds ejectionDuration{}; ///< length of the last ejection
+        SteadyTime ejectedUntil{}; ///< start of probing
+        std::chrono::milliseconds ejectionDuration{}; ///< duration of the latest ejection
     };
 
     void recordProbeResult(State &state, bool succeeded, SteadyTime now);
--- a/modules/heatherridge_state/decisions/hedgedelay.cpp
+++ b/modules/heatherridge_state/decisions/hedgedelay.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr double FirstBucketMicroseconds = 100; // microseconds
+constexpr double FirstBucketMicroseconds = 100; // lower bound of the first bucket, which also counts shorter latencies
 constexpr double BucketRatio = 1.2;
 
 } // namespace
--- a/modules/heatherridge_state/decisions/hedgedelay.h
+++ b/modules/heatherridge_state/decisions/hedgedelay.h
@@ -9,26 +9,30 @@
 {
 
 /**
- * When a second copy of an idempotent lookup is sent because the first is late: at a measured percentile.
+ * Determines when to send a second copy of a slow idempotent lookup: after a measured percentile of the latency.
  *
  * Load pattern: single slow answers among many fast ones. A fixed delay is either never reached or, when the whole
- * service slows down, reached by every request, which doubles the load. The percentile rises with the service, so that
- * about one in twenty is hedged; each hedge also takes a retry out of the RetryBudget. The first answer wins and the
- * other copy is cancelled. Counts lie in buckets a fifth apart and are halved every HalfLife samples, so that an hour
- * ago does not count. Value type, one thread.
+ * service slows down, reached by every request, which doubles the load. The percentile rises with the service's
+ * latency, so about one request in twenty is hedged; each hedge also consumes a retry of the RetryBudget. The first
+ * answer is used and the other copy is cancelled. Latencies are counted in buckets whose bounds grow by a fifth, and
+ * the counts are halved every HalfLifeSamples samples, so that latencies of an hour ago no longer matter. Value type,
+ * single-threaded.
  */
 class HedgeDelay
 {
 public:
-    /** Beyond the 95th percentile a second copy costs at most 5% and cuts the tail; lower costs more for less. */
+    /**
+     * Hedging beyond the 95th percentile costs at most 5% extra requests and shortens the tail; a lower percentile
+     * costs more and gains less.
+     */
     static constexpr double Percentile = 0.95;
-    /** Below this many samples nothing is hedged. */
+    /** No request is hedged before this many samples are recorded. */
     static constexpr double MinSamples = 50;
 
-    /** Takes in the time to the first byte of one lookup. */
+    /** Records the time to first byte of one lookup. */
     void record(std::chrono::microseconds latency);
 
-    /** How long after the first copy the second may be sent; nothing while too little is known. */
+    /** Returns how long after the first copy the second may be sent; nothing while there are too few samples. */
     std::optional<std::chrono::microseconds> delay() const;
 
 private:
--- a/modules/heatherridge_state/decisions/latencybaseline.cpp
+++ b/modules/heatherridge_state/decisions/latencybaseline.cpp
@@ -8,7 +8,10 @@
 namespace
 {
 
-/** Share by which the baseline follows a window of little load upwards: a new model is learnt in about 10 windows. */
+/**
+ * Share of the difference by which the baseline rises in a window of low load: it adapts to a new model in about 10
+ * windows.
+ */
 constexpr double RiseGain = 0.2;
 
 } // namespace
--- a/modules/heatherridge_state/decisions/latencybaseline.h
+++ b/modules/heatherridge_state/decisions/latencybaseline.h
@@ -7,47 +7,54 @@
 namespace Heatherridge
 {
 
-/** What one window of measurement says. */
+/** Result of one measurement window. */
 enum class LatencyVerdict {
     Unknown, ///< too few samples
-    Good, ///< within what is acceptable
+    Good, ///< within the acceptable range
     High, ///< above it
 };
 
 /**
- * Compares the latency of a window with what the same target does under little load.
+ * Compares the latency of a window with the latency of the same target under low load.
  *
- * Load pattern: targets whose speed differs by model and batch, so that no fixed number of milliseconds tells good from
- * late. Latency is late when it exceeds both an acceptable value, below which no caller is hurt, and Tolerance times
- * the baseline. The baseline falls at once to the lowest window and rises only while little runs: without this rule a
- * target that is always busy would teach it that late is normal. Value type, one thread.
+ * Load pattern: targets whose speed differs by model and batch, so that no fixed number of milliseconds separates good
+ * from high latency. Latency is high when it exceeds both an acceptable value, below which no caller is affected, and
+ * MaxBaselineRatio times the baseline. The baseline drops immediately to the lowest window and rises only under low
+ * load; otherwise the high latency of a target that is always busy would become its baseline. Value type,
+ * single-threaded.
  */
 class LatencyBaseline
 {
 public:
-    /** A batch that doubles the time of the empty engine is past the point where its cost is shared. */
+    /** A batch that doubles the time of an idle engine is past the point where batching amortizes its cost. */
     static constexpr double MaxBaselineRatio = 2.0;
-    /** Fewer samples in a window than this decide nothing. */
+    /** Windows with fewer samples yield LatencyVerdict::Unknown. */
     static constexpr int MinSamples = 8;
 
-    /** A baseline for which latencies up to @p acceptable are always good. */
+    /** Creates a baseline for which latencies up to @p acceptable are always good. */
     explicit LatencyBaseline(std::chrono::microseconds acceptable);
 
-    /** Takes in one sample of the window that is open. */
+    /** Adds a sample to the current window. */
     void record(std::chrono::microseconds latency);
 
-    /** Closes the window. @param littleLoad whether so little ran that its latency is the baseline. */
+    /**
+     * Closes the current window and returns its verdict. With fewer than MinSamples samples the window stays open.
+     * @param isLowLoad whether load was so low that the latency of the window is the baseline
+     */
     LatencyVerdict closeWindow(bool isLowLoad);
 
-    /** Mean latency of the last closed window over the latency that would still be good; above 1 is late. */
+    /**
+     * Returns the mean latency of the last closed window over the highest latency that is still good; above 1 the
+     * latency is high.
+     */
     double lastLatencyRatio() const;
 
-    /** Forgets the baseline: the target is another one or starts anew. */
+    /** Discards the baseline, because the target was replaced or restarted. */
     void reset();
 
 private:
     std::chrono::microseconds m_acceptable;
-    std::optional<double> m_baseline; ///< microseconds
+    std::optional<double> m_baseline; ///< in microseconds
     double m_sum = 0;
     int m_samples = 0;
     double m_lastLatencyRatio = 0;
--- a/modules/heatherridge_state/decisions/leastrequestsplacement.cpp
+++ b/modules/heatherridge_state/decisions/leastrequestsplacement.cpp
@@ -11,7 +11,8 @@
     const auto first = drawUsable(targets, random);
     auto best = first;
     for (std::size_t step = 0; best && step < targets.size(); ++step) {
-        // Starting at a random place breaks ties at random; else the first of the list would win them all.
+        // Starts at a random index so that ties are broken at random; otherwise the first target in the list would win
+        // all of them.
         const std::size_t index = (*first + step) % targets.size();
         if (targets[index].usable && targets[index].ownInFlight < targets[*best].ownInFlight) {
             best = index;
--- a/modules/heatherridge_state/decisions/leastrequestsplacement.h
+++ b/modules/heatherridge_state/decisions/leastrequestsplacement.h
@@ -10,15 +10,15 @@
 {
 
 /**
- * The target with the fewest requests of this entry in flight; ties are broken at random.
+ * Chooses the target with the fewest requests of this entry in flight; ties are broken at random.
  *
- * Load pattern: few entries, unequal targets. With many entries each has too few in flight to see the load of the
- * others. Keeps no state.
+ * Load pattern: few entries and unequal targets. With many entries, each has too few requests in flight to see the load
+ * that the others cause. Stateless.
  */
 class LeastRequestsPlacement
 {
 public:
-    /** The index to send to, or nothing when no target is usable. */
+    /** Returns the index of the chosen target, or nothing when no target is usable. */
     std::optional<std::size_t> choose(std::span<const TargetView> targets, const RequestTraits &traits,
                                       RandomSource &random) const;
 };
--- a/modules/heatherridge_state/decisions/linkplan.cpp
+++ b/modules/heatherridge_state/decisions/linkplan.cpp
@@ -12,11 +12,11 @@
 namespace
 {
 
-/** Engines between which a request may choose. */
+/** Engines that can serve the same requests. */
 using EngineKind = std::pair<ServiceName, std::vector<ModelName>>;
 using Targets = std::vector<const Target *>;
 
-/** The part of @p perKind that falls to a zone with @p inZone of @p total targets; at least one. */
+/** Returns the share of @p targetsPerKind for a zone that has @p inZone of @p total targets; at least one. */
 std::size_t zoneShare(std::size_t targetsPerKind, std::size_t inZone, std::size_t total)
 {
     return (targetsPerKind * inZone + total - 1) / total;
--- a/modules/heatherridge_state/decisions/loadestimate.h
+++ b/modules/heatherridge_state/decisions/loadestimate.h
@@ -9,42 +9,44 @@
 {
 
 /**
- * How many requests one target has, as one of several entries can know it.
+ * Estimates the number of requests at one target from the view of one of several entries.
  *
- * Load pattern: several entries send to the same targets, and a target tells its load only with answers and statuses.
- * The own part is counted; the others' part is what the target last told, fading with age into what others have at such
- * targets on average. One thread.
+ * Load pattern: several entries send to the same targets, and a target reports its load only with answers and statuses.
+ * This entry's own requests are counted. The requests of the other entries are taken from the target's last report,
+ * which decays with age towards the average of the other entries' requests at such targets. Single-threaded.
  */
 class LoadEstimate
 {
 public:
-    /** The others' part halves in this time without news: about half of a stream's length. */
+    /** Time in which the weight of the last report halves: about half the length of a stream. */
     static constexpr std::chrono::milliseconds HalfLife{700};
 
-    /** This entry sends the target a request. */
+    /** Called when this entry sends a request to the target. */
     void recordSent();
 
-    /** One of the requests has ended. */
+    /** Called when one of those requests ends. */
     void recordEnded();
 
-    /** The target says that it has @p total requests, running and waiting. */
+    /** Called when the target reports @p total requests, running and waiting. */
     void recordReport(int total, SteadyTime now);
 
-    /** Own requests that have not ended. */
+    /** Returns this entry's requests in flight. */
     int ownRequests() const;
 
-    /** Own requests when the target last told its load. */
+    /** Returns this entry's requests in flight at the time of the last report. */
     int ownRequestsAtReport() const;
 
-    /** How much the others' part still says: 1 when the target has just told it, halving with HalfLife; 0 before. */
+    /**
+     * Returns the weight of the last report: 1 when it has just arrived, halving every HalfLife; 0 before any report.
+     */
     double freshness(SteadyTime now) const;
 
-    /** The others' part as the target last told it. */
+    /** Returns the other entries' requests according to the last report. */
     double otherRequests() const;
 
     /**
-     * Requests of all entries, as far as known.
-     * @param usualOthers that others have at such a target on average
+     * Returns the estimated requests of all entries.
+     * @param typicalOthers average number of the other entries' requests at such a target
      */
     double total(SteadyTime now, double typicalOthers) const;
 
--- a/modules/heatherridge_state/decisions/passbudget.cpp
+++ b/modules/heatherridge_state/decisions/passbudget.cpp
@@ -68,7 +68,7 @@
         second = std::max(second, std::min(longest, slowdown));
         longest = std::max(longest, slowdown);
     }
-    // One pass that is much longer than its neighbours has read a long prompt, which says nothing of the next one.
+    // A single pass that is much longer than its neighbours processed a long prompt and does not predict the next pass.
     return second;
 }
 
@@ -103,7 +103,7 @@
     if (spareRequests < 1) {
         return 0;
     }
-    // A prompt that is read weighs as much in a pass as so many requests that are written.
+    // Processing a prompt takes as much of a pass as generating tokens for this many requests.
     const auto timePerRequest = passTimes.meanTimePerRequest();
     const double weight = timePerRequest.count() > 0 ? std::max(1.0, passTimes.promptTime / timePerRequest) : 1;
     return std::max(1, static_cast<int>(std::min(spareRequests, 1e6) * share / weight));
--- a/modules/heatherridge_state/decisions/passbudget.h
+++ b/modules/heatherridge_state/decisions/passbudget.h
@@ -9,65 +9,74 @@
 namespace Heatherridge
 {
 
-/** How the engines of a group work, by their own figures, and what is owed to their streams. */
+/**
+ * Model of the duration of a group's forward passes: the engines' own figures and the limits promised to their streams.
+ */
 struct PassTimeModel
 {
     using Milliseconds = std::chrono::duration<double, std::milli>;
 
-    Milliseconds baseTime{}; ///< a pass without any request
-    Milliseconds timePerRequest{}; ///< what one writing request adds to a pass of its own engine
-    Milliseconds promptTime{}; ///< to read a usual prompt at one engine
-    double passesPerStream = 1; ///< that a usual answer takes
-    Milliseconds maxPassTime{}; ///< passes up to this keep the promised pauses
+    Milliseconds baseTime{}; ///< of a pass without any request
+    Milliseconds timePerRequest{}; ///< added to an engine's pass by each request that generates tokens there
+    Milliseconds promptTime{}; ///< to process a typical prompt at one engine
+    double passesPerStream = 1; ///< passes per typical answer
+    Milliseconds maxPassTime{}; ///< longest pass that keeps the promised pauses between tokens
 
-    /** A pass of engines with so many requests each, and so many prompts to read, all at their best. */
+    /** Returns the duration of a pass at full efficiency with the given requests and prompts to process per engine. */
     Milliseconds idealPassTime(double requestsPerEngine, double promptsPerEngine) const;
 
-    /** What a request takes of a pass on average, its prompt included. */
+    /** Returns the average share of a pass's duration that one request takes, its prompt included. */
     Milliseconds meanTimePerRequest() const;
 };
 
-/** What the engines of a group do in a pass, each on average. */
+/** Work of a pass, averaged per engine. */
 struct PassLoad
 {
-    double requests = 0; ///< that are there
-    double prompts = 0; ///< that are read
+    double requests = 0; ///< requests in the batch
+    double prompts = 0; ///< prompts processed
 };
 
 /**
- * By how much the passes of a group are longer than at their best, now and in bad moments of late.
+ * Tracks the slowdown of a group's passes: their duration over the ideal one, at present and at a high percentile of
+ * recent passes.
  *
- * Load pattern: demand for experts shifts every few seconds, and passes are two to three times as long until a map for
- * it is in use. A group that is filled to what the better map carries has pauses beyond the promise at each shift. One
- * thread.
+ * Load pattern: demand for experts shifts every few seconds, and passes take two to three times as long until an expert
+ * map for the new demand is in use. A group that is filled to the capacity of a well-fitting map exceeds the promised
+ * pauses at each shift. Single-threaded.
  */
 class PassSlowdown
 {
 public:
-    /** How long passes are remembered: longer than demand usually stands still. */
+    /** Period covered by highPercentile(): longer than demand usually stays constant. */
     static constexpr std::chrono::seconds HistoryLength{5};
-    /** Part of the remembered passes that may be longer. */
+    /** Share of the recorded passes that may exceed highPercentile(). */
     static constexpr double ExceedingShare = 0.05;
-    /** Passes that are looked at for the present stretch: a second of them at most. */
+    /** Number of passes that current() considers: a second's worth at most. */
     static constexpr std::size_t CurrentPasses = 8;
 
     /**
-     * A pass took @p pass for @p work.
-     * @param isTypical false while the group has a slow rank; usual() leaves such passes out
+     * Records a pass that took @p passTime for @p load.
+     * @param isTypical false while the group has a slow rank; highPercentile() ignores such passes, except those that
+     * current() considers
      */
     void record(std::chrono::duration<double, std::milli> passTime, const PassLoad &load,
                 const PassTimeModel &passTimes, bool isTypical, SteadyTime now);
 
-    /** Forgets all passes but those that present() looks at. */
+    /** Discards all passes except those that current() considers. */
     void discardOldSamples();
 
-    /** What passes seldom exceed at present: the longest but one of the last few. 1 before any. */
+    /**
+     * Returns the slowdown that passes seldom exceed at present: the second-longest of the last few. 1 before any pass.
+     */
     double current() const;
 
-    /** What all but few passes of late have not exceeded. 1 before any. */
+    /**
+     * Returns the slowdown that all but ExceedingShare of the passes within HistoryLength did not exceed. 1 before any
+     * pass.
+     */
     double highPercentile() const;
 
-    /** When the last pass was recorded. */
+    /** Returns when the last pass was recorded. */
     SteadyTime lastRecordedAt() const;
 
 private:
@@ -80,29 +89,34 @@
 
     void updateHighPercentile();
 
-    std::deque<Sample> m_samples; ///< the newest last
+    std::deque<Sample> m_samples; ///< newest last
     double m_highPercentile = 1;
 };
 
 /**
- * How many requests a group of @p engines carries with passes that keep the promised pauses, stretched by @p stretch.
+ * Returns how many requests a group of @p engines can hold while its passes, lengthened by @p slowdown, keep the
+ * promised pauses.
  *
- * Load pattern: each request makes the passes of its whole group a little longer. A group whose batches are full can
- * have passes beyond the promised pause for good, and then serves hardly more than comes.
+ * Load pattern: each request makes the passes of its whole group slightly longer. A group whose batches are full can
+ * exceed the promised pause permanently, and then its throughput hardly exceeds the arrival rate.
  */
 double maxRequestsOnTime(double slowdown, std::size_t engines, const PassTimeModel &passTimes);
 
-/** Whether not even one request an engine is on time: a slow rank, or a map that fits nothing. */
+/**
+ * Returns whether not even one request per engine can be on time, because of a slow rank or an expert map that does not
+ * fit any demand.
+ */
 bool cannotBeOnTime(double slowdown, const PassTimeModel &passTimes);
 
 /**
- * How many streams one entry may send to a group within one pass.
+ * Returns how many streams one entry may send to a group within one pass.
  *
- * Load pattern: room appears at once, when a better map comes into use or a group opens, and every entry has streams
- * waiting. Each takes its share of the room, counted in prompts, since all of them are read in the same pass; at least
- * one stream where there is any room.
+ * Load pattern: capacity becomes available at once, when a better map takes effect or a group opens, and every entry
+ * has streams waiting. Each entry takes its share of the capacity, counted in prompts because all of them are processed
+ * in the same pass, and at least one stream when there is any capacity.
  *
- * @param room requests that the group can take on time beyond those that it has, whether or not its batches hold them
+ * @param spareRequests requests that the group can take on time beyond those it has, whether or not its batches have
+ * space for them
  * @param share of this entry in all work, 0 to 1
  */
 int maxStreamsPerPass(double spareRequests, const PassTimeModel &passTimes, double share);
--- a/modules/heatherridge_state/decisions/placement.h
+++ b/modules/heatherridge_state/decisions/placement.h
@@ -13,26 +13,28 @@
 {
 
 /**
- * The entry's choice of a target, by the policy that the rule set names.
+ * Chooses a target for each request of an entry, by the policy that the rule set names.
  *
- * Holds one of the policies and adds what holds for all: a target under probation gets one idempotent request at a
- * time, drawn with ProbeProbability, so that its recovery is seen without risking a booking; without any usable target
- * the request is refused as not run, since entries never queue. One thread.
+ * Holds one of the policies and adds the rules common to all. A target being probed receives one idempotent request at
+ * a time, drawn with ProbeProbability, so that its recovery is detected without risking a booking. When no target is
+ * usable the request is refused as not run, since entries never queue. Single-threaded.
  */
 class Placement
 {
 public:
-    /** At 10 requests a second a recovered target is found within about 3 s, at a cost of 3% of requests at most. */
+    /**
+     * At 10 requests per second a recovered target is detected within about 3 s, at a cost of at most 3% of requests.
+     */
     static constexpr double ProbeProbability = 1.0 / 32;
-    /** When a caller without any target should ask again: inventory and health change within seconds. */
+    /** Suggested retry delay when there is no usable target: inventory and health change within seconds. */
     static constexpr std::chrono::milliseconds NoTargetRetryDelay{1000};
 
-    /** Chooses by @p rules. */
+    /** Creates a placement that follows @p rules. */
     explicit Placement(const PlacementRules &rules);
 
     /**
-     * The index in @p targets to send to; NoTarget when none is usable.
-     * @param targets what is known of each candidate; the caller keeps it
+     * Returns the index in @p targets of the target to send to, or NoTarget when none is usable.
+     * @param targets what is known of each candidate; owned by the caller
      */
     Result<std::size_t> choose(std::span<const TargetView> targets, const RequestTraits &traits, RandomSource &random);
 
--- a/modules/heatherridge_state/decisions/placementrules.h
+++ b/modules/heatherridge_state/decisions/placementrules.h
@@ -6,45 +6,50 @@
 namespace Heatherridge
 {
 
-/** Options of CostPlacement; each can be switched off to measure what it is worth. */
+/** Options of CostPlacement. Each can be switched off to measure its benefit. */
 struct CostPlacementOptions
 {
-    /** Targets drawn at random for comparison beside those that hold the prefix. With more, entries herd on the target
-     * that looks best in reports that lag. */
+    /**
+     * Number of targets drawn at random for comparison, in addition to those that hold the prefix. With more, entries
+     * herd on the target that looks best in delayed reports.
+     */
     std::size_t samples = 2;
-    bool usePrefix = true; ///< whether cached prefixes count
-    bool useReports = true; ///< whether the targets' own reports count beside this entry's in-flight work
-    /** Price of a microsecond of zone delay over one of waiting: links between zones are shared, waiting is not. */
+    bool usePrefix = true; ///< whether cached prefixes are considered
+    bool useReports =
+        true; ///< whether the targets' reports are considered in addition to this entry's requests in flight
+    /**
+     * Price of a microsecond of zone delay relative to one of waiting: links between zones are shared, waiting is not.
+     */
     double zonePrice = 2;
 
     bool operator==(const CostPlacementOptions &) const = default;
 };
 
-/** The next target in turn. */
+/** Chooses the usable targets in turn. */
 struct RoundRobinOptions
 {
     bool operator==(const RoundRobinOptions &) const = default;
 };
 
-/** The target with the fewest own requests in flight. */
+/** Chooses the target with the fewest of this entry's requests in flight. */
 struct LeastRequestsOptions
 {
     bool operator==(const LeastRequestsOptions &) const = default;
 };
 
-/** The better of two drawn at random. */
+/** Chooses the better of two targets drawn at random. */
 struct TwoChoicesOptions
 {
     bool operator==(const TwoChoicesOptions &) const = default;
 };
 
-/** The target that the prompt's beginning hashes to. */
+/** Chooses the target that the beginning of the prompt hashes to. */
 struct HashOptions
 {
     bool operator==(const HashOptions &) const = default;
 };
 
-/** How entries choose targets, as the rule set's section [placement] says. */
+/** Placement policy and its options, from the section [placement] of the rule set. */
 using PlacementRules =
     std::variant<CostPlacementOptions, RoundRobinOptions, LeastRequestsOptions, TwoChoicesOptions, HashOptions>;
 
--- a/modules/heatherridge_state/decisions/prefixindex.cpp
+++ b/modules/heatherridge_state/decisions/prefixindex.cpp
@@ -80,7 +80,7 @@
             if (known == matches.end() && depth == 0) {
                 matches.push_back({.target = target, .blocks = 1});
             } else if (known != matches.end() && known->blocks == depth) {
-                ++known->blocks; // a block after a missing one is of no use to the engine
+                ++known->blocks; // a block after a missing one is useless to the engine
             }
         }
         ++depth;
--- a/modules/heatherridge_state/decisions/requestcost.h
+++ b/modules/heatherridge_state/decisions/requestcost.h
@@ -4,14 +4,15 @@
 {
 
 /**
- * Cost of a prompt token over that of a generated one.
+ * Cost of a prompt token relative to a generated one.
  *
- * Engines compute prompts in parallel and answers token by token; one generated token takes about ten times the engine
- * time. Counting both alike would make a long prompt with a short answer look ten times too dear.
+ * Engines compute prompt tokens in parallel and answer tokens one by one; one generated token takes about ten times the
+ * engine time of a prompt token. Counting both equally would make a long prompt with a short answer look ten times too
+ * expensive.
  */
 inline constexpr double PromptTokenCost = 0.1;
 
-/** Cost of a model request in units of a generated token; callers of a plain service use 1. */
+/** Returns the cost of a model request in units of one generated token. Callers of a plain service use 1. */
 constexpr double requestCost(double promptTokens, double answerTokens)
 {
     return promptTokens * PromptTokenCost + answerTokens;
--- a/modules/heatherridge_state/decisions/retrybudget.h
+++ b/modules/heatherridge_state/decisions/retrybudget.h
@@ -5,35 +5,38 @@
 namespace Heatherridge
 {
 
-/** Bounds of a RetryBudget. */
+/** Parameters of a RetryBudget. */
 struct RetryBudgetOptions
 {
-    double earnedPerSuccess = 0.08; ///< retries that a good answer earns: below a tenth, with room for the reserve
-    double initialBalance = 3; ///< retries in hand at the start, so that an entry with little traffic can retry at all
-    double maxBalance = 30; ///< retries that can be saved up: a calm hour must not pay for a storm
+    double earnedPerSuccess =
+        0.08; ///< retries earned by each successful answer: below a tenth, to leave room for the initial balance
+    double initialBalance =
+        3; ///< retries available at the start, so that an entry with little traffic can retry at all
+    double maxBalance = 30; ///< largest balance: retries saved in a calm hour must not feed an overload
 };
 
 /**
- * Bounds retries to a share of the good answers.
+ * Limits retries to a share of the successful answers.
  *
- * Load pattern: an outage or overload in which requests fail and are sent again. Without a budget, n attempts a request
- * multiply the load by n just when there is least capacity, and the outage feeds itself. A share of the requests that
- * come in is not enough: at ten times the capacity a tenth of them is as much as all that is served, and each of them
- * displaces other work. So good answers earn retries; in an outage the budget runs dry. It is per entry and service
- * and needs no exchange: if each entry keeps the share, so do all in sum. One thread.
+ * Load pattern: an outage or overload in which requests fail and are sent again. Without a budget, n attempts per
+ * request multiply the load by n exactly when capacity is lowest, and the outage sustains itself. A share of the
+ * incoming requests is not a sufficient limit: at ten times the capacity, a tenth of them equals all that is served,
+ * and each retry displaces other work. Successful answers therefore earn retries, and in an outage the budget is
+ * exhausted. The budget is per entry and service and needs no coordination: if each entry keeps to the share, so does
+ * the sum. Single-threaded.
  */
 class RetryBudget
 {
 public:
     explicit RetryBudget(RetryBudgetOptions options = {});
 
-    /** A request has been answered well. */
+    /** Records a successful answer. */
     void recordSuccess();
 
-    /** Takes one retry out of the budget; false when none is left. */
+    /** Takes one retry from the budget; returns false when none is left. */
     bool tryConsume();
 
-    /** How many retries are in hand. */
+    /** Returns the number of retries available. */
     double balance() const;
 
 private:
--- a/modules/heatherridge_state/decisions/retrypolicy.cpp
+++ b/modules/heatherridge_state/decisions/retrypolicy.cpp
@@ -20,8 +20,9 @@
 };
 
 /**
- * Whether another attempt can end otherwise. A refusal for the workspace's share is final: the shares are the same at
- * every target, and the hog's retries would use up the budget of all others.
+ * Returns whether another attempt can have a different outcome. A refusal because of the workspace's share is final:
+ * the shares are the same at every target, and the retries of a workspace over its share would use up the budget of all
+ * others.
  */
 bool isRetryable(ErrorKind kind)
 {
@@ -77,9 +78,9 @@
     const auto requestedDelay = failed.hasOtherTargets ? std::nullopt : failed.error.retryAfter;
     const auto delay = m_backoff.delay(failed.previousAttempts, requestedDelay, random);
     const auto verdict = verdictFor(failed, delay, now);
-    // A lost target does nothing more for its requests: sending them elsewhere, at most mostAttempts times, moves work
-    // instead of adding some, and what a resumed stream has received is not made again. Charged to the budget, all but
-    // a few callers of a target that dies would see their answers fail.
+    // A lost target does no further work for its requests: sending them elsewhere, at most maxAttempts times, moves
+    // work instead of adding any, and a resumed stream does not recompute what was received. If these retries were
+    // charged to the budget, all but a few callers of a target that dies would see their requests fail.
     if (verdict == RetryVerdict::Retry && !failed.canResume && !failed.targetLost && !m_budget.tryConsume()) {
         return {.verdict = RetryVerdict::BudgetSpent};
     }
--- a/modules/heatherridge_state/decisions/retrypolicy.h
+++ b/modules/heatherridge_state/decisions/retrypolicy.h
@@ -12,17 +12,17 @@
 namespace Heatherridge
 {
 
-/** What was decided about a failed attempt; each has a counter. */
+/** Decision about a failed attempt; each value has its own counter. */
 enum class RetryVerdict {
-    Retry, ///< send it again
-    NotHelpful, ///< another attempt would fail alike
-    MayHaveRun, ///< it may have run and may not be repeated
-    AttemptsSpent, ///< it has been tried as often as allowed
-    DeadlineTooClose, ///< an attempt after the wait could not finish in time
-    BudgetSpent, ///< this entry has retried enough for its traffic
+    Retry, ///< send the request again
+    NotHelpful, ///< another attempt would fail the same way
+    MayHaveRun, ///< the request may have run and must not be repeated
+    AttemptsSpent, ///< the maximum number of attempts is reached
+    DeadlineTooClose, ///< another attempt after the delay could not finish in time
+    BudgetSpent, ///< the retry budget of this entry is exhausted
 };
 
-/** Name and meaning of one verdict, for counters and documents. */
+/** Name and meaning of a verdict, for counters and documentation. */
 struct RetryVerdictText
 {
     RetryVerdict verdict;
@@ -30,60 +30,63 @@
     std::string_view meaning;
 };
 
-/** All verdicts in the order of the list. */
+/** Returns the texts of all verdicts, in the order of the enumerators. */
 std::span<const RetryVerdictText> allRetryVerdicts();
 
-/** The row for @p verdict. */
+/** Returns the text of @p verdict. */
 const RetryVerdictText &textFor(RetryVerdict verdict);
 
-/** A failed attempt, as its entry knows it. */
+/** A failed attempt, as known to its entry. */
 struct FailedAttempt
 {
     Error error{};
-    bool idempotent = false; ///< the rule set allows to repeat the call, or an idempotency key makes it safe
-    bool answerStarted = false; ///< part of the answer has gone to the caller: it cannot be begun again
-    bool targetLost = false; ///< the process beside the target is gone, and with it the work
-    bool canResume = false; ///< another target can go on behind that part
-    bool hasOtherTargets = false; ///< whether a target is left that has not refused it
-    int previousAttempts = 0; ///< how many attempts there have been before this one
+    bool idempotent = false; ///< the rule set permits repeating the call, or an idempotency key makes it safe
+    bool answerStarted = false; ///< part of the answer was sent to the caller, so it cannot be restarted
+    bool targetLost = false; ///< the sidecar process of the target is gone, and its requests with it
+    bool canResume = false; ///< another target can resume the answer after that part
+    bool hasOtherTargets = false; ///< whether there is a target that has not refused the request
+    int previousAttempts = 0; ///< number of attempts before this one
     SteadyTime deadline{};
-    std::chrono::microseconds expectedDuration{}; ///< of another attempt
+    std::chrono::microseconds expectedDuration{}; ///< duration of another attempt
 };
 
-/** The verdict, and how long to wait before the retry. */
+/** The verdict, and the delay before the retry. */
 struct RetryDecision
 {
     RetryVerdict verdict = RetryVerdict::NotHelpful;
     std::chrono::milliseconds delay{};
 };
 
-/** Bounds of a RetryPolicy. */
+/** Limits of a RetryPolicy. */
 struct RetryOptions
 {
-    int maxAttempts = 3; ///< the first included: the third target that refuses speaks for all
-    /** Attempts of a stream whose caller has a part of it: its deadline ends them, not a count. */
+    int maxAttempts = 3; ///< including the first: when a third target refuses, the others would too
+    /**
+     * Attempts of a stream whose caller has received a part of it. Such a stream is limited by its deadline rather than
+     * by this count.
+     */
     int maxResumeAttempts = 100;
     RetryBudgetOptions budget{};
     BackoffOptions backoff{};
 };
 
 /**
- * Decides whether an entry sends a failed request again.
+ * Decides whether an entry retries a failed request.
  *
- * Load pattern: see RetryBudget and Backoff. A request is repeated only when it is known not to have run, or when it
- * is idempotent and no part of its answer has left; never when the caller would see the deadline pass first. An
- * overloaded target's refusal leads to another target at once (there is no point in waiting for the first), a refusal
- * by the last target waits for the time that target named. One thread.
+ * Load pattern: see RetryBudget and Backoff. A request is repeated only when it is known not to have run, or when it is
+ * idempotent and no part of its answer was sent; never when the caller's deadline would pass first. When an overloaded
+ * target refuses a request, it is sent to another target at once, since there is no point in waiting for the first;
+ * when the last target refuses it, the retry waits for the time which that target named. Single-threaded.
  */
 class RetryPolicy
 {
 public:
     explicit RetryPolicy(RetryOptions options = {});
 
-    /** A request has been answered well; it earns a share of a retry. */
+    /** Records a successful answer, which earns a fraction of a retry. */
     void recordSuccess();
 
-    /** What to do about @p failed at @p now. Takes from the budget only when the verdict is Retry. */
+    /** Decides about @p failed at @p now. Consumes budget only when the verdict is Retry. */
     RetryDecision decide(const FailedAttempt &failed, SteadyTime now, RandomSource &random);
 
 private:
--- a/modules/heatherridge_state/decisions/roundrobinplacement.h
+++ b/modules/heatherridge_state/decisions/roundrobinplacement.h
@@ -10,15 +10,16 @@
 {
 
 /**
- * Each usable target in turn.
+ * Chooses the usable targets in turn.
  *
- * Load pattern: equal requests at equal targets. It sees neither load nor speed, so a slow target collects work until
- * it refuses. Kept for plain services with short calls and as a baseline. One thread; remembers the last turn.
+ * Load pattern: equal requests at equal targets. It considers neither load nor speed, so a slow target accumulates work
+ * until it refuses. Kept for plain services with short calls and as a baseline for comparison. Single-threaded; stores
+ * the next index.
  */
 class RoundRobinPlacement
 {
 public:
-    /** The index to send to, or nothing when no target is usable. */
+    /** Returns the index of the chosen target, or nothing when no target is usable. */
     std::optional<std::size_t> choose(std::span<const TargetView> targets, const RequestTraits &traits,
                                       RandomSource &random);
 
--- a/modules/heatherridge_state/decisions/runningestimate.h
+++ b/modules/heatherridge_state/decisions/runningestimate.h
@@ -6,7 +6,7 @@
 namespace Heatherridge
 {
 
-/** How fast a RunningEstimate follows: the part of each new sample in it. */
+/** Smoothing gains of a RunningEstimate: the weight of each new sample. */
 struct RunningEstimateOptions
 {
     double meanGain = 0.25;
@@ -14,9 +14,9 @@
 };
 
 /**
- * A duration that is measured again and again, with its usual deviation.
+ * Exponentially smoothed mean and mean deviation of a repeatedly measured duration.
  *
- * Both follow their samples by a fixed part, as TCP does for round trips. One thread.
+ * Both follow the samples with a fixed gain, like TCP's round-trip time estimate. Single-threaded.
  */
 class RunningEstimate
 {
@@ -25,13 +25,13 @@
 
     explicit RunningEstimate(RunningEstimateOptions options = {});
 
-    /** Takes a sample. */
+    /** Records a sample. */
     void record(Milliseconds sample);
 
-    /** The mean of late; nothing before the first sample. */
+    /** Returns the smoothed mean; nothing before the first sample. */
     std::optional<Milliseconds> mean() const;
 
-    /** The mean distance of samples from the mean; half of the first sample until there is another. */
+    /** Returns the smoothed distance of samples from the mean; half of the first sample until there is a second. */
     Milliseconds deviation() const;
 
 private:
--- a/modules/heatherridge_state/decisions/servicerate.cpp
+++ b/modules/heatherridge_state/decisions/servicerate.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr double MaxMicroseconds = 1e13; // keeps the conversion to a whole number defined
+constexpr double MaxMicroseconds = 1e13; // keeps the conversion to an integer defined
 
 std::chrono::microseconds toMicroseconds(double microseconds)
 {
@@ -26,7 +26,7 @@
         m_meanCost = units;
         return;
     }
-    // Both parts of the quotient are averaged, so that many short requests do not outweigh the few long ones.
+    // Numerator and denominator are averaged separately, so that many short requests do not outweigh the few long ones.
     const double meanDuration = m_microsecondsPerUnit * m_meanCost * (1 - SmoothingFactor) + measured * SmoothingFactor;
     m_meanCost = m_meanCost * (1 - SmoothingFactor) + units * SmoothingFactor;
     m_microsecondsPerUnit = meanDuration / m_meanCost;
--- a/modules/heatherridge_state/decisions/slewratelimiter.h
+++ b/modules/heatherridge_state/decisions/slewratelimiter.h
@@ -8,32 +8,35 @@
 namespace Heatherridge
 {
 
-/** Bounds of a SlewRateLimiter. */
+/** Limits of a SlewRateLimiter. */
 struct SlewRateOptions
 {
     std::chrono::milliseconds halvingTime{
-        500}; ///< fastest fall: work must leave a failing target within a second or two
-    std::chrono::milliseconds doublingTime{5000}; ///< fastest rise: longer than a report's lag and the answer to it
-    double minWeight = 0.05; ///< never lower, so that a rise can begin
+        500}; ///< fastest decrease: work must leave a failing target within one or two seconds
+    std::chrono::milliseconds doublingTime{
+        5000}; ///< fastest increase: slower than the delay of a report plus the reaction to it
+    double minWeight = 0.05; ///< lower bound, from which the weight can rise again
 };
 
 /**
- * Bounds how fast a target's weight may follow what is reported of it.
+ * Limits how fast a target's weight follows what is reported about the target.
  *
- * Load pattern: reports that lag, flap or are wrong for a moment. An entry that follows each at once sends all work to
- * the target that looked best, makes it look worst in the next report and so shifts work to and fro. Falling is fast,
- * since staying hurts callers; rising is slower than the loop of report, shift and next report, so that the
- * effect of a step is seen before the next. Value type, one thread.
+ * Load pattern: reports that are delayed, flap or are temporarily wrong. An entry that followed each report at once
+ * would send all work to the target that looked best, which would make it look worst in the next report, so work would
+ * oscillate. Decreases are fast because staying hurts callers. Increases are slower than the loop of report, shift and
+ * next report, so that the effect of one step is visible before the next. Value type, single-threaded.
  */
 class SlewRateLimiter
 {
 public:
     explicit SlewRateLimiter(SlewRateOptions options = {}, double weight = 1);
 
-    /** Moves towards @p goal (0 to 1) as far as the time since the last call allows, and returns the weight. */
+    /**
+     * Moves the weight towards @p targetWeight (0 to 1) as far as the time since the last call permits, and returns it.
+     */
     double moveTowards(double targetWeight, SteadyTime now);
 
-    /** The weight without moving it. */
+    /** Returns the current weight without changing it. */
     double weight() const;
 
 private:
--- a/modules/heatherridge_state/decisions/slownesstracker.cpp
+++ b/modules/heatherridge_state/decisions/slownesstracker.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr double SmoothingFactor = 0.1;
-/** The median moves slowly, and sorting thousands of targets for each answer would cost more than it gives. */
+/** The median changes slowly, and sorting thousands of targets for each answer would cost more than it gains. */
 constexpr std::chrono::milliseconds MedianLifetime{250};
 
 } // namespace
@@ -24,7 +24,7 @@
     state.smoothedTime =
         state.smoothedTime == 0 ? measured : state.smoothedTime * (1 - SmoothingFactor) + measured * SmoothingFactor;
     refreshMedian(now);
-    // A target faster than its peers counts as fast as they are: being less loaded makes it look fast already.
+    // A target faster than its peers is treated as equally fast: it may look fast only because it is less loaded.
     const double relativeSpeed = std::clamp(m_median / state.smoothedTime, 1 / MaxSlowness, 1.0);
     state.slowness = 1 / state.relativeSpeed.moveTowards(relativeSpeed, now);
 }
--- a/modules/heatherridge_state/decisions/slownesstracker.h
+++ b/modules/heatherridge_state/decisions/slownesstracker.h
@@ -12,32 +12,33 @@
 {
 
 /**
- * How slow each target is beside its peers: its time between tokens (or time of a plain call) over their median.
+ * Tracks the slowness of each target: its time between tokens (or the time of a plain call) over the median of all
+ * targets.
  *
- * Load pattern: a group held back by one straggler rank, a throttled accelerator, a busy neighbour. The target still
- * answers, so health checks pass, but each request placed there is late. The ratio is bounded, smoothed over about
- * 20 answers and followed at a SlewRateLimiter, so that one long answer does not shift load and a recovery does not
- * bring all work back at once. Targets are numbered by the owner. One thread.
+ * Load pattern: a group delayed by one straggler rank, a throttled accelerator, a noisy neighbour. The target still
+ * answers, so health checks pass, but each request placed there is late. The ratio is bounded, smoothed over about 20
+ * answers and applied through a SlewRateLimiter, so that one long answer does not shift load and a recovery does not
+ * return all work at once. Targets are numbered by the owner. Single-threaded.
  */
 class SlownessTracker
 {
 public:
-    /** Takes in one measurement of @p target. */
+    /** Records one measurement of @p target. */
     void record(std::size_t target, std::chrono::microseconds timePerUnit, SteadyTime now);
 
-    /** The ratio for @p target, from 1 (as fast as its peers, or unknown) to MostRatio. */
+    /** Returns the ratio for @p target, from 1 (as fast as its peers, or unknown) to MaxSlowness. */
     double slowness(std::size_t target) const;
 
-    /** Forgets @p target: it was restarted. */
+    /** Discards the measurements of @p target after a restart. */
     void reset(std::size_t target);
 
-    /** Beyond it a target is as good as out of use; HealthTracker ejects it sooner. */
+    /** A target this slow is as good as out of use; HealthTracker ejects it earlier. */
     static constexpr double MaxSlowness = 8;
 
 private:
     struct State
     {
-        double smoothedTime = 0; ///< smoothed microseconds a unit; 0 while unknown
+        double smoothedTime = 0; ///< smoothed microseconds per unit; 0 while unknown
         SlewRateLimiter relativeSpeed{};
         double slowness = 1;
     };
--- a/modules/heatherridge_state/decisions/slowstart.h
+++ b/modules/heatherridge_state/decisions/slowstart.h
@@ -7,17 +7,20 @@
 namespace Heatherridge
 {
 
-/** How long a group counts as just opened: by then the first streams have ended, and reports show the loads of all. */
+/**
+ * How long slow start applies after a group has opened: by then the first streams have ended, and reports include the
+ * load of all entries.
+ */
 constexpr std::chrono::milliseconds SlowStartDuration{2'000};
 
 /**
- * How many streams one entry may send an engine between two reports of its load, while its group has just opened: its
- * share of the room that the last report left, and at least one.
+ * Returns how many streams one entry may send an engine between two load reports while its group is in slow start: its
+ * share of the capacity that the last report left, and at least one.
  *
- * Load pattern: after a loss of power all entries hold waiting streams and see engines without any load.
+ * Load pattern: after a power loss all entries hold waiting streams and see engines without load.
  *
- * @param places that may be filled
- * @param reportedLoad requests of all entries at the engine, by its last report
+ * @param capacity slots that may be filled
+ * @param reportedLoad requests of all entries at the engine, according to its last report
  * @param share of this entry in all work, 0 to 1
  */
 inline int slowStartAllowance(double capacity, int reportedLoad, double share)
--- a/modules/heatherridge_state/decisions/streamqueue.h
+++ b/modules/heatherridge_state/decisions/streamqueue.h
@@ -15,47 +15,48 @@
 /** A stream that waits at its entry for an engine. */
 struct WaitingStream
 {
-    std::uint64_t number = 0; ///< names it; higher ones came later
+    std::uint64_t number = 0; ///< identifies the stream; later streams have higher numbers
     ServiceName service{};
-    bool hasStarted = false; ///< its caller has a part of it
-    SteadyTime onTimeUntil{}; ///< sent later it can't be on time any more
+    bool hasStarted = false; ///< its caller has received a part of it
+    SteadyTime onTimeUntil{}; ///< if sent after this time, the stream cannot be on time
 };
 
 /**
- * The order in which streams that wait get the room that appears.
+ * Orders waiting streams for admission when capacity becomes available.
  *
- * Load pattern: for a second or two engines carry less than comes. Served by arrival, streams that are late already
- * take the room of those that could still be on time. So streams that were broken off come first, then those that can
- * still be on time, the most urgent first, then late ones by arrival. One thread.
+ * Load pattern: for a second or two engines have less capacity than arrives. In order of arrival, streams that are late
+ * already would take the capacity of those that could still be on time. Interrupted streams are therefore admitted
+ * first, then those that can still be on time, the most urgent first, then late ones in order of arrival.
+ * Single-threaded.
  */
 class StreamQueue
 {
 public:
-    /** @p stream begins to wait at @p now, or goes on with other facts. */
+    /** Adds @p stream to the queue at @p now, or replaces the stream with the same number. */
     void enqueue(const WaitingStream &stream, SteadyTime now);
 
-    /** The stream @p number waits no longer. */
+    /** Removes the stream @p number without admitting it. */
     void remove(std::uint64_t number);
 
     bool isEmpty() const;
 
-    /** The stream @p number has got room at @p now, and waits no longer. */
+    /** Removes the stream @p number because it is admitted at @p now, and records the admission rate. */
     void admit(std::uint64_t number, SteadyTime now);
 
     /**
-     * How long a stream like @p stream, and behind those that wait, would wait from @p now on. Zero while nothing like
-     * it waits or none has got room yet.
+     * Returns how long @p stream would wait from @p now on behind the waiting streams of its class. Zero while no
+     * stream of its class waits or none has been admitted yet.
      */
     std::chrono::milliseconds expectedWait(const WaitingStream &stream, SteadyTime now) const;
 
-    /** Whether a stream of @p service waits that can be on time at @p now. */
+    /** Returns whether a stream of @p service is waiting that can be on time at @p now. */
     bool hasOnTimeStream(const ServiceName &service, SteadyTime now) const;
 
-    /** All streams by the order in which they get room. */
+    /** Returns all streams in the order in which they are to be admitted. */
     std::vector<WaitingStream> inAdmissionOrder(SteadyTime now) const;
 
 private:
-    /** Streams that compete for the same room. */
+    /** Streams that compete for the same capacity. */
     struct StreamClass
     {
         ServiceName service{};
@@ -64,11 +65,11 @@
         auto operator<=>(const StreamClass &) const = default;
     };
 
-    /** How quickly streams of one kind get room while some wait. */
+    /** Rate at which streams of one class are admitted while some wait. */
     struct AdmissionRate
     {
         RunningEstimate interval{};
-        SteadyTime lastEvent{}; ///< the last one got room, or the first began to wait
+        SteadyTime lastEvent{}; ///< last admission, or the time when the first stream began to wait
     };
 
     static StreamClass classOf(const WaitingStream &stream, SteadyTime now);
--- a/modules/heatherridge_state/decisions/subsetselection.cpp
+++ b/modules/heatherridge_state/decisions/subsetselection.cpp
@@ -23,7 +23,7 @@
                    [round](std::uint64_t key) { return rendezvousHash(key, round); });
     std::sort(order.begin(), order.end(),
               [&positions](std::size_t a, std::size_t b) { return positions[a] < positions[b]; });
-    // Cut into equal parts: the remainder of the division is spread over them, no target is left out.
+    // Divides the targets into equal parts. The remainder is spread over the parts, so no target is left out.
     const std::size_t part = options.entryIndex % subsets;
     const auto first = order.begin() + static_cast<std::ptrdiff_t>(part * order.size() / subsets);
     const auto last = order.begin() + static_cast<std::ptrdiff_t>((part + 1) * order.size() / subsets);
--- a/modules/heatherridge_state/decisions/targetratelimit.h
+++ b/modules/heatherridge_state/decisions/targetratelimit.h
@@ -10,40 +10,40 @@
 {
 
 /**
- * This entry's part of the requests that a target takes from all entries together.
+ * This entry's share of the rate limit that a target sets for all entries together.
  *
- * Load pattern: a target in need names a limit far below what it gets, and each of many entries sees only what it sends
- * itself. Each keeps to its part of the limit, as the log divides work, with requests spaced evenly; the parts of all
- * entries add up to 1. The first one after the limit was named is sent at a random time, since all entries hear of it
- * at once. One thread.
+ * Load pattern: an overloaded target sets a limit far below its arrival rate, and each of many entries sees only its
+ * own requests. Each entry keeps to its share of the limit, which follows the distribution of work by the log, and
+ * spaces its requests evenly; the shares of all entries add up to 1. The first request after a limit was set is sent at
+ * a random time, since all entries learn of the limit at the same time. Single-threaded.
  */
 class TargetRateLimit
 {
 public:
-    /** An entry without a part sends one request in this time, to hear whether the limit still holds. */
+    /** An entry without a share sends one request per period, to find out whether the limit still applies. */
     static constexpr std::chrono::milliseconds ProbePeriod{60'000};
 
     /**
-     * The target has answered.
-     * @param requestsPerSecond that it takes; nothing when it names no limit
-     * @param part of this entry, 0 to 1
+     * Applies the limit named in an answer of the target.
+     * @param requestsPerSecond that the target accepts; nothing when it sets no limit
+     * @param share of this entry, 0 to 1
      */
     void update(std::optional<double> requestsPerSecond, double share, SteadyTime now, RandomSource &random);
 
-    /** The limit as it was last named. */
+    /** Returns the limit that the target named last. */
     std::optional<double> requestsPerSecond() const;
 
-    /** How long until a request may be sent: 0 for now, and where no limit is named. */
+    /** Returns the time until a request may be sent: 0 when it may be sent now or there is no limit. */
     std::chrono::milliseconds timeUntilAllowed(double share, SteadyTime now) const;
 
-    /** A request is sent. */
+    /** Records that a request is sent. */
     void recordSent(SteadyTime now);
 
 private:
     std::chrono::milliseconds sendInterval(double share) const;
 
     std::optional<double> m_requestsPerSecond;
-    SteadyTime m_lastSent{}; ///< since the limit was named, or a time before
+    SteadyTime m_lastSent{}; ///< since the limit was set, or an assumed earlier time
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/twochoicesplacement.h
+++ b/modules/heatherridge_state/decisions/twochoicesplacement.h
@@ -10,15 +10,15 @@
 {
 
 /**
- * The less loaded of two targets drawn at random, by reported load and own requests.
+ * Chooses the less loaded of two targets drawn at random, by reported load and this entry's own requests.
  *
- * Load pattern: many entries with lagging reports: two draws avoid most of the herding. It ignores caches, so each
- * target computes each prefix. Keeps no state.
+ * Load pattern: many entries with delayed load reports, where two random draws avoid most of the herding. It ignores
+ * caches, so each target computes each prefix. Stateless.
  */
 class TwoChoicesPlacement
 {
 public:
-    /** The index to send to, or nothing when no target is usable. */
+    /** Returns the index of the chosen target, or nothing when no target is usable. */
     std::optional<std::size_t> choose(std::span<const TargetView> targets, const RequestTraits &traits,
                                       RandomSource &random) const;
 };
--- a/modules/heatherridge_state/decisions/workspacequeue.h
+++ b/modules/heatherridge_state/decisions/workspacequeue.h
@@ -11,84 +11,90 @@
 namespace Heatherridge
 {
 
-/** A request that asks for a place at a target. */
+/** A request for a slot at a target. */
 struct WorkRequest
 {
     RequestId id{};
     WorkspaceName workspace{};
-    double weight = 1; ///< the workspace's weight in the rule set in force
-    int priority = 0; ///< the request's own and its workspace's, added up; higher first
-    double cost = 1; ///< expected tokens, prompt and answer; 1 for a call of a plain service
-    SteadyTime deadline{}; ///< when the caller stops waiting for the whole answer
+    double weight = 1; ///< the workspace's weight in the active rule set
+    int priority = 0; ///< sum of the request's and the workspace's priority; higher first
+    double cost = 1; ///< expected tokens of prompt and answer; 1 for a call of a plain service
+    SteadyTime deadline{}; ///< when the caller stops waiting for the complete answer
 };
 
 /**
- * The waiting requests of one workspace at one target.
+ * Queue of the waiting requests of one workspace at one target.
  *
  * Load pattern: urgent beside ordinary and short beside long requests of one customer. Without classes a short call
- * waits behind a long prompt, and with strict classes the lowest one starves. So each pair of priority and size is a
- * class of its own, and a class gains one step of priority for each AgeingStep since it was last served: the highest
- * class goes first, and the lowest is served at the latest after (difference + 1) * AgeingStep. Long requests stand one
- * step below short ones of the same priority. Within a class the oldest goes first, or the newest under overload, when
- * the oldest would come too late anyway. Owned by AdmissionQueue, one thread.
+ * waits behind a long prompt, and with strict classes the lowest one starves. Each pair of priority and size therefore
+ * forms a class, and a class gains one step of priority for each AgeingStep since it was last served. The highest class
+ * is served first, and the lowest is served at the latest after (difference + 1) * AgeingStep. Long requests rank one
+ * step below short ones of the same priority. Within a class the oldest request is served first, or the newest under
+ * overload, when the oldest would miss its deadline anyway. Owned by AdmissionQueue, single-threaded.
  */
 class WorkspaceQueue
 {
 public:
-    /** A second a step: half the 20 steps from -10 to 10 pass within a third of the default deadline of 30 s. */
+    /** One second per step: half the 20 steps from -10 to 10 pass within a third of the default deadline of 30 s. */
     static constexpr std::chrono::milliseconds AgeingStep{1000};
 
-    /** A request that starts within this wait has not met a queue worth the name: below the time to first token of
-     * 360 ms that callers are to see, with room for the prompt. */
+    /**
+     * Waits up to this count as negligible: below the target time to first token of 360 ms, with time left for the
+     * prompt.
+     */
     static constexpr std::chrono::milliseconds MaxShortWait{250};
 
-    /** A request in the lane and when it came. */
+    /** A queued request and its arrival time. */
     struct QueuedRequest
     {
         WorkRequest request{};
         SteadyTime arrived{};
-        SteadyTime latestStart{}; ///< after it the deadline cannot be met
+        SteadyTime latestStart{}; ///< if started later, the request misses its deadline
         bool isLong = false;
     };
 
-    /** Adds @p waiting at the end of its class. */
+    /** Adds @p queued at the end of its class. */
     void add(QueuedRequest queued, SteadyTime now);
 
-    /** Whether nothing waits, or nothing but long requests when @p longAllowed is false. */
+    /** Returns whether the queue is empty, or holds only long requests when @p allowLong is false. */
     bool isEmpty(bool allowLong = true) const;
 
-    /** Takes out the request to start next; nothing when isEmpty(@p longAllowed). */
+    /** Removes and returns the request to start next; nothing when isEmpty(@p allowLong). */
     std::optional<QueuedRequest> pop(SteadyTime now, bool allowLong, bool newestFirst);
 
-    /** Takes out the request that came first, whatever its class. */
+    /** Removes and returns the request that arrived first, whatever its class. */
     std::optional<QueuedRequest> popOldest();
 
-    /** Takes out the request named @p id. */
+    /** Removes and returns the request @p id. */
     std::optional<QueuedRequest> remove(const RequestId &id);
 
-    /** Takes out one request whose latest start is before @p now. */
+    /** Removes and returns one request whose latest start is before @p now. */
     std::optional<QueuedRequest> popExpired(SteadyTime now);
 
-    /** The earliest of all latest starts. */
+    /** Returns the earliest of all latest starts. */
     std::optional<SteadyTime> earliestLatestStart() const;
 
-    /** The priority of the most urgent class that waits; 0 when none does. */
+    /** Returns the highest priority among the waiting classes; 0 when none waits. */
     int highestPriority() const;
 
-    /** Sum of the costs that wait. */
+    /** Returns the total cost of the waiting requests. */
     double backlog() const;
 
-    /** How many requests wait. */
+    /** Returns the number of waiting requests. */
     std::size_t size() const;
 
-    /** When the oldest request came; nothing when none waits. */
+    /** Returns the arrival time of the oldest request; nothing when none waits. */
     std::optional<SteadyTime> oldestArrival() const;
 
-    /** When the newest request came, waiting still or not; nothing while the lane is empty. */
+    /**
+     * Returns the arrival time of the newest request, whether or not it still waits; nothing while the queue is empty.
+     */
     std::optional<SteadyTime> lastArrival() const;
 
-    /** When the lane was last empty, or gave out a request while its oldest had not waited beyond MaxShortWait; nothing
-     * while it is empty. */
+    /**
+     * Returns when the queue was last empty, or when it last served a request while its oldest had waited no longer
+     * than MaxShortWait; nothing while it is empty.
+     */
     std::optional<SteadyTime> lastShortWait() const;
 
 private:
@@ -103,7 +109,7 @@
     struct PriorityClass
     {
         std::deque<QueuedRequest> requests{};
-        SteadyTime agesSince{}; ///< when it was last served, or came to be
+        SteadyTime agesSince{}; ///< when the class was last served or created
     };
 
     using Classes = std::map<ClassKey, PriorityClass>;
--- a/tests/decisions/entryside_test.cpp
+++ b/tests/decisions/entryside_test.cpp
@@ -33,21 +33,21 @@
 }
 
 const RetryRow RetryRows[] = {
-    {"known not run", failure(ErrorKind::QueueFull), RetryVerdict::Retry},
-    {"may have run, a booking", failure(ErrorKind::OutcomeUnknown), RetryVerdict::MayHaveRun},
-    {"may have run, a lookup", failure(ErrorKind::OutcomeUnknown, true), RetryVerdict::Retry},
-    {"a lookup whose answer has begun",
+    {"known not to have run", failure(ErrorKind::QueueFull), RetryVerdict::Retry},
+    {"a booking that may have run", failure(ErrorKind::OutcomeUnknown), RetryVerdict::MayHaveRun},
+    {"a lookup that may have run", failure(ErrorKind::OutcomeUnknown, true), RetryVerdict::Retry},
+    {"a lookup whose answer has started",
      modified(failure(ErrorKind::StreamBroken, true), [](auto &failed) { failed.answerStarted = true; }),
      RetryVerdict::MayHaveRun},
-    {"the caller's own fault", failure(ErrorKind::UnknownModel), RetryVerdict::NotHelpful},
-    {"over the workspace's share: the same everywhere", failure(ErrorKind::WorkspaceOverLimit),
+    {"the caller's own error", failure(ErrorKind::UnknownModel), RetryVerdict::NotHelpful},
+    {"over the workspace's share, which is the same at every target", failure(ErrorKind::WorkspaceOverLimit),
      RetryVerdict::NotHelpful},
     {"third attempt", modified(failure(ErrorKind::QueueFull), [](auto &failed) { failed.previousAttempts = 2; }),
      RetryVerdict::AttemptsSpent},
     {"deadline passes first",
      modified(failure(ErrorKind::QueueFull), [](auto &failed) { failed.expectedDuration = 11s; }),
      RetryVerdict::DeadlineTooClose},
-    {"the last target names a time beyond the deadline",
+    {"the last target names a retry time beyond the deadline",
      modified(failure(ErrorKind::Overloaded),
               [](auto &failed) {
                   failed.hasOtherTargets = false;
@@ -69,8 +69,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, RetryVerdicts, testing::ValuesIn(RetryRows));
 
-// Every target fails every request for an hour. Callers keep coming; what entries send again must stay a small
-// constant, or the outage feeds itself.
+// Guards against retries that sustain an outage: every target fails every request for an hour while callers keep
+// coming, and the number of retries must stay a small constant.
 TEST(RetryBudget, OutageEarnsNoRetries)
 {
     RetryPolicy policy;
@@ -86,8 +86,8 @@
     EXPECT_EQ(policy.decide(failure(ErrorKind::TargetUnreachable), Start, random).verdict, RetryVerdict::Retry);
 }
 
-// An entry loses its network: every target seems to fail. It must not leave out more than a third, or the few left
-// would get the work of all once the network is back.
+// Guards against mass ejection: an entry loses its network, so every target seems to fail. It must not eject more than
+// a third, or the few remaining targets would receive all work once the network is back.
 TEST(HealthTracker, EjectsAtMostAThirdAndRecoversByProbes)
 {
     HealthTracker health;
@@ -112,8 +112,8 @@
     EXPECT_EQ(health.healthOf(targets[0], Start + 7s), Health::Healthy);
 }
 
-// 500 entries each pick 64 of 4,800 targets. Every target must be picked by about as many entries, or the least picked
-// idle; and one target more must not make all entries reconnect.
+// Guards against uneven subsets: 500 entries each pick 64 of 4,800 targets. Every target must be picked by about the
+// same number of entries, or the least picked ones idle; and one additional target must not make all entries reconnect.
 RC_GTEST_PROP(SubsetSelection, CoversTargetsEvenlyAndStaysStable, ())
 {
     const auto targets = *rc::gen::inRange<std::size_t>(100, 2000);
@@ -161,8 +161,8 @@
     EXPECT_EQ(index.match(chain, Start + 1h), Matches{});
 }
 
-// An engine gets slow while it is full. The limit must come down at once, not again for each answer that began before,
-// and come back slowly.
+// An engine becomes slow while it is full. The limit must decrease at once, must not decrease again for each answer
+// that began before, and must recover slowly.
 TEST(ConcurrencyLimit, DecreasesOnceForOneExcessAndIncreasesSlowly)
 {
     ConcurrencyLimit limit({.initial = 16});
@@ -235,8 +235,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, PlacementSection, testing::ValuesIn(PlacementRows));
 
-// Whatever the policy and the targets' state: an unusable target is never chosen, and with none usable the request is
-// refused as not run.
+// For every policy and any state of the targets: an unusable target is never chosen, and when none is usable the
+// request is refused as not run.
 RC_GTEST_PROP(Placement, NeverChoosesAnUnusableTarget, ())
 {
     const PlacementRules policies[] = {CostPlacementOptions{}, RoundRobinOptions{}, LeastRequestsOptions{},
--- a/tests/decisions/linkplan_test.cpp
+++ b/tests/decisions/linkplan_test.cpp
@@ -20,13 +20,13 @@
 };
 
 const FleetRow Fleets[] = {
-    {"Today", 3, 5, 3, 18, 18}, // all of them
-    {"FullSize", 7, 76, 3, 67, 80}, // one model of nine before 4,800 replicas; subsets of 10 or 11 a zone
+    {"Today", 3, 5, 3, 18, 18}, // all targets
+    {"FullSize", 7, 76, 3, 67, 80}, // one model of nine on 4,800 replicas; subsets of 10 or 11 per zone
 };
 
 constexpr int EntryCount = 200;
 
-/** An inventory of @p fleet; each engine is rank 0 of a group whose rank 1 takes no requests. */
+/** Returns an inventory of @p fleet; each engine is rank 0 of a group whose rank 1 takes no requests. */
 Inventory inventoryOf(const FleetRow &fleet)
 {
     std::string text;
@@ -54,8 +54,8 @@
 {
 };
 
-// Each entry picks its targets for itself. A zone is lost: every entry must have some in the other zones. And a target
-// that no entry had picked would stand idle while its peers queue.
+// Each entry selects its targets independently. When a zone is lost, every entry must have targets in the other zones,
+// and a target that no entry selected would idle while its peers queue.
 TEST_P(LinkPlans, AreBoundedAndCoverAllTargetsAndZones)
 {
     const auto inventory = inventoryOf(GetParam());
--- a/tests/decisions/loadpatterns_test.cpp
+++ b/tests/decisions/loadpatterns_test.cpp
@@ -11,38 +11,40 @@
 namespace
 {
 
-/** What callers must get under one pattern; bounds leave room for seeds, not for another behaviour. */
+/** Required figures under one pattern; the bounds leave room for other seeds, not for other behaviour. */
 struct Expectation
 {
     const char *pattern;
-    double minGoodput; ///< lowest answered in time, of what is offered or of the peak, whichever is less
-    double maxFirstTokenMs; ///< highest 99th percentile of the time to first token
-    double minShare; ///< lowest received over due of any workspace
-    double maxAttempts; ///< highest attempts a request
-    double maxRefusalWaitMs; ///< highest 99th percentile of the wait for a refusal
-    double maxShifts; ///< most shifts a minute and target
+    double minGoodput; ///< minimum answered in time, relative to the lesser of the offered and the peak rate
+    double maxFirstTokenMs; ///< maximum of the 99th percentile of the time to first token
+    double minShare; ///< minimum of received over due share of any workspace
+    double maxAttempts; ///< maximum attempts per request
+    double maxRefusalWaitMs; ///< maximum of the 99th percentile of the wait for a refusal
+    double maxShifts; ///< maximum shifts per minute and target
 };
 
 const Expectation Expectations[] = {
-    // Nothing is refused, and no request is sent twice.
+    // No request is refused or sent twice.
     {"steady", 0.999, 450, 0.99, 1.005, 0, 40},
-    // A burst waits where it fits and is refused where it does not; the steady load before and after is not hurt.
+    // A burst waits where there is capacity and is refused where there is none; the steady load before and after is not
+    // affected.
     {"burst", 0.90, 9'000, 0.88, 1.10, 10'000, 40},
-    // The hog is held to its share; each of the others gets its own although it sends a hundredth of the hog's.
+    // The workspace that floods the targets is limited to its share; each of the others gets its own share although it
+    // sends a hundredth of that traffic.
     {"hog", 0.95, 6'000, 0.93, 1.10, 4'000, 40},
-    // A beginning that most prompts share must not make its first holder the only one.
+    // A prefix that most prompts share must not concentrate them on its first holder.
     {"hot-prefix", 0.999, 450, 0.99, 1.005, 0, 40},
-    // One engine in sixteen takes four times as long: its work goes elsewhere, and callers see little.
+    // One engine in sixteen takes four times as long: its work is moved elsewhere, and callers notice little.
     {"slow-target", 0.99, 600, 0.99, 1.01, 0, 40},
-    // Long prompts take their time; short calls beside them do not.
+    // Long prompts take long; short calls beside them do not.
     {"long-among-short", 0.99, 2'500, 0.98, 1.02, 1'000, 60},
     {"saturation-2x", 0.95, 5'000, 0.93, 1.10, 4'000, 40},
     {"saturation-10x", 0.95, 6'000, 0.93, 1.10, 4'000, 40},
     // Requests that ran in the lost zone are repeated once elsewhere, within the budget.
     {"zone-lost", 0.97, 5'000, 0.93, 1.10, 15'000, 45},
-    // Reports that are wrong in turn must not swing the traffic.
+    // Reports that are wrong in turn must not make traffic oscillate.
     {"flapping-reports", 0.99, 700, 0.99, 1.01, 0, 40},
-    // All targets are gone for 5 of 60 s: what is lost is theirs, and retries add less than a tenth.
+    // All targets are unreachable for 5 of 60 s: only their requests are lost, and retries add less than a tenth.
     {"retry-storm", 0.80, 3'500, 0.80, 1.10, 20'000, 45},
     {"cold-start", 0.70, 7'000, 0.90, 1.10, 8'000, 40},
 };
@@ -69,7 +71,7 @@
     EXPECT_LE(figures.attemptsPerRequest, row.maxAttempts);
     EXPECT_LE(figures.refusalWait99, row.maxRefusalWaitMs);
     EXPECT_LE(figures.shiftsPerMinute, row.maxShifts);
-    // Each request that came in was answered, refused with a counted reason, or came back after a refusal.
+    // Each incoming request was answered, refused with a counted reason, or retried by its caller after a refusal.
     EXPECT_GE(figures.goodput + figures.late + sumOf(figures.refusals), figures.offered * 0.999);
 }
 
@@ -87,7 +89,7 @@
     }
 }
 
-// Each mechanism is there for a pattern; without it callers must be worse off, or it is not worth its lines.
+// Each mechanism exists for a pattern. Without it callers must be worse off, or it is not worth its code.
 struct MechanismRow
 {
     const char *mechanism;
--- a/tests/decisions/passbudget_test.cpp
+++ b/tests/decisions/passbudget_test.cpp
@@ -18,13 +18,13 @@
 
 const SteadyTime Start(1h);
 
-/** Engines whose batch of 12 has passes of 62 ms at their best. */
+/** Engines whose passes with a batch of 12 take 62 ms ideally. */
 const PassTimeModel Large{.baseTime = Milliseconds(18.2),
                           .timePerRequest = Milliseconds(3.62),
                           .promptTime = Milliseconds(13.6),
                           .passesPerStream = 24,
                           .maxPassTime = Milliseconds(108)};
-/** Engines whose batch of 12 has passes of 51 ms. */
+/** Engines whose passes with a batch of 12 take 51 ms ideally. */
 const PassTimeModel Fast{.baseTime = Milliseconds(29.3),
                          .timePerRequest = Milliseconds(1.78),
                          .promptTime = Milliseconds(13.6),
@@ -36,17 +36,17 @@
     const char *description;
     PassTimeModel passTimes;
     double slowdown;
-    int minRequests; ///< requests an engine
+    int minRequests; ///< requests per engine
     int most;
     bool cannotBeOnTime;
 };
 
 const CapacityRow CapacityRows[] = {
-    {"whole batches with an even map", Large, 1.2, 12, 100, false},
-    {"half of a batch with a map that does not fit", Large, 2.3, 6, 7, false},
-    {"quick engines take more with the same map", Fast, 2.3, 7, 12, false},
-    {"a rank that is many times as slow", Large, 6, 0, 0, true},
-    {"a pass that is too long by itself, and figures that say nothing of requests",
+    {"full batches with an even expert map", Large, 1.2, 12, 100, false},
+    {"half a batch with an unsuitable map", Large, 2.3, 6, 7, false},
+    {"fast engines take more with the same map", Fast, 2.3, 7, 12, false},
+    {"a rank that is several times slower", Large, 6, 0, 0, true},
+    {"an empty pass that is too long, without a time per request",
      {.baseTime = Milliseconds(200), .maxPassTime = Milliseconds(108)},
      1,
      0,
@@ -78,11 +78,11 @@
 };
 
 const StreamsPerPassRow StreamsPerPassRows[] = {
-    {"no room", 0.5, 0.25, 0},
-    {"room for one: whoever comes first takes it", 1, 0.25, 1},
+    {"no capacity", 0.5, 0.25, 0},
+    {"capacity for one: the first entry takes it", 1, 0.25, 1},
     {"an idle group, one of four entries", 90, 0.25, 6},
     {"the only entry", 90, 1, 27},
-    {"one of hundreds", 90, 0.005, 1},
+    {"one of hundreds of entries", 90, 0.005, 1},
 };
 
 class StreamsPerPass : public testing::TestWithParam<StreamsPerPassRow>
@@ -97,7 +97,7 @@
 
 INSTANTIATE_TEST_SUITE_P(All, StreamsPerPass, testing::ValuesIn(StreamsPerPassRows));
 
-/** A group of 6 requests an engine over some passes. @returns when the last one ended */
+/** Records some passes of a group with 6 requests per engine. @returns when the last one ended */
 SteadyTime pass(PassSlowdown &slowdown, int passes, double slowdownFactor, SteadyTime now, bool isTypical = true)
 {
     for (int index = 0; index < passes; ++index) {
@@ -121,9 +121,9 @@
     EXPECT_NEAR(slowdown.highPercentile(), 1.2, 1e-9);
 }
 
-// A rank is twelve times as slow until its experts have moved elsewhere. Its group is empty and sound then, but was
-// kept so for seconds more for the passes that it had, while the other group was too full for its streams to be on
-// time.
+// Guards against remembering a slow rank: a rank is twelve times as slow until its experts have moved elsewhere. Its
+// group is empty and healthy then, but the recorded passes kept it empty for further seconds, while the other group was
+// too full for its streams to be on time.
 TEST(PassSlowdown, DiscardsPassesOfASlowRank)
 {
     PassSlowdown slowdown;
@@ -142,29 +142,30 @@
     EXPECT_NEAR(slowdown.current(), 1.1, 1e-9);
 }
 
-/** What became of the streams of a replayed load. */
+/** Outcome of the streams of a replayed load. */
 struct Outcome
 {
     int onTime = 0;
     int late = 0;
 };
 
-/** How many streams are let in. All but the first let in timely streams before late ones. */
+/** Limit on the streams that are admitted. All but the first admit timely streams before late ones. */
 enum class AdmissionLimit {
-    BatchCapacity, ///< whole batches, by arrival
-    HighPercentile, ///< what the bad moments of late carry
-    LateByHighPercentile, ///< late streams that; timely ones what present passes carry
+    BatchCapacity, ///< full batches, in order of arrival
+    HighPercentile, ///< capacity at the high percentile of recent slowdowns
+    LateByHighPercentile, ///< late streams by the high percentile; timely ones by the current slowdown
 };
 
 /**
- * One group of eight engines for 30 s. For the first two seconds it stands still; then demand jumps each 3.3 s, and
- * passes are 2.4 times as long for @p jump. Streams come a little faster than engines serve on average.
+ * Simulates one group of eight engines for 30 s. For the first two seconds it is stopped; then demand shifts every 3.3
+ * s, and passes take 2.4 times as long for @p slowPhase. Streams arrive slightly faster than the engines serve on
+ * average.
  */
 Outcome replay(AdmissionLimit limit, std::chrono::milliseconds slowPhase = 500ms)
 {
     constexpr int engines = 8;
     constexpr int batch = 12;
-    constexpr int minPasses = 4; // passes of a stream
+    constexpr int minPasses = 4; // passes per stream
     constexpr int maxPasses = 44;
     constexpr double streamsPerSecond = 46;
     constexpr auto objective = 400ms;
@@ -223,10 +224,11 @@
     return outcome;
 }
 
-// A group stands still for two seconds, and what has waited fills its batches. Demand for experts jumps every few
-// seconds, so passes of full batches are longer than promised again and again; nothing drains, and callers see late
-// answers and pauses for the rest of the day. Filled to what the bad moments of late carry, and with new streams before
-// late ones, most streams pass through the jumps on time.
+// Guards against a permanently overloaded group: a group is stopped for two seconds, and the accumulated streams fill
+// its batches. Demand for experts shifts every few seconds, so passes of full batches repeatedly take longer than
+// promised, the backlog never drains, and all answers are late from then on. When the group is filled only to its
+// capacity at the high percentile of recent slowdowns, and new streams are admitted before late ones, most streams stay
+// on time through the shifts.
 TEST(PassCapacities, KeepStreamsOnTimeThroughDemandShifts)
 {
     const auto unlimited = replay(AdmissionLimit::BatchCapacity);
@@ -239,10 +241,11 @@
 {
 };
 
-// Maps follow demand in a quarter of a second here and in most of a second there. Where they are quick, groups that are
-// kept to what their bad moments carry leave callers waiting before engines with room, late for the whole day; where
-// they are slow, groups that are filled by present passes have all their streams in the next bad moment. Late streams
-// kept to the one and timely ones to the other are near the better of both for any length of jump.
+// Expert maps follow demand within a quarter of a second on some sites and within most of a second on others. Where
+// they are quick, a limit by the high percentile leaves callers waiting for engines that have capacity, so they stay
+// late; where they are slow, a limit by the current slowdown leaves a group's streams exposed to the next slow phase.
+// Limiting late streams by the high percentile and timely ones by the current slowdown is close to the better of both
+// for any length of the slow phase.
 TEST_P(SlowPhaseLengths, KeepTimelyStreamsOnTime)
 {
     const auto slowPhase = GetParam();
--- a/tests/decisions/refusalspage_test.cpp
+++ b/tests/decisions/refusalspage_test.cpp
@@ -28,7 +28,8 @@
     return rows;
 }
 
-// An operator looks a refusal up and finds another status or nothing: the page has been left behind by the code.
+// Guards against a page of refusals that is out of date: an operator would look a refusal up and find another status or
+// nothing.
 TEST(RefusalsPage, ListsEachErrorKindAndRetryVerdict)
 {
     const auto text = readPage();
@@ -43,7 +44,7 @@
         EXPECT_NE(text.find(line), std::string::npos) << line;
     }
     EXPECT_EQ(countTableRows(text),
-              allErrorAnswers().size() + allRetryVerdicts().size() + 2); // and two rows of headings
+              allErrorAnswers().size() + allRetryVerdicts().size() + 2); // plus two header rows
 }
 
 } // namespace
--- a/tests/decisions/slowstart_test.cpp
+++ b/tests/decisions/slowstart_test.cpp
@@ -18,10 +18,10 @@
 
 const AllowanceRow AllowanceRows[] = {
     {"an idle engine, one of four entries", 12, 0, 0.25, 3},
-    {"the same for streams that are late", 6, 0, 0.25, 2},
+    {"the same for late streams", 6, 0, 0.25, 2},
     {"an engine that is half full", 12, 6, 0.25, 2},
-    {"a full one: a place may have come free", 12, 12, 0.25, 1},
-    {"an entry of hundreds", 12, 0, 0.0, 1},
+    {"a full engine: a slot may have become free", 12, 12, 0.25, 1},
+    {"one of hundreds of entries", 12, 0, 0.0, 1},
     {"the only entry", 12, 2, 1.0, 10},
 };
 
--- a/tests/decisions/streamqueue_test.cpp
+++ b/tests/decisions/streamqueue_test.cpp
@@ -17,20 +17,20 @@
 {
     const char *description;
     std::vector<WaitingStream> streams;
-    std::vector<std::uint64_t> order; ///< numbers, a second after Start
+    std::vector<std::uint64_t> order; ///< stream numbers, one second after Start
 };
 
 const OrderRow OrderRows[] = {
     {"none", {}, {}},
-    {"timely ones by urgency, not by arrival",
+    {"timely streams by urgency, not by arrival",
      {{.number = 1, .onTimeUntil = Start + 1'400ms}, {.number = 2, .onTimeUntil = Start + 1'200ms}},
      {2, 1}},
-    {"late ones behind timely ones, the oldest first",
+    {"late streams behind timely ones, the oldest first",
      {{.number = 1, .onTimeUntil = Start + 500ms},
       {.number = 2, .onTimeUntil = Start + 400ms},
       {.number = 3, .onTimeUntil = Start + 1'400ms}},
      {3, 1, 2}},
-    {"one that was broken off before all others",
+    {"an interrupted stream before all others",
      {{.number = 1, .onTimeUntil = Start + 1'200ms}, {.number = 2, .hasStarted = true, .onTimeUntil = Start}},
      {2, 1}},
 };
@@ -70,12 +70,12 @@
 {
     const char *description;
     int waiting;
-    std::chrono::milliseconds interval; ///< at which they get room
+    std::chrono::milliseconds interval; ///< between admissions
     std::chrono::milliseconds expected;
 };
 
 const WaitRow ExpectedWaits[] = {
-    {"nobody waits", 0, 50ms, 0ms},
+    {"no stream waits", 0, 50ms, 0ms},
     {"some wait, and the queue moves", 4, 50ms, 200ms},
     {"many wait", 40, 50ms, 2s},
     {"few wait, and the queue hardly moves", 3, 600ms, 1'800ms},
@@ -85,8 +85,9 @@
 {
 };
 
-// For seconds engines carry less than comes, and late streams get no room beside new ones. Each waited for its whole
-// patience and was refused then; a caller that is told at once has its second try while there is still time for it.
+// Guards against late refusals: for seconds engines have less capacity than arrives, and late streams are not admitted
+// beside new ones. Each used to wait for its whole patience and was refused only then; a caller that is refused at once
+// still has time for its second attempt.
 TEST_P(ExpectedWait, FollowsFromPastAdmissions)
 {
     const auto &row = GetParam();
@@ -106,14 +107,14 @@
 
 INSTANTIATE_TEST_SUITE_P(All, ExpectedWait, testing::ValuesIn(ExpectedWaits));
 
-// Engines stand still for a second after a loss of power, while streams go on coming at nine tenths of what engines
-// serve. Served in the order of arrival, the streams that waited are late, and so is all that comes behind them for
-// ten seconds. Callers see every answer late though engines have long been sound.
+// Guards against a backlog that makes all later streams late: engines are stopped for a second after a power loss,
+// while streams keep arriving at nine tenths of the service rate. Served in order of arrival, the streams that waited
+// are late, and so are all that arrive behind them for ten seconds, long after the engines have recovered.
 TEST(StreamQueues, KeepStreamsAfterAnOutageOnTime)
 {
     constexpr auto objective = 300ms;
     constexpr auto outage = 1s;
-    constexpr auto serviceInterval = 10ms; // one each
+    constexpr auto serviceInterval = 10ms; // one stream per interval
     constexpr auto arrivalInterval = 11ms;
     constexpr auto testTime = 8s;
     StreamQueue queue;
@@ -133,7 +134,7 @@
         onTime += first.onTimeUntil >= Start + now ? 1 : 0;
         queue.remove(first.number);
     }
-    // Of what came in the halt all but the last 300 ms is late; of what comes after it nearly nothing.
+    // Of the arrivals during the outage all but those of the last 300 ms are late; of those after it almost none.
     EXPECT_GT(onTime, arrivals * 8 / 10);
 }
 
--- a/tests/decisions/targetratelimit_test.cpp
+++ b/tests/decisions/targetratelimit_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** The most of @p times in any window of @p length that begins at or after @p from. */
+/** Returns the largest number of @p sendTimes in any window of @p length that begins at or after @p from. */
 std::ptrdiff_t maxInWindow(const std::vector<SteadyTime> &sendTimes, std::chrono::milliseconds length, SteadyTime from)
 {
     std::ptrdiff_t maxCount = 0;
@@ -26,9 +26,9 @@
 {
     const char *name;
     std::size_t entries;
-    int partitions; ///< of the log, dealt out among the entries
+    int partitions; ///< of the log, distributed among the entries
     double limit;
-    double arrivalsPerSecond; ///< requests a second at each entry that would go to the target
+    double arrivalsPerSecond; ///< requests per second at each entry that would go to the target
 };
 
 const FleetRow FleetRows[] = {
@@ -41,8 +41,8 @@
 {
 };
 
-// Guards against a target in need that gets its limit from each entry, or a request of all entries at once when all
-// hear of the limit.
+// Guards against an overloaded target that receives its limit from each entry, or a request from all entries at once
+// when all learn of the limit.
 TEST_P(SharedRateLimits, KeepTheLimitTogether)
 {
     const auto &row = GetParam();
@@ -62,20 +62,20 @@
                 continue;
             }
             limits[entry].recordSent(now);
-            limits[entry].update(row.limit, shares[entry], now, random); // by the answer
+            limits[entry].update(row.limit, shares[entry], now, random); // named by the answer
             sendTimes.push_back(now);
         }
     }
     const auto settledAt = SteadyTime{} + 1h + 3s;
     EXPECT_LE(maxInWindow(sendTimes, 4s, settledAt), 1.5 * row.limit * 4 + 5);
-    // Callers get most of what the target takes.
+    // Callers get most of the rate that the target accepts.
     EXPECT_GE(static_cast<double>(sendTimes.size()), 0.7 * row.limit * testTime / 1s);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, SharedRateLimits, testing::ValuesIn(FleetRows),
                          [](const auto &row) { return row.param.name; });
 
-// Guards against a target that goes on getting little after it has recovered.
+// Guards against a target that keeps receiving little after it has recovered.
 TEST(TargetRateLimits, EndWithTheFirstAnswerWithoutALimit)
 {
     SeededRandom random(3);
