--- a/modules/heatherridge_state/decisions/healthtracker.h
+++ b/modules/heatherridge_state/decisions/healthtracker.h
@@ -32,8 +32,7 @@
     int failuresToEject = 5; ///< consecutive; at an error rate of 10%, one sequence in 100,000 fails by chance
     double errorRateToEject = 0.5; ///< share of recent attempts, for a target that fails intermittently
     double minAttempts = 10; ///< recent attempts required before the error rate is used
-    double slownessToEject =
-        4; ///< time per unit over the median of peers; beyond it, spilling load to peers no longer compensates
+    double slownessToEject = 4; ///< time per unit over the median of peers; spilling load no longer makes up for it
     std::chrono::milliseconds initialEjection{2000}; ///< a restart takes seconds
     std::chrono::milliseconds maxEjection{30'000}; ///< limit of the doubling for a target that fails its probes
     /**
