--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -60,7 +60,7 @@
     if (refuseIfBlocked()) {
         return;
     }
-    if (isStream() && m_traffic.m_queue.hasTimely(m_service, m_arrived)) {
+    if (isStream() && m_traffic.m_queue.hasOnTimeStream(m_service, m_arrived)) {
         enqueue(); // behind those that came before it
     } else {
         attempt();
@@ -153,11 +153,13 @@
     if (!m_waitsUntil) {
         m_waitsUntil = now() + placementWait(m_route.kind, timeLeft(), m_route.objective);
     }
-    const WaitingStream stream{
-        .number = m_number, .service = m_service, .isBegun = urgency() == Urgency::Begun, .onTimeUntil = onTimeUntil()};
+    const WaitingStream stream{.number = m_number,
+                               .service = m_service,
+                               .hasStarted = urgency() == Urgency::Begun,
+                               .onTimeUntil = onTimeUntil()};
     // Asked when it joins and when it falls behind the timely ones: at other times it has moved up.
     const bool isLate = stream.onTimeUntil < now();
-    const bool isBehind = !stream.isBegun && m_isQueuedAsLate != isLate;
+    const bool isBehind = !stream.hasStarted && m_isQueuedAsLate != isLate;
     const auto wait = isBehind ? m_traffic.m_queue.expectedWait(stream, now()) : milliseconds(0);
     if (now() + wait > *m_waitsUntil) {
         fail({.kind = ErrorKind::Overloaded, .detail = "the queue is too long", .retryAfter = wait});
@@ -200,7 +202,7 @@
     m_hasBegun = false;
     markSuspectAt(m_target);
     m_stream.beginAttempt();
-    if (target.load.own() == 0) {
+    if (target.load.ownRequests() == 0) {
         target.lastHeard = m_sentAt;
     }
     m_loadAtSend = load;
@@ -209,8 +211,8 @@
     m_waited = age();
     m_traffic.admitted(m_number, m_sentAt);
     m_traffic.m_targets.sentTo(m_group, m_sentAt);
-    target.load.sent();
-    target.limit.sent(m_sentAt);
+    target.load.recordSent();
+    target.limit.recordSent(m_sentAt);
     ++target.sentSinceReport;
     const auto &request = m_exchange->request();
     const auto headers =
@@ -238,7 +240,7 @@
     if (auto *target = m_traffic.m_targets.find(m_target)) {
         target->lastHeard = now();
         if (m_answer.load) {
-            target->load.reported(m_answer.load->running + m_answer.load->waiting, target->lastHeard);
+            target->load.recordReport(m_answer.load->running + m_answer.load->waiting, target->lastHeard);
         }
         takeLimit(*target);
     }
@@ -450,7 +452,7 @@
         return;
     }
     leaveTarget(true);
-    m_traffic.m_targets.record(m_target, Attempt::Succeeded, now());
+    m_traffic.m_targets.record(m_target, AttemptOutcome::Succeeded, now());
     if (isSuspect()) {
         m_traffic.m_crashGuard.answered(fingerprint());
     }
@@ -468,9 +470,10 @@
         m_traffic.m_targets.refused(m_target, now());
     }
     if (end == AttemptEnd::Answered) {
-        m_traffic.m_targets.record(m_target, Attempt::Succeeded, now());
+        m_traffic.m_targets.record(m_target, AttemptOutcome::Succeeded, now());
     } else if (end != AttemptEnd::RefusedAtTarget) {
-        m_traffic.m_targets.record(m_target, end == AttemptEnd::Silent ? Attempt::TimedOut : Attempt::Failed, now());
+        m_traffic.m_targets.record(
+            m_target, end == AttemptEnd::Silent ? AttemptOutcome::TimedOut : AttemptOutcome::Failed, now());
     }
     const bool hasRunToAnEnd = end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget;
     if (hasRunToAnEnd && isSuspect()) {
@@ -529,7 +532,7 @@
     }
     const auto connection = std::exchange(m_connection, {});
     if (auto *target = m_traffic.m_targets.find(m_target)) {
-        target->load.ended();
+        target->load.recordEnded();
     }
     if (keepConnection) {
         m_traffic.m_pool.give(m_target, connection, m_answer.idleTimeout);
--- a/tests/decisions/slowstart_test.cpp
+++ b/tests/decisions/slowstart_test.cpp
@@ -7,34 +7,34 @@
 namespace
 {
 
-struct RoomRow
+struct AllowanceRow
 {
-    const char *story;
-    double places;
+    const char *description;
+    double capacity;
     int reportedLoad;
     double share;
-    int room;
+    int allowance;
 };
 
-const RoomRow RoomRows[] = {
+const AllowanceRow AllowanceRows[] = {
     {"an idle engine, one of four entries", 12, 0, 0.25, 3},
-    {"the same for streams that are late", 6, 0, 0.25, 2},
+    {"the same for late streams", 6, 0, 0.25, 2},
     {"an engine that is half full", 12, 6, 0.25, 2},
-    {"a full one: a place may have come free", 12, 12, 0.25, 1},
-    {"an entry of hundreds", 12, 0, 0.0, 1},
+    {"a full engine: a slot may have become free", 12, 12, 0.25, 1},
+    {"one of hundreds of entries", 12, 0, 0.0, 1},
     {"the only entry", 12, 2, 1.0, 10},
 };
 
-class StartRooms : public testing::TestWithParam<RoomRow>
+class SlowStartAllowances : public testing::TestWithParam<AllowanceRow>
 {
 };
 
-TEST_P(StartRooms, AreSharedAmongEntries)
+TEST_P(SlowStartAllowances, AreSharedAmongEntries)
 {
     const auto &row = GetParam();
-    EXPECT_EQ(startRoom(row.places, row.reportedLoad, row.share), row.room) << row.story;
+    EXPECT_EQ(slowStartAllowance(row.capacity, row.reportedLoad, row.share), row.allowance) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, StartRooms, testing::ValuesIn(RoomRows));
+INSTANTIATE_TEST_SUITE_P(All, SlowStartAllowances, testing::ValuesIn(AllowanceRows));
 
 } // namespace
