--- a/modules/heatherridge_coordination/groups/votetallyhistory.cpp
+++ b/modules/heatherridge_coordination/groups/votetallyhistory.cpp
@@ -12,8 +12,8 @@
 {
     auto oldest = m_tallies.begin();
     while (m_tallies.size() > MaxTallies && oldest != m_tallies.end()) {
-        const bool mustKeep = oldest->first == pending || oldest->first == map;
-        oldest = mustKeep ? std::next(oldest) : m_tallies.erase(oldest);
+        const bool needed = oldest->first == pending || oldest->first == map;
+        oldest = needed ? std::next(oldest) : m_tallies.erase(oldest);
     }
     return m_tallies.try_emplace(map, epoch, m_safeguards).first->second;
 }
