--- a/modules/heatherridge_coordination/groups/groupleader.cpp
+++ b/modules/heatherridge_coordination/groups/groupleader.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Settled ballots kept: a gate that asks is at most a few switches behind, since each needs its vote. */
+/** Maximum number of decided tallies kept. A gate is at most a few switches behind, since each needs its vote. */
 constexpr std::size_t MaxDecidedTallies = 64;
 
 } // namespace
@@ -49,7 +49,7 @@
 
 void GroupLeader::handleAppendResult(bool succeeded)
 {
-    // Also after success the record only counts once it is read back: another may have come before it.
+    // Even after a successful append, the record takes effect only when read back: another may precede it.
     m_appendPending = false;
     m_counters.appendsRepeated += succeeded ? 0 : 1;
 }
@@ -58,17 +58,17 @@
 {
     const auto &epoch = m_epochs.current();
     if (!epoch) {
-        return Error{.kind = ErrorKind::NoTarget, .detail = "no epoch is known"};
+        return Error{.kind = ErrorKind::NoTarget, .detail = "the current epoch is unknown"};
     }
     std::vector<int> ranks;
     for (const auto &member : epoch->members) {
         const auto *status = statusOf(member.rank);
         if (status == nullptr || status->epoch != epoch->number || status->engine != member.incarnation) {
             return Error{.kind = ErrorKind::NoTarget,
-                         .detail = "rank " + std::to_string(member.rank) + " is not in the epoch"};
+                         .detail = "rank " + std::to_string(member.rank) + " has not entered the current epoch"};
         }
         if (status->pending != MapNumber{}) {
-            return Error{.kind = ErrorKind::Overloaded, .detail = "the last switch has not taken effect yet"};
+            return Error{.kind = ErrorKind::Overloaded, .detail = "the previous switch has not taken effect yet"};
         }
         ranks.push_back(member.rank);
     }
@@ -79,12 +79,13 @@
 {
     const auto &epoch = m_epochs.current();
     if (!m_caughtUp) {
-        return Error{.kind = ErrorKind::PlatformUnavailable, .detail = "the group's stream is not read to its end"};
+        return Error{.kind = ErrorKind::PlatformUnavailable,
+                     .detail = "the group's stream has not been read to its end"};
     }
     const bool hasCommonRank =
         !epoch || std::any_of(ranks.begin(), ranks.end(), [&](int rank) { return epoch->find(rank) != nullptr; });
     if (!hasCommonRank) {
-        return Error{.kind = ErrorKind::BadRequest, .detail = "no rank of the epoch in force is in the new one"};
+        return Error{.kind = ErrorKind::BadRequest, .detail = "no rank of the current epoch is in the new one"};
     }
     return startProposal(ranks, std::move(layers), true);
 }
@@ -210,7 +211,7 @@
 
 void GroupLeader::handleMessage(const EpochNews &message, int /*fromRank*/)
 {
-    // A gate knows it from the stream, so the stream has moved on without this leader.
+    // Gates learn epochs from the stream, so the stream holds a record that this leader has not read yet.
     auto actions = handleEpoch(message.epoch);
     m_actions.insert(m_actions.end(), actions.begin(), actions.end());
 }
@@ -218,22 +219,23 @@
 template<typename Other>
 void GroupLeader::handleMessage(const Other & /*message*/, int /*fromRank*/)
 {
-    // meant for gates, or for the estimator
+    // addressed to gates or to the estimator
 }
 
 Outcome GroupLeader::startProposal(const std::vector<int> &ranks, std::vector<LayerPlacement> layers,
                                    bool startsNewEpoch)
 {
-    // A new epoch also ends a vote that a dead rank will never finish.
+    // A new epoch also ends a vote that cannot complete because a rank has died.
     const bool canStart = m_phase == Phase::Idle || (startsNewEpoch && m_phase == Phase::Voting);
     if (!canStart) {
-        return Error{.kind = ErrorKind::Overloaded, .detail = "another change of the group is under way"};
+        return Error{.kind = ErrorKind::Overloaded, .detail = "another change of the group is in progress"};
     }
     Proposal proposal{.startsNewEpoch = startsNewEpoch};
     for (const int rank : ranks) {
         const auto *status = statusOf(rank);
         if (status == nullptr) {
-            return Error{.kind = ErrorKind::NoTarget, .detail = "rank " + std::to_string(rank) + " is unknown"};
+            return Error{.kind = ErrorKind::NoTarget,
+                         .detail = "rank " + std::to_string(rank) + " has not reported a status"};
         }
         proposal.members.push_back({.rank = rank, .incarnation = status->engine});
         proposal.gateRuns[rank] = m_knownGates[rank].run;
@@ -260,8 +262,8 @@
     return {};
 }
 
-/** Whether all gates and engines that the proposal was made for are still the same runs. A proposal is never addressed
- * to a second run of a gate, see LoadMap::addressee. */
+/** Whether all gates and engines of the proposal are still the same runs. A proposal is never sent to a later run of a
+ * gate; see LoadMap::addressee. */
 bool GroupLeader::isProposalCurrent() const
 {
     return std::all_of(m_proposal.members.begin(), m_proposal.members.end(), [this](const auto &member) {
@@ -275,7 +277,8 @@
     for (const int rank : proposalRanks()) {
         sendToGate(rank, CancelMap{.leader = m_fencing, .epoch = currentEpoch(), .map = m_proposal.map.number()});
     }
-    // While ranks vote, the outcome is theirs: those who have agreed are waiting for it, and get it through this list.
+    // During a vote the ranks determine the outcome. Those that have agreed wait for it and receive it through the
+    // vote list.
     if (m_phase != Phase::Voting) {
         m_phase = Phase::Idle;
     }
@@ -341,7 +344,7 @@
     return ranks;
 }
 
-/** The epoch in force by the stream or, when its records have expired, by what the ranks say. */
+/** Returns the epoch in force according to the stream or, if its records have expired, according to the ranks. */
 EpochNumber GroupLeader::currentEpoch() const
 {
     EpochNumber epoch = m_epochs.current() ? m_epochs.current()->number : EpochNumber{};
--- a/modules/heatherridge_coordination/groups/groupleader.h
+++ b/modules/heatherridge_coordination/groups/groupleader.h
@@ -10,103 +10,105 @@
 namespace Heatherridge
 {
 
-/** A record for the group's stream on the log. */
+/** Action: append an epoch record to the group's stream on the log. */
 struct AppendEpoch
 {
     GroupEpoch epoch{};
 };
 
-/** A message for the gate of a rank. */
+/** Action: send a message to the gate of a rank. */
 struct SendToGate
 {
     int rank = 0;
     GroupMessage message{};
 };
 
-/** What a leader asks its process to do. */
+/** An action that a leader requests from its process. */
 using LeaderAction = std::variant<SendToGate, AppendEpoch>;
 using LeaderActions = std::vector<LeaderAction>;
 
-/** What happened at a leader, for the metrics. */
+/** Event counts of a leader, exported as metrics. */
 struct LeaderCounters
 {
     std::uint64_t switchesCommitted = 0;
-    std::uint64_t switchesAborted = 0; ///< refused by a rank
-    std::uint64_t cancelledRestart = 0; ///< given up since a gate or an engine restarted
-    std::uint64_t cancelledLoad = 0; ///< given up since a rank could not load
+    std::uint64_t switchesAborted = 0; ///< switches refused by a rank
+    std::uint64_t cancelledRestart = 0; ///< proposals abandoned because a gate or an engine restarted
+    std::uint64_t cancelledLoad = 0; ///< proposals abandoned because a rank could not load the weights
     std::uint64_t cancelledByCaller = 0;
-    std::uint64_t epochsComposed = 0; ///< epochs of this leader that the stream took
-    std::uint64_t epochsSuperseded = 0; ///< epochs of this leader that another's preceded
-    std::uint64_t appendsRepeated = 0; ///< appends whose outcome was not known
+    std::uint64_t epochsComposed = 0; ///< epochs of this leader that took effect on the stream
+    std::uint64_t epochsSuperseded = 0; ///< epochs of this leader that lost against another leader's epoch
+    std::uint64_t appendsRepeated = 0; ///< failed appends, whose outcome is unknown
 };
 
 /**
- * Drives the switches of one group: loads, asks for votes, composes epochs.
+ * Coordinates the map changes of one group: requests loading, collects votes and appends epochs.
  *
- * A role, claimed by a record on the control stream; the record's offset is the fencing number. Nothing here is needed
- * for safety: a leader that died leaves gates that settle their votes among themselves, and two leaders at once can
- * only make each other's proposals fail. See RankGate for why.
+ * Leadership is claimed by a record on the group's stream; the record's offset is the fencing number. Safety does not
+ * depend on the leader: if it dies, the gates determine the outcome of their votes among themselves, and two concurrent
+ * leaders can only make each other's proposals fail. RankGate explains why.
  *
- * A state machine without I/O. One thread.
+ * A state machine without I/O. Not thread-safe; use from one thread.
  */
 class GroupLeader
 {
 public:
-    /** What the leader is doing. */
+    /** The current activity of the leader. */
     enum class Phase {
         Idle,
-        Loading, ///< ranks load the proposed map; nobody has promised anything
-        Voting, ///< ranks vote on a switch
-        AppendingEpoch, ///< an epoch's record is on its way to the log
+        Loading, ///< ranks load the proposed map; no rank is committed to it yet
+        Voting, ///< ranks vote on the proposed switch
+        AppendingEpoch, ///< an epoch record is being appended to the log
     };
 
-    /** Leads with @p fencing; @p ranks are all that the inventory lists. */
+    /** Creates a leader with fencing number @p fencing. @p ranks are all ranks in the inventory. */
     GroupLeader(FencingNumber fencing, std::vector<int> ranks);
 
-    /** Takes a message from the gate of @p fromRank whose process run is @p run. */
+    /** Processes a message from the gate of @p fromRank, whose process run is @p run. */
     LeaderActions handle(const GroupMessage &message, int fromRank, Incarnation run);
 
-    /** Takes an epoch from the group's stream. */
+    /** Processes an epoch read from the group's stream. */
     LeaderActions handleEpoch(const GroupEpoch &epoch);
 
-    /** Takes the outcome of an append; on failure it may have taken effect all the same and is repeated. */
+    /** Called when an append has completed. A failed append may still have taken effect and is repeated. */
     void handleAppendResult(bool succeeded);
 
     /**
-     * Starts a switch of the present epoch to @p layers.
-     * @returns an error of kind Overloaded while something else is under way, NoTarget when a rank of the epoch has not
-     * been heard of in this epoch
+     * Proposes a switch of the current epoch to placement @p layers.
+     * @returns an error of kind Overloaded while another change is in progress, or NoTarget if a rank of the epoch has
+     * not reported a status in this epoch
      */
     Outcome proposeSwitch(std::vector<LayerPlacement> layers);
 
     /**
-     * Starts a new epoch of @p ranks on @p layers, to take ranks in or out or to take up restarted engines.
-     * @returns errors as proposeSwitch(), and BadRequest when no rank is in both epochs
+     * Proposes a new epoch with members @p ranks and placement @p layers, to add or remove ranks or to readmit
+     * restarted engines.
+     * @returns the errors of proposeSwitch(), BadRequest if no rank is a member of both epochs, or PlatformUnavailable
+     * before setCaughtUp()
      */
     Outcome proposeEpoch(std::vector<int> ranks, std::vector<LayerPlacement> layers);
 
-    /** Gives up what is under way, as far as it is not decided. */
+    /** Cancels the proposal in progress unless its outcome is already decided. */
     LeaderActions cancel();
 
-    /** Repeats what has had no effect yet; to be called about once a second. */
+    /** Resends messages that have had no effect yet. Call about once per second. */
     LeaderActions tick();
 
-    /** What it is doing. */
+    /** Returns the current phase. */
     Phase phase() const;
 
-    /** The epoch in force, as far as the stream has been read. */
+    /** Returns the epoch in force according to the part of the stream read so far. */
     const std::optional<GroupEpoch> &epoch() const;
 
-    /** Takes the stream as read to its end; before that, no epoch is composed. */
+    /** Called when the stream has been read to its end. Before that, no epoch is proposed. */
     void setCaughtUp();
 
-    /** The latest word of the gate of @p rank, or nullptr. This object keeps ownership. */
+    /** Returns the latest status from the gate of @p rank, or nullptr if there is none. This object keeps ownership. */
     const RankStatus *statusOf(int rank) const;
 
-    /** Whether all ranks of the epoch say that they are in it: then the group serves, as one replica. */
+    /** Whether all ranks of the epoch report that they have entered it; the group then serves as one replica. */
     bool hasAllMembers() const;
 
-    /** What happened so far. */
+    /** Returns the event counts since construction. */
     const LeaderCounters &counters() const;
 
 private:
@@ -120,7 +122,7 @@
     {
         ExpertMap map{};
         std::vector<EpochMember> members{};
-        std::map<int, Incarnation> gateRuns{}; ///< of the gates it is addressed to
+        std::map<int, Incarnation> gateRuns{}; ///< by rank: the runs of the gates that it is addressed to
         std::set<int> readyRanks{};
         bool startsNewEpoch = false;
     };
@@ -152,7 +154,7 @@
     Phase m_phase = Phase::Idle;
     Proposal m_proposal;
     VoteTally m_tally;
-    std::map<MapNumber, VoteTally> m_decidedTallies; ///< to answer gates that still ask
+    std::map<MapNumber, VoteTally> m_decidedTallies; ///< answers gates that have not learned the outcome
     bool m_appendPending = false;
     bool m_caughtUp = false;
     LeaderCounters m_counters;
--- a/modules/heatherridge_coordination/groups/groupplanner.cpp
+++ b/modules/heatherridge_coordination/groups/groupplanner.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-/** Loading time of one stage: long enough to be worth a switch, short enough to give up what is no longer wanted. */
+/** Loading time of one stage: long enough to justify a switch, short enough to drop an outdated goal soon. */
 constexpr double StageSeconds = 30;
-/** Maps whose placement is kept; reports lag by a few switches at most. */
+/** Maximum number of maps kept. Reports lag by a few switches at most. */
 constexpr std::size_t MaxKnownMaps = 8;
 
 GroupShape shapeOf(const GroupModel &model, const std::vector<PlannedRank> &ranks)
@@ -136,7 +136,7 @@
 {
     const auto &epoch = leader.epoch();
     if (!epoch) {
-        // The first epoch waits for all listed ranks, or each late one would cost a further epoch.
+        // The first epoch waits for all listed ranks; otherwise each late rank would cost another epoch.
         const auto listed =
             std::count_if(m_ranks.begin(), m_ranks.end(), [](const auto &rank) { return !rank.isLeaving; });
         if (static_cast<std::ptrdiff_t>(stayingRanks.size()) == listed && listed > 0) {
@@ -161,7 +161,7 @@
     rebalance(leader);
 }
 
-/** Proposes an epoch of @p ranks on the placement in use as far as they can keep it. */
+/** Proposes an epoch with members @p ranks that keeps the current placement as far as possible. */
 void GroupPlanner::proposeNewEpoch(GroupLeader &leader, const std::vector<int> &ranks)
 {
     if (ranks.empty()) {
@@ -175,7 +175,7 @@
     }
 }
 
-/** Whether only ranks of @p stay hold experts; proposes a switch to such a map when not. */
+/** Returns whether only @p stayingRanks hold experts. If not, proposes a switch to a map that satisfies this. */
 bool GroupPlanner::evacuateLeavingRanks(GroupLeader &leader, const std::vector<int> &stayingRanks)
 {
     const auto *map = currentMap(leader);
@@ -190,7 +190,7 @@
     auto layers = improvePlacement(problemFor(stayingRanks), map != nullptr ? map->layers() : Layers{}, {});
     if (auto *found = std::get_if<Layers>(&layers)) {
         const auto proposed = leader.proposeSwitch(std::move(*found));
-        (void)proposed; // refused while another change is under way; asked again at the next call
+        (void)proposed; // refused while another change is in progress; the next call tries again
     }
     return false;
 }
@@ -215,7 +215,7 @@
     if (desiredLayers) {
         const auto budget = static_cast<std::uint64_t>(m_options.storeBytesPerSecond * StageSeconds);
         const auto proposed = leader.proposeSwitch(nextStage(problem, map->layers(), *desiredLayers, budget));
-        (void)proposed; // refused while another change is under way; the regret adds up again
+        (void)proposed; // refused while another change is in progress; the regret accumulates again
     }
 }
 
@@ -246,7 +246,8 @@
     return problem;
 }
 
-/** The placement in use; nullptr when a leader before this one switched to it and it is not known here. */
+/** Returns the map in use, or nullptr before the first epoch. Falls back to the epoch's first map if the map in use is
+ * not known here because an earlier leader switched to it. */
 const ExpertMap *GroupPlanner::currentMap(const GroupLeader &leader) const
 {
     const auto &epoch = leader.epoch();
--- a/modules/heatherridge_coordination/groups/groupplanner.h
+++ b/modules/heatherridge_coordination/groups/groupplanner.h
@@ -14,60 +14,61 @@
 namespace Heatherridge
 {
 
-/** One rank as the operator's inventory lists it. */
+/** A rank as listed in the operator's inventory. */
 struct PlannedRank
 {
     int rank = 0;
-    int slots = 0; ///< experts a layer that fit
-    bool isLeaving = false; ///< withdrawn or about to stop
+    int slots = 0; ///< capacity in experts per layer
+    bool isLeaving = false; ///< withdrawn or shutting down
     RankLocation place{};
 
     bool operator==(const PlannedRank &) const = default;
 };
 
 /**
- * Decides for a group's leader what to propose: who belongs to the group, and when its map changes.
+ * Decides what a group's leader proposes: the members of the group and changes of its map.
  *
- * A rank that leaves is first emptied by a switch, then left out by an epoch on the same map, so that a planned shrink
- * waits for no loading. A rank that isn't heard of, or whose engine restarted, is left out, or taken up again, by an
- * epoch at once: the group stands still meanwhile. Otherwise RegretRebalance decides.
+ * A leaving rank is first evacuated by a switch and then removed by an epoch with the same map, so that a planned
+ * removal does not wait for weights to load. A rank that is unreachable or whose engine has restarted is removed or
+ * readmitted by a new epoch immediately, since the group cannot step in the meantime. Otherwise RegretRebalance
+ * decides.
  *
- * Pure: time comes in as durations. One thread.
+ * Does no I/O and reads no clock: time is passed in as durations. Not thread-safe; use from one thread.
  */
 class GroupPlanner
 {
 public:
-    /** A member not heard of for this long is left out. A gate that restarts is back sooner, and the group runs on
-     * without it; see RankGate::DefaultLeadSteps. */
+    /** A member that has sent no message for this long is removed. A restarting gate is back sooner, and the group
+     * keeps stepping without it; see RankGate::DefaultLeadSteps. */
     static constexpr std::chrono::seconds MemberTimeout{15};
-    /** Time that ranks get for entering an epoch before the next change. */
+    /** Time allowed for the ranks to enter an epoch before the next change. */
     static constexpr std::chrono::seconds EpochSettleTime{3};
 
     struct Options
     {
         GroupModel model{};
-        double storeBytesPerSecond = 1; ///< what the weight store gives this group
+        double storeBytesPerSecond = 1; ///< share of the weight store's bandwidth available to this group
     };
 
-    /** Plans for a group of @p ranks. */
+    /** Creates a planner for a group of @p ranks. */
     GroupPlanner(Options options, std::vector<PlannedRank> ranks);
 
-    /** A new inventory or rule set is in force. */
+    /** Replaces the ranks; called when a new inventory or rule set is in force. */
     void setRanks(std::vector<PlannedRank> ranks);
 
-    /** The operator's weights. */
+    /** Sets the operator's balance weights. */
     void setWeights(const BalanceWeights &weights);
 
-    /** The gate of @p rank has spoken. */
+    /** Records that a message has arrived from the gate of @p rank. */
     void recordContact(int rank);
 
-    /** Takes a rank's report; one under a map that is not known is dropped. */
+    /** Adds a load report of a rank. Reports for an unknown map are dropped. */
     void addReport(const RankReport &report);
 
-    /** Takes notice of a map's placement. */
+    /** Adds a map, so that reports that refer to it can be used. */
     void addMap(const ExpertMap &map);
 
-    /** Proposes to @p leader what is due; @p passed is the time since the last call. */
+    /** Proposes the changes that are due to @p leader. @p elapsed is the time since the previous call. */
     void proposeChanges(GroupLeader &leader, std::chrono::duration<double> elapsed);
 
 private:
@@ -87,7 +88,7 @@
     Options m_options;
     std::vector<PlannedRank> m_ranks;
     BalanceWeights m_weights;
-    std::map<int, std::chrono::duration<double>> m_sinceContact; ///< by rank: time since it was heard
+    std::map<int, std::chrono::duration<double>> m_sinceContact; ///< by rank: time since its last message
     std::map<MapNumber, ExpertMap> m_maps;
     std::map<std::uint64_t, std::vector<RankReport>> m_windows;
     PopularityEstimator m_estimator;
--- a/modules/heatherridge_coordination/groups/lockstepengine.cpp
+++ b/modules/heatherridge_coordination/groups/lockstepengine.cpp
@@ -48,7 +48,7 @@
     for (const int rank : m_state.ranks) {
         const auto rankProgress = progress(rank, m_state.epoch);
         if (!rankProgress || *rankProgress < m_state.next) {
-            return std::nullopt; // the step before is not finished, since this rank has not taken part in it
+            return std::nullopt; // the previous step is incomplete: this rank has not taken part in it
         }
     }
     if (m_state.scheduled && m_state.next >= m_state.scheduled->from) {
--- a/modules/heatherridge_coordination/groups/lockstepengine.h
+++ b/modules/heatherridge_coordination/groups/lockstepengine.h
@@ -8,7 +8,7 @@
 namespace Heatherridge
 {
 
-/** One step as a rank started it. */
+/** A step that a rank has started, and the map it uses. */
 struct StartedStep
 {
     EpochNumber epoch{};
@@ -17,38 +17,43 @@
 };
 
 /**
- * What gates require of a rank's engine, as a state machine: it follows orders as engineorder.h says, and starts a step
- * only when all ranks of its epoch have taken part in the one before.
+ * Reference model of the engine behaviour that gates require, as a state machine: executes orders as specified in
+ * engineorder.h, and starts a step only once all ranks of its epoch have taken part in the previous one.
  *
- * The rank stand-in and the tests run it; for an adaptor to a real engine it is the reference. One thread.
+ * Used by the rank stand-in and the tests, and as the reference for adapters to real engines. Not thread-safe; use from
+ * one thread.
  */
 class LockStepEngine
 {
 public:
-    /** An engine that was just started: in no epoch, nothing loaded. */
+    /** Creates an engine in its initial state: in no epoch, with no weights loaded. */
     explicit LockStepEngine(Incarnation run = {});
 
-    /** Loses all but the progress that the other ranks have seen, as a restart does. */
+    /** Simulates a restart: discards all state except the model's sizes and the progress that the other ranks have
+     * seen. */
     void restart(Incarnation run);
 
-    /** Whether an order of gate run @p run may be followed: the first of an unknown run ends those before. */
+    /** Returns whether orders of gate run @p run may be executed. The first order of a new run ends all earlier runs.
+     */
     bool acceptsRun(Incarnation run);
 
-    /** Follows @p order; @p loadSucceeds is what becomes of a load. */
+    /** Executes @p order. @p loadSucceeds is the result of loading weights. */
     void execute(const EngineOrder &order, bool loadSucceeds = true);
 
     /**
-     * Starts the next step if it may.
-     * @param progress for a rank and an epoch, the first step that the rank has not started there; nothing while it is
-     * not known to have entered
+     * Starts the next step if permitted.
+     * @param progress returns, for a rank and an epoch, the first step that the rank has not started in this epoch, or
+     * nothing while the rank is not known to have entered it
+     * @returns the started step, or nothing if the engine has to wait
      */
     std::optional<StartedStep>
     startStep(const std::function<std::optional<StepNumber>(int rank, EpochNumber epoch)> &progress);
 
-    /** The first step not started in @p epoch; kept after leaving it, since what was sent to the others stays sent. */
+    /** Returns the first step not started in @p epoch, or nothing if the engine never entered it. Kept after leaving
+     * the epoch, since the data sent to the other ranks stays valid. */
     std::optional<StepNumber> progressIn(EpochNumber epoch) const;
 
-    /** What it says of itself. */
+    /** Returns the state as reported to the gate. */
     const EngineState &state() const;
 
 private:
@@ -64,7 +69,7 @@
 
     EngineState m_state;
     std::map<EpochNumber, StepNumber> m_progress;
-    std::vector<Incarnation> m_gateRuns; ///< of which orders were followed; the last is the present one
+    std::vector<Incarnation> m_gateRuns; ///< runs that have sent orders; the last is the current one
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/groups/rankgate.cpp
+++ b/modules/heatherridge_coordination/groups/rankgate.cpp
@@ -36,7 +36,7 @@
         return {};
     }
     if (m_engineState && m_engineState->run != state.run) {
-        // A restarted engine has lost the limits it confirmed and can't be in the epoch any more.
+        // A restarted engine has lost its confirmed limit and is no longer a member of the epoch.
         m_pendingVote = NoMap;
         m_readyMaps.clear();
     }
@@ -100,7 +100,7 @@
     synchronizeEpoch();
     const auto &epoch = m_epochs.current();
     if (epoch && epoch->number == m_engineState->epoch && m_engineState->next == StepNumber{}) {
-        // Others may not know the epoch yet, and the first step waits for all.
+        // Other ranks may not know the epoch yet, and the first step waits for all of them.
         m_actions.push_back(SendToRank{nextPeer(), EpochNews{*epoch}});
     }
     return takePendingActions();
@@ -132,7 +132,7 @@
     const auto *ownVote = tallyFor(number).voteOf(m_options.rank);
     const bool refused = ownVote != nullptr && !ownVote->agreed;
     if (refused || (hasOtherPending && !message.startsEpoch)) {
-        // There is room for one map beside the one in use. An epoch to come ends all that is undecided in this one.
+        // There is memory for one map besides the one in use. A new epoch ends every undecided switch of this one.
         reply(fromRank, MapReady{.rank = m_options.rank, .map = number, .loaded = false});
         return;
     }
@@ -211,10 +211,11 @@
 template<typename Other>
 void RankGate::handleMessage(const Other & /*message*/, int /*fromRank*/)
 {
-    // meant for the leader
+    // addressed to the leader
 }
 
-/** Refuses a leader that another has replaced: it may have been paused and not know. Shows as fencedMessages. */
+/** Returns whether @p leader is current, and records its number. A replaced leader is rejected and counted in
+ * fencedMessages: it may have been paused and not know that it was replaced. */
 bool RankGate::checkFencing(FencingNumber leader)
 {
     if (leader < m_fencing) {
@@ -225,7 +226,8 @@
     return true;
 }
 
-/** Whether a message is about another epoch than the engine's; a sender that is behind is told. */
+/** Returns whether a message refers to another epoch than the engine's. A sender with an older epoch gets the current
+ * one. */
 bool RankGate::rejectOtherEpoch(EpochNumber epoch, int fromRank)
 {
     if (epoch == m_engineState->epoch) {
@@ -237,7 +239,7 @@
     return true;
 }
 
-/** Votes on @p map unless this rank has, or its engine shows that the switch is decided. */
+/** Votes on @p map unless this rank has already voted or its engine shows that the switch is decided. */
 void RankGate::voteOn(MapNumber map)
 {
     adoptLimitAsVote();
@@ -247,7 +249,8 @@
         return;
     }
     if (!checkVotable(map) || m_engineState->scheduled) {
-        // A scheduled map takes effect first: the bound of the next switch must lie behind it. The leader asks again.
+        // The scheduled map must take effect first, since the next bound must lie after it. The leader repeats its
+        // request.
         return;
     }
     if (!m_options.safeguards.limitBeforeVote) {
@@ -258,8 +261,8 @@
     sendLimitOrder(map);
 }
 
-/** Loads the weights again that a limit is ordered for. An order to drop them may still have been on its way to the
- * engine when this rank voted, and a limit for weights that are not there is ignored for good. */
+/** Reloads the weights of the pending vote's map. An order to drop them may have been in flight when this rank voted,
+ * and the engine never accepts a limit for weights that are not loaded. */
 void RankGate::reloadVotedWeights()
 {
     if (!contains(m_engineState->loaded, m_pendingVote) && m_pendingVoteMap
@@ -268,16 +271,17 @@
     }
 }
 
-/** Whether this rank can agree to @p map; refuses it when not. */
+/** Returns whether this rank can agree to @p map now; otherwise refuses it. */
 bool RankGate::checkVotable(MapNumber map)
 {
     if (!m_readyMaps.contains(map) || !contains(m_engineState->loaded, map)) {
-        // Also when an earlier run of this gate had said ready: that run may have refused since, and a vote is final.
+        // This also applies if an earlier run of this gate had reported ready: it may have refused since, and a vote is
+        // final.
         refuse(map, m_counters.refusedNotReady);
         return false;
     }
     if (leaderOf(map) < m_fencing || map < m_engineState->map) {
-        // Numbers only rise within an epoch, so that an engine can tell an order that comes late.
+        // Map numbers only increase within an epoch, so that an engine can recognise a delayed order.
         refuse(map, m_counters.refusedFenced);
         return false;
     }
@@ -317,8 +321,8 @@
     }
 }
 
-/** Takes the limit in the engine as this rank's vote: this run's that was just confirmed, or an earlier run's that may
- * have been sent. */
+/** Records the engine's limit as this rank's vote: either this run's, which has just been confirmed, or an earlier
+ * run's, which may already have been sent to others. */
 void RankGate::adoptLimitAsVote()
 {
     if (!m_engineState->limit) {
@@ -337,14 +341,14 @@
     }
 }
 
-/** Brings the engine in line with the outcome of the switch that its limit stands for, when it is known. */
+/** Applies the outcome of the switch that the engine's limit belongs to, once the outcome is known. */
 void RankGate::applyOutcome()
 {
     if (!m_engineState) {
         return;
     }
     if (m_pendingVote != NoMap && tallyFor(m_pendingVote).outcome(m_engineState->ranks)) {
-        m_pendingVote = NoMap; // decided without this rank's vote, so nothing is left to agree to
+        m_pendingVote = NoMap; // already decided without this rank's vote
     }
     if (!m_engineState->limit) {
         return;
@@ -364,7 +368,8 @@
     }
 }
 
-/** A map on the engine's schedule, or in use, is a switch that was committed: proof for peers that still ask. */
+/** Records the switches to the engine's scheduled map and its map in use as committed, as proof for peers that have not
+ * learned the outcome. */
 void RankGate::recordCommittedSwitches()
 {
     const auto recordCommitted = [this](MapNumber map, StepNumber effectiveFrom) {
@@ -385,7 +390,7 @@
     }
 }
 
-/** Enters the epoch in force when this rank's engine is in it, or leaves the old one when it isn't. */
+/** Enters the current epoch if this rank's engine is a member of it; otherwise leaves the previous one. */
 void RankGate::synchronizeEpoch()
 {
     const auto &epoch = m_epochs.current();
@@ -399,7 +404,8 @@
         return;
     }
     if (!isMember) {
-        // Only a member of the old epoch has one to leave; the new one's members can't step while it stays.
+        // Only a member of the previous epoch has to leave it. The members of the new epoch cannot step until it has
+        // left.
         if (m_engineState->epoch != EpochNumber{}) {
             sendOrder(LeaveEpoch{epoch->number});
         }
@@ -412,7 +418,7 @@
     }
 }
 
-/** Tells the leader whether the map it asked for is there. */
+/** Reports to the leader whether the requested map is loaded or has failed to load. */
 void RankGate::reportLoadStatus()
 {
     if (!m_requestedMap) {
@@ -448,7 +454,7 @@
             .pending = pending};
 }
 
-/** The other ranks of the epoch in turn. */
+/** Returns the next other rank of the epoch in round-robin order, or this rank if there is no other. */
 int RankGate::nextPeer()
 {
     const auto &ranks = m_engineState->ranks;
@@ -472,7 +478,8 @@
 
 void RankGate::sendOrder(EngineOrder order)
 {
-    // An order that the engine can't follow at present would otherwise be answered and repeated without pause.
+    // At most once per tick: an order that the engine cannot execute yet would otherwise be answered and resent in a
+    // tight loop.
     if (!m_sentOrders.insert({order.index(), mapOf(order)}).second) {
         return;
     }
--- a/modules/heatherridge_coordination/groups/rankgate.h
+++ b/modules/heatherridge_coordination/groups/rankgate.h
@@ -10,102 +10,106 @@
 namespace Heatherridge
 {
 
-/** A message for whoever leads the group. */
+/** Action: send a message to the group's current leader. */
 struct SendToLeader
 {
     GroupMessage message{};
 };
 
-/** A message for the gate of a rank. */
+/** Action: send a message to the gate of a rank. */
 struct SendToRank
 {
     int rank = 0;
     GroupMessage message{};
 };
 
-/** An order for the gate's own engine. */
+/** Action: send an order to the gate's own engine. */
 struct OrderEngine
 {
-    Incarnation run{}; ///< of this gate's process; for the engine to check
+    Incarnation run{}; ///< run of this gate's process, checked by the engine
     EngineOrder order{};
 };
 
-/** What a gate asks its process to do. */
+/** An action that a gate requests from its process. */
 using GateAction = std::variant<SendToLeader, SendToRank, OrderEngine>;
 using GateActions = std::vector<GateAction>;
 
-/** What happened at a gate, for the metrics. */
+/** Event counts of a gate, exported as metrics. */
 struct GateCounters
 {
-    std::uint64_t agreed = 0; ///< votes for a switch
-    std::uint64_t refusedNotReady = 0; ///< refusals because this run had not said ready, or had the weights no more
-    std::uint64_t refusedFenced = 0; ///< refusals because a later leader is known
+    std::uint64_t agreed = 0; ///< votes in favour of a switch
+    std::uint64_t refusedNotReady =
+        0; ///< refusals because this run had not reported ready, or no longer had the weights
+    std::uint64_t refusedFenced = 0; ///< refusals because a newer leader is known
     std::uint64_t refusedUndecided = 0; ///< refusals because another switch was undecided
-    std::uint64_t refusedCancelled = 0; ///< refusals because the leader gave the switch up
-    std::uint64_t fencedMessages = 0; ///< orders of a leader with an old fencing number, dropped
+    std::uint64_t refusedCancelled = 0; ///< refusals because the leader cancelled the switch
+    std::uint64_t fencedMessages = 0; ///< messages dropped because their leader has an outdated fencing number
     std::uint64_t committed = 0; ///< switches that took effect
-    std::uint64_t aborted = 0; ///< switches agreed to that came to nothing
+    std::uint64_t aborted = 0; ///< switches that this rank agreed to but that were aborted
     std::uint64_t epochsEntered = 0;
-    std::uint64_t undecidedTicks = 0; ///< ticks with a switch agreed to whose outcome was not known
+    std::uint64_t undecidedTicks = 0; ///< ticks during which the outcome of an agreed switch was unknown
 };
 
 /**
- * The target's process in front of one rank's engine: it alone gives the engine orders, and it votes for the rank.
+ * Controls the engine of one rank on behalf of the target's process. It is the only sender of orders to the engine,
+ * and it votes for the rank.
  *
- * Why in every step all ranks use one map. Within an epoch the map changes only by a switch that all ranks agreed to.
- * A gate agrees only once its engine has confirmed a step (the bound) that it will not start; the switch takes effect
- * at the latest of all bounds. So a rank that doesn't know the outcome stands still before the switch takes effect,
- * and one that knows has the new map on its schedule before its limit is lifted. Nothing depends on a message arriving
- * or on a time: the votes are facts that any rank can pass on. No log and no leader takes part in the outcome, so
- * neither's failure holds it up. The bound lies `leadSteps` ahead, so that the ranks know the outcome long before they
- * get there, even when a gate restarts meanwhile. The engine keeps the limit and the schedule over a restart of the
- * gate, so a restarted gate finds its vote there.
+ * Invariant: in every step, all ranks use the same map. Within an epoch the map changes only by a switch that all ranks
+ * have agreed to. A gate agrees only after its engine has confirmed a step (the bound) that it will not start, and the
+ * switch takes effect at the latest of all bounds. A rank that does not know the outcome therefore stops before the
+ * switch takes effect, and a rank that knows it has the new map scheduled before its limit is lifted.
  *
- * Epochs, which change who belongs to the group, are records on the group's stream; see GroupEpochTracker.
+ * Safety does not depend on message delivery or timing: votes are final and any rank can forward them. Neither the log
+ * nor the leader takes part in determining the outcome, so their failure does not delay it. The bound lies `leadSteps`
+ * ahead, so that the ranks learn the outcome long before they reach it, even if a gate restarts in the meantime. The
+ * engine keeps the limit and the schedule across a restart of the gate, so a restarted gate recovers its vote from
+ * there.
  *
- * A state machine without I/O: events in, actions out. One thread.
+ * Epochs, which change the members of the group, are records on the group's stream; see GroupEpochTracker.
+ *
+ * A state machine without I/O: consumes events and returns actions. Not thread-safe; use from one thread.
  */
 class RankGate
 {
 public:
-    /** Steps between a vote and its bound: half a minute at 50 ms a step, longer than a process takes to be restarted.
-     * A switch that takes effect half a minute later costs little; one that is waited for stops the group. */
+    /** Steps between a vote and its bound: half a minute at 50 ms per step, longer than a process restart takes.
+     * Delaying a switch by half a minute costs little, whereas ranks that reach their bound stop the group. */
     static constexpr std::uint64_t DefaultLeadSteps = 600;
 
     struct Options
     {
         int rank = 0;
-        Incarnation run{}; ///< of this gate's process
+        Incarnation run{}; ///< run of this gate's process
         std::uint64_t leadSteps = DefaultLeadSteps;
         SwitchSafeguards safeguards{};
     };
 
-    /** A gate that knows nothing yet; the first tick() polls the engine. */
+    /** Creates a gate without any state; the first tick() polls the engine. */
     explicit RankGate(Options options);
 
-    /** Takes a message; @p fromRank is the sender's rank, or -1 for a leader. */
+    /** Processes a message. @p fromRank is the sender's rank, or -1 for a leader. */
     GateActions handle(const GroupMessage &message, int fromRank);
 
-    /** Takes the engine's reply to an order of this run. */
+    /** Processes the engine's reply to an order of this run. */
     GateActions handleEngineState(const EngineState &state);
 
-    /** Whether the engine follows another run of the gate, so that its process must make a new RankGate of a new run.
-     */
+    /** Whether the engine now executes the orders of another run of the gate. The process must then create a new
+     * RankGate with a new run. */
     bool isReplaced() const;
 
-    /** Takes an epoch that the group's stream holds. */
+    /** Processes an epoch read from the group's stream. */
     GateActions handleEpoch(const GroupEpoch &epoch);
 
-    /** Takes notice of a claim of the leader's role. */
+    /** Called when a leader has claimed leadership with @p fencing. */
     void handleClaim(FencingNumber fencing);
 
-    /** Repeats what has had no effect yet; to be called about once a second. */
+    /** Resends messages and orders that have had no effect yet. Call about once per second. */
     GateActions tick();
 
-    /** The map of the next step, if the engine has said; what callers and metrics are shown. */
+    /** Returns the last reported state of the engine, if any; shown by status pages and metrics. */
     const std::optional<EngineState> &engineState() const;
 
-    /** What happened so far. */
+    /** Returns the event counts since construction. */
     const GateCounters &counters() const;
 
 private:
@@ -143,15 +147,15 @@
     Options m_options;
     GroupEpochTracker m_epochs;
     std::optional<EngineState> m_engineState;
-    std::optional<ExpertMap> m_requestedMap; ///< asked for by the leader
-    std::set<MapNumber> m_readyMaps; ///< told ready by this run and not refused since
+    std::optional<ExpertMap> m_requestedMap; ///< the map that the leader has requested to load
+    std::set<MapNumber> m_readyMaps; ///< maps that this run has reported ready and not refused since
     VoteTallyHistory m_tallies;
     bool m_replaced = false;
-    MapNumber m_pendingVote{}; ///< the limit for it is ordered but not confirmed; 0 for none
-    std::optional<ExpertMap> m_pendingVoteMap; ///< the map of `m_pendingVote`, to load it again
+    MapNumber m_pendingVote{}; ///< map whose limit is ordered but not confirmed; 0 for none
+    std::optional<ExpertMap> m_pendingVoteMap; ///< the map of `m_pendingVote`, kept to reload its weights
     FencingNumber m_fencing{};
     std::size_t m_nextPeerIndex = 0;
-    std::set<std::pair<std::size_t, MapNumber>> m_sentOrders; ///< since the last tick: kind of order and map
+    std::set<std::pair<std::size_t, MapNumber>> m_sentOrders; ///< sent since the last tick: order type and map
     GateCounters m_counters;
     GateActions m_actions;
 };
--- a/modules/heatherridge_coordination/groups/votetally.h
+++ b/modules/heatherridge_coordination/groups/votetally.h
@@ -9,47 +9,47 @@
 namespace Heatherridge
 {
 
-/** How a switch ended. */
+/** The outcome of a switch. */
 struct SwitchOutcome
 {
     bool committed = false;
-    StepNumber effectiveFrom{}; ///< when committed: the first step with the new map
+    StepNumber effectiveFrom{}; ///< if committed: the first step that uses the new map
 
     bool operator==(const SwitchOutcome &) const = default;
 };
 
 /**
- * The votes known on one switch, and the outcome as far as they decide it.
+ * The known votes on one switch, and the outcome once they determine it.
  *
- * A switch is committed when all ranks of the epoch have agreed, and takes effect at the latest of their bounds; it is
- * aborted when one has refused. Votes are final and everyone applies this one rule, so no two places that know enough
- * votes can differ, whoever told them and in whatever order. Value type.
+ * A switch is committed when all ranks of the epoch have agreed, and takes effect at the latest of their bounds. It is
+ * aborted when any rank has refused. Votes are final and every process applies the same rule, so two tallies with
+ * enough votes always yield the same outcome, regardless of the senders and the order of the votes. Value type.
  */
 class VoteTally
 {
 public:
-    /** A ballot without votes. */
+    /** Creates a tally without votes. */
     explicit VoteTally(EpochNumber epoch = {}, SwitchSafeguards safeguards = {});
 
-    /** The epoch whose ranks vote. */
+    /** Returns the epoch whose ranks vote. */
     EpochNumber epoch() const;
 
-    /** Adds one vote; one that is known already changes nothing. */
+    /** Adds a vote; has no effect if the vote of this rank is already known. */
     void add(const Vote &vote);
 
-    /** Adds all that @p list says. */
+    /** Adds all votes of @p voteList, and its commit step if it has one. */
     void merge(const VoteList &voteList);
 
-    /** Takes down that an engine has the switch on its schedule for @p from, which proves the outcome. */
+    /** Records that an engine has scheduled the switch for step @p effectiveFrom, which proves that it is committed. */
     void setCommitted(StepNumber effectiveFrom);
 
-    /** The vote of @p rank, or nullptr. This object keeps ownership. */
+    /** Returns the vote of @p rank, or nullptr if it is not known. This object keeps ownership. */
     const Vote *voteOf(int rank) const;
 
-    /** The outcome when all of @p ranks vote; nothing while votes are missing. */
+    /** Returns the outcome of a vote among @p ranks, or nothing while it is undecided. */
     std::optional<SwitchOutcome> outcome(const std::vector<int> &ranks) const;
 
-    /** The votes as a message. */
+    /** Returns the votes on map @p map as a message. */
     VoteList toVoteList(MapNumber map) const;
 
 private:
--- a/modules/heatherridge_coordination/groups/votetallyhistory.h
+++ b/modules/heatherridge_coordination/groups/votetallyhistory.h
@@ -5,20 +5,26 @@
 namespace Heatherridge
 {
 
-/** The ballots of one epoch that a gate keeps, to settle its own vote and to answer peers. Value type. */
+/**
+ * The most recent vote tallies of one epoch. A gate uses them to determine the outcome of its own vote and to answer
+ * peers. Value type.
+ */
 class VoteTallyHistory
 {
 public:
-    /** Ballots kept. Of committed switches a peer can lack only the last, since the next one needs its vote; of aborted
-     * ones it may be some behind, and a gate that has forgotten one refuses it again. */
+    /**
+     * Maximum number of tallies kept. A peer can miss at most the latest committed switch, since the next one needs
+     * its vote. It may miss several aborted switches; a gate that has dropped the tally of one refuses it again.
+     */
     static constexpr std::size_t MaxTallies = 64;
 
-    /** An empty box. */
+    /** Creates an empty history. */
     explicit VoteTallyHistory(SwitchSafeguards safeguards = {});
 
     /**
-     * The ballot on @p map, made when there is none. The oldest others are forgotten, but never the one on @p pending.
-     * @param epoch whose ranks vote, for a new ballot
+     * Returns the tally for @p map, creating it if necessary. Evicts the oldest other tallies above the maximum, but
+     * never the one for @p pending.
+     * @param epoch the epoch whose ranks vote, for a new tally
      */
     VoteTally &tallyFor(MapNumber map, EpochNumber epoch, MapNumber pending);
 
