--- a/tests/groups/switch_test.cpp
+++ b/tests/groups/switch_test.cpp
@@ -10,14 +10,14 @@
 
 constexpr int ActionsPerSchedule = 1200;
 constexpr int SchedulesPerCase = 20;
-/** Percent of messages that arrive again. */
+/** Percentage of messages delivered twice. */
 constexpr int FewDuplicatesPercent = 5;
 constexpr int ManyDuplicatesPercent = 40;
-/** Percent of proposals that change who belongs to the group. */
+/** Percentage of proposals that change the members of the group. */
 constexpr int FewEpochsPercent = 5;
 constexpr int ManyEpochsPercent = 50;
 
-/** The world of schedule @p i of the case @p seed. */
+/** Returns the options of schedule @p index of the case with seed @p seed. */
 SwitchSimulation::Options simulationOptions(std::uint32_t seed, int index)
 {
     return {.ranks = 2 + index % 3,
@@ -48,14 +48,14 @@
 struct RegressionCase
 {
     const char *description;
-    std::uint32_t seed; ///< of the case
-    int schedule; ///< in it
+    std::uint32_t seed; ///< seed of the case
+    int schedule; ///< index within the case
 };
 
 const RegressionCase RegressionCases[] = {
-    // All streams of a group stand still for good: three of four ranks have agreed to a switch and wait at its limit,
-    // the leader that proposed it is gone, and its successor holds the group for whole and has nothing under way.
-    {"a switch whose leader is gone stays undecided", 35853, 5},
+    // All streams of a group stall permanently: three of four ranks have agreed to a switch and wait at its limit, the
+    // leader that proposed it has died, and its successor considers the group complete and proposes nothing.
+    {"a switch stays undecided after its leader has died", 35853, 5},
 };
 
 class RegressionSchedules : public testing::TestWithParam<RegressionCase>
@@ -81,30 +81,31 @@
 };
 
 const SafeguardCase SafeguardCases[] = {
-    // A rank that was slow runs past its bound before the limit is there, and meets the switch step with the old map.
-    {"agrees before the engine has confirmed its limit", {.limitBeforeVote = false}},
-    // The rank whose vote is missing has promised nothing and steps on with the old map.
+    // A slow rank passes its bound before the limit arrives and reaches the switch step with the old map.
+    {"a gate agrees before its engine has confirmed the limit", {.limitBeforeVote = false}},
+    // The rank whose vote is missing has no limit and keeps stepping with the old map.
     {"a majority of votes decides", {.countEveryVote = false}},
-    // A rank with a later bound passes the switch step with the old map while it doesn't know the outcome.
-    {"the earliest bound is the switch step", {.latestBound = false}},
-    // Waiting for one outcome, a rank agrees to another switch; its engine holds only the first limit.
-    {"agrees to a second switch while one is undecided", {.limitBeforeVote = false, .oneAtATime = false}},
-    // The earlier run had agreed; the new one lets the engine run on while the others switch.
-    {"a restarted gate lifts a limit that it doesn't know", {.keepLimitAfterRestart = false}},
-    // Two leaders compose the same epoch number with different maps; ranks enter different ones.
-    {"a later record replaces an epoch of the same number", {.firstEpochWins = false}},
-    // An engine that restarted enters the epoch again with its first map, long after a switch.
-    {"an engine enters an epoch that names another run", {.namedEngineOnly = false}},
-    // A run of the gate refuses, as no limit stands; then the dead run's limit arrives, and the third run takes it for
-    // a vote.
-    {"an engine follows late orders of a dead run of its gate", {}, SwitchSimulation::StaleOrders::Executed},
+    // A rank with a later bound passes the switch step with the old map before it knows the outcome.
+    {"the switch takes effect at the earliest bound", {.latestBound = false}},
+    // While waiting for one outcome, a rank agrees to another switch; its engine holds only the first limit.
+    {"a gate agrees to a second switch while one is undecided", {.limitBeforeVote = false, .oneAtATime = false}},
+    // The earlier run had agreed; the new run lets the engine continue with the old map while the others switch.
+    {"a restarted gate lifts a limit that it did not order", {.keepLimitAfterRestart = false}},
+    // Two leaders append epochs of the same number with different maps; ranks enter different ones.
+    {"a later record replaces an epoch with the same number", {.firstEpochWins = false}},
+    // A restarted engine re-enters the epoch with its first map, long after a switch.
+    {"an engine enters an epoch that lists another run", {.namedEngineOnly = false}},
+    // A run of the gate refuses because no limit is set. Then the limit ordered by the dead run arrives, and the third
+    // run
+    // adopts it as a vote.
+    {"an engine executes delayed orders of a dead run of its gate", {}, SwitchSimulation::StaleOrders::Executed},
 };
 
 class SafeguardSchedules : public testing::TestWithParam<SafeguardCase>
 {
 };
 
-/** Each safeguard, switched off, must lead to two maps in one step in some schedule; else it guards nothing. */
+/** Disabling any one safeguard must lead to two maps in one step in some schedule; otherwise it has no effect. */
 TEST_P(SafeguardSchedules, EachSafeguardIsNecessary)
 {
     const int maxSchedules = 20'000;
@@ -129,7 +130,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, SafeguardSchedules, testing::ValuesIn(SafeguardCases));
 
-/** A gate with its engine, whose orders are followed at once. */
+/** A gate and its engine, which executes orders immediately. */
 struct DirectRank
 {
     RankGate gate;
@@ -165,9 +166,10 @@
 };
 
 /**
- * A rank refuses a switch, and one that has agreed learns it and goes on with the old map. The refusing rank's gate
- * restarts, and the leader's messages for the switch arrive a second time. If the new run agreed, the remaining ranks
- * would count all votes and switch alone. Too rare for random schedules (about one in ten thousand), so played here.
+ * Guards against a restarted gate agreeing to a switch that its earlier run has refused. A rank that has agreed learns
+ * of the refusal and continues with the old map. The refusing rank's gate restarts, and the leader's messages for the
+ * switch arrive a second time. If the new run agreed, the remaining ranks would count all votes and switch without the
+ * others. Too rare for random schedules (about one in ten thousand), so the sequence is reproduced here.
  */
 TEST_P(RestartedGate, DoesNotAgreeToSwitchRefusedByEarlierRun)
 {
--- a/tests/groups/switchsimulation.cpp
+++ b/tests/groups/switchsimulation.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Few, so that ranks often reach their bounds. */
+/** Small, so that ranks often reach their bounds. */
 constexpr std::uint64_t LeadSteps = 3;
 constexpr int LeaderSlots = 2;
 
@@ -45,7 +45,7 @@
     m_leaders[1] = {};
     auto &leader = *m_leaders[0].leader;
     const int maxRounds = 60;
-    const int maxRoundsWaited = 4; // rounds that ranks get for entering an epoch
+    const int maxRoundsWaited = 4; // rounds allowed for entering an epoch
     int roundsWaited = 0;
     for (int round = 0; round < maxRounds && m_violation.empty(); ++round) {
         runReliableRound();
@@ -57,7 +57,7 @@
                 ranks[rank] = static_cast<int>(rank);
             }
             const auto proposed = leader.proposeEpoch(ranks, randomLayers(ranks));
-            (void)proposed; // while a rank is still unknown the next round tries again
+            (void)proposed; // fails while a rank is unknown; the next round tries again
         }
     }
     const auto before = minStep();
@@ -66,7 +66,7 @@
                                           [](const auto &engine) { return engine.engine.state().limit.has_value(); });
     const auto &epoch = leader.epoch();
     const bool includesAllRanks = epoch && epoch->members.size() == m_engines.size();
-    // A smaller epoch is whole too; then only its members step.
+    // An epoch without some ranks is complete too, but then only its members step.
     return leader.hasAllMembers() && !hasUndecided && (!includesAllRanks || minStep() > before);
 }
 
@@ -125,7 +125,7 @@
     auto &leader = m_leaders[leaderIndex];
     const int kind = randomIndex(1000);
     if (kind < 400 && !m_network.empty()) {
-        // Mostly in order, so that a switch has a chance to get through before its messages are overtaken by faults.
+        // Mostly in order, so that switches can complete before a fault interrupts them.
         const auto index = randomChance(60) ? 0 : static_cast<std::size_t>(randomIndex(m_network.size()));
         if (randomChance(5)) {
             m_network.erase(m_network.begin() + static_cast<std::ptrdiff_t>(index));
@@ -247,7 +247,7 @@
     const auto index = m_isReliable ? 0 : randomIndex(m_appends.size());
     auto append = std::move(m_appends[index]);
     m_appends.erase(m_appends.begin() + index);
-    // In an outage an append fails, or takes effect while its reply is lost.
+    // During an outage an append fails, or takes effect but its reply is lost.
     if (!m_isLogOut || randomChance(30)) {
         m_log.push_back(std::move(append.epoch));
     }
@@ -263,7 +263,7 @@
     if (engine.orders.empty()) {
         return;
     }
-    // Orders of one run stay in order; those of different runs may overtake each other.
+    // Orders of one run stay in order; orders of different runs may be reordered.
     const auto run = m_options.staleOrders == StaleOrders::InOrder
         ? engine.orders.front().run
         : engine.orders[randomIndex(engine.orders.size())].run;
@@ -353,7 +353,7 @@
                 ranks.push_back(member.rank);
             }
             const auto proposed = leader.proposeSwitch(randomLayers(ranks));
-            (void)proposed; // refused while another is under way
+            (void)proposed; // refused while another change is in progress
         }
         return;
     }
@@ -365,7 +365,7 @@
     }
     if (!ranks.empty()) {
         const auto proposed = leader.proposeEpoch(ranks, randomLayers(ranks));
-        (void)proposed; // refused while another is under way
+        (void)proposed; // refused while another change is in progress
     }
 }
 
--- a/tests/groups/switchsimulation.h
+++ b/tests/groups/switchsimulation.h
@@ -13,18 +13,18 @@
 {
 
 /**
- * A group under a random schedule: messages are lost, delayed, doubled and reordered; gates, engines and leaders die,
- * pause (are not scheduled) and are replaced; the log goes out. Checks at each start of a step that all ranks that ever
- * start this step of this epoch use the same map.
+ * Simulates a group under a random schedule: messages are lost, delayed, duplicated and reordered; gates, engines and
+ * leaders crash, pause (are not scheduled) and are replaced; the log becomes unavailable. Checks at each start of a
+ * step that all ranks that ever start this step of this epoch use the same map.
  */
 class SwitchSimulation
 {
 public:
-    /** What engines do about orders that a dead run of their gate had sent. */
+    /** How engines handle orders sent by a dead run of their gate. */
     enum class StaleOrders {
-        Rejected, ///< they arrive at any time and are refused
-        InOrder, ///< they arrive before any order of the next run, and are followed
-        Executed, ///< they arrive at any time and are followed: not safe
+        Rejected, ///< they arrive at any time and are rejected
+        InOrder, ///< they arrive before any order of the next run and are executed
+        Executed, ///< they arrive at any time and are executed: unsafe
     };
 
     struct Options
@@ -32,32 +32,32 @@
         int ranks = 3;
         std::uint64_t seed = 1;
         SwitchSafeguards safeguards{};
-        int duplicatePercent = 5; ///< percent of messages that arrive again, possibly much later
-        int leaderChangesPerMille = 1; ///< of a thousand actions
-        int epochPercent = 5; ///< percent of proposals that compose an epoch while the group is whole
+        int duplicatePercent = 5; ///< percentage of messages delivered twice, possibly much later
+        int leaderChangesPerMille = 1; ///< leader changes per 1000 actions
+        int epochPercent = 5; ///< percentage of proposals for a new epoch while all members have entered theirs
         StaleOrders staleOrders = StaleOrders::Rejected;
-        bool engineFaults = true; ///< whether engines die; without, a log outage alone must stall nobody
+        bool engineFaults = true; ///< whether engines crash; if not, a log outage alone must stall no rank
     };
 
     explicit SwitchSimulation(const Options &options);
 
-    /** Runs @p actions random actions; ends at the first violation. */
+    /** Runs @p actions random actions, stopping at the first violation. */
     void run(int actions);
 
-    /** No faults any more, everything delivered; the latest leader takes the group whole. Whether it became whole,
-     * nothing stayed undecided and all ranks step on. */
+    /** Stops injecting faults, delivers all messages and lets a new leader restore the group. Returns whether all
+     * members entered the epoch, no switch remained undecided and all ranks keep stepping. */
     bool recover();
 
-    /** After heal(): whether a switch goes through without any record on the log and takes effect on all ranks. */
+    /** After recover(): returns whether a switch commits on all ranks without any record on the log. */
     bool switchWithoutLog();
 
-    /** What went wrong, or empty. */
+    /** Returns a description of the first violation, or an empty string. */
     const std::string &violation() const
     {
         return m_violation;
     }
 
-    /** Switches that took effect on an engine. */
+    /** Returns how many switches took effect on an engine. */
     int switchCount() const
     {
         return m_switchCount;
@@ -73,7 +73,7 @@
 private:
     struct Packet
     {
-        int toRank = -1; ///< -1 for the leaders
+        int toRank = -1; ///< -1 if addressed to a leader
         int toLeader = -1;
         int fromRank = -1;
         Incarnation fromRun{};
@@ -90,7 +90,7 @@
     struct Engine
     {
         LockStepEngine engine{};
-        std::deque<OrderEngine> orders{}; ///< given but not yet followed; survive a restart of the gate
+        std::deque<OrderEngine> orders{}; ///< sent but not yet executed; survive a restart of the gate
     };
 
     struct Gate
@@ -134,8 +134,8 @@
     std::vector<Leader> m_leaders;
     std::vector<GroupEpoch> m_log;
     std::vector<Packet> m_network;
-    std::vector<PendingAppend> m_appends; ///< on their way to the log
-    std::vector<Packet> m_duplicates; ///< second copies, which arrive at any later time
+    std::vector<PendingAppend> m_appends; ///< not yet stored by the log
+    std::vector<Packet> m_duplicates; ///< duplicates, delivered at any later time
     bool m_isLogOut = false;
     bool m_isReliable = false;
     std::uint64_t m_runs = 0;
--- a/tests/groupsite/group_test.cpp
+++ b/tests/groupsite/group_test.cpp
@@ -9,7 +9,7 @@
 
 const std::vector<int> AllRanks{0, 1, 2, 3};
 
-/** Whether a switch beyond map @p before takes effect on all of @p ranks. */
+/** Waits for a switch to a map above @p earlier on all of @p ranks; returns whether it took effect in time. */
 bool waitForMapAbove(const GroupDeployment &site, std::uint64_t earlier, const std::vector<int> &ranks)
 {
     return GroupDeployment::waitUntil([&] { return site.minMapNumber(ranks) > earlier; });
@@ -27,15 +27,16 @@
 }
 
 /**
- * A user sees tokens of another expert's, if two ranks step with different maps. So: an expert gets hot and the map
- * changes; the log goes out and it changes all the same; a rank's process is killed and the group steps on; it comes
- * back and the map changes; the leader is killed and another leads; an engine dies and the group is composed anew.
+ * Guards against two ranks using different maps in one step, which gives users tokens from the wrong experts. Checks
+ * that the map changes when an expert becomes hot, also during a log outage; that the group keeps stepping while a
+ * rank's process is down and the map changes after its restart; that another leader takes over when the leader is
+ * killed; and that a new epoch forms when an engine dies.
  */
 TEST(Group, ChangesMapDuringFaultsAndNeverUsesTwoMapsInOneStep)
 {
     GroupDeployment site;
     std::string difference;
-    ASSERT_TRUE(site.isStepping(AllRanks)) << "the group never came up";
+    ASSERT_TRUE(site.isStepping(AllRanks)) << "the group did not start stepping";
 
     auto mapBefore = site.minMapNumber(AllRanks);
     site.setHotExpert(0);
@@ -45,23 +46,23 @@
     site.setLogOutage(true);
     mapBefore = site.minMapNumber(AllRanks);
     site.setHotExpert(5);
-    EXPECT_TRUE(waitForMapAbove(site, mapBefore, AllRanks)) << "no switch while the log was out";
-    EXPECT_TRUE(site.isStepping(AllRanks)) << "the log's outage stalled the group";
+    EXPECT_TRUE(waitForMapAbove(site, mapBefore, AllRanks)) << "no switch during the log outage";
+    EXPECT_TRUE(site.isStepping(AllRanks)) << "the log outage stalled the group";
     site.setLogOutage(false);
 
     const int leader = site.leaderRank();
     ASSERT_GE(leader, 0);
     const int other = (leader + 1) % GroupDeployment::Ranks;
     site.killGate(other);
-    EXPECT_TRUE(site.isStepping(AllRanks)) << "the group stood still without one rank's process";
+    EXPECT_TRUE(site.isStepping(AllRanks)) << "the group stalled without the process of one rank";
     site.startGate(other);
     mapBefore = site.minMapNumber(AllRanks);
     site.setHotExpert(2);
-    EXPECT_TRUE(waitForMapAbove(site, mapBefore, AllRanks)) << "no switch after a rank's process had restarted";
+    EXPECT_TRUE(waitForMapAbove(site, mapBefore, AllRanks)) << "no switch after the process of a rank had restarted";
     EXPECT_TRUE(site.mapsAgree(difference)) << difference;
 
     site.killGate(leader);
-    EXPECT_TRUE(GroupDeployment::waitUntil([&] { return site.leaderRank() >= 0; })) << "nobody took over";
+    EXPECT_TRUE(GroupDeployment::waitUntil([&] { return site.leaderRank() >= 0; })) << "no rank took over leadership";
     site.startGate(leader);
     mapBefore = site.minMapNumber(AllRanks);
     site.setHotExpert(7);
@@ -70,25 +71,25 @@
 
     site.restartEngine(other);
     EXPECT_TRUE(GroupDeployment::waitUntil([&] { return site.isStepping(AllRanks); }))
-        << "the group was not made whole again";
+        << "the group did not include all ranks again";
     EXPECT_TRUE(site.mapsAgree(difference)) << difference;
 }
 
-/** The owners withdraw a rank: it is emptied by a switch, then left out, and the others step on. */
+/** A withdrawn rank is evacuated by a switch and then removed from the group, while the other ranks keep stepping. Once
+ * listed again it is readmitted. */
 TEST(Group, RemovesWithdrawnRankAndReadmitsIt)
 {
     GroupDeployment site;
     std::string difference;
-    ASSERT_TRUE(site.isStepping(AllRanks)) << "the group never came up";
+    ASSERT_TRUE(site.isStepping(AllRanks)) << "the group did not start stepping";
     site.publishInventory(3);
     EXPECT_TRUE(GroupDeployment::waitUntil([&] {
         return site.stepReport(3)["epoch"] == site.stepReport(0)["epoch"] && !site.isStepping({3})
             && site.isStepping(allRanksExcept(3));
-    })) << "the rank was not left out";
+    })) << "the withdrawn rank was not removed";
     EXPECT_TRUE(site.mapsAgree(difference)) << difference;
     site.publishInventory(-1);
-    EXPECT_TRUE(GroupDeployment::waitUntil([&] { return site.isStepping(AllRanks); }))
-        << "the rank was not taken up again";
+    EXPECT_TRUE(GroupDeployment::waitUntil([&] { return site.isStepping(AllRanks); })) << "the rank was not readmitted";
     EXPECT_TRUE(site.mapsAgree(difference)) << difference;
 }
 
--- a/tests/groupsite/groupdeployment.cpp
+++ b/tests/groupsite/groupdeployment.cpp
@@ -70,7 +70,7 @@
 void GroupDeployment::restartEngine(int rank)
 {
     m_engines[rank]->kill();
-    // Another program's outgoing connection may hold the port for a moment.
+    // An outgoing connection of another program may occupy the port briefly.
     waitUntil([&] {
         m_engines[rank] =
             std::make_unique<ChildProcess>("heatherridge-standin", engineArguments(toString(m_engineEndpoints[rank])));
@@ -141,7 +141,7 @@
             if (!std::equal(knownChanges.begin(), knownChanges.begin() + static_cast<std::ptrdiff_t>(commonLength),
                             changes.begin())) {
                 difference =
-                    "rank " + std::to_string(rank) + " changed maps elsewhere in epoch " + std::to_string(epoch);
+                    "rank " + std::to_string(rank) + " changed maps at other steps in epoch " + std::to_string(epoch);
                 return false;
             }
             knownChanges = changes.size() > knownChanges.size() ? changes : knownChanges;
@@ -149,9 +149,9 @@
     }
     for (const auto &report : reports) {
         if (!report.value("steps", false)) {
-            continue; // has left the epoch
+            continue; // not a member of the epoch any more
         }
-        // A rank that lacks a change must not have started its step.
+        // A rank whose list lacks a change must not have started the step of that change.
         const auto &knownChanges = longestChanges[report["epoch"]];
         const auto ownChanges = std::count_if(report["changes"].begin(), report["changes"].end(),
                                               [&](const auto &change) { return change[0] == report["epoch"]; });
--- a/tests/groupsite/groupdeployment.h
+++ b/tests/groupsite/groupdeployment.h
@@ -13,49 +13,51 @@
 namespace Heatherridge
 {
 
-/** A group of four ranks made of the real programs: log, rank stand-ins, and the process beside each rank. */
+/** A group of four ranks that runs the real programs: the log, the rank stand-ins, and the target process of each rank.
+ */
 class GroupDeployment
 {
 public:
     static constexpr int Ranks = 4;
 
-    /** Starts all and waits until every rank steps. */
+    /** Starts all processes and waits until every rank is stepping. */
     GroupDeployment();
 
-    /** Starts the process beside @p rank, at its old addresses when it had some. */
+    /** Starts the target process of @p rank, at its previous addresses if it had any. */
     void startGate(int rank);
 
-    /** Kills the process beside @p rank. */
+    /** Kills the target process of @p rank. */
     void killGate(int rank);
 
-    /** Kills @p rank's engine and starts it anew at its old address. */
+    /** Kills the engine of @p rank and restarts it at its previous address. */
     void restartEngine(int rank);
 
-    /** Makes @p expert hot on all ranks. */
+    /** Increases the load of @p expert on all ranks. */
     void setHotExpert(int expert);
 
-    /** Cuts the log off, or gives it back. */
+    /** Makes the log unavailable, or available again. */
     void setLogOutage(bool out);
 
-    /** Publishes the inventory with @p withdrawn withdrawn; -1 for none. */
+    /** Publishes the inventory with rank @p withdrawnRank withdrawn, or none if -1. */
     void publishInventory(int withdrawnRank);
 
-    /** The rank whose process leads, or -1. */
+    /** Returns the rank whose process is the leader, or -1. */
     int leaderRank() const;
 
-    /** The least map number that any of @p ranks uses. */
+    /** Returns the lowest map number in use among @p ranks. */
     std::uint64_t minMapNumber(const std::vector<int> &ranks) const;
 
-    /** What @p rank's engine says of its steps; null when it doesn't answer. */
+    /** Returns the step report of the engine of @p rank, or null if it does not respond. */
     nlohmann::json stepReport(int rank) const;
 
-    /** Whether no two ranks used different maps in one step, as far as their lists tell; says where in @p why. */
+    /** Returns whether no two ranks used different maps in one step, according to their change lists; describes the
+     * first difference in @p difference. */
     bool mapsAgree(std::string &difference) const;
 
-    /** Whether every rank of @p ranks starts further steps. */
+    /** Returns whether all of @p ranks keep starting steps. */
     bool isStepping(const std::vector<int> &ranks) const;
 
-    /** Asks @p done again and again until it is true; false after half a minute. */
+    /** Polls @p condition until it is true; returns false after half a minute. */
     static bool waitUntil(const std::function<bool()> &condition);
 
 private:
