--- a/modules/heatherridge_coordination/answers/answerassembler.cpp
+++ b/modules/heatherridge_coordination/answers/answerassembler.cpp
@@ -26,7 +26,7 @@
         return *m_error;
     }
     if (m_frameCount && sequence >= *m_frameCount) {
-        return fail("a frame past the end");
+        return fail("frame past the end");
     }
     if (sequence < m_nextSequence || m_bufferedFrames.contains(sequence)) {
         return checkDuplicate(sequence, bytes);
@@ -54,11 +54,11 @@
         return *m_error;
     }
     if (m_frameCount && *m_frameCount != frameCount) {
-        return fail("two ends that differ");
+        return fail("two ends with different frame counts");
     }
     const auto receivedFrames = m_bufferedFrames.empty() ? m_nextSequence : m_bufferedFrames.rbegin()->first + 1;
     if (receivedFrames > frameCount) {
-        return fail("an end before frames that came");
+        return fail("end before frames that were received");
     }
     m_frameCount = frameCount;
     return {};
@@ -93,16 +93,16 @@
     return *m_error;
 }
 
-/** A frame whose number has come before: harmless when its bytes are the same, proof of a mix-up when they differ. */
+/** Handles a frame whose number was received before: ignored if its bytes are the same; an error if they differ. */
 Result<Bytes> AnswerAssembler::checkDuplicate(std::uint64_t sequence, const Bytes &bytes)
 {
     if (const auto buffered = m_bufferedFrames.find(sequence); buffered != m_bufferedFrames.end()) {
         if (buffered->second != bytes) {
-            return fail("two frames of one number that differ");
+            return fail("two different frames with the same number");
         }
     } else if (const auto age = m_nextSequence - sequence; age <= m_deliveredHashes.size()) {
         if (m_deliveredHashes[m_deliveredHashes.size() - age] != hashOf(bytes)) {
-            return fail("two frames of one number that differ");
+            return fail("two different frames with the same number");
         }
     }
     ++m_counters.duplicateFrames;
@@ -113,7 +113,7 @@
 {
     if (m_bufferedFrames.size() >= m_options.maxBufferedFrames
         || m_bufferedBytes + bytes.size() > m_options.maxBufferedBytes) {
-        return fail("too much waits for a missing frame");
+        return fail("too much data buffered while waiting for a missing frame");
     }
     ++m_counters.outOfOrderFrames;
     m_bufferedBytes += bytes.size();
--- a/modules/heatherridge_coordination/answers/answerassembler.h
+++ b/modules/heatherridge_coordination/answers/answerassembler.h
@@ -11,59 +11,61 @@
 namespace Heatherridge
 {
 
-/** What an assembler met, for counters. */
+/** Event counts of an assembler. */
 struct AssemblerCounters
 {
-    std::uint64_t outOfOrderFrames = 0; ///< frames that arrived before one with a lower number
-    std::uint64_t duplicateFrames = 0; ///< frames that had come before
-    std::uint64_t failures = 0; ///< frames that ended the answer as broken
+    std::uint64_t outOfOrderFrames = 0; ///< frames that arrived before a frame with a lower number
+    std::uint64_t duplicateFrames = 0; ///< frames received more than once
+    std::uint64_t failures = 0; ///< errors that broke the answer
 };
 
 /**
- * Puts the frames of one answer back into order.
+ * Reassembles the frames of one answer in order.
  *
- * Each frame carries its number, from 0, and the end carries how many there are; one assembler serves one request and
- * is reached through the request's id, so that frames of another answer never meet it. What it hands out is a prefix
- * of the answer at all times: no gap, no repeat. Frames that come early wait, within bounds. What can't be put right
- * breaks the answer for good: a frame with the number of another but other bytes, a frame past the end, more waiting
- * bytes or frames than the bounds. No I/O, no clock; one thread.
+ * Frames are numbered from 0, and the end message carries their count. One assembler serves one request and is looked
+ * up by the request's id, so that it never receives frames of another answer. The delivered bytes are always a prefix
+ * of the answer, without gaps or repetitions. Frames that arrive early are buffered within limits. Unrecoverable errors
+ * break the answer permanently: two frames with the same number but different bytes, a frame past the end, two ends
+ * with different counts, an end before frames that were received, or more buffered bytes or frames than allowed. Does
+ * no I/O and reads no clock. Not thread-safe; use from one thread.
  */
 class AnswerAssembler
 {
 public:
     struct Options
     {
-        std::size_t maxBufferedBytes = 256UL << 10U; ///< bytes that came early
-        std::size_t maxBufferedFrames = 256; ///< frames that came early
-        std::size_t maxRememberedHashes = 256; ///< handed-out frames whose doubles are still compared byte for byte
+        std::size_t maxBufferedBytes = 256UL << 10U; ///< bytes of frames that arrived early
+        std::size_t maxBufferedFrames = 256; ///< frames that arrived early
+        std::size_t maxRememberedHashes = 256; ///< delivered frames whose duplicates are compared by hash
     };
 
-    /** An assembler that waits for frame 0. */
+    /** Creates an assembler that expects frame 0. */
     explicit AnswerAssembler(Options options);
 
     /**
-     * Takes frame @p sequence.
-     * @returns the bytes that may be passed on now, in order (empty when the frame has to wait or was a double), or
-     *          StreamBroken, after which every call yields the same error
+     * Adds the frame with number @p sequence.
+     * @returns the bytes that can be delivered now, in order (empty if the frame is buffered or a duplicate), or
+     *          StreamBroken, after which every call returns the same error
      */
     Result<Bytes> addFrame(std::uint64_t sequence, Bytes bytes);
 
     /**
-     * Takes the end: the answer has @p count frames. Comes at most once, at any time, doubles aside.
-     * @returns StreamBroken when frames beyond the end have come, or when another end came before
+     * Sets the number of frames of the answer, as stated by its end message. May be called at any time, and repeatedly
+     * with the same count.
+     * @returns StreamBroken if frames past the end have been received or a different count was set before
      */
     Outcome setFrameCount(std::uint64_t frameCount);
 
-    /** Whether every byte has been handed out and the end is known. */
+    /** Whether the frame count is known and all frames have been delivered. */
     bool isComplete() const;
 
-    /** The number of the next frame to be handed out. */
+    /** Returns the number of the next frame to be delivered. */
     std::uint64_t nextSequence() const;
 
-    /** Bytes that wait for an earlier frame. */
+    /** Returns the number of buffered bytes that wait for an earlier frame. */
     std::size_t bufferedBytes() const;
 
-    /** What was met so far. */
+    /** Returns the event counts since construction. */
     const AssemblerCounters &counters() const;
 
 private:
@@ -74,7 +76,7 @@
 
     Options m_options;
     std::map<std::uint64_t, Bytes> m_bufferedFrames;
-    std::deque<std::uint64_t> m_deliveredHashes; ///< hashes of the last frames handed out, newest last
+    std::deque<std::uint64_t> m_deliveredHashes; ///< hashes of the most recently delivered frames, newest last
     std::optional<std::uint64_t> m_frameCount;
     std::optional<Error> m_error;
     std::uint64_t m_nextSequence = 0;
--- a/modules/heatherridge_coordination/answers/eventstreamsplitter.cpp
+++ b/modules/heatherridge_coordination/answers/eventstreamsplitter.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** Where the event that @p text begins with ends, behind its blank line; npos when it is not whole. */
+/** Returns the end of the first event in @p text, after its blank line, or npos if the event is incomplete. */
 std::size_t findEventEnd(std::string_view text)
 {
     const auto lfBlankLine = text.find("\n\n");
--- a/modules/heatherridge_coordination/answers/eventstreamsplitter.h
+++ b/modules/heatherridge_coordination/answers/eventstreamsplitter.h
@@ -9,26 +9,26 @@
 namespace Heatherridge
 {
 
-/** One whole event of a stream. */
+/** A complete event of a stream. */
 struct StreamEvent
 {
     std::optional<std::uint64_t> id{};
-    std::string text{}; ///< all its bytes, the closing blank line included
+    std::string text{}; ///< all bytes of the event, including the terminating blank line
 };
 
 /**
- * Cuts a `text/event-stream` body into whole events.
+ * Splits a `text/event-stream` body into complete events.
  *
- * A target that dies may leave off in the midst of an event. Passed on, the torn event would be joined with the first
- * bytes of whichever target goes on. One thread.
+ * A target that dies may stop in the middle of an event. If that partial event were forwarded, the caller would join it
+ * with the first bytes from the target that resumes the stream. Not thread-safe; use from one thread.
  */
 class EventStreamSplitter
 {
 public:
-    /** Takes @p bytes. @returns the events that they complete */
+    /** Adds @p bytes. @returns the events that are now complete */
     std::vector<StreamEvent> feed(std::string_view bytes);
 
-    /** Whether bytes of an event that is not whole are held. */
+    /** Whether bytes of an incomplete event are buffered. */
     bool hasPartialEvent() const;
 
 private:
--- a/modules/heatherridge_coordination/answers/resumepoint.cpp
+++ b/modules/heatherridge_coordination/answers/resumepoint.cpp
@@ -39,7 +39,8 @@
     }
     if (position < m_deliveredTokens) {
         if (m_recentTokens[m_recentTokens.size() - (m_deliveredTokens - position)] != token) {
-            return Error{.kind = ErrorKind::StreamBroken, .detail = "the resumed stream differs"};
+            return Error{.kind = ErrorKind::StreamBroken,
+                         .detail = "the resumed stream differs from the delivered tokens"};
         }
         ++m_expectedPosition;
         return std::optional<Bytes>{};
--- a/modules/heatherridge_coordination/answers/resumepoint.h
+++ b/modules/heatherridge_coordination/answers/resumepoint.h
@@ -10,38 +10,38 @@
 {
 
 /**
- * Where a broken stream of tokens may be taken up again, and the check that it continues at the same token.
+ * Determines where an interrupted stream of tokens can resume, and verifies that the resumed stream continues it.
  *
- * It remembers the last tokens that the caller has got. The engine is asked to start some tokens earlier; what it
- * repeats must be the same, byte for byte, before anything new is passed on. An engine that samples anew, or whose
- * model was changed in between, differs in the repeated part and is refused; the answer then ends as broken.
- * No I/O; one thread.
+ * Keeps the tokens most recently delivered to the caller. The engine is asked to start a few tokens earlier; the
+ * repeated tokens must match byte for byte before any new token is accepted. An engine that samples different tokens,
+ * or whose model has changed in the meantime, differs in the repeated part and is rejected; the answer then ends as
+ * broken. Does no I/O. Not thread-safe; use from one thread.
  */
 class ResumePoint
 {
 public:
     struct Options
     {
-        std::size_t overlapTokens = 16; ///< how many tokens are repeated and compared
-        std::size_t maxOverlapBytes = 16UL << 10U; ///< fewer are compared when they are larger than this
+        std::size_t overlapTokens = 16; ///< number of tokens that are repeated and compared
+        std::size_t maxOverlapBytes = 16UL << 10U; ///< fewer tokens are compared if they exceed this size; at least one
     };
 
-    /** The start of an answer. */
+    /** Creates a resume point for a new answer. */
     explicit ResumePoint(Options options);
 
-    /** Notes that the caller has got one more token. */
+    /** Records that @p token has been delivered to the caller. */
     void addDeliveredToken(const Bytes &token);
 
-    /** How many tokens the caller has got. */
+    /** Returns the number of tokens delivered to the caller. */
     std::uint64_t deliveredTokens() const;
 
-    /** The token from which the engine is to start again; the first is 0. Begins the comparison. */
+    /** Starts the comparison and returns the token, counted from 0, from which the engine has to start. */
     std::uint64_t beginResume();
 
     /**
-     * Takes token @p position of the resumed stream.
-     * @returns the token when it is the next new one, nothing when it was a repeated one and the same, or StreamBroken
-     *          when it differs or is out of place
+     * Verifies token @p position of the resumed stream.
+     * @returns the token if it is the next new one, nothing if it repeats a delivered token, or StreamBroken if it
+     * differs from the delivered token or is out of sequence
      */
     Result<std::optional<Bytes>> acceptToken(std::uint64_t position, Bytes token);
 
--- a/modules/heatherridge_coordination/heatherridge_coordination.h
+++ b/modules/heatherridge_coordination/heatherridge_coordination.h
@@ -3,9 +3,9 @@
 /**
  * Module heatherridge_coordination.
  *
- * Purpose: what the processes do together: following the log, relaying it, membership, keys, expert groups. Each part
- * is a state machine that takes events and returns actions, or reaches the outside through an interface; none owns a
- * socket or a thread.
+ * Purpose: coordination between the processes: following the log, relaying it, membership, keys, expert groups. Each
+ * part is a state machine that takes events and returns actions, or accesses external services through an interface.
+ * None owns a socket or a thread.
  *
  * Dependencies: heatherridge_protocol, heatherridge_state.
  */
--- a/modules/heatherridge_coordination/logservice.h
+++ b/modules/heatherridge_coordination/logservice.h
@@ -10,35 +10,35 @@
 namespace Heatherridge
 {
 
-/** Name of one stream of the platform's log; each has offsets of its own. */
+/** The name of a stream of the platform's log. Each stream has its own offsets. */
 using StreamName = Name<struct StreamTag>;
 
-/** The stream to which operators publish and in which roles are claimed; every process follows it. */
+/** The stream that operators publish to and roles are claimed in. Every process follows it. */
 inline const StreamName ControlStream{"control"};
 
-/** One record as the log keeps it. */
+/** A record stored in the log. */
 struct LogRecord
 {
     LogOffset offset{};
-    WallTime appended{}; ///< when the log took it, by the log's clock; for people only
+    WallTime appended{}; ///< when the log stored it, by the log's clock; informational only
     Bytes payload{};
 
     bool operator==(const LogRecord &) const = default;
 };
 
-/** Records read in one go. */
+/** The result of one read. */
 struct LogPage
 {
-    std::vector<LogRecord> records{}; ///< in offset order, without gaps
-    LogOffset first{}; ///< the oldest offset still kept; 1 when nothing has expired
-    LogOffset last{}; ///< the newest offset in the stream; 0 when it is empty
+    std::vector<LogRecord> records{}; ///< ordered by offset, without gaps
+    LogOffset first{}; ///< the oldest retained offset; 1 if nothing has expired
+    LogOffset last{}; ///< the newest offset in the stream; 0 if it is empty
 };
 
 /**
- * The platform's append-only log, as this system uses it.
+ * Interface to the platform's append-only log.
  *
- * Calls return at once; the answer comes later through the callback, on the thread that made the call, exactly once.
- * An error of kind PlatformUnavailable with ran Unknown means that an append may have taken effect.
+ * Asynchronous: calls return immediately, and the callback is called exactly once, later, on the thread that made the
+ * call. An error of kind PlatformUnavailable with `ran` Unknown means that an append may have taken effect.
  */
 class LogService
 {
@@ -48,13 +48,13 @@
 
     virtual ~LogService() = default;
 
-    /** Appends @p payload to @p stream and reports its offset. */
+    /** Appends @p payload to @p stream; @p done receives its offset. */
     virtual void append(const StreamName &stream, Bytes payload, AppendDone done) = 0;
 
     /**
-     * Reads records of @p stream from offset @p from on, at most @p maxRecords of them. When there is none yet, waits
-     * up to
-     * @p maxWait for one. Reading below the oldest offset kept yields an empty page whose `first` says where to go on.
+     * Reads up to @p maxRecords records of @p stream, starting at offset @p from. If there are none yet, waits up to
+     * @p maxWait for one. Reading below the oldest retained offset yields an empty page, whose `first` is the offset to
+     * continue from.
      */
     virtual void read(const StreamName &stream, LogOffset from, std::size_t maxRecords,
                       std::chrono::milliseconds maxWait, ReadDone done) = 0;
--- a/tests/answers/answerassembler_test.cpp
+++ b/tests/answers/answerassembler_test.cpp
@@ -16,9 +16,9 @@
     return {text.begin(), text.end()};
 }
 
-// A caller sees words of its answer swapped, twice, or missing. The entry passed frames on in the order in which two
-// connections brought them, one of which had sent some frames again after it was cut. Frames are put into order by
-// their numbers; whatever arrives, the caller has a prefix of the answer and is never told "complete" too early.
+// Guards against swapped, repeated or missing words in an answer. These occur when the entry forwards frames in arrival
+// order from two connections, one of which has resent frames after being interrupted. Frames must be ordered by number:
+// the caller always has a prefix of the answer, and the answer is never reported complete too early.
 RC_GTEST_PROP(AnswerAssembler, ReassemblesOutOfOrderAndDuplicateFrames, ())
 {
     const auto frames = *rc::gen::container<std::vector<std::string>>(rc::gen::arbitrary<std::string>());
@@ -63,13 +63,13 @@
 };
 
 const FailureCase FailureCases[] = {
-    {"a frame of another answer under a number that is waiting", {{1, "a"}, {1, "b"}}, {}, true},
-    {"a frame of another answer under a number that was handed out", {{0, "a"}, {0, "b"}}, {}, true},
+    {"a frame of another answer with the number of a buffered frame", {{1, "a"}, {1, "b"}}, {}, true},
+    {"a frame of another answer with the number of a delivered frame", {{0, "a"}, {0, "b"}}, {}, true},
     {"a frame past the end", {{0, "a"}, {1, "b"}}, 1, true},
-    {"more frames wait than the bound", {{1, "a"}, {2, "a"}, {3, "a"}, {4, "a"}}, {}, true},
-    {"more bytes wait than the bound", {{1, "aaaaaaaaaaa"}}, {}, true},
-    {"a gap only leaves it incomplete", {{0, "a"}, {2, "c"}}, 3, false},
-    {"no frame at all is a whole answer of none", {}, 0, false},
+    {"more buffered frames than the limit", {{1, "a"}, {2, "a"}, {3, "a"}, {4, "a"}}, {}, true},
+    {"more buffered bytes than the limit", {{1, "aaaaaaaaaaa"}}, {}, true},
+    {"a gap leaves the answer incomplete", {{0, "a"}, {2, "c"}}, 3, false},
+    {"an answer without frames is complete", {}, 0, false},
 };
 
 class InvalidFrames : public testing::TestWithParam<FailureCase>
@@ -93,8 +93,9 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, InvalidFrames, testing::ValuesIn(FailureCases));
 
-// A caller reads an answer whose second half doesn't belong to its first. The target died in mid-stream, another took
-// the stream up, but sampled other tokens. The repeated tokens are compared before anything new is passed on.
+// Guards against an answer whose second half does not continue its first. This occurs when a target dies in the middle
+// of a stream and the target that resumes it samples different tokens. The repeated tokens must be compared before any
+// new token is forwarded.
 RC_GTEST_PROP(ResumePoint, AcceptsOnlyMatchingContinuation, ())
 {
     const auto tokens = *rc::gen::nonEmpty<std::vector<std::string>>();
