--- a/modules/heatherridge_coordination/groups/rankgate.h
+++ b/modules/heatherridge_coordination/groups/rankgate.h
@@ -38,8 +38,7 @@
 struct GateCounters
 {
     std::uint64_t agreed = 0; ///< votes in favour of a switch
-    std::uint64_t refusedNotReady =
-        0; ///< refusals because this run had not reported ready, or no longer had the weights
+    std::uint64_t refusedNotReady = 0; ///< refusals because this run had not reported ready or had lost the weights
     std::uint64_t refusedFenced = 0; ///< refusals because a newer leader is known
     std::uint64_t refusedUndecided = 0; ///< refusals because another switch was undecided
     std::uint64_t refusedCancelled = 0; ///< refusals because the leader cancelled the switch
