--- a/modules/heatherridge_state/groups/controlbudget.h
+++ b/modules/heatherridge_state/groups/controlbudget.h
@@ -11,44 +11,48 @@
 {
 
 /**
- * How often and of how many ranks a process may ask for statuses and counts.
+ * Limits how often a process polls the statuses of ranks, and from how many ranks it polls expert selection counts.
  *
- * Load pattern: what is asked grows with the ranks, and counts also with the experts of the model, while the link of
- * who asks stays as it is and carries callers' traffic. So a part of the link bounds both. Ranks of the own
- * availability zone come first, since the ways to others are paid for; all ranks work on requests of one mix, so that
- * some tell the demand of all.
+ * Load pattern: the polling traffic grows with the number of ranks, and that of the counts also with the number of
+ * experts of the model, while the link of the polling process keeps its capacity and also carries callers' traffic.
+ * Therefore both are limited to a fraction of the link. Ranks of the same availability zone come first, since traffic
+ * to other zones is charged. All ranks process the same mix of requests, so a sample of ranks represents the demand of
+ * all.
  */
 class ControlBudget
 {
 public:
-    /** Part of the link for counts: with a tenth a whole round of the largest models' near ranks fits a period. */
+    /** Fraction of the link for counts: with a tenth, the counts of all ranks of the own zone fit into a period even
+     * for the largest models. */
     static constexpr double CountsLinkFraction = 0.1;
-    /** Part of the link for statuses of ranks in other zones. */
+    /** Fraction of the link for statuses of ranks in other zones. */
     static constexpr double RemoteStatusLinkFraction = 0.0025;
-    /** One question for a status and its answer, with their headers. */
+    /** Bytes of a status request and its response, headers included. */
     static constexpr double StatusBytes = 600;
-    /** What headers add to the counts of one rank, a byte a count. */
+    /** Bytes that headers add to the counts of one rank; each count takes one byte. */
     static constexpr double CountsHeaderBytes = 300;
-    /** As many are asked for counts however slow the link is, or the demand of all is told by the requests of few. */
+    /** Minimum number of ranks polled for counts, however slow the link is; fewer would not represent the overall
+     * demand. */
     static constexpr std::size_t MinPolledRanks = 8;
-    /** Far ranks are not asked less often: what is believed of them would be of no use. */
+    /** Maximum polling period for ranks in other zones; with a longer one their status would be too old to be useful.
+     */
     static constexpr std::chrono::milliseconds MaxRemoteStatusPeriod{3'000};
 
-    /** @param bytesPerSecond that the link carries; 0 for a link without bound */
+    /** @param bytesPerSecond capacity of the link; 0 for unlimited */
     ControlBudget(ZoneName zone, double bytesPerSecond);
 
-    /** Whether asking @p rank is not paid for. */
+    /** Returns whether @p rank is in the own availability zone, to which traffic is not charged. */
     bool isInOwnZone(const TargetEntry &rank) const;
 
     /**
-     * Those of @p ranks that are asked for their counts each @p period, the same ones as long as the ranks are the
-     * same: a rank that is asked now and then tells of demand that is long gone.
-     * @param counts that each of them has
+     * Returns the subset of @p ranks to poll for counts in each @p period. The subset is stable while the ranks stay
+     * the same, since a rank that is polled only occasionally reports outdated demand.
+     * @param counts number of counts per rank
      */
     std::vector<TargetEntry> ranksToPoll(std::vector<TargetEntry> ranks, std::size_t counts,
                                          std::chrono::milliseconds period) const;
 
-    /** How often to ask @p remoteRanks ranks of other zones for their status; @p period at the least. */
+    /** Returns the polling period for the statuses of @p remoteRanks ranks in other zones, at least @p period. */
     std::chrono::milliseconds remoteStatusPeriod(std::size_t remoteRanks, std::chrono::milliseconds period) const;
 
 private:
--- a/modules/heatherridge_state/groups/evenplacement.cpp
+++ b/modules/heatherridge_state/groups/evenplacement.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-/** Ranks that a copy may go to: the lightest ones, since a copy elsewhere gains less. */
+/** Number of ranks considered as receivers of a copy: the fastest ones, since a copy on another rank gains less. */
 constexpr std::size_t MaxReceivers = 4;
 
-/** Copies that ranks have been given over all sets, and how many each may be given. */
+/** Number of copies assigned to each rank over all sets, and the limit per rank. */
 struct CopyBudget
 {
     std::vector<std::size_t> used; ///< by rank
@@ -44,7 +44,7 @@
         m_balancedTime = balancedTime(current.size(), demand, options.slowness);
     }
 
-    /** Makes the best move. @returns whether there was one that pays, within all bounds */
+    /** Makes the best move. @returns whether there was one with sufficient gain within all limits */
     bool improve()
     {
         const auto slowest = slowestRank();
@@ -61,7 +61,7 @@
         return true;
     }
 
-    /** What passes take for this set beyond an even share. */
+    /** Returns the time by which this set delays a pass compared with balanced work. */
     double excessTime() const
     {
         return m_rankTimes[slowestRank()] - m_balancedTime;
@@ -73,14 +73,15 @@
     }
 
 private:
-    /** Another rank gets a copy, perhaps in place of one of its own; or, without a receiver, a rank drops one. */
+    /** Adds a copy of `expert` on a receiver, possibly replacing another expert; without a receiver, a rank drops
+     * `expert`. */
     struct Move
     {
         std::optional<std::size_t> receiver{};
         std::uint16_t expert = 0;
         std::optional<std::uint16_t> evicted{}; ///< from the receiver
         std::optional<std::size_t> droppingRank{}; ///< a rank that drops `expert`
-        double gain = 0; ///< in squared load
+        double gain = 0; ///< reduction of the sum of squared rank times
     };
 
     std::size_t slowestRank() const
@@ -116,10 +117,10 @@
         return rank < m_options.slowness.size() ? m_options.slowness[rank] : 1;
     }
 
-    /** How much the sum of squares falls when the loads of some ranks change as @p change says. */
+    /** Returns the reduction of the sum of squared rank times when the loads of ranks change by @p changes. */
     double squaredTimeReduction(const std::vector<std::pair<std::size_t, double>> &changes)
     {
-        // One rank may stand in several changes, so they are added up on a scratch copy of its load.
+        // A rank may occur in several changes, so they are first summed up per rank.
         m_netChanges.clear();
         for (const auto &[rank, delta] : changes) {
             auto found = std::find_if(m_netChanges.begin(), m_netChanges.end(),
@@ -260,16 +261,16 @@
     SetLayout m_layout;
     const SetDemand &m_demand;
     const EvenPlacementOptions &m_options;
-    std::vector<double> m_rankTimes; ///< by rank: time, so a slow rank's load counts several times
+    std::vector<double> m_rankTimes; ///< by rank: load times slowness
     std::vector<std::vector<std::size_t>> m_holders; ///< by expert
-    std::vector<std::size_t> m_copies; ///< by rank: experts to copy
+    std::vector<std::size_t> m_copies; ///< by rank: number of experts to copy
     std::vector<std::pair<std::size_t, double>> m_changes;
     std::vector<std::pair<std::size_t, double>> m_netChanges;
     int m_moveCount = 0;
-    double m_balancedTime = 0; ///< time of each rank if all took equally long
+    double m_balancedTime = 0; ///< time of each rank if all ranks took equally long
 };
 
-/** Makes moves in the sets that delay passes most until none is left within the budget. */
+/** Makes moves, always in the set that delays passes most, until no set has one left within the budget. */
 void improveWorstSetsFirst(std::vector<SetImprover> &sets)
 {
     std::vector<bool> isDone(sets.size(), false);
@@ -314,7 +315,7 @@
         improveWorstSetsFirst(sets);
         const auto copies = budget.used.empty() ? 0 : *std::max_element(budget.used.begin(), budget.used.end());
         if (!stages.empty() && copies < budget.limit) {
-            break; // no more copies are wanted
+            break; // further copies bring too little gain
         }
         auto layout = layoutOf(sets);
         const double skew = layoutSkew(layout, demand, options.slowness);
--- a/modules/heatherridge_state/groups/evenplacement.h
+++ b/modules/heatherridge_state/groups/evenplacement.h
@@ -7,72 +7,75 @@
 namespace Heatherridge
 {
 
-/** Bounds of one improvement. */
+/** Options and limits of one improvement. */
 struct EvenPlacementOptions
 {
     std::size_t slotsPerRank = 0; ///< experts of a set that fit on a rank
-    std::size_t maxCopiesPerRank = 0; ///< experts of a set that a rank may have to copy
-    double skewThreshold = 1.04; ///< a set whose most loaded rank is this near the mean is left as it is
-    /** What one copy must save, as a part of a rank's mean work: below it noise in the counts pays for copies. */
+    std::size_t maxCopiesPerRank = 0; ///< maximum number of experts of a set that a rank has to copy
+    double skewThreshold = 1.04; ///< a set whose slowest rank takes at most this multiple of the mean is not changed
+    /** Minimum gain of a copy, relative to a rank's mean work: below it, noise in the counts would cause copies. */
     double minGain = 0.01;
-    RankSlowness slowness{}; ///< a slow rank gets less work, down to experts that are hardly chosen
-    int maxMoves = 64; ///< copies and drops in one set: bounds the time, some 20 are usual
+    RankSlowness slowness{}; ///< a slow rank gets less work, down to experts that are rarely selected
+    int maxMoves = 64; ///< maximum copies and drops in one set, which bounds the time; about 20 are usual
 };
 
-/** How even a map must be. */
+/** How well a map must be balanced. */
 struct BalanceThresholds
 {
     double skewThreshold = 1.04; ///< @see EvenPlacementOptions
     double minGain = 0.01;
 };
 
-/** While passes are long: each part saved is seen by callers. */
+/** For long passes: callers notice every reduction. */
 constexpr BalanceThresholds TightBalance{};
-/** While passes are short: half of the copies are enough to bring 2.5 times the mean down to 1.2, and callers notice no
- * more than that. A day with 11 jumps moves 200 GB instead of 410. */
+/** For short passes: half of the copies suffice to reduce the skew from 2.5 to 1.2, and callers notice no further
+ * improvement. A day with 11 jumps moves 200 GB instead of 410 GB. */
 constexpr BalanceThresholds LooseBalance{.skewThreshold = 1.25, .minGain = 0.03};
 
 /**
- * Improves a layout whose experts are shared evenly by their holders, with few copies.
+ * Improves a layout in which each expert's tokens are split evenly among its holders, with few copies.
  *
- * Pattern of load: popularity jumps every few seconds; passes wait for the most loaded rank of every set. Copies delay
- * the switch, so a good layout now beats the best one later. Each move takes work off the most loaded rank: another
- * rank gets a copy of one of its experts (in place of one that is held elsewhere too, when it is full), or it drops a
- * copy of an expert that others hold. The move that lowers the sum of squared loads most is taken, as long as it pays.
- * Looking only at the heaviest rank and the four lightest keeps it at 0.3 ms a set of 64 experts on 8 ranks.
+ * Load pattern: popularity jumps every few seconds; passes wait for the slowest rank of every set. Copies delay the
+ * switch, so a good layout now is better than the optimal one later. Each move takes work off the slowest rank: another
+ * rank gets a copy of one of its experts (if full, in place of an expert that is also held elsewhere), or the slowest
+ * rank drops an expert that others hold. The move that reduces the sum of squared rank times most is made, as long as
+ * the gain is sufficient. Considering only the slowest rank and the four fastest limits the time to 0.3 ms per set of
+ * 64 experts on 8 ranks.
  */
 SetLayout improveSetLayout(const SetLayout &current, const SetDemand &demand, const EvenPlacementOptions &options);
 
-/** A layout that can be had, and what it takes. */
+/** A reachable layout and its cost. */
 struct LayoutStage
 {
     ExpertLayout layout{};
-    std::size_t copies = 0; ///< experts that the rank with the most of them has to copy, over all sets
+    std::size_t copies = 0; ///< maximum over the ranks of the experts to copy, over all sets
     double skew = 1; ///< @see layoutSkew()
 };
 
 /**
- * Layouts of all sets, each better than the one before and with one copy more for the ranks with the most.
+ * Returns layouts of all sets, each better than the previous one and with one more copy for the ranks that copy the
+ * most.
  *
- * Pattern of load: ranks copy side by side, each one expert after the other, so a switch waits for the rank that has
- * the most to copy. Improved set by set, one rank is given copies of all sets while its neighbours wait; here the set
- * that delays passes most comes first and copies are spread over ranks.
+ * Load pattern: ranks copy in parallel, each one expert at a time, so a switch waits for the rank with the most copies.
+ * Improving set by set would assign copies of all sets to one rank while the others wait; instead, the set that delays
+ * passes the most is improved first and the copies are spread over the ranks.
  *
- * @param maxCopies of any rank; the list ends sooner when no more copies pay
+ * @param maxCopies maximum number of copies of any rank; the list ends earlier when further copies bring too little
+ * gain
  */
 std::vector<LayoutStage> improveLayoutInStages(const ExpertLayout &current, const std::vector<SetDemand> &demand,
                                                const EvenPlacementOptions &options, std::size_t maxCopies);
 
 /**
- * The stage that lowers the skew most for the time until it is in use, as an index of @p stages.
+ * Returns the index in @p stages of the stage with the largest skew reduction per time until it is active.
  *
- * Pattern of load: large experts take 0.15 s each to copy. With the whole way in one switch, passes took two to three
- * times as long for 0.9 to 1.3 s after each jump; a first switch with the copies that matter most ends the worst of it
- * in a third of that, and the rest follows.
+ * Load pattern: large experts take 0.15 s each to copy. With all copies in a single switch, passes took two to three
+ * times as long for 0.9 to 1.3 s after each jump; a first switch with the most effective copies removes most of the
+ * skew in a third of that time, and the rest follows.
  *
- * @param skew of the layout in use
- * @param timePerCopy what a rank takes to copy one expert
- * @param timePerSwitch what a switch takes beside copies
+ * @param skew skew of the active layout
+ * @param timePerCopy time that a rank takes to copy one expert
+ * @param timePerSwitch time that a switch takes in addition to the copies
  */
 std::size_t fastestGainStage(const std::vector<LayoutStage> &stages, double skew,
                              std::chrono::duration<double> timePerCopy, std::chrono::duration<double> timePerSwitch);
--- a/modules/heatherridge_state/groups/expertdemand.h
+++ b/modules/heatherridge_state/groups/expertdemand.h
@@ -9,34 +9,35 @@
 {
 
 /**
- * What the experts of a group are asked for, from how often they were chosen in successive windows.
+ * Estimates the demand for the experts of a group from their selection counts in successive windows.
  *
- * Pattern of load: what is liked stands still for a few seconds, with the noise of which requests happen to run, and
- * then jumps. An average that reaches back over a jump gives a layout for a demand that is gone, worse than the one it
- * replaces; a single window gives one for the requests of that second. So windows are averaged, and a window that is
- * further from the average than noise takes it gets the whole weight. One thread.
+ * Load pattern: popularity is stable for a few seconds, apart from noise caused by the mix of running requests, and
+ * then jumps. An average that extends past a jump yields a layout for outdated demand, worse than the one it replaces;
+ * a single window yields a layout for the requests of that second. Therefore windows are averaged, and a window that
+ * differs from the average by more than noise replaces it. Single-threaded.
  */
 class ExpertDemand
 {
 public:
-    /** Part of a new window in the average when nothing has jumped: the last three windows have most of the weight. */
+    /** Weight of a new window in the average when there is no jump: the last three windows carry most of the weight. */
     static constexpr double SmoothingFactor = 0.4;
-    /** Half the sum of absolute differences of two distributions. Windows of about a second differ by 0.05 to 0.12 from
-     * which requests happen to run; a jump moves a fifth and more. */
+    /** Total variation distance (half the sum of absolute differences) above which a window counts as a jump. Windows
+     * of about a second differ by 0.05 to 0.12 due to the mix of running requests; a jump moves a fifth or more. */
     static constexpr double JumpDistance = 0.18;
 
     ExpertDemand(int sets, int experts);
 
-    /** Takes how often each expert was chosen, set by set, in one window. Windows without any choice change nothing. */
+    /** Adds the selection counts of one window, ordered by layer set, then expert. Ignores windows in which a set has
+     * no selections or whose size does not match. */
     void addWindow(const std::vector<double> &selectionCounts);
 
-    /** The demand by set; empty before the first window. */
+    /** Returns the demand by layer set; empty before the first window. */
     const std::vector<SetDemand> &bySet() const;
 
-    /** How far the last window was from the average before it, 0 to 1. */
+    /** Returns the distance of the last window from the preceding average, 0 to 1. */
     double lastDistance() const;
 
-    /** Whether the last window was taken for a jump. */
+    /** Returns whether the last window was treated as a jump. */
     bool jumped() const;
 
 private:
--- a/modules/heatherridge_state/groups/expertmap.cpp
+++ b/modules/heatherridge_state/groups/expertmap.cpp
@@ -34,10 +34,10 @@
             return invalid(layer, "expert or rank out of range");
         }
         if (i > 0 && !slotPrecedes(placement[i - 1], slot)) {
-            return invalid(layer, "not ordered, or an expert twice on one rank");
+            return invalid(layer, "not ordered, or an expert is twice on one rank");
         }
         if (++usedSlots[slot.rank] > shape.slots[slot.rank]) {
-            return invalid(layer, "more than fits on rank " + std::to_string(slot.rank));
+            return invalid(layer, "more experts than slots on rank " + std::to_string(slot.rank));
         }
         shareSums[slot.expert] += slot.share;
         isPlaced[slot.expert] = true;
--- a/modules/heatherridge_state/groups/expertmap.h
+++ b/modules/heatherridge_state/groups/expertmap.h
@@ -9,19 +9,19 @@
 namespace Heatherridge
 {
 
-/** Number of one expert map of a group; 0 means "none". A number names one placement for ever. */
+/** Number of an expert map of a group; 0 means "none". A number identifies the same placement for ever. */
 enum class MapNumber : std::uint64_t {};
 
-/** The number as such. */
+/** Returns the underlying number. */
 constexpr std::uint64_t toNumber(MapNumber number)
 {
     return static_cast<std::uint64_t>(number);
 }
 
-/** One expert's weights on one rank, and which part of the expert's tokens go there. */
+/** The weights of one expert on one rank, and the share of the expert's tokens that is sent there. */
 struct ExpertSlot
 {
-    /** The shares of all replicas of an expert add up to this. */
+    /** Sum of the shares of all replicas of an expert. */
     static constexpr int WholeShare = 4096;
 
     std::uint16_t expert = 0;
@@ -39,31 +39,31 @@
  * A numbered placement of experts on the ranks of a group: for each layer, which ranks hold which experts and how an
  * expert's tokens are divided among its replicas.
  *
- * Immutable; safe to read from any thread. Built through create(), which refuses what no engine could execute.
+ * Immutable; safe to read from any thread. Created by create(), which rejects placements that no engine could execute.
  */
 class ExpertMap
 {
 public:
-    /** The map without placement, number 0. */
+    /** Creates the map without placement, number 0. */
     ExpertMap() = default;
 
     /**
-     * Checks @p layers against @p shape: every expert of every layer has a replica, shares add up, no rank holds more
-     * than fits or one expert twice, order as LayerPlacement says.
-     * @returns the map, or an error of kind BadRequest that names the first fault
+     * Validates @p layers against @p shape: every expert of every layer has a replica, the shares add up to WholeShare,
+     * no rank exceeds its slots or holds an expert twice, and the order is that of LayerPlacement.
+     * @returns the map, or an error of kind BadRequest that describes the first violation
      */
     static Result<ExpertMap> create(MapNumber number, const GroupShape &shape, std::vector<LayerPlacement> layers);
 
-    /** This map's number. */
+    /** Returns the number of this map. */
     MapNumber number() const;
 
-    /** All layers in order. */
+    /** Returns the placements of all layers, in order. */
     const std::vector<LayerPlacement> &layers() const;
 
-    /** How many experts, over all layers, @p rank holds. */
+    /** Returns the number of experts that @p rank holds, over all layers. */
     std::size_t expertCountOn(int rank) const;
 
-    /** The same placement under another number, as a new leader proposes it. */
+    /** Returns the same placement with another number, for a new leader that proposes it again. */
     ExpertMap renumbered(MapNumber number) const;
 
     bool operator==(const ExpertMap &) const = default;
@@ -73,10 +73,12 @@
     std::vector<LayerPlacement> m_layers;
 };
 
-/** How many experts of one layer @p to has on ranks where @p from lacks them: what must be loaded to switch. */
+/** Returns how many experts of one layer @p to has on ranks where @p from lacks them: the number of experts to load for
+ * the switch. */
 std::size_t expertsToLoad(const LayerPlacement &from, const LayerPlacement &to);
 
-/** Bytes that all ranks together must load to go from @p from to @p to. Changes of shares alone load nothing. */
+/** Returns the bytes that all ranks together must load to switch from @p from to @p to. Changing only shares loads
+ * nothing. */
 std::uint64_t bytesToMove(const GroupShape &shape, const ExpertMap &from, const ExpertMap &to);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/groupclaim.cpp
+++ b/modules/heatherridge_state/groups/groupclaim.cpp
@@ -6,7 +6,7 @@
 bool GroupClaimTracker::apply(LogOffset offset, const GroupClaim &claim)
 {
     const auto fencing = static_cast<FencingNumber>(toNumber(offset));
-    // Without a present claim any is taken: the one it replaces has expired from the log.
+    // Without a current claim any claim is accepted: the one that it replaces has expired from the log.
     if (m_current && (claim.replaces != m_current->fencing || fencing <= m_current->fencing)) {
         return false;
     }
--- a/modules/heatherridge_state/groups/groupclaim.h
+++ b/modules/heatherridge_state/groups/groupclaim.h
@@ -7,17 +7,17 @@
 namespace Heatherridge
 {
 
-/** A process claims to lead a group. Counts only while the claim that it replaces is the present one. */
+/** Claim of a process to lead a group. Valid only if the claim that it replaces is the current one. */
 struct GroupClaim
 {
-    int rank = 0; ///< whose gate's process claims
-    Incarnation incarnation{}; ///< of that process
-    FencingNumber replaces{}; ///< offset of the claim it takes over from; 0 for none
+    int rank = 0; ///< rank whose gate process makes the claim
+    Incarnation incarnation{}; ///< incarnation of that process
+    FencingNumber replaces{}; ///< offset of the claim that it supersedes; 0 for none
 
     bool operator==(const GroupClaim &) const = default;
 };
 
-/** Who leads a group. */
+/** The leader of a group. */
 struct GroupLeadership
 {
     FencingNumber fencing{}; ///< offset of the claim on the group's stream
@@ -25,18 +25,20 @@
 };
 
 /**
- * Folds the claims on a group's stream: of several that replace the same one the first counts.
+ * Determines the leader of a group from the claims on its stream. Of several claims that replace the same claim, the
+ * first is valid.
  *
- * The claim stands on the group's own stream, not on the control stream: it concerns this group's processes alone, and
- * a fleet has hundreds of groups. Offsets only grow, so a claim whose records have expired is still below later ones.
+ * Claims are written to the group's own stream rather than the control stream because they concern only the processes
+ * of this group and a fleet has hundreds of groups. Offsets only increase, so a claim whose records have expired still
+ * compares lower than later ones.
  */
 class GroupClaimTracker
 {
 public:
-    /** Takes the claim at @p offset. Returns whether it is the present one now. */
+    /** Applies the claim at @p offset. Returns whether it became the current one. */
     bool apply(LogOffset offset, const GroupClaim &claim);
 
-    /** Who leads, or nothing. */
+    /** Returns the current leadership, or nothing. */
     const std::optional<GroupLeadership> &current() const;
 
 private:
--- a/modules/heatherridge_state/groups/groupepoch.cpp
+++ b/modules/heatherridge_state/groups/groupepoch.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-/** Maps that one leader can number. At one a second it would take twelve days, and a leader then claims anew. */
+/** Bits for the maps of one leader. At one map a second the numbers last for twelve days; the leader then claims its
+ * role again and gets a new range. */
 constexpr unsigned MapNumberBitsPerLeader = 20;
 
 } // namespace
--- a/modules/heatherridge_state/groups/groupepoch.h
+++ b/modules/heatherridge_state/groups/groupepoch.h
@@ -9,73 +9,73 @@
 namespace Heatherridge
 {
 
-/** Number of one composition of a group; 0 means "none". A group steps in one epoch after the other. */
+/** Number of a group membership epoch; 0 means "none". A group executes its steps in one epoch at a time. */
 enum class EpochNumber : std::uint64_t {};
 
-/** The number as such. */
+/** Returns the underlying number. */
 constexpr std::uint64_t toNumber(EpochNumber number)
 {
     return static_cast<std::uint64_t>(number);
 }
 
-/** Number of one step within an epoch; the first is 0. */
+/** Number of a step within an epoch; the first is 0. */
 enum class StepNumber : std::uint64_t {};
 
-/** The number as such. */
+/** Returns the underlying number. */
 constexpr std::uint64_t toNumber(StepNumber number)
 {
     return static_cast<std::uint64_t>(number);
 }
 
-/** One rank of an epoch: which rank, and which run of its engine. */
+/** One member of an epoch: a rank and the incarnation of its engine. */
 struct EpochMember
 {
     int rank = 0;
-    Incarnation incarnation{}; ///< an engine that restarts has lost weights and step, so it is another member
+    Incarnation incarnation{}; ///< a restarted engine has lost its weights and step, so it counts as a different member
 
     bool operator==(const EpochMember &) const = default;
 };
 
-/** A composition of the group: its ranks and the map of step 0. */
+/** A membership epoch of the group: its ranks and the expert map in use at step 0. */
 struct GroupEpoch
 {
     EpochNumber number{};
-    FencingNumber leader{}; ///< who composed it
+    FencingNumber leader{}; ///< fencing number of the leader that created the epoch
     std::vector<EpochMember> members{}; ///< ordered by rank
     ExpertMap map{};
 
-    /** The member with @p rank, or nullptr. This object keeps ownership. */
+    /** Returns the member with @p rank, or nullptr. This object keeps ownership. */
     const EpochMember *find(int rank) const;
 
     bool operator==(const GroupEpoch &) const = default;
 };
 
-/** The least map number that the leader with @p fencing may give. Each leader numbers in a range of its own, so one
- * number never names two maps. */
+/** Returns the lowest map number that the leader with @p fencing may assign. Each leader assigns numbers from a range
+ * of its own, so a number never identifies two maps. */
 MapNumber firstMapNumber(FencingNumber fencing);
 
-/** The fencing number of the leader that gave @p number. */
+/** Returns the fencing number of the leader that assigned @p number. */
 FencingNumber leaderOf(MapNumber number);
 
 /**
- * Which epoch is in force, folded from the records of a group's stream; every process that folds the same records
- * arrives at the same epoch.
+ * Determines the active epoch from the records of a group's stream. Every process that applies the same records obtains
+ * the same epoch.
  *
- * The first record of a number wins: two leaders that both compose the epoch after the one they know use the same
- * number, and the later record is without effect everywhere. An epoch must share a rank with the one before. That rank
- * either leaves the old epoch when it enters the new one, or its engine has restarted; either way the old epoch, which
- * cannot step without it, never steps beside the new one.
+ * The first record with a given number wins: two leaders that both create the successor of the epoch they know use the
+ * same number, and every process ignores the later record. An epoch must share a rank with its predecessor. That rank
+ * either leaves the old epoch when it enters the new one, or its engine has restarted. In both cases the old epoch
+ * cannot step without the rank, so the old and the new epoch never step at the same time.
  */
 class GroupEpochTracker
 {
 public:
-    /** Takes one record, from the log or from a peer. Returns whether it is now the epoch in force. */
+    /** Applies a record from the log or from a peer. Returns whether it became the active epoch. */
     bool apply(const GroupEpoch &epoch);
 
-    /** The epoch in force, or nothing. */
+    /** Returns the active epoch, or nothing. */
     const std::optional<GroupEpoch> &current() const;
 
-    /** Records that were without effect. */
+    /** Returns the number of records that were ignored. */
     std::uint64_t ignoredCount() const;
 
 private:
--- a/modules/heatherridge_state/groups/groupshape.h
+++ b/modules/heatherridge_state/groups/groupshape.h
@@ -6,7 +6,7 @@
 namespace Heatherridge
 {
 
-/** Where a rank sits, as small numbers: ranks with the same number share the place. */
+/** Host and zone of a rank as indices; ranks with the same index share the host or zone. */
 struct RankLocation
 {
     int host = 0;
@@ -15,16 +15,17 @@
     bool operator==(const RankLocation &) const = default;
 };
 
-/** The sizes of one lock-step group, from the inventory and the model. A value. */
+/** Dimensions of one lock-step group, from the inventory and the model. Value type. */
 struct GroupShape
 {
-    int layers = 0; ///< layers with experts
-    int experts = 0; ///< experts in each layer
-    std::uint64_t expertBytes = 0; ///< weights of one expert of one layer
-    std::vector<int> slots{}; ///< by rank: experts a layer that fit into its memory; 0 for a rank that left
+    int layers = 0; ///< number of layers that have experts
+    int experts = 0; ///< number of experts in each layer
+    std::uint64_t expertBytes = 0; ///< size of the weights of one expert in one layer
+    std::vector<int>
+        slots{}; ///< by rank: number of experts per layer that fit into its memory; 0 for a rank that has left
     std::vector<RankLocation> locations{}; ///< by rank; empty when unknown
 
-    /** Ranks of the group, those without slots included. */
+    /** Returns the number of ranks, including those without slots. */
     int ranks() const
     {
         return static_cast<int>(slots.size());
--- a/modules/heatherridge_state/groups/hierarchicalplacement.cpp
+++ b/modules/heatherridge_state/groups/hierarchicalplacement.cpp
@@ -18,7 +18,7 @@
     double load = 0;
 };
 
-/** Ranks with slots, grouped by @p key of their place. */
+/** Groups @p ranks into domains by the result of @p key. */
 template<typename Key>
 std::vector<Domain> partitionRanks(const LayerProblem &problem, const std::vector<int> &ranks, Key key)
 {
@@ -36,7 +36,8 @@
     return list;
 }
 
-/** Divides @p experts over @p domains: heaviest first, to the part with least load a slot that has room. */
+/** Distributes @p experts over @p domains: heaviest first, each to the domain with a free slot and the lowest load per
+ * slot. Returns false if they do not fit. */
 bool distributeExperts(const LayerProblem &problem, std::vector<int> experts, std::vector<Domain> &domains)
 {
     std::stable_sort(experts.begin(), experts.end(),
--- a/modules/heatherridge_state/groups/hierarchicalplacement.h
+++ b/modules/heatherridge_state/groups/hierarchicalplacement.h
@@ -6,12 +6,13 @@
 {
 
 /**
- * Baseline: hierarchical by zone and host. The experts are divided longest first over the zones, each zone's over its
- * hosts, in proportion to the slots there; on each host the hot ones are replicated and packed as in
- * replicatedPlacement(). An expert's replicas thus stay on one host. Ignores the placement in force.
+ * Baseline: hierarchical by zone and host. The experts are distributed over the zones, heaviest first and in proportion
+ * to the slots of each zone, and those of each zone likewise over its hosts; on each host the hot experts are
+ * replicated and packed as in replicatedPlacement(). The replicas of an expert are thus on one host. Ignores the active
+ * placement.
  *
- * @param locations where each rank sits; without it the group counts as one host
- * @returns the placement, or nothing when the experts don't fit
+ * @param locations location of each rank; if empty, the group counts as one host
+ * @returns the placement, or nothing if the experts do not fit
  */
 std::optional<LayerPlacement> hierarchicalPlacement(const LayerProblem &problem,
                                                     const std::vector<RankLocation> &locations);
--- a/modules/heatherridge_state/groups/layerbalance.cpp
+++ b/modules/heatherridge_state/groups/layerbalance.cpp
@@ -10,9 +10,10 @@
 namespace
 {
 
-/** A pass that changes no rank by more than this part of the layer's load ends the dividing: below any noise. */
+/** The redistribution has converged when a pass changes no rank by more than this fraction of the layer's load, which
+ * is below any noise. */
 constexpr double ConvergenceFraction = 1e-6;
-/** Halvings when searching the bound: 2^-40 is far below the rounding of shares. */
+/** Bisection steps when searching the bound: 2^-40 is far below the rounding of shares. */
 constexpr int BisectionSteps = 40;
 
 double totalOf(const std::vector<double> &values)
@@ -270,7 +271,8 @@
     }
     std::sort(replicas.begin(), replicas.end(),
               [this](const auto &a, const auto &b) { return timeOf(a.rank) < timeOf(b.rank); });
-    // The first k replicas are filled up to one level, the least k for which the next is no lower than that level.
+    // Water filling: the first k replicas are raised to a common level, with the smallest k for which the next replica
+    // is not below that level.
     double totalSpeed = 0;
     double levelledLoad = m_problem->load[expert];
     double level = 0;
--- a/modules/heatherridge_state/groups/placement.cpp
+++ b/modules/heatherridge_state/groups/placement.cpp
@@ -12,27 +12,29 @@
 namespace
 {
 
-/** A layer this near to its bound is left alone: rounding of shares alone is of this order. */
+/** Relative distance from the bound at which a layer is not improved further: rounding of shares is of this order. */
 constexpr double BoundTolerance = 0.002;
-/** Ranks tried as receivers a round; the least busy ones are nearly equal, more of them only cost time. */
+/** Number of least busy ranks tried as receivers per round; they are nearly equal, so more of them only cost time. */
 constexpr std::size_t MaxReceivers = 8;
-/** Changes whose effect on all ranks is worked out, of those that look best for the two ranks alone. */
+/** Number of candidate changes, of those with the best estimate for the two ranks involved, that are evaluated for all
+ * ranks. */
 constexpr std::size_t MaxEvaluatedChanges = 6;
-/** Passes for working out a trial; it starts from a settled division. */
+/** Redistribution passes for evaluating a change; it starts from a converged distribution. */
 constexpr int TrialPasses = 6;
-/** Norm by which placements on the way are compared. The plain maximum doesn't move when one of two slowest ranks is
- * relieved, which would end the search there; this norm does and still follows the slowest rank. */
+/** Exponent of the norm of the rank times that compares intermediate placements. The maximum does not change when one
+ * of two equally slow ranks is relieved, which would end the search; this norm does and is still dominated by the
+ * slowest rank. */
 constexpr int NormExponent = 8;
 
-/** One change of who holds what: a replica for a free or given up slot, or an exchange of two sole experts. */
+/** One change of a placement: a new replica in a free or freed slot, or a swap of two experts with one replica each. */
 struct Change
 {
     int expert = 0;
-    int from = 0; ///< the slow rank
+    int from = 0; ///< the slowest rank
     int to = 0;
-    int evicted = -1; ///< expert that leaves `to`; -1 when there is room
-    bool isSwap = false; ///< whether `expert` leaves `from` and `evicted` goes there
-    double estimatedPeak = 0; ///< slowest of the ranks that it touches, as estimated
+    int evicted = -1; ///< expert removed from `to`; -1 if it has a free slot
+    bool isSwap = false; ///< whether `expert` is removed from `from` and `evicted` is added there
+    double estimatedPeak = 0; ///< estimated time of the slowest affected rank
 
     int loads() const
     {
@@ -67,7 +69,8 @@
     {
     }
 
-    /** The better of: the placement in force improved step by step, and one cut anew. */
+    /** Returns the better of two placements: the active one improved incrementally, and one from splitPlacement()
+     * improved in the same way. Nothing if the experts do not fit. */
     std::optional<LayerPlacement> optimise()
     {
         if (!m_current.empty()) {
@@ -95,7 +98,7 @@
         const std::size_t maxRounds = m_problem.slots.size();
         for (std::size_t round = 0; round < maxRounds && assignment.slowestTime() > m_bound * (1 + BoundTolerance);
              ++round) {
-            // What the price of one more load could not bring back need not be tried.
+            // The remaining gain is less than the penalty of one more load.
             if (assignment.slowestTime() / m_bound - 1 < m_penaltyPerExpert) {
                 return;
             }
@@ -148,8 +151,7 @@
                          [](const auto &a, const auto &b) { return a.estimatedPeak < b.estimatedPeak; });
         changes.resize(std::min(changes.size(), MaxEvaluatedChanges));
         std::optional<LayerAssignment> best;
-        double minNorm =
-            timeNorm(assignment) * (1 - BoundTolerance); // strictly falling, so that the search can't go in circles
+        double minNorm = timeNorm(assignment) * (1 - BoundTolerance); // strictly decreasing, so the search cannot cycle
         for (const auto &change : changes) {
             LayerAssignment trial = assignment;
             applyChange(trial, change);
@@ -162,7 +164,8 @@
         return best;
     }
 
-    /** Adds the ways to give @p change's expert a place on its receiver, with an estimate of their effect. */
+    /** Appends the possible changes that add the expert of @p change to its receiver, with an estimate of their effect.
+     */
     void addCandidates(const LayerAssignment &assignment, Change change, std::vector<Change> &changes) const
     {
         if (assignment.holdsExpert(change.expert, change.to)) {
@@ -236,7 +239,7 @@
                                  options.penaltyPerExpert);
         auto improved = optimiser.optimise();
         if (!improved) {
-            return Error{.kind = ErrorKind::NoTarget, .detail = "the experts don't fit on the ranks that are left"};
+            return Error{.kind = ErrorKind::NoTarget, .detail = "the experts do not fit on the remaining ranks"};
         }
         layers.push_back(std::move(*improved));
     }
--- a/modules/heatherridge_state/groups/placement.h
+++ b/modules/heatherridge_state/groups/placement.h
@@ -5,47 +5,50 @@
 namespace Heatherridge
 {
 
-/** What a whole map is computed from. */
+/** Input for computing a placement of all layers. */
 struct GroupProblem
 {
     GroupShape shape{};
     std::vector<LayerProblem> layers{};
 };
 
-/** How much an improvement must bring. */
+/** Options of improvePlacement(). */
 struct PlacementOptions
 {
-    /** A loaded expert must lower its layer's skew by this much. 0 asks for the least skew at any number of bytes. */
+    /** Minimum reduction of a layer's skew for each expert that has to be loaded. 0 minimises the skew regardless of
+     * the bytes to load. */
     double penaltyPerExpert = 0;
 };
 
 /**
- * Improves a placement step by step, so that what need not move stays.
+ * Improves a placement incrementally, so that experts move only where necessary.
  *
- * Pattern of load: popularity drifts, so a good placement is near the present one. Computing it from nothing would
- * reshuffle nearly all weights for the same skew. First the loads are divided anew among the replicas there are, which
- * loads nothing; then the slowest rank's experts get replicas (or places) on the ranks that are done first, as long as
- * that pays. A second try starts from cutPlacement(), which comes out even but moves more. Of all placements on both
- * ways the one with the best skew plus price is kept, so among near-equals the one with fewest loads. A slow rank
- * (slowness above 1) and one that left (no slots) need no case of their own: the former counts as slowest until enough
- * work is off it, the latter's sole experts are placed first.
+ * Load pattern: popularity drifts, so a good placement is close to the current one. Computing it from scratch would
+ * move nearly all weights for the same skew. First the load is redistributed among the existing replicas, which loads
+ * no weights; then experts of the slowest rank get replicas on (or move to) the ranks that finish first, as long as the
+ * gain exceeds the penalty. A second attempt starts from cutPlacement(), which is balanced but moves more weights. Of
+ * all placements found by both attempts, the one with the lowest sum of skew and penalty is returned, so among nearly
+ * equal ones the one with the fewest loads. A slow rank (slowness above 1) and one that has left (no slots) need no
+ * special handling: the former remains the slowest until enough work is moved off it, and experts held only by the
+ * latter are placed first.
  *
- * @param problem the loads, one entry a layer
- * @param current the placement in force; may be empty, or hold ranks that have left
- * @returns the layers, or an error of kind NoTarget when the experts don't fit on the ranks left
+ * @param problem the loads, one entry per layer
+ * @param current the active placement; may be empty or contain ranks that have left
+ * @returns the layers, or an error of kind NoTarget if the experts do not fit on the remaining ranks
  */
 Result<std::vector<LayerPlacement>> improvePlacement(const GroupProblem &problem,
                                                      const std::vector<LayerPlacement> &current,
                                                      const PlacementOptions &options);
 
-/** Skew of a whole step: the sum over layers of the slowest rank's time over the sum of the means, since all ranks wait
- * for each other in every layer. */
+/** Returns the skew of a whole step: the sum over the layers of the slowest rank's time, divided by the sum of the mean
+ * times, since all ranks wait for each other in every layer. */
 double stepSkew(const GroupProblem &problem, const std::vector<LayerPlacement> &layers);
 
-/** The part of a step's time by which @p layers is slower than with all work evenly spread over the ranks' speeds. */
+/** Returns by which fraction a step with @p layers is slower than with all work distributed in proportion to the ranks'
+ * speeds. */
 double excessTimeRatio(const GroupProblem &problem, const std::vector<LayerPlacement> &layers);
 
-/** The least step skew that any placement can have, by slowestTimeLowerBound(). */
+/** Returns the lower bound of the step skew over all placements, from slowestTimeLowerBound(). */
 double stepSkewLowerBound(const GroupProblem &problem);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/popularityestimator.cpp
+++ b/modules/heatherridge_state/groups/popularityestimator.cpp
@@ -9,12 +9,13 @@
 namespace
 {
 
-/** Until this many windows the averages are plain means: the start value is a guess and must not linger. */
+/** For this many windows the averages are arithmetic means, so that the arbitrary initial value has no lasting effect.
+ */
 constexpr std::uint64_t WarmUpWindows = 25;
-/** Part of a new window in the comparison of memories: a change of regime shows within some minutes. */
+/** Weight of a new window in the comparison of the averages: a change of the drift rate shows within some minutes. */
 constexpr double ComparisonSmoothingFactor = 0.04;
 
-/** Variance of an average with @p smoothingFactor relative to that of one window. */
+/** Returns the variance of an average with @p smoothingFactor relative to that of one window. */
 double averageVarianceFactor(double smoothingFactor)
 {
     return smoothingFactor / (2 - smoothingFactor);
@@ -99,13 +100,13 @@
         return 0;
     }
     if (m_closedWindows < 2) {
-        return 1; // nothing is known yet, so nothing is a gain
+        return 1; // no estimate yet, so no change counts as a gain
     }
     double variance = 0;
     for (const auto &track : m_tracks) {
         variance += track.variance * activeVarianceFactor();
     }
-    // A rank's load in a layer is 1/ranks of the layer; the layer's variance is spread over its ranks.
+    // A rank's load in a layer is 1/ranks of the layer's load; the layer's variance is spread over its ranks.
     return std::sqrt(variance / m_shape.layers / ranks) * ranks;
 }
 
@@ -139,7 +140,7 @@
 {
     const std::size_t base = static_cast<std::size_t>(layer) * m_shape.experts;
     double tokens = 0;
-    double reportedFraction = 0; // what the experts with reports made up until now
+    double reportedFraction = 0; // previous total fraction of the experts with reports
     for (int expert = 0; expert < m_shape.experts; ++expert) {
         const auto &sum = window.sums[base + expert];
         if (sum.share >= MinReportedShare) {
@@ -164,7 +165,7 @@
     const double deviation = fraction - track.averages[m_activeAverage];
     for (std::size_t i = 0; i < SmoothingFactors.size(); ++i) {
         const double error = fraction - track.averages[i];
-        // Errors count relative to the expert's popularity, or the hottest experts alone would choose the memory.
+        // Errors are relative to the expert's popularity, since otherwise the hottest experts alone would decide.
         errors[i] += error * error / std::max(track.averages[m_activeAverage], 1e-3 / m_shape.experts);
         const double smoothingFactor = isWarmedUp()
             ? SmoothingFactors[i]
@@ -178,7 +179,7 @@
         ++m_jumpCount;
         return;
     }
-    // A single far value must not inflate the variance so much that the jump behind it goes unseen.
+    // The cap keeps a single outlier from inflating the variance so much that a following jump is missed.
     const double cap = isWarmedUp() ? JumpStandardErrors * JumpStandardErrors * track.variance : deviation * deviation;
     const double smoothingFactor =
         isWarmedUp() ? ComparisonSmoothingFactor : 1.0 / static_cast<double>(m_closedWindows);
@@ -188,7 +189,7 @@
 void PopularityEstimator::chooseAverage(const std::array<double, SmoothingFactors.size()> &errors)
 {
     if (!isWarmedUp()) {
-        return; // until then all memories are nearly the same
+        return; // until then all averages are nearly equal
     }
     for (std::size_t i = 0; i < SmoothingFactors.size(); ++i) {
         const double smoothingFactor = m_closedWindows == WarmUpWindows + 1 ? 1 : ComparisonSmoothingFactor;
--- a/modules/heatherridge_state/groups/rankvalues.h
+++ b/modules/heatherridge_state/groups/rankvalues.h
@@ -13,69 +13,71 @@
 namespace Heatherridge
 {
 
-/** What a rank says of itself. */
+/** Status that a rank reports about itself. */
 struct RankStatus
 {
-    GroupName group{}; ///< null when the target is in none
-    std::uint64_t epoch = 0; ///< of the group; grows each time it forms anew
+    GroupName group{}; ///< null when the target belongs to no group
+    std::uint64_t epoch = 0; ///< epoch of the group; increases each time the group is formed again
     int rank = 0;
-    int size = 0; ///< ranks of the group
-    bool isOpen = false; ///< the group works
-    std::uint64_t step = 0; ///< the last pass that was begun
-    MapNumber map{}; ///< in use
-    std::optional<MapNumber> prepared{}; ///< copied in whole
-    std::optional<MapNumber> armed{}; ///< to be used from some pass on
-    std::optional<std::uint64_t> heldStep{}; ///< the group does not begin this pass
-    int running = 0; ///< requests
-    int waiting = 0; ///< requests
-    double slowdown = 1; ///< over 1: the rank takes so many times as long as usual
-    /** How long ago a keeper last asked the process beside the rank for its counts; nothing when nobody can tell. */
+    int size = 0; ///< number of ranks in the group
+    bool isOpen = false; ///< whether the group is operational
+    std::uint64_t step = 0; ///< the last pass that was started
+    MapNumber map{}; ///< map in use
+    std::optional<MapNumber> prepared{}; ///< map that has been copied completely
+    std::optional<MapNumber> armed{}; ///< map that becomes active at a scheduled pass
+    std::optional<std::uint64_t> heldStep{}; ///< pass that the group must not start
+    int running = 0; ///< running requests
+    int waiting = 0; ///< waiting requests
+    double slowdown = 1; ///< factor by which the rank takes longer than usual; 1 is normal
+    /** Time since the active rebalancer last polled the counts from the process beside the rank; nothing when unknown.
+     */
     std::optional<std::chrono::milliseconds> countsLastPolledAgo{};
-    /** How old it may be at most when it was asked for; engines answer from afar with a report of 200 ms ago. */
+    /** Maximum age of the status at the time of the query; engines answer remote queries with a report up to 200 ms
+     * old. */
     std::chrono::milliseconds maxAge{250};
 };
 
-/** How often a rank's requests chose each expert since it started. */
+/** How often the requests of a rank selected each expert since the rank started. */
 struct RankCounts
 {
     std::uint64_t epoch = 0;
-    std::vector<double> selectionCounts{}; ///< set by set
+    std::vector<double> selectionCounts{}; ///< ordered by layer set, then expert
 };
 
 /** The experts on one rank. */
 struct RankExperts
 {
-    MapNumber map{}; ///< in use
-    std::vector<std::vector<std::uint16_t>> bySet{};
+    MapNumber map{}; ///< map in use
+    std::vector<std::vector<std::uint16_t>> bySet{}; ///< expert indices by layer set
 };
 
-/** Copy what @p layout has new for this rank, to use it later. */
+/** Copies the experts that @p layout adds to this rank, for later use. */
 struct PrepareMap
 {
     MapNumber map{};
     ExpertLayout layout{};
 };
 
-/** Use a prepared map from pass `step` on. */
+/** Activates a prepared map from pass `step` on. */
 struct ArmMap
 {
     MapNumber map{};
     std::uint64_t step = 0;
 };
 
-/** Take back an ArmMap. */
+/** Cancels an ArmMap. */
 struct DisarmMap
 {
     MapNumber map{};
 };
 
-/** Don't let the group begin pass `step`. */
+/** Prevents the group from starting pass `step`. */
 struct HoldStep
 {
     std::uint64_t step = 0;
 };
 
-/** Take back a HoldStep. */
+/** Cancels a HoldStep. */
 struct ReleaseStep
 {
     std::uint64_t step = 0;
@@ -84,11 +86,11 @@
 /** An order to one rank. */
 using RankOrder = std::variant<PrepareMap, ArmMap, DisarmMap, HoldStep, ReleaseStep>;
 
-/** What came of sending an order once. */
+/** Result of sending an order once. */
 enum class OrderReply {
-    Accepted, ///< carried out, begun, or nothing to do
-    Refused, ///< does not fit the rank's state, or the group is in another epoch
-    NoAnswer, ///< it may be carried out now, later or never
+    Accepted, ///< executed, started, or nothing to do
+    Refused, ///< conflicts with the rank's state, or the group is in another epoch
+    NoAnswer, ///< the order may have been executed, or be executed later or never
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/rebalancepolicy.cpp
+++ b/modules/heatherridge_state/groups/rebalancepolicy.cpp
@@ -13,7 +13,8 @@
 namespace
 {
 
-/** Keeps a weight of zero from making a price infinite or nothing: below this the other weight decides alone. */
+/** Lower limit of the weights, so that a weight of zero makes no cost infinite or zero; at the limit, the other weight
+ * alone decides. */
 constexpr double MinWeight = 1e-3;
 
 bool usesOnlyRanksWithSlots(const GroupProblem &problem, const std::vector<LayerPlacement> &layers)
@@ -79,8 +80,8 @@
     const double costWeight = std::max(input.weights.cost, MinWeight);
     const double secondsPerExpert = static_cast<double>(input.problem.shape.expertBytes) / input.storeBytesPerSecond;
     const double currentExcessTime = excessTimeRatio(input.problem, input.current);
-    // While the store loads, the present map stays and costs its excess: under a sudden hot expert a small change that
-    // is in force soon beats a perfect one that is minutes away, and the rest follows later.
+    // While weights are loading, the current map stays active and causes its excess time: with a sudden hot expert, a
+    // small change that is active soon is better than an optimal one that takes minutes; the rest follows later.
     const double costWhileLoading = costWeight + skewWeight * currentExcessTime;
     const double penalty =
         secondsPerExpert * costWhileLoading * input.problem.shape.layers / (PaybackPeriod.count() * skewWeight);
--- a/modules/heatherridge_state/groups/rebalancepolicy.h
+++ b/modules/heatherridge_state/groups/rebalancepolicy.h
@@ -9,82 +9,88 @@
 namespace Heatherridge
 {
 
-/** What a policy sees once a measuring window. */
+/** Input of a policy, once per measuring window. */
 struct RebalanceInput
 {
     const GroupProblem &problem; ///< estimated loads, slowness, slots
-    const std::vector<LayerPlacement> &current; ///< the map in force
-    double relativeError = 0; ///< of a rank's load, see PopularityEstimator
+    const std::vector<LayerPlacement> &current; ///< the active map
+    double relativeError = 0; ///< relative error of a rank's load, see PopularityEstimator
     std::chrono::duration<double> sinceLastCall{}; ///< time since the last call
-    double storeBytesPerSecond = 0; ///< what the weight store gives this group
-    BalanceWeights weights{}; ///< the deployment's
+    double storeBytesPerSecond = 0; ///< rate at which the weight store serves this group
+    BalanceWeights weights{}; ///< weights configured for the deployment
 };
 
-/** Baseline: the first map stays. */
+/** Baseline: keeps the first map. */
 struct NeverRebalance
 {
-    /** Always nothing. */
+    /** Returns nothing. */
     std::optional<std::vector<LayerPlacement>> decide(const RebalanceInput &input);
 };
 
-/** How the baselines place the experts of one layer. */
+/** Placement methods of the baselines. */
 enum class BaselinePlacement {
     Greedy,
     Replicated,
     Hierarchical,
 };
 
-/** The placement that @p method computes, or nothing when the experts don't fit. */
+/** Returns the placement computed by @p method, or nothing if the experts do not fit. */
 std::optional<std::vector<LayerPlacement>> baselinePlacement(BaselinePlacement method, const GroupProblem &problem);
 
-/** Baseline: a new placement every so often whatever it costs; with a period of zero, in every window. */
+/** Baseline: computes a new placement in every period, regardless of its cost; with a period of zero, in every window.
+ */
 struct PeriodicRebalance
 {
     BaselinePlacement method = BaselinePlacement::Replicated;
     std::chrono::duration<double> period{};
     std::chrono::duration<double> elapsed{};
 
-    /** The placement of the method, when the period is over. */
+    /** Returns the placement of the method if the period has elapsed and it differs from the active one, otherwise
+     * nothing. */
     std::optional<std::vector<LayerPlacement>> decide(const RebalanceInput &input);
 };
 
 /**
- * Switches when what the present map has cost beyond a better one reaches what the change costs.
+ * Switches when the accumulated excess cost of the active map, compared with a better one, reaches the cost of
+ * switching.
  *
- * Pattern of load: drift and swings of unknown length. Switching at once pays for swings that end before the loads are
- * done; waiting for certainty pays too long for real drift. With the cost of not having switched added up over time
- * and the switch made when it reaches the price, the total is at most twice what a policy that knew the future would
- * pay, whatever the load does (the argument of the ski-rental problem). The sum is also the hysteresis: a swing there
- * and back ends before the sum is reached, and just after a switch the sum starts at zero. The gain counted is what
- * exceeds noise, so that pure noise adds up to nothing.
+ * Load pattern: drift and temporary swings of unknown duration. Switching at once pays for swings that end before the
+ * weights are loaded; waiting for certainty pays too long in case of real drift. Because the cost of not switching is
+ * accumulated and the switch is made when it reaches the switching cost, the total cost is at most twice that of a
+ * policy that knows the future, whatever the load does (ski-rental problem). The sum also provides hysteresis: a
+ * temporary swing ends before the sum is reached, and after a switch the sum starts at zero. Only the gain that exceeds
+ * noise is counted, so pure noise accumulates nothing.
  *
- * Prices are seconds: excess step time times the weight of skew, against loading time times the weight of cost.
+ * Costs are in seconds: excess step time times the skew weight, compared with loading time times the cost weight.
  */
 class RegretRebalance
 {
 public:
-    /** Time over which a moved expert must pay for its loading. Drift runs over hours; a quarter of one is well inside
-     * and leaves single misjudged moves cheap. */
+    /** Time within which the gain from a moved expert must cover the cost of loading it. Drift lasts for hours; a
+     * quarter of an hour is well below that and keeps a single wrong move cheap. */
     static constexpr std::chrono::duration<double> PaybackPeriod{900};
-    /** The largest of 64 equal ranks looks 2.4 standard errors hot by chance; less than that is no gain. */
+    /** Gains below this many standard errors are ignored: by chance, the largest of 64 equal ranks appears 2.4 standard
+     * errors hotter than the mean. */
     static constexpr double NoiseStandardErrors = 2.4;
-    /** Fixed price of a switch in seconds: the records, the messages and one step's pause. */
+    /** Fixed cost of a switch in seconds: the records, the messages and a pause of one step. */
     static constexpr std::chrono::duration<double> SwitchCost{0.25};
 
-    /** The improved placement once it has paid for itself, else nothing. At once when a rank with experts has left. */
+    /** Returns the improved placement once the accumulated regret covers its cost, or at once if a rank with experts
+     * has left; otherwise nothing. */
     std::optional<std::vector<LayerPlacement>> decide(const RebalanceInput &input);
 
-    /** What the present map has cost beyond the better one since the last switch, in weighted seconds. */
+    /** Returns the excess cost of the active map, compared with the better one, since the last switch, in weighted
+     * seconds. */
     double regret() const;
 
 private:
     double m_regret = 0;
 };
 
-/** All policies; the experiment runs them on the same traces. */
+/** All policies; the simulation runs them on the same load traces. */
 using RebalancePolicy = std::variant<NeverRebalance, PeriodicRebalance, RegretRebalance>;
 
-/** Asks @p policy for a placement to go to; nothing keeps the present one. */
+/** Returns the placement that @p policy selects, or nothing to keep the current one. */
 std::optional<std::vector<LayerPlacement>> decide(RebalancePolicy &policy, const RebalanceInput &input);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/groups/splitplacement.cpp
+++ b/modules/heatherridge_state/groups/splitplacement.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Loads below this part of the whole count as none: what rounding leaves over. */
+/** Loads below this fraction of the total count as zero: rounding residue. */
 constexpr double NegligibleFraction = 1e-9;
 
 class SplitPlacer
@@ -55,7 +55,7 @@
         double remainingCapacity = capacity;
         int freeSlots = m_problem.slots[rank];
         const auto unplacedExperts = std::count(m_isUnplaced.begin(), m_isUnplaced.end(), true);
-        // Experts that this rank must take whole so that the slots of the later ranks suffice for the rest.
+        // Whole experts that this rank must take so that the slots of the later ranks suffice for the rest.
         int wholeExpertsDue =
             std::max(1, static_cast<int>((unplacedExperts + m_remainingRanks - 1) / m_remainingRanks));
         while (freeSlots > 1 && wholeExpertsDue > 0) {
@@ -75,7 +75,8 @@
         }
     }
 
-    /** A whole expert that fits: the rank's own if there is one; else the lightest, and for the last the heaviest. */
+    /** Returns an expert whose remaining load fits whole: the heaviest that the rank holds already, if any; otherwise
+     * the lightest, or for the last whole expert the heaviest. -1 if none fits. */
     int pickWholeExpert(int rank, double remainingCapacity, int wholeExpertsDue) const
     {
         const auto fits = [&](int expert) {
@@ -99,7 +100,8 @@
         return best;
     }
 
-    /** An expert with at least @p remainingCapacity left: the rank's own, else the heaviest there is. */
+    /** Returns the expert to split: one that the rank holds already with at least @p remainingCapacity load remaining,
+     * otherwise the one with the most load remaining. -1 if there is none. */
     int pickExpertToSplit(int rank, double remainingCapacity) const
     {
         for (const int expert : m_currentExperts[rank]) {
@@ -136,8 +138,8 @@
 
     const LayerProblem &m_problem;
     std::vector<double> m_remainingLoad; ///< by expert: load not yet placed
-    std::vector<bool> m_isUnplaced; ///< by expert: whether some is left
-    std::vector<std::vector<int>> m_currentExperts; ///< by rank: experts of the current placement
+    std::vector<bool> m_isUnplaced; ///< by expert: whether some load is not yet placed
+    std::vector<std::vector<int>> m_currentExperts; ///< by rank: experts that it holds in the current placement
     LayerPlacement m_placed;
     double m_totalLoad = 0;
     int m_remainingRanks = 0;
--- a/modules/heatherridge_state/groups/splitplacement.h
+++ b/modules/heatherridge_state/groups/splitplacement.h
@@ -6,15 +6,16 @@
 {
 
 /**
- * Computes a placement in which all ranks are done at nearly the same time, staying near @p current where it can.
+ * Computes a placement in which all ranks finish at nearly the same time, close to @p current where possible.
  *
- * Each rank in turn is filled up to its part of the load: whole experts into all slots but the last, then a piece cut
- * from the heaviest expert left, whose rest goes on to other ranks. With as many ranks as experts and two slots a rank
- * this is the alias method for drawing from a discrete distribution, which always comes out even: the mean expert left
- * never gets lighter than a rank's part, so there is always a light one to place whole and a heavy one to cut. Which
- * light and which heavy expert is free to choose, and a rank's own from @p current are taken first.
+ * Fills the ranks one after the other up to their part of the load: whole experts in all slots but the last, then a
+ * part of the heaviest remaining expert, whose rest goes to other ranks. With as many ranks as experts and two slots
+ * per rank this is the alias method for sampling a discrete distribution, which always yields a balanced result: the
+ * mean load of the remaining experts never falls below a rank's part, so there is always a light expert to place whole
+ * and a heavy one to split. The method works with any light and any heavy expert; those that the rank holds in @p
+ * current are preferred.
  *
- * @returns who holds what, with shares as cut; experts that found no slot are missing, see
+ * @returns the placement with the shares from splitting; experts without a slot are missing, see
  * LayerAssignment::placeMissingExperts()
  */
 LayerPlacement splitPlacement(const LayerProblem &problem, const LayerPlacement &current);
--- a/modules/heatherridge_state/groups/stragglerdetector.cpp
+++ b/modules/heatherridge_state/groups/stragglerdetector.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Below this many tokens in a window, time a token says little. */
+/** Minimum tokens in a window for a meaningful time per token. */
 constexpr double MinTokens = 100;
 
 double microsecondsPerToken(const RankReport &report)
