--- a/tests/groups/controlbudget_test.cpp
+++ b/tests/groups/controlbudget_test.cpp
@@ -18,7 +18,7 @@
 {
     std::vector<TargetEntry> ranks;
     for (std::size_t rank = 0; rank < ownZone + remote; ++rank) {
-        // Near and far ones by turns, as names order them.
+        // Ranks of the own zone and remote ones alternate, as they do when ordered by name.
         const bool isOwnZone = rank % 2 == 0 ? rank / 2 < ownZone : rank / 2 >= remote;
         ranks.push_back({.id = TargetName(std::to_string(rank)), .zone = isOwnZone ? Zone : ZoneName("b")});
     }
@@ -31,19 +31,20 @@
     double linkMbps;
     std::size_t ownZone;
     std::size_t remote;
-    std::size_t counts; ///< of one rank
+    std::size_t counts; ///< number of counts of one rank
     std::size_t minPolled;
     std::size_t maxPolled;
 };
 
 const BudgetCase BudgetCases[] = {
-    {"an unknown link bounds nothing", 0, 50, 100, 3'072, 150, 150},
-    {"a wide link carries all of a small site", 1'000, 6, 10, 384, 16, 16},
-    {"64 ranks of a middling model", 60, 22, 42, 1'536, 64, 64},
-    // Counts of all ranks took 20 MB a second of a link of 12: reads ran out of time, and callers' streams waited.
+    {"unknown link capacity: no limit", 0, 50, 100, 3'072, 150, 150},
+    {"fast link: all ranks of a small site", 1'000, 6, 10, 384, 16, 16},
+    {"64 ranks of a medium-sized model", 60, 22, 42, 1'536, 64, 64},
+    // Polling the counts of all ranks would need 20 MB/s of a 12 MB/s link: reads timed out and callers' streams
+    // stalled.
     {"192 ranks of a large model", 93, 39, 153, 3'072, 39, 80},
-    {"4,800 ranks: no more is asked, far ones as seldom as they may be", 93, 960, 3'840, 3'072, 39, 80},
-    {"a thin link still learns what is liked", 1, 4, 12, 3'072, 8, 8},
+    {"4,800 ranks: no more are polled, remote ones at the maximum period", 93, 960, 3'840, 3'072, 39, 80},
+    {"slow link: the minimum number of ranks is polled", 1, 4, 12, 3'072, 8, 8},
 };
 
 class ControlBudgets : public testing::TestWithParam<BudgetCase>
@@ -60,7 +61,7 @@
     const auto ownZone = std::count_if(ranksToPoll.begin(), ranksToPoll.end(),
                                        [&](const auto &rank) { return budget.isInOwnZone(rank); });
     EXPECT_EQ(static_cast<std::size_t>(ownZone), std::min(row.ownZone, ranksToPoll.size())) << row.description;
-    // Far ranks are asked as often as their part of the link allows, neither more often nor less.
+    // Remote ranks are polled as often as their fraction of the link allows, neither more nor less often.
     constexpr double remoteStatusFraction = 0.0025;
     constexpr double statusBytes = 600;
     const auto period = budget.remoteStatusPeriod(row.remote, 400ms);
--- a/tests/groups/evenplacement_test.cpp
+++ b/tests/groups/evenplacement_test.cpp
@@ -26,7 +26,7 @@
     return layout;
 }
 
-/** A demand in which a few experts have most of it. */
+/** Returns a demand that is concentrated on a few experts. */
 SetDemand skewedDemand(std::uint64_t seed)
 {
     std::uint64_t state = seed * 2654435761U + 1;
@@ -55,8 +55,8 @@
     RC_ASSERT(layoutSkew({to}, {skewedDemand(seed)}, {}) <= layoutSkew({from}, {skewedDemand(seed)}, {}) + 1e-9);
 }
 
-// Every pass of a group waits for its most loaded rank: with the first layout that one has two to three times the mean,
-// and half of the streams of a busy day come late.
+// Every pass of a group waits for its slowest rank. With the initial layout that rank has two to three times the mean
+// load, and half of the streams on a busy day are late.
 TEST(EvenPlacement, BalancesSkewedDemandWithTwoCopiesPerRank)
 {
     double before = 0;
@@ -84,8 +84,8 @@
     return copies;
 }
 
-// Demand jumps every four seconds on a quiet day. Each time the maps were made as even as can be, for passes that were
-// short anyway: the copies cost more than all streams that they brought back on time.
+// Demand jumps every four seconds on a quiet day. Balancing the maps fully each time, although the passes are short
+// anyway, costs more in copies than it gains in streams that are on time.
 TEST(EvenPlacement, LooseBalanceNeedsFewerCopies)
 {
     double skew = 0;
@@ -109,7 +109,7 @@
     EXPECT_LT(looseCopies * 100, tightCopies * 55);
 }
 
-// A rank that takes four times as long holds up its whole group, unless it is left with hardly any work.
+// A rank that takes four times as long delays its whole group unless almost all its work is moved away.
 TEST(EvenPlacement, MovesWorkOffSlowRank)
 {
     RankSlowness slowness(RankCount, 1.0);
@@ -150,15 +150,16 @@
         RC_ASSERT(stage.copies <= maxCopies % 13U);
         RC_ASSERT(&stage == &stages.front() || stage.copies == copies + 1);
         RC_ASSERT(std::abs(stage.skew - layoutSkew(stage.layout, demand, {})) < 1e-9);
-        RC_ASSERT(stage.skew <= skew + 0.05); // squares are lowered, and the skew with them but for little
+        RC_ASSERT(stage.skew
+                  <= skew + 0.05); // the sum of squares decreases, and with it the skew except for small deviations
         skew = stage.skew;
         copies = stage.copies;
     }
 }
 
-// Experts are large, and a rank takes 0.15 s to copy one. Demand jumps; with the whole way in one switch, ranks that
-// get an expert of each set keep all streams waiting for a second, with pauses of twice what was promised. Two copies a
-// rank bring more than half of it, since ranks copy side by side.
+// Experts are large, and a rank takes 0.15 s to copy one. When demand jumps and all copies are made in a single switch,
+// ranks that get an expert of each set delay all streams for a second, with pauses of twice the promised maximum. Two
+// copies per rank give more than half of the gain, since ranks copy in parallel.
 TEST(LayoutStages, TwoCopiesPerRankGiveMostOfTheGain)
 {
     constexpr int demandCount = 30;
@@ -184,21 +185,21 @@
 struct StageRow
 {
     const char *description;
-    std::vector<double> skews; ///< of stages with 0, 1, 2 copies and so on
+    std::vector<double> skews; ///< skews of the stages with 0, 1, 2 copies and so on
     double skew;
     std::chrono::milliseconds timePerCopy;
     std::size_t expectedStage;
 };
 
 const StageRow StageRows[] = {
-    {"large experts: what a single copy gains first",
+    {"large experts: the gain of a single copy first",
      {2.5, 1.6, 1.3, 1.2, 1.1},
      2.5,
      std::chrono::milliseconds(300),
      1},
-    {"small experts: nearly the whole way at once", {2.5, 1.9, 1.5, 1.2, 1.1}, 2.5, std::chrono::milliseconds(10), 4},
-    {"what drops alone bring, for nothing", {1.3, 1.2}, 2.5, std::chrono::milliseconds(150), 0},
-    {"nothing to gain", {1.1}, 1.1, std::chrono::milliseconds(150), 0},
+    {"small experts: nearly all copies at once", {2.5, 1.9, 1.5, 1.2, 1.1}, 2.5, std::chrono::milliseconds(10), 4},
+    {"drops alone, without copies", {1.3, 1.2}, 2.5, std::chrono::milliseconds(150), 0},
+    {"no gain possible", {1.1}, 1.1, std::chrono::milliseconds(150), 0},
 };
 
 class StageSelection : public testing::TestWithParam<StageRow>
@@ -242,7 +243,7 @@
     return window;
 }
 
-// What is liked jumps every few seconds. An average over both sides of a jump gives a layout for a demand that is gone.
+// Popularity jumps every few seconds. An average across a jump yields a layout for outdated demand.
 TEST(ExpertDemand, DropsHistoryAfterJump)
 {
     ExpertDemand demand(1, ExpertCount);
--- a/tests/groups/groupproblems.h
+++ b/tests/groups/groupproblems.h
@@ -9,7 +9,7 @@
 namespace Heatherridge
 {
 
-/** A group of @p ranks equal ranks. */
+/** Returns the shape of a group of @p ranks identical ranks. */
 inline GroupShape uniformShape(int layers, int experts, int ranks, int slots)
 {
     return {.layers = layers,
@@ -19,7 +19,7 @@
             .locations = {}};
 }
 
-/** Loads whose hottest experts carry several times the mean; @p spread 0 makes all equal. */
+/** Returns random loads whose hottest experts have several times the mean load; with @p spread 0 all are equal. */
 inline GroupProblem randomProblem(const GroupShape &shape, RandomSource &random, double spread)
 {
     GroupProblem problem{.shape = shape, .layers = {}};
@@ -35,7 +35,8 @@
     return problem;
 }
 
-/** The reports that ranks would send for one window: tokens of @p problem's loads under @p map, with noise. */
+/** Returns the reports that ranks would send for one window: the tokens for the loads of @p problem under @p map, with
+ * noise. */
 inline std::vector<RankReport> simulateReports(const GroupProblem &problem, const ExpertMap &map, std::uint64_t window,
                                                double tokensPerLayer, RandomSource &random)
 {
@@ -67,7 +68,7 @@
     return reports;
 }
 
-/** A first map for @p problem. */
+/** Returns an initial map for @p problem. */
 inline ExpertMap initialMap(const GroupProblem &problem)
 {
     auto layers = std::get<std::vector<LayerPlacement>>(improvePlacement(problem, {}, {}));
--- a/tests/groups/placement_test.cpp
+++ b/tests/groups/placement_test.cpp
@@ -22,15 +22,15 @@
 
 const MapCase MapCases[] = {
     {"two experts on two ranks", {{{0, 0, 4096}, {1, 1, 4096}}}, true},
-    {"a replica with a split", {{{0, 0, 96}, {0, 1, 4000}, {1, 1, 4096}}}, true},
-    {"an expert nowhere", {{{0, 0, 4096}}}, false},
-    {"shares add up to less", {{{0, 0, 4095}, {1, 1, 4096}}}, false},
-    {"more than fits", {{{0, 0, 4096}, {1, 0, 4096}, {2, 0, 4096}}}, false},
+    {"an expert split over two replicas", {{{0, 0, 96}, {0, 1, 4000}, {1, 1, 4096}}}, true},
+    {"an expert without a replica", {{{0, 0, 4096}}}, false},
+    {"shares add up to less than the whole", {{{0, 0, 4095}, {1, 1, 4096}}}, false},
+    {"more experts than slots on a rank", {{{0, 0, 4096}, {1, 0, 4096}, {2, 0, 4096}}}, false},
     {"an expert twice on a rank", {{{0, 0, 2048}, {0, 0, 2048}, {1, 1, 4096}}}, false},
     {"a rank out of range", {{{0, 2, 4096}, {1, 1, 4096}}}, false},
     {"an expert out of range", {{{0, 0, 4096}, {1, 1, 4096}, {7, 1, 0}}}, false},
     {"not in order", {{{1, 1, 4096}, {0, 0, 4096}}}, false},
-    {"a layer missing", {}, false},
+    {"a missing layer", {}, false},
 };
 
 class ExpertMapValidation : public testing::TestWithParam<MapCase>
--- a/tests/groups/rebalance_test.cpp
+++ b/tests/groups/rebalance_test.cpp
@@ -16,17 +16,17 @@
 struct EstimateCase
 {
     const char *description;
-    double jumpFactor; ///< what expert 0's load is multiplied by after half of the windows
-    int dropEveryNth; ///< every so many reports is lost; 0 for none
-    double maxRelativeError; ///< of expert 0's part at the end, relative
+    double jumpFactor; ///< factor applied to the load of expert 0 after half of the windows
+    int dropEveryNth; ///< every n-th report is lost; 0 for none
+    double maxRelativeError; ///< maximum relative error of expert 0's fraction at the end
     bool expectsJump;
 };
 
 const EstimateCase EstimateCases[] = {
     {"noise only", 1, 0, 0.03, false},
     {"noise only, every third report missing", 1, 3, 0.05, false},
-    {"expert gets hot at once", 6, 0, 0.05, true},
-    {"expert gets hot at once, every third report missing", 6, 3, 0.07, true},
+    {"expert becomes hot suddenly", 6, 0, 0.05, true},
+    {"expert becomes hot suddenly, every third report missing", 6, 3, 0.07, true},
 };
 
 class PopularityEstimates : public testing::TestWithParam<EstimateCase>
@@ -86,9 +86,9 @@
 struct StragglerCase
 {
     const char *description;
-    double slowness; ///< of rank 2
-    double loadFactor; ///< factor on expert 0's load
-    int slowWindows; ///< how long it lasts
+    double slowness; ///< slowness of rank 2
+    double loadFactor; ///< factor on the load of expert 0
+    int slowWindows; ///< number of windows during which rank 2 is slow
     bool expectsStraggler;
 };
 
@@ -131,20 +131,17 @@
 {
     const char *description;
     BalanceWeights weights;
-    double loadFactor; ///< factor on expert 0 while it is hot
-    int hotWindows; ///< how many windows it stays so, out of 60
-    double error; ///< relative error that the estimate claims
+    double loadFactor; ///< factor on the load of expert 0 while it is hot
+    int hotWindows; ///< number of windows during which it is hot, out of 60
+    double error; ///< relative error of the estimate
     bool expectsSwitch;
 };
 
-/** Loading one expert takes 20 s of the store here, so a change must last to be worth it. */
+/** Loading one expert takes 20 s here, so a change must last to be worth its cost. */
 const DecisionCase DecisionCases[] = {
-    {"nothing changes", {1, 1}, 1, 60, 0, false},
-    {"lasting change, even weights", {1, 1}, 4, 60, 0, true},
-    {"lasting change, cost heavy", {1, 8}, 4, 60, 0, true},
-    {"short swing, skew heavy", {8, 1}, 4, 3, 0, true},
-    {"short swing there and back, cost heavy", {1, 8}, 4, 3, 0, false},
-    {"change within the noise", {1, 1}, 1.15, 60, 0.1, false},
+    {"nothing changes", {1, 1}, 1, 60, 0, false},           {"lasting change, even weights", {1, 1}, 4, 60, 0, true},
+    {"lasting change, cost heavy", {1, 8}, 4, 60, 0, true}, {"short swing, skew heavy", {8, 1}, 4, 3, 0, true},
+    {"short swing, cost heavy", {1, 8}, 4, 3, 0, false},    {"change within the noise", {1, 1}, 1.15, 60, 0.1, false},
 };
 
 class RebalanceDecisions : public testing::TestWithParam<DecisionCase>
