--- a/benchmarks/keycommit.cpp
+++ b/benchmarks/keycommit.cpp
@@ -56,9 +56,9 @@
         for (std::uint32_t number = 0; number < KeyShardCount; ++number) {
             m_shards.push_back(std::make_unique<Shard>(number));
             auto &shard = *m_shards.back();
-            perform(shard, shard.gate.placementChanged({.wanted = true}, wall()));
-            perform(shard, shard.gate.logChanged(true, wall()));
-            perform(shard, shard.gate.caughtUp(wall()));
+            perform(shard, shard.gate.placementChanged({.shouldHold = true}, wall()));
+            perform(shard, shard.gate.logAvailabilityChanged(true, wall()));
+            perform(shard, shard.gate.streamCaughtUp(wall()));
         }
     }
 
@@ -111,7 +111,8 @@
         const auto key = Uuid7::make(wall(), m_random.draw(), m_random.draw());
         auto &shard = *m_shards[toNumber(shardOf(key))];
         m_arrived[key] = m_now;
-        perform(shard, shard.gate.request({.attempt = {.entry = {}, .number = ++m_attempts}, .key = key}, wall()));
+        perform(shard,
+                shard.gate.requestReceived({.attempt = {.entry = {}, .number = ++m_attempts}, .key = key}, wall()));
         const auto gap = -std::log(1 - m_random.fraction()) / m_scenario.bookingsPerSecond;
         at(m_now + Micros(static_cast<std::int64_t>(gap * 1e6)), [this] { arrive(); });
     }
@@ -124,7 +125,7 @@
             } else if (const auto *run = std::get_if<RunCall>(&action)) {
                 m_added.push_back(m_now - m_arrived.at(run->key));
                 at(m_now + ServiceTime, [this, &shard, key = run->key] {
-                    perform(shard, shard.gate.served(key, StoredAnswer{.status = 201, .body = "{}"}));
+                    perform(shard, shard.gate.callCompleted(key, StoredAnswer{.status = 201, .body = "{}"}));
                 });
             }
         }
@@ -144,8 +145,8 @@
         m_records += batch.records.size();
         m_bytes += encode(batch).size();
         at(m_logFree + LogRoundTrip, [this, &shard, batch] {
-            perform(shard, shard.gate.appended(batch.serial, true, wall()));
-            perform(shard, shard.gate.read(static_cast<LogOffset>(++shard.offset), batch, wall()));
+            perform(shard, shard.gate.appendCompleted(batch.serial, true, wall()));
+            perform(shard, shard.gate.recordRead(static_cast<LogOffset>(++shard.offset), batch, wall()));
         });
     }
 
--- a/benchmarks/keymemory.cpp
+++ b/benchmarks/keymemory.cpp
@@ -30,7 +30,7 @@
         batch.records.emplace_back(KeyOutcome{
             .key = keyNumber(number),
             .runner = gate,
-            .fate = KeyFate::Answered,
+            .runState = RunState::Answered,
             .answer = {.status = 201, .contentType = "application/json", .body = std::string(AnswerBytes, 'x')}});
     }
     return batch;
--- a/modules/heatherridge_coordination/keys/batchwriter.cpp
+++ b/modules/heatherridge_coordination/keys/batchwriter.cpp
@@ -14,21 +14,21 @@
 
 void BatchWriter::add(KeyRecord record)
 {
-    m_waiting.push_back(std::move(record));
+    m_queued.push_back(std::move(record));
 }
 
-void BatchWriter::removeWaiting(const std::function<bool(const KeyRecord &)> &matches)
+void BatchWriter::removeQueued(const std::function<bool(const KeyRecord &)> &matches)
 {
-    std::erase_if(m_waiting, matches);
+    std::erase_if(m_queued, matches);
 }
 
-std::optional<KeyBatch> BatchWriter::next(const LedgerView &view, const std::optional<ClaimId> &onBehalfOf)
+std::optional<KeyBatch> BatchWriter::nextBatch(const LedgerView &view, const std::optional<ClaimId> &onBehalfOf)
 {
     if (m_state == State::Failed) {
         m_state = State::Appending;
-        return m_current;
+        return m_inFlight;
     }
-    if (m_state != State::Idle || m_waiting.empty()) {
+    if (m_state != State::Idle || m_queued.empty()) {
         return std::nullopt;
     }
     KeyBatch batch;
@@ -36,28 +36,28 @@
     batch.serial = ++m_serial;
     batch.view = view;
     batch.onBehalfOf = onBehalfOf;
-    const auto count = std::min(m_waiting.size(), MaxKeyRecords);
-    const auto end = m_waiting.begin() + static_cast<std::ptrdiff_t>(count);
-    std::move(m_waiting.begin(), end, std::back_inserter(batch.records));
-    m_waiting.erase(m_waiting.begin(), end);
-    m_current = std::move(batch);
+    const auto count = std::min(m_queued.size(), MaxKeyRecords);
+    const auto end = m_queued.begin() + static_cast<std::ptrdiff_t>(count);
+    std::move(m_queued.begin(), end, std::back_inserter(batch.records));
+    m_queued.erase(m_queued.begin(), end);
+    m_inFlight = std::move(batch);
     m_state = State::Appending;
-    return m_current;
+    return m_inFlight;
 }
 
-void BatchWriter::appended(std::uint64_t serial, bool ok)
+void BatchWriter::appendCompleted(std::uint64_t serial, bool ok)
 {
-    if (m_state == State::Appending && m_current->serial == serial) {
+    if (m_state == State::Appending && m_inFlight->serial == serial) {
         m_state = ok ? State::Appended : State::Failed;
     }
 }
 
-bool BatchWriter::readBack(std::uint64_t serial)
+bool BatchWriter::confirmReadBack(std::uint64_t serial)
 {
-    if (!m_current || m_current->serial != serial) {
+    if (!m_inFlight || m_inFlight->serial != serial) {
         return false;
     }
-    m_current.reset();
+    m_inFlight.reset();
     m_state = State::Idle;
     return true;
 }
@@ -65,27 +65,27 @@
 std::vector<KeyRecord> BatchWriter::abandon()
 {
     std::vector<KeyRecord> records;
-    if (m_current) {
-        records = std::move(m_current->records);
+    if (m_inFlight) {
+        records = std::move(m_inFlight->records);
     }
-    m_current.reset();
+    m_inFlight.reset();
     m_state = State::Idle;
     return records;
 }
 
-std::vector<KeyRecord> BatchWriter::unconfirmed() const
+std::vector<KeyRecord> BatchWriter::unconfirmedRecords() const
 {
     std::vector<KeyRecord> records;
-    if (m_current) {
-        records = m_current->records;
+    if (m_inFlight) {
+        records = m_inFlight->records;
     }
-    records.insert(records.end(), m_waiting.begin(), m_waiting.end());
+    records.insert(records.end(), m_queued.begin(), m_queued.end());
     return records;
 }
 
 bool BatchWriter::isEmpty() const
 {
-    return !m_current && m_waiting.empty();
+    return !m_inFlight && m_queued.empty();
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/keys/batchwriter.h
+++ b/modules/heatherridge_coordination/keys/batchwriter.h
@@ -26,7 +26,7 @@
     void add(KeyRecord record);
 
     /** Removes the waiting records, not those on their way, for which @p matches holds. */
-    void removeWaiting(const std::function<bool(const KeyRecord &)> &matches);
+    void removeQueued(const std::function<bool(const KeyRecord &)> &matches);
 
     /**
      * The batch to append now, or nothing while an append is under way or when there is nothing to write.
@@ -34,19 +34,19 @@
      * @param view what the writer has folded
      * @param onBehalfOf the claim under which a writer acts that is not its holder
      */
-    std::optional<KeyBatch> next(const LedgerView &view, const std::optional<ClaimId> &onBehalfOf);
+    std::optional<KeyBatch> nextBatch(const LedgerView &view, const std::optional<ClaimId> &onBehalfOf);
 
-    /** The append ended. With @p ok the batch only waits to be read back, otherwise next() yields it again. */
-    void appended(std::uint64_t serial, bool ok);
+    /** The append ended. With @p ok the batch only waits to be read back, otherwise nextBatch() yields it again. */
+    void appendCompleted(std::uint64_t serial, bool ok);
 
     /** The batch @p serial has been read back. Returns whether it was the one on its way. */
-    bool readBack(std::uint64_t serial);
+    bool confirmReadBack(std::uint64_t serial);
 
     /** Gives up the batch on its way, which can't be read back any more. @returns its records */
     std::vector<KeyRecord> abandon();
 
     /** The records on their way, then those that wait. */
-    std::vector<KeyRecord> unconfirmed() const;
+    std::vector<KeyRecord> unconfirmedRecords() const;
 
     /** Whether everything added has been read back. */
     bool isEmpty() const;
@@ -60,8 +60,8 @@
     };
 
     GateId m_self;
-    std::deque<KeyRecord> m_waiting;
-    std::optional<KeyBatch> m_current;
+    std::deque<KeyRecord> m_queued;
+    std::optional<KeyBatch> m_inFlight;
     State m_state = State::Idle;
     std::uint64_t m_serial = 0;
 };
--- a/modules/heatherridge_coordination/keys/claimkeeper.cpp
+++ b/modules/heatherridge_coordination/keys/claimkeeper.cpp
@@ -9,39 +9,39 @@
 {
 
 /** Claims whose promises are kept: the one in force, the one on its way, and some that arrive late. */
-constexpr std::size_t MaxPromisedClaims = 16;
+constexpr std::size_t MaxTrackedClaims = 16;
 
 } // namespace
 
-ClaimKeeper::ClaimKeeper(GateId self, Options options)
+ClaimManager::ClaimManager(GateId self, Options options)
     : m_self(std::move(self))
     , m_options(options)
 {
 }
 
-void ClaimKeeper::place(KeyPlacement placement)
+void ClaimManager::setPlacement(KeyPlacement placement)
 {
     m_placement = std::move(placement);
     std::erase(m_placement.witnesses, m_self);
 }
 
-const KeyPlacement &ClaimKeeper::placement() const
+const KeyPlacement &ClaimManager::placement() const
 {
     return m_placement;
 }
 
-bool ClaimKeeper::announces(const KeyLedger &ledger) const
+bool ClaimManager::canAnnounce(const KeyLedger &ledger) const
 {
     return ledger.isHolder(m_self) && !isReleased(ledger.claim()->claim.id);
 }
 
-bool ClaimKeeper::mayRunWithoutLog(const KeyLedger &ledger, WallTime time) const
+bool ClaimManager::canRunWithoutLog(const KeyLedger &ledger, WallTime time) const
 {
-    const auto under = base(ledger);
-    if (!under) {
+    const auto active = activeClaim(ledger);
+    if (!active) {
         return false;
     }
-    const auto floor = under == m_borrowed ? std::max(m_borrowedFloor, ledger.floor()) : ledger.floor();
+    const auto floor = active == m_handedOverClaim ? std::max(m_handedOverFloor, ledger.floor()) : ledger.floor();
     if (time < floor) {
         return false;
     }
@@ -50,78 +50,80 @@
     }
     // A claim whose append was not read back may be in the log all the same; a successor would ask its witnesses, not
     // those of the claim before it.
-    const bool inFlightPromised =
-        !m_onItsWay || !m_options.safeguards.claimsInFlightCount || promised(*m_onItsWay, time);
-    return promised(under->claim, time) && inFlightPromised;
+    const bool isInFlightPromised =
+        !m_claimInFlight || !m_options.safeguards.claimsInFlightCount || isPromised(*m_claimInFlight, time);
+    return isPromised(active->claim, time) && isInFlightPromised;
 }
 
-std::optional<KeyClaim> ClaimKeeper::nextClaim(const KeyLedger &ledger, WallTime now)
+std::optional<KeyClaim> ClaimManager::nextClaim(const KeyLedger &ledger, WallTime now)
 {
-    if (m_onItsWay || !m_placement.wanted || !m_placement.accepting) {
+    if (m_claimInFlight || !m_placement.shouldHold || !m_placement.accepting) {
         return std::nullopt;
     }
-    if (!ledger.isWhole()) {
-        auto claim = makeClaim(ledger.folded(), std::max(now + m_options.tolerance, ledger.pendingUntil()), now);
+    if (!ledger.isComplete()) {
+        auto claim =
+            makeClaim(ledger.appliedOffset(), std::max(now + m_options.tolerance, ledger.latestPendingClaimEnd()), now);
         claim.afterLoss = true;
-        return m_onItsWay = claim;
+        return m_claimInFlight = claim;
     }
     const auto &current = ledger.claim();
     if (!current) {
-        return m_onItsWay = makeClaim(LogOffset{}, WallTime{}, now);
+        return m_claimInFlight = makeClaim(LogOffset{}, WallTime{}, now);
     }
-    if (announces(ledger)) {
-        return isRenewalDue(current->claim, now) ? m_onItsWay = makeClaim(current->offset, WallTime{}, now)
+    if (canAnnounce(ledger)) {
+        return isRenewalDue(current->claim, now) ? m_claimInFlight = makeClaim(current->offset, WallTime{}, now)
                                                  : std::nullopt;
     }
     const auto floor = takeOverFloor(*current, now);
     if (!floor) {
         return std::nullopt;
     }
-    return m_onItsWay = makeClaim(current->offset, m_options.safeguards.floorRaised ? *floor : WallTime{}, now);
+    return m_claimInFlight = makeClaim(current->offset, m_options.safeguards.floorRaised ? *floor : WallTime{}, now);
 }
 
-void ClaimKeeper::claimFolded()
+void ClaimManager::confirmClaimReadBack()
 {
-    m_onItsWay.reset();
+    m_claimInFlight.reset();
 }
 
-std::vector<KeyOutgoing> ClaimKeeper::requests(const KeyLedger &ledger, WallTime now, bool logWell) const
+std::vector<OutgoingKeyMessage> ClaimManager::pendingRequests(const KeyLedger &ledger, WallTime now,
+                                                              bool logAvailable) const
 {
-    std::vector<KeyOutgoing> out;
-    const auto under = base(ledger);
-    if (under && !logWell) {
-        addActivations(out, under->claim, now);
-        if (m_onItsWay) {
-            addActivations(out, *m_onItsWay, now);
+    std::vector<OutgoingKeyMessage> messages;
+    const auto active = activeClaim(ledger);
+    if (active && !logAvailable) {
+        addActivateRequests(messages, active->claim, now);
+        if (m_claimInFlight) {
+            addActivateRequests(messages, *m_claimInFlight, now);
         }
     }
     const auto &current = ledger.claim();
-    if (under || !current || !m_placement.wanted || !m_placement.accepting) {
-        return out;
+    if (active || !current || !m_placement.shouldHold || !m_placement.accepting) {
+        return messages;
     }
     const auto &claim = current->claim;
     const auto holder = releasedTo(ledger).value_or(claim.id.holder);
-    if (holder != m_self && !m_inherited.contains(claim.id)) {
-        out.push_back({.to = holder, .message = ReleaseRequest{.claim = claim.id, .withRight = !logWell}});
+    if (holder != m_self && !m_acceptedHandOvers.contains(claim.id)) {
+        messages.push_back({.to = holder, .message = ReleaseRequest{.claim = claim.id, .withRight = !logAvailable}});
     }
-    if (logWell) {
+    if (logAvailable) {
         for (const auto &witness : claim.witnesses) {
-            out.push_back({.to = witness, .message = RevokeRequest{.claim = claim.id}});
+            messages.push_back({.to = witness, .message = RevokeRequest{.claim = claim.id}});
         }
     }
-    return out;
+    return messages;
 }
 
-void ClaimKeeper::take(const GateId &from, const ActivateReply &reply)
+void ClaimManager::handleReply(const GateId &from, const ActivateReply &reply)
 {
     auto &until = m_promises[reply.claim][from];
     until = std::max(until, reply.until);
-    while (m_promises.size() > MaxPromisedClaims) {
+    while (m_promises.size() > MaxTrackedClaims) {
         m_promises.erase(m_promises.begin()); // a forgotten promise only refuses; it is asked for again
     }
 }
 
-void ClaimKeeper::take(const GateId &from, const RevokeReply &reply, const KeyLedger &ledger)
+void ClaimManager::handleReply(const GateId &from, const RevokeReply &reply, const KeyLedger &ledger)
 {
     const auto &current = ledger.claim();
     if (!current || current->claim.id != reply.claim) {
@@ -132,93 +134,95 @@
         return;
     }
     const auto floor = reply.activatedUntil.value_or(WallTime{});
-    const bool better = !m_word || m_word->claim != reply.claim || *m_word->floor > floor;
-    if (better) {
-        m_word = Word{.claim = reply.claim, .floor = floor};
+    const bool isLower =
+        !m_bestRevocation || m_bestRevocation->claim != reply.claim || *m_bestRevocation->floor > floor;
+    if (isLower) {
+        m_bestRevocation = Revocation{.claim = reply.claim, .floor = floor};
     }
 }
 
-bool ClaimKeeper::mayRelease(const GateId &to, const ReleaseRequest &request, const KeyLedger &ledger) const
+bool ClaimManager::canRelease(const GateId &to, const ReleaseRequest &request, const KeyLedger &ledger) const
 {
-    if (m_placement.wanted && m_placement.accepting) {
+    if (m_placement.shouldHold && m_placement.accepting) {
         return false;
     }
-    const auto under = base(ledger);
+    const auto active = activeClaim(ledger);
     // With a claim on its way the hand-over would have to name two; it is asked for again once that is settled.
-    return under && under->claim.id == request.claim && !m_onItsWay && to != m_self;
+    return active && active->claim.id == request.claim && !m_claimInFlight && to != m_self;
 }
 
-ReleaseReply ClaimKeeper::release(const GateId &to, const ReleaseRequest &request, const KeyLedger &ledger)
+ReleaseReply ClaimManager::release(const GateId &to, const ReleaseRequest &request, const KeyLedger &ledger)
 {
-    const auto under = *base(ledger);
+    const auto active = *activeClaim(ledger);
     ReleaseReply reply;
-    reply.claim = under;
+    reply.claim = active;
     reply.withRight = request.withRight;
-    reply.floor = under == m_borrowed ? std::max(m_borrowedFloor, ledger.floor()) : ledger.floor();
-    reply.until = under.claim.witnesses.empty() ? WallTime{} : under.claim.until;
+    reply.floor = active == m_handedOverClaim ? std::max(m_handedOverFloor, ledger.floor()) : ledger.floor();
+    reply.until = active.claim.witnesses.empty() ? WallTime{} : active.claim.until;
     const auto promises = m_promises.find(request.claim);
-    for (const auto &witness : under.claim.witnesses) {
-        const bool known = promises != m_promises.end() && promises->second.contains(witness);
-        reply.until = std::min(reply.until, known ? promises->second.at(witness) : WallTime{});
+    for (const auto &witness : active.claim.witnesses) {
+        const bool hasPromised = promises != m_promises.end() && promises->second.contains(witness);
+        reply.until = std::min(reply.until, hasPromised ? promises->second.at(witness) : WallTime{});
     }
     if (m_options.safeguards.releaseStops) {
-        m_released[request.claim] = to;
-        m_borrowed.reset();
+        m_releasedTo[request.claim] = to;
+        m_handedOverClaim.reset();
     }
     return reply;
 }
 
-std::optional<GateId> ClaimKeeper::releasedTo(const KeyLedger &ledger) const
+std::optional<GateId> ClaimManager::releasedTo(const KeyLedger &ledger) const
 {
     if (!ledger.claim()) {
         return std::nullopt;
     }
-    const auto released = m_released.find(ledger.claim()->claim.id);
-    return released == m_released.end() ? std::nullopt : std::optional(released->second);
+    const auto released = m_releasedTo.find(ledger.claim()->claim.id);
+    return released == m_releasedTo.end() ? std::nullopt : std::optional(released->second);
 }
 
-bool ClaimKeeper::inherit(const ReleaseReply &reply)
+bool ClaimManager::acceptHandOver(const ReleaseReply &reply)
 {
     const auto &id = reply.claim.claim.id;
-    if (isReleased(id) || !m_inherited.insert(id).second) {
+    if (isReleased(id) || !m_acceptedHandOvers.insert(id).second) {
         return false;
     }
     if (reply.withRight) {
-        m_borrowed = reply.claim;
-        m_borrowedFloor = reply.floor;
+        m_handedOverClaim = reply.claim;
+        m_handedOverFloor = reply.floor;
         for (const auto &witness : reply.claim.claim.witnesses) {
-            take(witness, ActivateReply{.claim = id, .until = reply.until});
+            handleReply(witness, ActivateReply{.claim = id, .until = reply.until});
         }
     }
     return true;
 }
 
-std::optional<ClaimId> ClaimKeeper::onBehalfOf(const KeyLedger &ledger) const
+std::optional<ClaimId> ClaimManager::onBehalfOf(const KeyLedger &ledger) const
 {
-    if (m_borrowed) {
-        return m_borrowed->claim.id;
+    if (m_handedOverClaim) {
+        return m_handedOverClaim->claim.id;
     }
     const auto &current = ledger.claim();
-    const bool inherited = current && m_inherited.contains(current->claim.id) && !isReleased(current->claim.id);
-    return inherited ? std::optional(current->claim.id) : std::nullopt;
+    const bool hasHandOver =
+        current && m_acceptedHandOvers.contains(current->claim.id) && !isReleased(current->claim.id);
+    return hasHandOver ? std::optional(current->claim.id) : std::nullopt;
 }
 
 /** The claim under which this process acts: its own, or the one it was handed; nothing when it doesn't act. */
-std::optional<PlacedClaim> ClaimKeeper::base(const KeyLedger &ledger) const
+std::optional<PlacedClaim> ClaimManager::activeClaim(const KeyLedger &ledger) const
 {
-    if (announces(ledger)) {
+    if (canAnnounce(ledger)) {
         return ledger.claim();
     }
-    const bool outdated = m_borrowed && ledger.claim() && ledger.claim()->offset > m_borrowed->offset;
-    return outdated ? std::nullopt : m_borrowed;
+    const bool isOutdated = m_handedOverClaim && ledger.claim() && ledger.claim()->offset > m_handedOverClaim->offset;
+    return isOutdated ? std::nullopt : m_handedOverClaim;
 }
 
-bool ClaimKeeper::isReleased(const ClaimId &claim) const
+bool ClaimManager::isReleased(const ClaimId &claim) const
 {
-    return m_released.contains(claim);
+    return m_releasedTo.contains(claim);
 }
 
-bool ClaimKeeper::promised(const KeyClaim &claim, WallTime time) const
+bool ClaimManager::isPromised(const KeyClaim &claim, WallTime time) const
 {
     const auto promises = m_promises.find(claim.id);
     if (claim.witnesses.empty() || promises == m_promises.end() || time >= claim.until) {
@@ -230,24 +234,24 @@
     });
 }
 
-bool ClaimKeeper::isRenewalDue(const KeyClaim &current, WallTime now) const
+bool ClaimManager::isRenewalDue(const KeyClaim &current, WallTime now) const
 {
     // After an outage the witnesses still refuse successors for this claim; a new one frees the shard of that.
     const bool wasActivated = m_promises.contains(current.id);
-    const bool halfSpent = current.until - now < m_options.claimSpan / 2;
-    return wasActivated || halfSpent || current.witnesses != m_placement.witnesses;
+    const bool isHalfExpired = current.until - now < m_options.claimSpan / 2;
+    return wasActivated || isHalfExpired || current.witnesses != m_placement.witnesses;
 }
 
 /** The floor with which @p current may be replaced; nothing while its holder may still run keys without the log. */
-std::optional<WallTime> ClaimKeeper::takeOverFloor(const PlacedClaim &current, WallTime now) const
+std::optional<WallTime> ClaimManager::takeOverFloor(const PlacedClaim &current, WallTime now) const
 {
     const auto &claim = current.claim;
-    const bool handedOver = m_inherited.contains(claim.id) && !isReleased(claim.id);
-    if (claim.witnesses.empty() || handedOver) {
+    const bool isHandedOver = m_acceptedHandOvers.contains(claim.id) && !isReleased(claim.id);
+    if (claim.witnesses.empty() || isHandedOver) {
         return WallTime{};
     }
-    if (m_word && m_word->claim == claim.id && *m_word->floor <= now) {
-        return m_word->floor;
+    if (m_bestRevocation && m_bestRevocation->claim == claim.id && *m_bestRevocation->floor <= now) {
+        return m_bestRevocation->floor;
     }
     if (claim.until <= now) {
         return claim.until;
@@ -255,21 +259,22 @@
     return std::nullopt;
 }
 
-void ClaimKeeper::addActivations(std::vector<KeyOutgoing> &into, const KeyClaim &claim, WallTime now) const
+void ClaimManager::addActivateRequests(std::vector<OutgoingKeyMessage> &messages, const KeyClaim &claim,
+                                       WallTime now) const
 {
     const auto until = std::min(now + m_options.activationSpan, claim.until);
     const auto promises = m_promises.find(claim.id);
     for (const auto &witness : claim.witnesses) {
-        const auto have = promises != m_promises.end() && promises->second.contains(witness)
+        const auto promisedUntil = promises != m_promises.end() && promises->second.contains(witness)
             ? promises->second.at(witness)
             : WallTime{};
-        if (have < now + m_options.activationSpan / 2 && have < until) {
-            into.push_back({.to = witness, .message = ActivateRequest{.claim = claim.id, .until = until}});
+        if (promisedUntil < now + m_options.activationSpan / 2 && promisedUntil < until) {
+            messages.push_back({.to = witness, .message = ActivateRequest{.claim = claim.id, .until = until}});
         }
     }
 }
 
-KeyClaim ClaimKeeper::makeClaim(LogOffset basedOn, WallTime floor, WallTime now)
+KeyClaim ClaimManager::makeClaim(LogOffset basedOn, WallTime floor, WallTime now)
 {
     KeyClaim claim;
     claim.id = {.holder = m_self, .serial = ++m_serial};
--- a/modules/heatherridge_coordination/keys/claimkeeper.h
+++ b/modules/heatherridge_coordination/keys/claimkeeper.h
@@ -14,16 +14,16 @@
 /** Where a shard is to be held, as the inventory and the membership have it here and now. */
 struct KeyPlacement
 {
-    bool wanted = false; ///< this process is to hold the shard
+    bool shouldHold = false; ///< this process is to hold the shard
     bool accepting = true; ///< false while it drains or is withdrawn: it hands the shard over and runs nothing new
     std::vector<GateId> witnesses{}; ///< who is to witness its claims; empty: no key runs while the log is out
-    ProcessName preferred{}; ///< who is to hold it, for callers' entries
+    ProcessName preferredHolder{}; ///< who is to hold it, for callers' entries
 
     bool operator==(const KeyPlacement &) const = default;
 };
 
 /** A message on its way to another gate of the shard. */
-struct KeyOutgoing
+struct OutgoingKeyMessage
 {
     GateId to{};
     KeyMessage message{};
@@ -36,7 +36,7 @@
  * is yes only while every witness of every claim that may be in force promises to refuse successors; see
  * docs/notes/idempotency.md for the argument. No I/O, no clock; one thread.
  */
-class ClaimKeeper
+class ClaimManager
 {
 public:
     struct Options
@@ -47,40 +47,40 @@
         KeySafeguards safeguards{};
     };
 
-    ClaimKeeper(GateId self, Options options);
+    ClaimManager(GateId self, Options options);
 
     /** Takes a new placement. Does nothing by itself. */
-    void place(KeyPlacement placement);
+    void setPlacement(KeyPlacement placement);
 
     /** The placement in force. */
     const KeyPlacement &placement() const;
 
     /** Whether this process holds the shard by the log and has not handed it over. */
-    bool announces(const KeyLedger &ledger) const;
+    bool canAnnounce(const KeyLedger &ledger) const;
 
     /** Whether a key created at @p time and not known here may be run without the log. */
-    bool mayRunWithoutLog(const KeyLedger &ledger, WallTime time) const;
+    bool canRunWithoutLog(const KeyLedger &ledger, WallTime time) const;
 
     /**
      * The claim to append now, if one is due: the first one, a renewal, or a take-over that is allowed. At most one is
-     * on its way until claimFolded().
+     * on its way until confirmClaimReadBack().
      */
     std::optional<KeyClaim> nextClaim(const KeyLedger &ledger, WallTime now);
 
     /** This process's claim has been read back, whether it counts or not. */
-    void claimFolded();
+    void confirmClaimReadBack();
 
     /** What to ask other gates now; asked again on each call until it is answered. */
-    std::vector<KeyOutgoing> requests(const KeyLedger &ledger, WallTime now, bool logWell) const;
+    std::vector<OutgoingKeyMessage> pendingRequests(const KeyLedger &ledger, WallTime now, bool logAvailable) const;
 
     /** A witness's promise. */
-    void take(const GateId &from, const ActivateReply &reply);
+    void handleReply(const GateId &from, const ActivateReply &reply);
 
     /** A witness's refusal to promise anything more to the holder. */
-    void take(const GateId &from, const RevokeReply &reply, const KeyLedger &ledger);
+    void handleReply(const GateId &from, const RevokeReply &reply, const KeyLedger &ledger);
 
     /** Whether the shard may be handed over to @p to now, as @p request asks. */
-    bool mayRelease(const GateId &to, const ReleaseRequest &request, const KeyLedger &ledger) const;
+    bool canRelease(const GateId &to, const ReleaseRequest &request, const KeyLedger &ledger) const;
 
     /** The hand-over without its records. From here on no key is announced or run under the claim. */
     ReleaseReply release(const GateId &to, const ReleaseRequest &request, const KeyLedger &ledger);
@@ -89,36 +89,36 @@
     std::optional<GateId> releasedTo(const KeyLedger &ledger) const;
 
     /** Takes a hand-over. False when it was taken before: a doubled one must not bring a right back. */
-    bool inherit(const ReleaseReply &reply);
+    bool acceptHandOver(const ReleaseReply &reply);
 
     /** The claim under which this process may write though it isn't its holder. */
     std::optional<ClaimId> onBehalfOf(const KeyLedger &ledger) const;
 
 private:
-    struct Word
+    struct Revocation
     {
         ClaimId claim{};
         std::optional<WallTime> floor{};
     };
 
-    std::optional<PlacedClaim> base(const KeyLedger &ledger) const;
+    std::optional<PlacedClaim> activeClaim(const KeyLedger &ledger) const;
     bool isReleased(const ClaimId &claim) const;
-    bool promised(const KeyClaim &claim, WallTime time) const;
+    bool isPromised(const KeyClaim &claim, WallTime time) const;
     bool isRenewalDue(const KeyClaim &current, WallTime now) const;
     std::optional<WallTime> takeOverFloor(const PlacedClaim &current, WallTime now) const;
-    void addActivations(std::vector<KeyOutgoing> &into, const KeyClaim &claim, WallTime now) const;
+    void addActivateRequests(std::vector<OutgoingKeyMessage> &messages, const KeyClaim &claim, WallTime now) const;
     KeyClaim makeClaim(LogOffset basedOn, WallTime floor, WallTime now);
 
     GateId m_self;
     Options m_options;
     KeyPlacement m_placement;
-    std::optional<KeyClaim> m_onItsWay;
+    std::optional<KeyClaim> m_claimInFlight;
     std::map<ClaimId, std::map<GateId, WallTime>> m_promises; ///< by claim and witness
-    std::map<ClaimId, GateId> m_released;
-    std::set<ClaimId> m_inherited;
-    std::optional<PlacedClaim> m_borrowed; ///< another's claim whose right was handed over
-    WallTime m_borrowedFloor{};
-    std::optional<Word> m_word; ///< the best word of a witness on the claim to be replaced
+    std::map<ClaimId, GateId> m_releasedTo;
+    std::set<ClaimId> m_acceptedHandOvers;
+    std::optional<PlacedClaim> m_handedOverClaim; ///< another's claim whose right was handed over
+    WallTime m_handedOverFloor{};
+    std::optional<Revocation> m_bestRevocation; ///< the best word of a witness on the claim to be replaced
     std::uint64_t m_serial = 0;
 };
 
--- a/modules/heatherridge_coordination/keys/keyaction.h
+++ b/modules/heatherridge_coordination/keys/keyaction.h
@@ -38,13 +38,13 @@
 /** What a gate tells the entry about one try. */
 using KeyReply = std::variant<StoredAnswer, Error, KeyRedirect>;
 
-/** Append @p batch to the shard's stream and report with KeyGate::appended(). */
+/** Append @p batch to the shard's stream and report with KeyGate::appendCompleted(). */
 struct AppendBatch
 {
     KeyBatch batch{};
 };
 
-/** Send the call to the service now, once, with the body of @p attempt, and report with KeyGate::served(). */
+/** Send the call to the service now, once, with the body of @p attempt, and report with KeyGate::callCompleted(). */
 struct RunCall
 {
     Uuid7 key{};
@@ -59,14 +59,14 @@
 };
 
 /** Send @p message to another gate of the shard. */
-struct SendToGate
+struct SendKeyMessage
 {
     GateId to{};
     KeyMessage message{};
 };
 
 /** What a gate wants done, in this order. */
-using KeyAction = std::variant<AppendBatch, RunCall, AnswerCall, SendToGate>;
+using KeyAction = std::variant<AppendBatch, RunCall, AnswerCall, SendKeyMessage>;
 using KeyActions = std::vector<KeyAction>;
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/keys/keygate.cpp
+++ b/modules/heatherridge_coordination/keys/keygate.cpp
@@ -11,7 +11,7 @@
 {
 
 /** Entries' runs whose last number is kept. An entry restarts far less often than this many times within a minute. */
-constexpr std::size_t MaxEntryRuns = 8192;
+constexpr std::size_t MaxTrackedEntries = 8192;
 
 KeyLedger::Options ledgerOptions(const KeyGate::Options &options)
 {
@@ -20,7 +20,7 @@
     return ledger;
 }
 
-ClaimKeeper::Options claimOptions(const KeyGate::Options &options)
+ClaimManager::Options claimOptions(const KeyGate::Options &options)
 {
     auto claims = options.claims;
     claims.safeguards = options.safeguards;
@@ -33,15 +33,15 @@
     : m_self(std::move(self))
     , m_options(options)
     , m_ledger(ledgerOptions(options))
-    , m_claims(m_self, claimOptions(options))
-    , m_witness(2 * options.window, options.safeguards)
+    , m_claimManager(m_self, claimOptions(options))
+    , m_witnessPromises(2 * options.window, options.safeguards)
     , m_writer(m_self)
 {
 }
 
-KeyActions KeyGate::request(const KeyedCall &call, WallTime now)
+KeyActions KeyGate::requestReceived(const KeyedCall &call, WallTime now)
 {
-    if (isNew(call.attempt)) {
+    if (registerAttempt(call.attempt)) {
         decide(call, now);
         flush();
     } else {
@@ -52,79 +52,79 @@
 
 KeyActions KeyGate::cancel(const AttemptId &attempt)
 {
-    const bool parked = m_calls.unpark(attempt);
-    const auto *call = m_calls.leave(attempt);
-    if (!parked && call == nullptr) {
+    const bool wasParked = m_calls.unpark(attempt);
+    const auto *call = m_calls.removeWaiter(attempt);
+    if (!wasParked && call == nullptr) {
         return takeActions();
     }
     // Another holder may have run an earlier try of the key before the intent of this one gets to the log: that this
     // try never ran is no proof that the key did not.
-    const bool notSent = parked || (call->state == CallState::Announced && call->waiters.empty());
-    refuse(attempt, notSent ? ErrorKind::KeyNotDecidable : ErrorKind::KeyRunning, Ran::Unknown);
+    const bool isUnsent = wasParked || (call->state == CallState::Announced && call->waiters.empty());
+    refuse(attempt, isUnsent ? ErrorKind::KeyNotDecidable : ErrorKind::KeyRunning, Ran::Unknown);
     return takeActions();
 }
 
-KeyActions KeyGate::served(const Uuid7 &key, Result<StoredAnswer> result)
+KeyActions KeyGate::callCompleted(const Uuid7 &key, Result<StoredAnswer> result)
 {
     assert(m_calls.find(key) != nullptr && m_calls.find(key)->state == CallState::Running);
     const auto call = m_calls.close(key);
     std::visit(Visitor{
                    [&](const StoredAnswer &stored) {
-                       auto kept = stored;
-                       if (kept.body.size() > StoredAnswer::MaxBody) {
-                           kept.body.clear();
-                           kept.bodyDropped = true;
+                       auto storedCopy = stored;
+                       if (storedCopy.body.size() > StoredAnswer::MaxBodyBytes) {
+                           storedCopy.body.clear();
+                           storedCopy.bodyDropped = true;
                        }
-                       conclude(key, call, KeyFate::Answered, kept);
+                       recordOutcome(key, call, RunState::Answered, storedCopy);
                    },
                    [&](const Error &error) {
                        const bool notRun = error.ranOrDefault() == Ran::No;
-                       conclude(key, call, notRun ? KeyFate::NotRun : KeyFate::Unknown, {});
+                       recordOutcome(key, call, notRun ? RunState::NotRun : RunState::Unknown, {});
                    },
                },
                result);
     for (const auto &waiter : call.waiters) {
-        std::visit([&](const auto &told) { answer(waiter, told); }, result);
+        std::visit([&](const auto &response) { sendAnswer(waiter, response); }, result);
     }
     // The outcome goes with the next intent, or at the next tick: an append of its own would hold that intent up.
     return takeActions();
 }
 
-KeyActions KeyGate::read(LogOffset offset, std::optional<KeyBatch> batch, WallTime now)
+KeyActions KeyGate::recordRead(LogOffset offset, std::optional<KeyBatch> batch, WallTime now)
 {
     const auto copy = batch;
     m_ledger.apply(offset, std::move(batch));
-    if (copy && copy->writer == m_self && m_writer.readBack(copy->serial)) {
-        settleOwnBatch(*copy);
+    if (copy && copy->writer == m_self && m_writer.confirmReadBack(copy->serial)) {
+        handleOwnBatch(*copy);
     }
     if (copy) {
-        m_unrecorded.forgetRecorded(*copy, m_ledger);
+        m_unrecorded.eraseRecorded(*copy, m_ledger);
     }
-    drive(now);
+    advance(now);
     return takeActions();
 }
 
-KeyActions KeyGate::recordsLost(LogOffset through)
+KeyActions KeyGate::recordsExpired(LogOffset through)
 {
-    m_ledger.recordsLost(through);
+    m_ledger.recordsExpired(through);
     for (const auto &record : m_writer.abandon()) {
-        settleLost(record);
+        handleLostRecord(record);
     }
     return takeActions();
 }
 
-KeyActions KeyGate::caughtUp(WallTime now)
+KeyActions KeyGate::streamCaughtUp(WallTime now)
 {
     m_caughtUp = true;
-    drive(now);
+    advance(now);
     return takeActions();
 }
 
-KeyActions KeyGate::appended(std::uint64_t serial, bool ok, WallTime now)
+KeyActions KeyGate::appendCompleted(std::uint64_t serial, bool ok, WallTime now)
 {
-    m_writer.appended(serial, ok);
+    m_writer.appendCompleted(serial, ok);
     if (ok && !m_options.safeguards.intentsReadBack) {
-        for (const auto &record : m_writer.unconfirmed()) {
+        for (const auto &record : m_writer.unconfirmedRecords()) {
             if (const auto *intent = std::get_if<KeyIntent>(&record)) {
                 auto *call = m_calls.find(intent->key);
                 if (call != nullptr && call->state == CallState::Announced && !call->waiters.empty()) {
@@ -134,38 +134,38 @@
         }
     }
     if (ok) {
-        drive(now);
+        advance(now);
     }
     return takeActions();
 }
 
-KeyActions KeyGate::logChanged(bool well, WallTime now)
+KeyActions KeyGate::logAvailabilityChanged(bool available, WallTime now)
 {
-    m_logWell = well;
-    drive(now);
+    m_logAvailable = available;
+    advance(now);
     return takeActions();
 }
 
 KeyActions KeyGate::placementChanged(KeyPlacement placement, WallTime now)
 {
-    m_claims.place(std::move(placement));
-    drive(now);
+    m_claimManager.setPlacement(std::move(placement));
+    advance(now);
     return takeActions();
 }
 
-KeyActions KeyGate::message(const GateId &from, const KeyMessage &message, WallTime now)
+KeyActions KeyGate::messageReceived(const GateId &from, const KeyMessage &message, WallTime now)
 {
     handle(from, message, now);
-    drive(now);
+    advance(now);
     return takeActions();
 }
 
 KeyActions KeyGate::tick(WallTime now)
 {
-    for (const auto &request : m_claims.requests(m_ledger, now, m_logWell)) {
+    for (const auto &request : m_claimManager.pendingRequests(m_ledger, now, m_logAvailable)) {
         send(request.to, request.message, now);
     }
-    drive(now);
+    advance(now);
     return takeActions();
 }
 
@@ -176,7 +176,7 @@
 
 bool KeyGate::isHolder() const
 {
-    return m_claims.announces(m_ledger);
+    return m_claimManager.canAnnounce(m_ledger);
 }
 
 std::size_t KeyGate::openCalls() const
@@ -198,80 +198,81 @@
  * Whether @p attempt has not been seen. A frame that comes doubled, or so late that later ones overtook it, may belong
  * to a try that was already told "not run"; running it then would make that a lie.
  */
-bool KeyGate::isNew(const AttemptId &attempt)
+bool KeyGate::registerAttempt(const AttemptId &attempt)
 {
     if (!m_options.safeguards.attemptsOnce) {
-        return !m_calls.isWaiting(attempt);
+        return !m_calls.hasWaiter(attempt);
     }
-    auto &highest = m_seen[attempt.entry];
+    auto &highest = m_highestAttempts[attempt.entry];
     if (attempt.number <= highest) {
         return false;
     }
     highest = attempt.number;
-    if (m_seen.size() > MaxEntryRuns) {
-        m_seen.erase(m_seen.begin()->first == attempt.entry ? std::next(m_seen.begin()) : m_seen.begin());
+    if (m_highestAttempts.size() > MaxTrackedEntries) {
+        m_highestAttempts.erase(m_highestAttempts.begin()->first == attempt.entry ? std::next(m_highestAttempts.begin())
+                                                                                  : m_highestAttempts.begin());
     }
     return true;
 }
 
-/** Answers @p asked from what is known, or admits it. */
-void KeyGate::decide(const KeyedCall &asked, WallTime now)
+/** Answers @p keyedCall from what is known, or admits it. */
+void KeyGate::decide(const KeyedCall &keyedCall, WallTime now)
 {
-    if (const auto *open = m_calls.find(asked.key)) {
-        join(*open, asked);
+    if (const auto *open = m_calls.find(keyedCall.key)) {
+        join(*open, keyedCall);
         return;
     }
-    const auto entry = m_unrecorded.known(asked.key, m_ledger);
-    const bool released = entry && entry->fate == KeyFate::NotRun;
-    const bool deadRun = entry && entry->fate == KeyFate::Open && !m_options.safeguards.deadRunsUnknown;
-    if (entry && !released && !deadRun) {
-        answerKnown(*entry, asked);
-    } else if (entry && entry->fingerprint != asked.fingerprint) {
+    const auto entry = m_unrecorded.find(keyedCall.key, m_ledger);
+    const bool isReleased = entry && entry->runState == RunState::NotRun;
+    const bool isDeadRun = entry && entry->runState == RunState::Open && !m_options.safeguards.deadRunsUnknown;
+    if (entry && !isReleased && !isDeadRun) {
+        answerFromEntry(*entry, keyedCall);
+    } else if (entry && entry->fingerprint != keyedCall.fingerprint) {
         ++m_counters.mismatches;
-        refuse(asked.attempt, ErrorKind::KeyMismatch);
+        refuse(keyedCall.attempt, ErrorKind::KeyMismatch);
     } else {
-        admit(asked, released, now);
+        admit(keyedCall, isReleased, now);
     }
 }
 
-void KeyGate::join(const OpenCall &call, const KeyedCall &asked)
+void KeyGate::join(const OpenCall &call, const KeyedCall &keyedCall)
 {
-    if (call.fingerprint != asked.fingerprint) {
+    if (call.fingerprint != keyedCall.fingerprint) {
         ++m_counters.mismatches;
-        refuse(asked.attempt, ErrorKind::KeyMismatch);
+        refuse(keyedCall.attempt, ErrorKind::KeyMismatch);
         return;
     }
     if (call.waiters.size() >= m_options.maxWaiters) {
-        refuse(asked.attempt, ErrorKind::KeyRunning);
+        refuse(keyedCall.attempt, ErrorKind::KeyRunning);
         return;
     }
     ++m_counters.joined;
-    m_calls.join(asked);
+    m_calls.join(keyedCall);
 }
 
-void KeyGate::answerKnown(const KeyEntry &entry, const KeyedCall &asked)
+void KeyGate::answerFromEntry(const KeyEntry &entry, const KeyedCall &keyedCall)
 {
-    if (entry.fingerprint != asked.fingerprint) {
+    if (entry.fingerprint != keyedCall.fingerprint) {
         ++m_counters.mismatches;
-        refuse(asked.attempt, ErrorKind::KeyMismatch);
+        refuse(keyedCall.attempt, ErrorKind::KeyMismatch);
         return;
     }
-    if (entry.fate != KeyFate::Answered) {
+    if (entry.runState != RunState::Answered) {
         ++m_counters.unknown;
-        refuse(asked.attempt, ErrorKind::KeyOutcomeUnknown);
+        refuse(keyedCall.attempt, ErrorKind::KeyOutcomeUnknown);
         return;
     }
     if (entry.answer.bodyDropped) {
         ++m_counters.unknown;
-        refuse(asked.attempt, ErrorKind::KeyOutcomeUnknown, Ran::Yes);
+        refuse(keyedCall.attempt, ErrorKind::KeyOutcomeUnknown, Ran::Yes);
         return;
     }
     ++m_counters.repeatsAnswered;
-    answer(asked.attempt, entry.answer);
+    sendAnswer(keyedCall.attempt, entry.answer);
 }
 
 /** Why a key created at @p time can't be taken at @p now, if so. */
-std::optional<ErrorKind> KeyGate::datingFault(WallTime time, WallTime now)
+std::optional<ErrorKind> KeyGate::checkCreationTime(WallTime time, WallTime now)
 {
     if (time > now + m_options.claims.tolerance) {
         ++m_counters.fromTheFuture;
@@ -284,48 +285,48 @@
     return std::nullopt;
 }
 
-/** Decides on a key that has not run as far as is known here; @p released when it is known not to have run. */
-void KeyGate::admit(const KeyedCall &asked, bool released, WallTime now)
+/** Decides on a key that has not run as far as is known here; @p isReleased when it is known not to have run. */
+void KeyGate::admit(const KeyedCall &keyedCall, bool isReleased, WallTime now)
 {
-    const auto time = asked.key.time();
-    const bool holder = m_claims.announces(m_ledger);
-    const auto &placement = m_claims.placement();
-    if (const auto fault = datingFault(time, now)) {
-        refuse(asked.attempt, *fault);
+    const auto time = keyedCall.key.time();
+    const bool isHolderNow = m_claimManager.canAnnounce(m_ledger);
+    const auto &placement = m_claimManager.placement();
+    if (const auto error = checkCreationTime(time, now)) {
+        refuse(keyedCall.attempt, *error);
         return;
     }
     if (!placement.accepting) {
-        redirect(asked.attempt);
+        redirect(keyedCall.attempt);
         return;
     }
     if (m_calls.size() >= m_options.maxCalls) {
         ++m_counters.full;
-        refuse(asked.attempt, ErrorKind::QueueFull, Ran::Unknown);
-    } else if (m_logWell && holder && !released && !m_ledger.canDecide(time)) {
+        refuse(keyedCall.attempt, ErrorKind::QueueFull, Ran::Unknown);
+    } else if (m_logAvailable && isHolderNow && !isReleased && !m_ledger.canDecide(time)) {
         ++m_counters.unknown;
-        refuse(asked.attempt, ErrorKind::KeyOutcomeUnknown);
-    } else if (m_logWell && holder) {
-        announce(asked);
-    } else if (m_claims.mayRunWithoutLog(m_ledger, time)) {
-        startWithoutLog(asked);
-    } else if (holder || placement.wanted) {
+        refuse(keyedCall.attempt, ErrorKind::KeyOutcomeUnknown);
+    } else if (m_logAvailable && isHolderNow) {
+        announce(keyedCall);
+    } else if (m_claimManager.canRunWithoutLog(m_ledger, time)) {
+        startWithoutLog(keyedCall);
+    } else if (isHolderNow || placement.shouldHold) {
         // The witnesses' promises, or the take-over, may be there in a moment.
-        m_calls.park(asked, now);
+        m_calls.park(keyedCall, now);
     } else {
-        redirect(asked.attempt);
+        redirect(keyedCall.attempt);
     }
 }
 
 /** Decides again on the tries that wait for this gate to be able to; those that have waited too long are refused. */
-void KeyGate::decideParked(WallTime now)
+void KeyGate::retryParked(WallTime now)
 {
-    const bool holder = m_claims.announces(m_ledger);
+    const bool isHolderNow = m_claimManager.canAnnounce(m_ledger);
     for (const auto &parked : m_calls.takeParked()) {
-        if (now - parked.since <= m_options.parkTime) {
+        if (now - parked.since <= m_options.maxParkTime) {
             decide(parked.call, now);
             continue;
         }
-        if (holder) {
+        if (isHolderNow) {
             // The shard may have a new holder by now that this process, cut off from the log, has not heard of.
             ++m_counters.notDecidable;
             refuse(parked.call.attempt, ErrorKind::KeyNotDecidable, Ran::Unknown);
@@ -335,53 +336,53 @@
     }
 }
 
-void KeyGate::announce(const KeyedCall &asked)
+void KeyGate::announce(const KeyedCall &keyedCall)
 {
-    m_calls.open(asked);
-    m_writer.add(KeyIntent{.key = asked.key, .fingerprint = asked.fingerprint, .runner = m_self});
+    m_calls.open(keyedCall);
+    m_writer.add(KeyIntent{.key = keyedCall.key, .fingerprint = keyedCall.fingerprint, .runner = m_self});
 }
 
-void KeyGate::startWithoutLog(const KeyedCall &asked)
+void KeyGate::startWithoutLog(const KeyedCall &keyedCall)
 {
     ++m_counters.runWithoutLog;
-    announce(asked);
-    run(asked.key, *m_calls.find(asked.key));
+    announce(keyedCall);
+    run(keyedCall.key, *m_calls.find(keyedCall.key));
 }
 
 void KeyGate::run(const Uuid7 &key, OpenCall &call)
 {
     assert(!call.waiters.empty());
     call.state = CallState::Running;
-    m_unrecorded.forget(key);
+    m_unrecorded.erase(key);
     ++m_counters.run;
     m_actions.push_back(RunCall{.key = key, .attempt = call.waiters.front()});
 }
 
 /** An intent of this process has been read back: it counts if it is the first of its key, by the holder. */
-void KeyGate::settleIntent(const KeyIntent &intent)
+void KeyGate::handleOwnIntent(const KeyIntent &intent)
 {
     auto *call = m_calls.find(intent.key);
     if (call == nullptr || call->state != CallState::Announced) {
         return;
     }
     const auto *entry = m_ledger.find(intent.key);
-    const bool counts = entry != nullptr && entry->fate == KeyFate::Open && entry->runner == m_self;
-    if (counts && !call->waiters.empty()) {
+    const bool isAccepted = entry != nullptr && entry->runState == RunState::Open && entry->runner == m_self;
+    if (isAccepted && !call->waiters.empty()) {
         run(intent.key, *call);
-    } else if (counts) {
-        conclude(intent.key, m_calls.close(intent.key), KeyFate::NotRun, {});
+    } else if (isAccepted) {
+        recordOutcome(intent.key, m_calls.close(intent.key), RunState::NotRun, {});
     } else {
-        answerElsewhere(intent.key, entry == nullptr ? std::nullopt : std::optional(*entry));
+        closeUnrunCall(intent.key, entry == nullptr ? std::nullopt : std::optional(*entry));
     }
 }
 
 /** Ends an announced call that this process may not run, with what is known of its key. */
-void KeyGate::answerElsewhere(const Uuid7 &key, const std::optional<KeyEntry> &entry)
+void KeyGate::closeUnrunCall(const Uuid7 &key, const std::optional<KeyEntry> &entry)
 {
     const auto call = m_calls.close(key);
     for (const auto &waiter : call.waiters) {
-        if (entry && entry->fate != KeyFate::NotRun) {
-            answerKnown(*entry, {.attempt = waiter, .key = key, .fingerprint = call.fingerprint});
+        if (entry && entry->runState != RunState::NotRun) {
+            answerFromEntry(*entry, {.attempt = waiter, .key = key, .fingerprint = call.fingerprint});
         } else {
             redirect(waiter);
         }
@@ -392,33 +393,33 @@
  * A record of this process may have landed among those that expired unread. Appending it again under its number is no
  * way out: readers who saw it skip the second, while this process would take it for the first.
  */
-void KeyGate::settleLost(const KeyRecord &record)
+void KeyGate::handleLostRecord(const KeyRecord &record)
 {
     std::visit(Visitor{
                    [this](const KeyIntent &intent) {
                        const auto *call = m_calls.find(intent.key);
                        if (call != nullptr && call->state == CallState::Announced) {
-                           answerElsewhere(intent.key,
-                                           KeyEntry{.fingerprint = call->fingerprint, .fate = KeyFate::Unknown});
+                           closeUnrunCall(intent.key,
+                                          KeyEntry{.fingerprint = call->fingerprint, .runState = RunState::Unknown});
                        }
                    },
                    [this](const KeyOutcome &outcome) {
-                       if (outcome.fate != KeyFate::NotRun) {
+                       if (outcome.runState != RunState::NotRun) {
                            m_writer.add(outcome);
                        }
                    },
-                   [this](const KeyClaim &) { m_claims.claimFolded(); },
+                   [this](const KeyClaim &) { m_claimManager.confirmClaimReadBack(); },
                },
                record);
 }
 
-void KeyGate::settleOwnBatch(const KeyBatch &batch)
+void KeyGate::handleOwnBatch(const KeyBatch &batch)
 {
     for (const auto &record : batch.records) {
         std::visit(Visitor{
-                       [this](const KeyIntent &intent) { settleIntent(intent); },
+                       [this](const KeyIntent &intent) { handleOwnIntent(intent); },
                        [](const KeyOutcome &) {},
-                       [this](const KeyClaim &) { m_claims.claimFolded(); },
+                       [this](const KeyClaim &) { m_claimManager.confirmClaimReadBack(); },
                    },
                    record);
     }
@@ -427,12 +428,12 @@
 /** Calls that wait for their intent to be read back may run at once when the right to do without the log is there. */
 void KeyGate::runAnnouncedWithoutLog()
 {
-    if (m_logWell) {
+    if (m_logAvailable) {
         return;
     }
     for (auto &[key, call] : m_calls.calls()) {
-        const bool waits = call.state == CallState::Announced && !call.waiters.empty();
-        if (waits && m_claims.mayRunWithoutLog(m_ledger, key.time())) {
+        const bool isWaiting = call.state == CallState::Announced && !call.waiters.empty();
+        if (isWaiting && m_claimManager.canRunWithoutLog(m_ledger, key.time())) {
             // The intent on its way was written before the right was there, and may be void.
             m_writer.add(KeyIntent{.key = key, .fingerprint = call.fingerprint, .runner = m_self});
             ++m_counters.runWithoutLog;
@@ -442,51 +443,51 @@
 }
 
 /** Answers the calls that wait for their intent though another process has run them, as a hand-over has shown. */
-void KeyGate::settleInherited()
+void KeyGate::closeCallsRunElsewhere()
 {
     std::vector<Uuid7> runElsewhere;
     for (const auto &[key, call] : m_calls.calls()) {
-        const auto entry = m_unrecorded.known(key, m_ledger);
-        const bool ours = entry && entry->runner == m_self && entry->fate == KeyFate::Open;
-        if (call.state == CallState::Announced && entry && !ours && entry->fate != KeyFate::NotRun) {
+        const auto entry = m_unrecorded.find(key, m_ledger);
+        const bool isOwnRun = entry && entry->runner == m_self && entry->runState == RunState::Open;
+        if (call.state == CallState::Announced && entry && !isOwnRun && entry->runState != RunState::NotRun) {
             runElsewhere.push_back(key);
         }
     }
     for (const auto &key : runElsewhere) {
-        answerElsewhere(key, m_unrecorded.known(key, m_ledger));
+        closeUnrunCall(key, m_unrecorded.find(key, m_ledger));
     }
 }
 
-void KeyGate::conclude(const Uuid7 &key, const OpenCall &call, KeyFate fate, const StoredAnswer &answer)
+void KeyGate::recordOutcome(const Uuid7 &key, const OpenCall &call, RunState runState, const StoredAnswer &answer)
 {
     const KeyOutcome outcome{
-        .key = key, .fingerprint = call.fingerprint, .runner = m_self, .fate = fate, .answer = answer};
-    m_unrecorded.note(outcome);
+        .key = key, .fingerprint = call.fingerprint, .runner = m_self, .runState = runState, .answer = answer};
+    m_unrecorded.update(outcome);
     m_writer.add(outcome);
 }
 
-void KeyGate::answer(const AttemptId &attempt, KeyReply reply)
+void KeyGate::sendAnswer(const AttemptId &attempt, KeyReply reply)
 {
     m_actions.push_back(AnswerCall{.attempt = attempt, .reply = std::move(reply)});
 }
 
 void KeyGate::refuse(const AttemptId &attempt, ErrorKind kind, std::optional<Ran> ran)
 {
-    answer(attempt, Error{.kind = kind, .ran = ran});
+    sendAnswer(attempt, Error{.kind = kind, .ran = ran});
 }
 
 void KeyGate::redirect(const AttemptId &attempt)
 {
     ++m_counters.redirected;
     const auto &claim = m_ledger.claim();
-    const auto released = m_claims.releasedTo(m_ledger);
-    ProcessName holder = m_claims.placement().preferred;
-    if (released) {
-        holder = released->process;
+    const auto receiver = m_claimManager.releasedTo(m_ledger);
+    ProcessName holder = m_claimManager.placement().preferredHolder;
+    if (receiver) {
+        holder = receiver->process;
     } else if (claim && claim->claim.id.holder.process != m_self.process) {
         holder = claim->claim.id.holder.process;
     }
-    answer(attempt, KeyRedirect{.holder = holder == m_self.process ? ProcessName{} : holder});
+    sendAnswer(attempt, KeyRedirect{.holder = holder == m_self.process ? ProcessName{} : holder});
 }
 
 void KeyGate::send(const GateId &to, const KeyMessage &message, WallTime now)
@@ -495,26 +496,26 @@
         handle(m_self, message, now);
         return;
     }
-    m_actions.push_back(SendToGate{.to = to, .message = message});
+    m_actions.push_back(SendKeyMessage{.to = to, .message = message});
 }
 
 void KeyGate::handle(const GateId &from, const KeyMessage &message, WallTime now)
 {
     std::visit(Visitor{
                    [&](const ActivateRequest &request) {
-                       if (const auto reply = m_witness.activate(request, now)) {
+                       if (const auto reply = m_witnessPromises.activate(request, now)) {
                            send(from, *reply, now);
                        }
                    },
                    [&](const RevokeRequest &request) {
-                       if (const auto reply = m_witness.revoke(request, now)) {
+                       if (const auto reply = m_witnessPromises.revoke(request, now)) {
                            send(from, *reply, now);
                        }
                    },
-                   [&](const ActivateReply &reply) { m_claims.take(from, reply); },
-                   [&](const RevokeReply &reply) { m_claims.take(from, reply, m_ledger); },
+                   [&](const ActivateReply &reply) { m_claimManager.handleReply(from, reply); },
+                   [&](const RevokeReply &reply) { m_claimManager.handleReply(from, reply, m_ledger); },
                    [&](const ReleaseRequest &request) { handOver(from, request); },
-                   [&](const ReleaseReply &reply) { inherit(reply); },
+                   [&](const ReleaseReply &reply) { acceptHandOver(reply); },
                    [](const GatePresence &) {},
                },
                message);
@@ -523,52 +524,52 @@
 /** Hands the shard over, or sends an earlier hand-over again whose message may have been lost. */
 void KeyGate::handOver(const GateId &to, const ReleaseRequest &request)
 {
-    if (m_handOver && m_handOver->first == to && m_handOver->second.claim.claim.id == request.claim) {
-        m_actions.push_back(SendToGate{.to = to, .message = m_handOver->second});
+    if (m_lastHandOver && m_lastHandOver->first == to && m_lastHandOver->second.claim.claim.id == request.claim) {
+        m_actions.push_back(SendKeyMessage{.to = to, .message = m_lastHandOver->second});
         return;
     }
-    if (!m_claims.mayRelease(to, request, m_ledger)) {
+    if (!m_claimManager.canRelease(to, request, m_ledger)) {
         return;
     }
     auto knownRecords = request.withRight ? m_unrecorded.snapshot(m_ledger) : std::vector<KeyRecord>{};
-    const auto unconfirmed = m_writer.unconfirmed();
-    if (knownRecords.size() > MaxHandOverRecords || unconfirmed.size() > MaxHandOverRecords) {
+    const auto unconfirmedRecords = m_writer.unconfirmedRecords();
+    if (knownRecords.size() > MaxHandOverRecords || unconfirmedRecords.size() > MaxHandOverRecords) {
         return;
     }
-    auto reply = m_claims.release(to, request, m_ledger);
+    auto reply = m_claimManager.release(to, request, m_ledger);
     if (m_options.safeguards.releaseCarriesRuns) {
         reply.known = std::move(knownRecords);
-        std::copy_if(unconfirmed.begin(), unconfirmed.end(), std::back_inserter(reply.unrecorded),
+        std::copy_if(unconfirmedRecords.begin(), unconfirmedRecords.end(), std::back_inserter(reply.unrecorded),
                      [](const KeyRecord &record) { return !std::holds_alternative<KeyClaim>(record); });
     }
     ++m_counters.handedOver;
-    m_handOver = std::pair(to, reply);
-    m_actions.push_back(SendToGate{.to = to, .message = std::move(reply)});
+    m_lastHandOver = std::pair(to, reply);
+    m_actions.push_back(SendKeyMessage{.to = to, .message = std::move(reply)});
 }
 
-void KeyGate::inherit(const ReleaseReply &reply)
+void KeyGate::acceptHandOver(const ReleaseReply &reply)
 {
-    if (!m_claims.inherit(reply)) {
+    if (!m_claimManager.acceptHandOver(reply)) {
         return;
     }
     ++m_counters.inherited;
     for (const auto &record : reply.known) {
-        m_unrecorded.note(record);
+        m_unrecorded.update(record);
     }
     for (const auto &record : reply.unrecorded) {
-        m_unrecorded.note(record);
+        m_unrecorded.update(record);
         m_writer.add(record);
     }
-    settleInherited();
+    closeCallsRunElsewhere();
 }
 
 /** Does what has become possible by the last event. */
-void KeyGate::drive(WallTime now)
+void KeyGate::advance(WallTime now)
 {
     runAnnouncedWithoutLog();
-    decideParked(now);
-    if (m_logWell && m_caughtUp) {
-        if (const auto claim = m_claims.nextClaim(m_ledger, now)) {
+    retryParked(now);
+    if (m_logAvailable && m_caughtUp) {
+        if (const auto claim = m_claimManager.nextClaim(m_ledger, now)) {
             m_writer.add(*claim);
         }
     }
@@ -577,10 +578,10 @@
 
 void KeyGate::flush()
 {
-    if (!m_logWell) {
+    if (!m_logAvailable) {
         return;
     }
-    if (auto batch = m_writer.next(m_ledger.view(), m_claims.onBehalfOf(m_ledger))) {
+    if (auto batch = m_writer.nextBatch(m_ledger.view(), m_claimManager.onBehalfOf(m_ledger))) {
         m_actions.push_back(AppendBatch{.batch = std::move(*batch)});
     }
 }
--- a/modules/heatherridge_coordination/keys/keygate.h
+++ b/modules/heatherridge_coordination/keys/keygate.h
@@ -36,8 +36,8 @@
  *
  * A state machine: every method takes an event and returns what is to be done. With the log well, a call runs once its
  * intent has been read back as the first of its key, written by the holder of the shard. With the log out, it runs only
- * under the promises that ClaimKeeper holds. A refused try never runs later. An error's ran speaks of the key, over all
- * tries and gates so far, and is No only where that is proved. No I/O, no clock; one thread.
+ * under the promises that ClaimManager holds. A refused try never runs later. An error's ran speaks of the key, over
+ * all tries and gates so far, and is No only where that is proved. No I/O, no clock; one thread.
  */
 class KeyGate
 {
@@ -45,11 +45,11 @@
     struct Options
     {
         KeyLedger::Options ledger{};
-        ClaimKeeper::Options claims{};
+        ClaimManager::Options claims{};
         std::chrono::milliseconds window = std::chrono::hours(24); ///< older keys are refused
         std::size_t maxCalls = 4096; ///< calls announced or running
         std::size_t maxWaiters = 8; ///< tries that wait for one run
-        std::chrono::milliseconds parkTime{1500}; ///< how long a try waits for a take-over of the shard to end
+        std::chrono::milliseconds maxParkTime{1500}; ///< how long a try waits for a take-over of the shard to end
         KeySafeguards safeguards{};
     };
 
@@ -57,7 +57,7 @@
     KeyGate(GateId self, Options options);
 
     /** A try arrived at @p now. It is answered by exactly one AnswerCall, now or later, unless it was dropped. */
-    KeyActions request(const KeyedCall &call, WallTime now);
+    KeyActions requestReceived(const KeyedCall &call, WallTime now);
 
     /** The entry gives a try up. The try won't run any more unless it runs already; no proof about the key as such. */
     KeyActions cancel(const AttemptId &attempt);
@@ -65,28 +65,28 @@
     /**
      * The service's answer to a RunCall. An error whose ran is No frees the key to be run again.
      */
-    KeyActions served(const Uuid7 &key, Result<StoredAnswer> result);
+    KeyActions callCompleted(const Uuid7 &key, Result<StoredAnswer> result);
 
     /** A record of the shard's stream was read; @p batch is nothing when it is damaged. */
-    KeyActions read(LogOffset offset, std::optional<KeyBatch> batch, WallTime now);
+    KeyActions recordRead(LogOffset offset, std::optional<KeyBatch> batch, WallTime now);
 
     /** The records up to @p through have expired unread. */
-    KeyActions recordsLost(LogOffset through);
+    KeyActions recordsExpired(LogOffset through);
 
     /** Reading has come to the end of the stream: from here on claims may be made. */
-    KeyActions caughtUp(WallTime now);
+    KeyActions streamCaughtUp(WallTime now);
 
     /** The append of batch @p serial ended; without @p ok it may have taken effect or not. */
-    KeyActions appended(std::uint64_t serial, bool ok, WallTime now);
+    KeyActions appendCompleted(std::uint64_t serial, bool ok, WallTime now);
 
     /** The log is reachable or not, as this process sees it. Decides what is tried, never what is safe. */
-    KeyActions logChanged(bool well, WallTime now);
+    KeyActions logAvailabilityChanged(bool available, WallTime now);
 
     /** Who is to hold the shard has changed. */
     KeyActions placementChanged(KeyPlacement placement, WallTime now);
 
     /** Gate @p from sent @p message to this run of this process. */
-    KeyActions message(const GateId &from, const KeyMessage &message, WallTime now);
+    KeyActions messageReceived(const GateId &from, const KeyMessage &message, WallTime now);
 
     /** Asks and appends again what is due; call a few times a second. */
     KeyActions tick(WallTime now);
@@ -107,47 +107,47 @@
     const KeyGateCounters &counters() const;
 
 private:
-    bool isNew(const AttemptId &attempt);
-    void decide(const KeyedCall &asked, WallTime now);
-    void join(const OpenCall &call, const KeyedCall &asked);
-    void answerKnown(const KeyEntry &entry, const KeyedCall &asked);
-    void admit(const KeyedCall &asked, bool released, WallTime now);
-    std::optional<ErrorKind> datingFault(WallTime time, WallTime now);
-    void decideParked(WallTime now);
-    void announce(const KeyedCall &asked);
-    void startWithoutLog(const KeyedCall &asked);
+    bool registerAttempt(const AttemptId &attempt);
+    void decide(const KeyedCall &keyedCall, WallTime now);
+    void join(const OpenCall &call, const KeyedCall &keyedCall);
+    void answerFromEntry(const KeyEntry &entry, const KeyedCall &keyedCall);
+    void admit(const KeyedCall &keyedCall, bool isReleased, WallTime now);
+    std::optional<ErrorKind> checkCreationTime(WallTime time, WallTime now);
+    void retryParked(WallTime now);
+    void announce(const KeyedCall &keyedCall);
+    void startWithoutLog(const KeyedCall &keyedCall);
     void run(const Uuid7 &key, OpenCall &call);
-    void settleIntent(const KeyIntent &intent);
-    void settleLost(const KeyRecord &record);
-    void settleOwnBatch(const KeyBatch &batch);
+    void handleOwnIntent(const KeyIntent &intent);
+    void handleLostRecord(const KeyRecord &record);
+    void handleOwnBatch(const KeyBatch &batch);
     void runAnnouncedWithoutLog();
-    void settleInherited();
-    void answerElsewhere(const Uuid7 &key, const std::optional<KeyEntry> &entry);
-    void conclude(const Uuid7 &key, const OpenCall &call, KeyFate fate, const StoredAnswer &answer);
-    void answer(const AttemptId &attempt, KeyReply reply);
+    void closeCallsRunElsewhere();
+    void closeUnrunCall(const Uuid7 &key, const std::optional<KeyEntry> &entry);
+    void recordOutcome(const Uuid7 &key, const OpenCall &call, RunState runState, const StoredAnswer &answer);
+    void sendAnswer(const AttemptId &attempt, KeyReply reply);
     void refuse(const AttemptId &attempt, ErrorKind kind, std::optional<Ran> ran = {});
     void redirect(const AttemptId &attempt);
     void send(const GateId &to, const KeyMessage &message, WallTime now);
     void handle(const GateId &from, const KeyMessage &message, WallTime now);
     void handOver(const GateId &to, const ReleaseRequest &request);
-    void inherit(const ReleaseReply &reply);
-    void drive(WallTime now);
+    void acceptHandOver(const ReleaseReply &reply);
+    void advance(WallTime now);
     void flush();
     KeyActions takeActions();
 
     GateId m_self;
     Options m_options;
     KeyLedger m_ledger;
-    ClaimKeeper m_claims;
-    WitnessBook m_witness;
+    ClaimManager m_claimManager;
+    WitnessPromises m_witnessPromises;
     BatchWriter m_writer;
     OpenCalls m_calls;
     UnrecordedKeys m_unrecorded;
-    std::map<GateId, std::uint64_t> m_seen; ///< highest number of each entry's run
-    std::optional<std::pair<GateId, ReleaseReply>> m_handOver; ///< kept for a receiver that asks again
+    std::map<GateId, std::uint64_t> m_highestAttempts; ///< highest number of each entry's run
+    std::optional<std::pair<GateId, ReleaseReply>> m_lastHandOver; ///< kept for a receiver that asks again
     KeyActions m_actions;
     KeyGateCounters m_counters;
-    bool m_logWell = false;
+    bool m_logAvailable = false;
     bool m_caughtUp = false;
 };
 
--- a/modules/heatherridge_coordination/keys/opencalls.cpp
+++ b/modules/heatherridge_coordination/keys/opencalls.cpp
@@ -7,18 +7,18 @@
 namespace Heatherridge
 {
 
-OpenCall &OpenCalls::open(const KeyedCall &asked)
+OpenCall &OpenCalls::open(const KeyedCall &keyedCall)
 {
-    m_waiting[asked.attempt] = asked.key;
-    auto &call = m_calls[asked.key];
-    call = OpenCall{.fingerprint = asked.fingerprint, .waiters = {asked.attempt}};
+    m_keyOfWaiter[keyedCall.attempt] = keyedCall.key;
+    auto &call = m_calls[keyedCall.key];
+    call = OpenCall{.fingerprint = keyedCall.fingerprint, .waiters = {keyedCall.attempt}};
     return call;
 }
 
-void OpenCalls::join(const KeyedCall &asked)
+void OpenCalls::join(const KeyedCall &keyedCall)
 {
-    m_waiting[asked.attempt] = asked.key;
-    m_calls.at(asked.key).waiters.push_back(asked.attempt);
+    m_keyOfWaiter[keyedCall.attempt] = keyedCall.key;
+    m_calls.at(keyedCall.key).waiters.push_back(keyedCall.attempt);
 }
 
 OpenCall *OpenCalls::find(const Uuid7 &key)
@@ -34,26 +34,26 @@
     auto call = std::move(found->second);
     m_calls.erase(found);
     for (const auto &waiter : call.waiters) {
-        m_waiting.erase(waiter);
+        m_keyOfWaiter.erase(waiter);
     }
     return call;
 }
 
-const OpenCall *OpenCalls::leave(const AttemptId &attempt)
+const OpenCall *OpenCalls::removeWaiter(const AttemptId &attempt)
 {
-    const auto waiting = m_waiting.find(attempt);
-    if (waiting == m_waiting.end()) {
+    const auto waiting = m_keyOfWaiter.find(attempt);
+    if (waiting == m_keyOfWaiter.end()) {
         return nullptr;
     }
     auto &call = m_calls.at(waiting->second);
     std::erase(call.waiters, attempt);
-    m_waiting.erase(waiting);
+    m_keyOfWaiter.erase(waiting);
     return &call;
 }
 
-void OpenCalls::park(const KeyedCall &asked, WallTime now)
+void OpenCalls::park(const KeyedCall &keyedCall, WallTime now)
 {
-    m_parked.push_back({.call = asked, .since = now});
+    m_parked.push_back({.call = keyedCall, .since = now});
 }
 
 bool OpenCalls::unpark(const AttemptId &attempt)
@@ -66,9 +66,9 @@
     return std::exchange(m_parked, {});
 }
 
-bool OpenCalls::isWaiting(const AttemptId &attempt) const
+bool OpenCalls::hasWaiter(const AttemptId &attempt) const
 {
-    return m_waiting.contains(attempt);
+    return m_keyOfWaiter.contains(attempt);
 }
 
 OpenCalls::Calls &OpenCalls::calls()
--- a/modules/heatherridge_coordination/keys/opencalls.h
+++ b/modules/heatherridge_coordination/keys/opencalls.h
@@ -36,11 +36,11 @@
 public:
     using Calls = std::map<Uuid7, OpenCall>;
 
-    /** Opens a call that waits for its intent, with @p asked as its first try. */
-    OpenCall &open(const KeyedCall &asked);
+    /** Opens a call that waits for its intent, with @p keyedCall as its first try. */
+    OpenCall &open(const KeyedCall &keyedCall);
 
-    /** Adds @p asked to a call that is open already. */
-    void join(const KeyedCall &asked);
+    /** Adds @p keyedCall to a call that is open already. */
+    void join(const KeyedCall &keyedCall);
 
     /** The call of @p key, or nullptr. */
     OpenCall *find(const Uuid7 &key);
@@ -49,10 +49,10 @@
     OpenCall close(const Uuid7 &key);
 
     /** Takes try @p attempt away from its call. @returns the call, or nullptr when it waits for none */
-    const OpenCall *leave(const AttemptId &attempt);
+    const OpenCall *removeWaiter(const AttemptId &attempt);
 
-    /** Parks @p asked at @p now. */
-    void park(const KeyedCall &asked, WallTime now);
+    /** Parks @p keyedCall at @p now. */
+    void park(const KeyedCall &keyedCall, WallTime now);
 
     /** Takes try @p attempt out of the parked ones; false when it is none. */
     bool unpark(const AttemptId &attempt);
@@ -61,7 +61,7 @@
     std::vector<ParkedCall> takeParked();
 
     /** Whether @p attempt waits for an answer. */
-    bool isWaiting(const AttemptId &attempt) const;
+    bool hasWaiter(const AttemptId &attempt) const;
 
     /** All open calls. */
     Calls &calls();
@@ -71,7 +71,7 @@
 
 private:
     Calls m_calls;
-    std::map<AttemptId, Uuid7> m_waiting;
+    std::map<AttemptId, Uuid7> m_keyOfWaiter;
     std::vector<ParkedCall> m_parked;
 };
 
--- a/modules/heatherridge_coordination/keys/unrecordedkeys.cpp
+++ b/modules/heatherridge_coordination/keys/unrecordedkeys.cpp
@@ -10,19 +10,19 @@
 
 KeyRecord recordOf(const Uuid7 &key, const KeyEntry &entry)
 {
-    if (entry.fate == KeyFate::Open) {
+    if (entry.runState == RunState::Open) {
         return KeyIntent{.key = key, .fingerprint = entry.fingerprint, .runner = entry.runner};
     }
     return KeyOutcome{.key = key,
                       .fingerprint = entry.fingerprint,
                       .runner = entry.runner,
-                      .fate = entry.fate,
+                      .runState = entry.runState,
                       .answer = entry.answer};
 }
 
 } // namespace
 
-void UnrecordedKeys::note(const KeyRecord &record)
+void UnrecordedKeys::update(const KeyRecord &record)
 {
     std::visit(Visitor{
                    [this](const KeyIntent &intent) {
@@ -31,7 +31,7 @@
                    [this](const KeyOutcome &outcome) {
                        m_entries[outcome.key] = KeyEntry{.fingerprint = outcome.fingerprint,
                                                          .runner = outcome.runner,
-                                                         .fate = outcome.fate,
+                                                         .runState = outcome.runState,
                                                          .answer = outcome.answer};
                    },
                    [](const KeyClaim &) {},
@@ -39,12 +39,12 @@
                record);
 }
 
-void UnrecordedKeys::forget(const Uuid7 &key)
+void UnrecordedKeys::erase(const Uuid7 &key)
 {
     m_entries.erase(key);
 }
 
-void UnrecordedKeys::forgetRecorded(const KeyBatch &batch, const KeyLedger &ledger)
+void UnrecordedKeys::eraseRecorded(const KeyBatch &batch, const KeyLedger &ledger)
 {
     for (const auto &record : batch.records) {
         const auto *outcome = std::get_if<KeyOutcome>(&record);
@@ -54,22 +54,22 @@
         const auto entry = m_entries.find(outcome->key);
         const auto *recorded = ledger.find(outcome->key);
         // Of two runs the first of which was released, the ledger may know the first end only.
-        if (entry != m_entries.end() && recorded != nullptr && entry->second.fate == recorded->fate) {
+        if (entry != m_entries.end() && recorded != nullptr && entry->second.runState == recorded->runState) {
             m_entries.erase(entry);
         }
     }
 }
 
-std::optional<KeyEntry> UnrecordedKeys::known(const Uuid7 &key, const KeyLedger &ledger) const
+std::optional<KeyEntry> UnrecordedKeys::find(const Uuid7 &key, const KeyLedger &ledger) const
 {
     const auto *recorded = ledger.find(key);
     const auto entry = m_entries.find(key);
     if (entry == m_entries.end()) {
         return recorded == nullptr ? std::nullopt : std::optional(*recorded);
     }
-    const bool recordedKnowsMore =
-        recorded != nullptr && entry->second.fate == KeyFate::Open && recorded->fate != KeyFate::NotRun;
-    return recordedKnowsMore ? *recorded : entry->second;
+    const bool ledgerKnowsMore =
+        recorded != nullptr && entry->second.runState == RunState::Open && recorded->runState != RunState::NotRun;
+    return ledgerKnowsMore ? *recorded : entry->second;
 }
 
 std::vector<KeyRecord> UnrecordedKeys::snapshot(const KeyLedger &ledger) const
--- a/modules/heatherridge_coordination/keys/unrecordedkeys.h
+++ b/modules/heatherridge_coordination/keys/unrecordedkeys.h
@@ -17,16 +17,16 @@
 {
 public:
     /** Takes what @p record says of a key over whatever was known here. Claims are ignored. */
-    void note(const KeyRecord &record);
+    void update(const KeyRecord &record);
 
     /** The key is run anew: what was known of an earlier run no longer counts. */
-    void forget(const Uuid7 &key);
+    void erase(const Uuid7 &key);
 
     /** Forgets what @p ledger has learnt by @p batch. */
-    void forgetRecorded(const KeyBatch &batch, const KeyLedger &ledger);
+    void eraseRecorded(const KeyBatch &batch, const KeyLedger &ledger);
 
     /** What is known of @p key, here or in @p ledger; whichever knows more. */
-    std::optional<KeyEntry> known(const Uuid7 &key, const KeyLedger &ledger) const;
+    std::optional<KeyEntry> find(const Uuid7 &key, const KeyLedger &ledger) const;
 
     /** All keys of @p ledger, then those of here, as the records that would tell another gate of them. */
     std::vector<KeyRecord> snapshot(const KeyLedger &ledger) const;
--- a/modules/heatherridge_coordination/keys/witnessbook.cpp
+++ b/modules/heatherridge_coordination/keys/witnessbook.cpp
@@ -5,15 +5,15 @@
 namespace Heatherridge
 {
 
-WitnessBook::WitnessBook(std::chrono::milliseconds keepFor, KeySafeguards safeguards)
-    : m_keepFor(keepFor)
+WitnessPromises::WitnessPromises(std::chrono::milliseconds retention, KeySafeguards safeguards)
+    : m_retention(retention)
     , m_safeguards(safeguards)
 {
 }
 
-std::optional<ActivateReply> WitnessBook::activate(const ActivateRequest &request, WallTime now)
+std::optional<ActivateReply> WitnessPromises::activate(const ActivateRequest &request, WallTime now)
 {
-    auto *promise = promiseFor(request.claim, now);
+    auto *promise = findOrCreatePromise(request.claim, now);
     if (promise == nullptr || (promise->frozen && m_safeguards.witnessesFrozen)) {
         return std::nullopt;
     }
@@ -21,9 +21,9 @@
     return ActivateReply{.claim = request.claim, .until = request.until};
 }
 
-std::optional<RevokeReply> WitnessBook::revoke(const RevokeRequest &request, WallTime now)
+std::optional<RevokeReply> WitnessPromises::revoke(const RevokeRequest &request, WallTime now)
 {
-    auto *promise = promiseFor(request.claim, now);
+    auto *promise = findOrCreatePromise(request.claim, now);
     if (promise == nullptr) {
         return std::nullopt;
     }
@@ -31,18 +31,18 @@
     return RevokeReply{.claim = request.claim, .activatedUntil = promise->activatedUntil};
 }
 
-WitnessBook::Promise *WitnessBook::promiseFor(const ClaimId &claim, WallTime now)
+WitnessPromises::Promise *WitnessPromises::findOrCreatePromise(const ClaimId &claim, WallTime now)
 {
     const auto known = m_promises.find(claim);
     if (known != m_promises.end()) {
-        known->second.made = now;
+        known->second.lastUsed = now;
         return &known->second;
     }
-    std::erase_if(m_promises, [&](const auto &entry) { return entry.second.made + m_keepFor < now; });
+    std::erase_if(m_promises, [&](const auto &entry) { return entry.second.lastUsed + m_retention < now; });
     if (m_promises.size() >= MaxClaims) {
         return nullptr;
     }
-    return &m_promises.emplace(claim, Promise{.made = now}).first->second;
+    return &m_promises.emplace(claim, Promise{.lastUsed = now}).first->second;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/keys/witnessbook.h
+++ b/modules/heatherridge_coordination/keys/witnessbook.h
@@ -15,17 +15,17 @@
  * nothing more. The second is final. The promises live in memory: a restarted process is another witness, which no
  * claim of before names. No I/O; one thread.
  */
-class WitnessBook
+class WitnessPromises
 {
 public:
     /** Most claims remembered. When full, new ones are not answered, which leaves both sides safe. */
     static constexpr std::size_t MaxClaims = 256;
 
     /**
-     * @param keepFor how long a promise is remembered: longer than any key under it can be run
+     * @param retention how long a promise is remembered: longer than any key under it can be run
      * @param safeguards which safeguards are on
      */
-    WitnessBook(std::chrono::milliseconds keepFor, KeySafeguards safeguards);
+    WitnessPromises(std::chrono::milliseconds retention, KeySafeguards safeguards);
 
     /** A holder's request at @p now; nothing when a successor came first. */
     std::optional<ActivateReply> activate(const ActivateRequest &request, WallTime now);
@@ -38,12 +38,12 @@
     {
         std::optional<WallTime> activatedUntil{};
         bool frozen = false;
-        WallTime made{};
+        WallTime lastUsed{};
     };
 
-    Promise *promiseFor(const ClaimId &claim, WallTime now);
+    Promise *findOrCreatePromise(const ClaimId &claim, WallTime now);
 
-    std::chrono::milliseconds m_keepFor;
+    std::chrono::milliseconds m_retention;
     KeySafeguards m_safeguards;
     std::map<ClaimId, Promise> m_promises;
 };
--- a/modules/heatherridge_protocol/keyrecordcodec.cpp
+++ b/modules/heatherridge_protocol/keyrecordcodec.cpp
@@ -52,7 +52,7 @@
 
 json toJson(const LedgerView &view)
 {
-    json map = {{"c", toNumber(view.covers)}, {"f", toJson(view.floor)}, {"n", toJson(view.newest)}};
+    json map = {{"c", toNumber(view.covers)}, {"f", toJson(view.floor)}, {"n", toJson(view.newestKeyTime)}};
     if (view.claim) {
         map["p"] = toJson(*view.claim);
     }
@@ -120,7 +120,7 @@
     answer.status = static_cast<int>(reader.number("s", MaxHttpStatus));
     answer.contentType = boundedText(reader, "y", MaxNameLength);
     const auto body = reader.bytes("b");
-    if (body.size() > StoredAnswer::MaxBody) {
+    if (body.size() > StoredAnswer::MaxBodyBytes) {
         reader.fail("b");
     }
     answer.body.assign(body.begin(), body.end());
@@ -138,8 +138,8 @@
 {
     KeyOutcome outcome{
         .key = readKey(reader, "k"), .fingerprint = readFingerprint(reader), .runner = KeyCodec::readGate(reader, "r")};
-    outcome.fate = static_cast<KeyFate>(reader.number("e", static_cast<std::uint64_t>(KeyFate::Unknown)));
-    if (outcome.fate == KeyFate::Answered) {
+    outcome.runState = static_cast<RunState>(reader.number("e", static_cast<std::uint64_t>(RunState::Unknown)));
+    if (outcome.runState == RunState::Answered) {
         outcome.answer = nested(reader, "a", readAnswer);
     }
     return outcome;
@@ -175,7 +175,7 @@
 {
     LedgerView view{.covers = static_cast<LogOffset>(reader.number("c")),
                     .floor = KeyCodec::readTime(reader, "f"),
-                    .newest = KeyCodec::readTime(reader, "n")};
+                    .newestKeyTime = KeyCodec::readTime(reader, "n")};
     if (reader.has("p")) {
         view.claim = nested(reader, "p", readPlacedClaimFields);
     }
@@ -241,8 +241,8 @@
             [&](const KeyIntent &intent) { return common(RecordTag::Intent, intent); },
             [&](const KeyOutcome &outcome) {
                 auto map = common(RecordTag::Outcome, outcome);
-                map["e"] = static_cast<unsigned>(outcome.fate);
-                if (outcome.fate == KeyFate::Answered) {
+                map["e"] = static_cast<unsigned>(outcome.runState);
+                if (outcome.runState == RunState::Answered) {
                     const auto &answer = outcome.answer;
                     map["a"] = {{"s", answer.status},
                                 {"y", answer.contentType.substr(0, MaxNameLength)},
--- a/modules/heatherridge_state/keys/keyledger.cpp
+++ b/modules/heatherridge_state/keys/keyledger.cpp
@@ -13,11 +13,11 @@
 {
 
 /** Batches kept while the ledger is not whole; older ones are given up as lost. */
-constexpr std::size_t MaxPending = 4096;
+constexpr std::size_t MaxPendingBatches = 4096;
 /** Writers whose last batch number is kept. A batch that comes doubled does so within seconds. */
 constexpr std::size_t MaxWriters = 1024;
 /** Share of the entries that is forgotten in one go when there are too many. */
-constexpr std::size_t ForgetDivisor = 16;
+constexpr std::size_t EvictionDivisor = 16;
 
 } // namespace
 
@@ -28,54 +28,54 @@
 
 void KeyLedger::apply(LogOffset offset, std::optional<KeyBatch> batch)
 {
-    assert(offset > m_folded);
-    m_folded = offset;
+    assert(offset > m_appliedOffset);
+    m_appliedOffset = offset;
     if (!batch) {
         ++m_counters.damaged;
         return;
     }
-    if (isWhole()) {
-        applyWhole(offset, *batch);
+    if (isComplete()) {
+        applyBatch(offset, *batch);
         return;
     }
-    const bool covered = batch->view.covers >= *m_lostThrough;
+    const bool isCovered = batch->view.covers >= *m_lostThrough;
     const auto *claim = batch->records.empty() ? nullptr : std::get_if<KeyClaim>(&batch->records.back());
-    const bool restarts = claim != nullptr && claim->afterLoss && next(claim->basedOn) == offset;
-    if (covered && !restarts) {
+    const bool restartsStream = claim != nullptr && claim->afterLoss && next(claim->basedOn) == offset;
+    if (isCovered && !restartsStream) {
         resumeAfterLoss(batch->view);
-        applyWhole(offset, *batch);
+        applyBatch(offset, *batch);
         return;
     }
-    if (restarts) {
-        resumeAfterLoss({.covers = claim->basedOn, .claim = {}, .floor = claim->floor, .newest = {}});
-        applyWhole(offset, *batch);
+    if (restartsStream) {
+        resumeAfterLoss({.covers = claim->basedOn, .claim = {}, .floor = claim->floor, .newestKeyTime = {}});
+        applyBatch(offset, *batch);
         return;
     }
     m_pending.push_back({.offset = offset, .batch = std::move(*batch)});
-    if (m_pending.size() > MaxPending) {
+    if (m_pending.size() > MaxPendingBatches) {
         m_pending.clear();
         m_lostThrough = offset;
     }
 }
 
-void KeyLedger::recordsLost(LogOffset through)
+void KeyLedger::recordsExpired(LogOffset through)
 {
-    if (through <= m_folded) {
+    if (through <= m_appliedOffset) {
         return;
     }
-    m_folded = through;
+    m_appliedOffset = through;
     m_lostThrough = through;
     m_pending.clear();
 }
 
-bool KeyLedger::isWhole() const
+bool KeyLedger::isComplete() const
 {
     return !m_lostThrough;
 }
 
-LogOffset KeyLedger::folded() const
+LogOffset KeyLedger::appliedOffset() const
 {
-    return m_folded;
+    return m_appliedOffset;
 }
 
 const std::optional<PlacedClaim> &KeyLedger::claim() const
@@ -85,7 +85,7 @@
 
 bool KeyLedger::isHolder(const GateId &gate) const
 {
-    return isWhole() && m_claim && m_claim->claim.id.holder == gate;
+    return isComplete() && m_claim && m_claim->claim.id.holder == gate;
 }
 
 const KeyEntry *KeyLedger::find(const Uuid7 &key) const
@@ -96,7 +96,7 @@
 
 bool KeyLedger::canDecide(WallTime time) const
 {
-    return isWhole() && time >= m_floor;
+    return isComplete() && time >= m_floor;
 }
 
 WallTime KeyLedger::floor() const
@@ -104,7 +104,7 @@
     return m_floor;
 }
 
-WallTime KeyLedger::pendingUntil() const
+WallTime KeyLedger::latestPendingClaimEnd() const
 {
     WallTime until{};
     for (const auto &[offset, batch] : m_pending) {
@@ -118,10 +118,10 @@
 
 LedgerView KeyLedger::view() const
 {
-    if (!isWhole()) {
+    if (!isComplete()) {
         return {};
     }
-    return {.covers = m_folded, .claim = m_claim, .floor = m_floor, .newest = m_newest};
+    return {.covers = m_appliedOffset, .claim = m_claim, .floor = m_floor, .newestKeyTime = m_newestKeyTime};
 }
 
 const std::map<Uuid7, KeyEntry> &KeyLedger::entries() const
@@ -134,10 +134,10 @@
     return m_counters;
 }
 
-void KeyLedger::applyWhole(LogOffset offset, const KeyBatch &batch)
+void KeyLedger::applyBatch(LogOffset offset, const KeyBatch &batch)
 {
-    if (isDoubled(batch)) {
-        ++m_counters.doubled;
+    if (isDuplicate(batch)) {
+        ++m_counters.duplicates;
         return;
     }
     for (const auto &record : batch.records) {
@@ -148,15 +148,15 @@
                    },
                    record);
     }
-    forgetOld();
-    dropAnswers();
+    evictOldEntries();
+    dropOldAnswerBodies();
 }
 
 void KeyLedger::applyClaim(LogOffset offset, const KeyBatch &batch, const KeyClaim &claim)
 {
     const auto current = m_claim ? m_claim->offset : LogOffset{};
-    const bool follows = claim.afterLoss ? next(claim.basedOn) == offset : claim.basedOn == current;
-    if ((!follows && m_options.safeguards.claimsCompareOffset) || claim.id.holder != batch.writer) {
+    const bool isSuccessor = claim.afterLoss ? next(claim.basedOn) == offset : claim.basedOn == current;
+    if ((!isSuccessor && m_options.safeguards.claimsCompareOffset) || claim.id.holder != batch.writer) {
         ++m_counters.staleClaims;
         return;
     }
@@ -166,64 +166,64 @@
 
 void KeyLedger::applyIntent(const KeyBatch &batch, const KeyIntent &intent)
 {
-    if (!mayAnnounce(batch)) {
-        ++m_counters.notHolder;
+    if (!isAuthorizedWriter(batch)) {
+        ++m_counters.notFromHolder;
         return;
     }
-    const auto known = m_entries.find(intent.key);
-    const bool taken = known != m_entries.end() && known->second.fate != KeyFate::NotRun;
-    const bool forgotten = known == m_entries.end() && intent.key.time() < m_floor;
-    if (forgotten || taken) {
+    const auto found = m_entries.find(intent.key);
+    const bool isTaken = found != m_entries.end() && found->second.runState != RunState::NotRun;
+    const bool isForgotten = found == m_entries.end() && intent.key.time() < m_floor;
+    if (isForgotten || isTaken) {
         ++m_counters.refusedIntents;
         return;
     }
     m_entries[intent.key] = KeyEntry{.fingerprint = intent.fingerprint, .runner = intent.runner};
-    noteTime(intent.key);
+    updateNewestKeyTime(intent.key);
 }
 
 void KeyLedger::applyOutcome(const KeyBatch &batch, const KeyOutcome &outcome)
 {
-    if (closeEntry(batch, outcome)) {
+    if (closeOpenEntry(batch, outcome)) {
         return;
     }
     // A run made while the log was out has no intent before its outcome; only the holder may make such runs. Of a key
     // below the floor that nobody can run any more, the outcome is taken from whoever still knows it.
-    const auto known = m_entries.find(outcome.key);
-    const bool fresh = known == m_entries.end() || known->second.fate == KeyFate::NotRun;
-    const bool late = outcome.key.time() < m_floor && outcome.fate == KeyFate::Answered;
-    if (!fresh || (!mayAnnounce(batch) && !late)) {
-        ++m_counters.notHolder;
+    const auto found = m_entries.find(outcome.key);
+    const bool isNewRun = found == m_entries.end() || found->second.runState == RunState::NotRun;
+    const bool isLate = outcome.key.time() < m_floor && outcome.runState == RunState::Answered;
+    if (!isNewRun || (!isAuthorizedWriter(batch) && !isLate)) {
+        ++m_counters.notFromHolder;
         return;
     }
     auto &entry = m_entries[outcome.key];
-    entry = KeyEntry{.fingerprint = outcome.fingerprint, .runner = outcome.runner, .fate = outcome.fate};
+    entry = KeyEntry{.fingerprint = outcome.fingerprint, .runner = outcome.runner, .runState = outcome.runState};
     setAnswer(entry, outcome);
-    noteTime(outcome.key);
+    updateNewestKeyTime(outcome.key);
 }
 
 /** Whether the writer of @p batch holds the shard, or has it from the holder by hand-over. */
-bool KeyLedger::mayAnnounce(const KeyBatch &batch) const
+bool KeyLedger::isAuthorizedWriter(const KeyBatch &batch) const
 {
-    const bool handedOver = m_claim && batch.onBehalfOf && *batch.onBehalfOf == m_claim->claim.id;
-    return isHolder(batch.writer) || handedOver || !m_options.safeguards.onlyHolderAnnounces;
+    const bool isHandedOver = m_claim && batch.onBehalfOf && *batch.onBehalfOf == m_claim->claim.id;
+    return isHolder(batch.writer) || isHandedOver || !m_options.safeguards.onlyHolderAnnounces;
 }
 
 /** Ends the open entry of @p outcome's key. False when there is none that this outcome may end. */
-bool KeyLedger::closeEntry(const KeyBatch &batch, const KeyOutcome &outcome)
+bool KeyLedger::closeOpenEntry(const KeyBatch &batch, const KeyOutcome &outcome)
 {
-    const auto known = m_entries.find(outcome.key);
-    if (known == m_entries.end() || known->second.runner != outcome.runner) {
+    const auto found = m_entries.find(outcome.key);
+    if (found == m_entries.end() || found->second.runner != outcome.runner) {
         return false;
     }
-    const bool learnsMore = known->second.fate == KeyFate::Unknown && outcome.fate == KeyFate::Answered;
-    if (known->second.fate != KeyFate::Open && !learnsMore) {
+    const bool learnsMore = found->second.runState == RunState::Unknown && outcome.runState == RunState::Answered;
+    if (found->second.runState != RunState::Open && !learnsMore) {
         return false;
     }
-    if (batch.writer != outcome.runner && !mayAnnounce(batch)) {
+    if (batch.writer != outcome.runner && !isAuthorizedWriter(batch)) {
         return false;
     }
-    known->second.fate = outcome.fate;
-    setAnswer(known->second, outcome);
+    found->second.runState = outcome.runState;
+    setAnswer(found->second, outcome);
     return true;
 }
 
@@ -233,21 +233,22 @@
     m_claim = view.claim;
     // Whatever has expired unread concerned keys created no later than `newest`: they can't be told from keys that
     // were never used, so none of them may be run again.
-    const auto lowest = view.newest == WallTime{} ? WallTime{} : view.newest + std::chrono::milliseconds(1);
-    m_floor = std::max({m_floor, view.floor, lowest});
-    m_newest = std::max(m_newest, view.newest);
+    const auto lowestDecidable =
+        view.newestKeyTime == WallTime{} ? WallTime{} : view.newestKeyTime + std::chrono::milliseconds(1);
+    m_floor = std::max({m_floor, view.floor, lowestDecidable});
+    m_newestKeyTime = std::max(m_newestKeyTime, view.newestKeyTime);
     const auto pending = std::exchange(m_pending, {});
     for (const auto &[offset, batch] : pending) {
         if (offset <= view.covers) {
-            keepUnverified(batch);
+            addUnverified(batch);
         } else {
-            applyWhole(offset, batch);
+            applyBatch(offset, batch);
         }
     }
 }
 
 /** Takes the keys of @p batch over though its writer can't be checked: knowing a key too much only refuses it. */
-void KeyLedger::keepUnverified(const KeyBatch &batch)
+void KeyLedger::addUnverified(const KeyBatch &batch)
 {
     for (const auto &record : batch.records) {
         if (const auto *intent = std::get_if<KeyIntent>(&record)) {
@@ -258,9 +259,10 @@
                 m_entries
                     .try_emplace(outcome->key, KeyEntry{.fingerprint = outcome->fingerprint, .runner = outcome->runner})
                     .first->second;
-            const bool fits = entry.fate == KeyFate::Open && entry.runner == outcome->runner;
-            entry.fate = fits && outcome->fate == KeyFate::Answered ? KeyFate::Answered : KeyFate::Unknown;
-            if (entry.fate == KeyFate::Answered) {
+            const bool matches = entry.runState == RunState::Open && entry.runner == outcome->runner;
+            entry.runState =
+                matches && outcome->runState == RunState::Answered ? RunState::Answered : RunState::Unknown;
+            if (entry.runState == RunState::Answered) {
                 setAnswer(entry, *outcome);
             }
         }
@@ -269,42 +271,42 @@
 
 void KeyLedger::setAnswer(KeyEntry &entry, const KeyOutcome &outcome)
 {
-    if (outcome.fate != KeyFate::Answered) {
+    if (outcome.runState != RunState::Answered) {
         return;
     }
     entry.answer = outcome.answer;
     m_answerBytes += entry.answer.body.size();
 }
 
-void KeyLedger::noteTime(const Uuid7 &key)
+void KeyLedger::updateNewestKeyTime(const Uuid7 &key)
 {
-    m_newest = std::max(m_newest, key.time());
+    m_newestKeyTime = std::max(m_newestKeyTime, key.time());
 }
 
-void KeyLedger::forgetOld()
+void KeyLedger::evictOldEntries()
 {
-    auto horizon = m_newest - m_options.window;
+    auto evictBefore = m_newestKeyTime - m_options.window;
     if (m_entries.size() > m_options.maxEntries) {
-        const auto excess = m_entries.size() - m_options.maxEntries + m_options.maxEntries / ForgetDivisor;
+        const auto excess = m_entries.size() - m_options.maxEntries + m_options.maxEntries / EvictionDivisor;
         const auto oldestKept = std::next(m_entries.begin(), static_cast<std::ptrdiff_t>(excess));
-        horizon = std::max(horizon, oldestKept->first.time());
+        evictBefore = std::max(evictBefore, oldestKept->first.time());
     }
     // The floor rises before anything is forgotten: a forgotten key is below it for ever and is never run again.
-    m_floor = std::max(m_floor, horizon);
-    while (!m_entries.empty() && m_entries.begin()->first.time() < horizon) {
+    m_floor = std::max(m_floor, evictBefore);
+    while (!m_entries.empty() && m_entries.begin()->first.time() < evictBefore) {
         m_answerBytes -= m_entries.begin()->second.answer.body.size();
         m_entries.erase(m_entries.begin());
     }
 }
 
-void KeyLedger::dropAnswers()
+void KeyLedger::dropOldAnswerBodies()
 {
     if (m_answerBytes <= m_options.maxAnswerBytes) {
         return;
     }
-    const auto goal = m_options.maxAnswerBytes - m_options.maxAnswerBytes / ForgetDivisor;
+    const auto targetBytes = m_options.maxAnswerBytes - m_options.maxAnswerBytes / EvictionDivisor;
     for (auto &[key, entry] : m_entries) {
-        if (m_answerBytes <= goal) {
+        if (m_answerBytes <= targetBytes) {
             return;
         }
         if (entry.answer.body.empty()) {
@@ -321,18 +323,19 @@
  * Whether @p batch has been folded before. An append whose reply was lost is made again and may land twice, the second
  * time after the key was released and announced anew; folding it twice would release a key that is running.
  */
-bool KeyLedger::isDoubled(const KeyBatch &batch)
+bool KeyLedger::isDuplicate(const KeyBatch &batch)
 {
-    if (!m_options.safeguards.doubledBatchesSkipped) {
+    if (!m_options.safeguards.duplicateBatchesSkipped) {
         return false;
     }
-    auto &last = m_serials[batch.writer];
-    if (batch.serial <= last) {
+    auto &lastSerial = m_lastSerials[batch.writer];
+    if (batch.serial <= lastSerial) {
         return true;
     }
-    last = batch.serial;
-    if (m_serials.size() > MaxWriters) {
-        m_serials.erase(m_serials.begin()->first == batch.writer ? std::next(m_serials.begin()) : m_serials.begin());
+    lastSerial = batch.serial;
+    if (m_lastSerials.size() > MaxWriters) {
+        m_lastSerials.erase(m_lastSerials.begin()->first == batch.writer ? std::next(m_lastSerials.begin())
+                                                                         : m_lastSerials.begin());
     }
     return false;
 }
--- a/modules/heatherridge_state/keys/keyledger.h
+++ b/modules/heatherridge_state/keys/keyledger.h
@@ -16,7 +16,7 @@
 {
     RequestFingerprint fingerprint{};
     GateId runner{}; ///< who announced the run that counts
-    KeyFate fate = KeyFate::Open;
+    RunState runState = RunState::Open;
     StoredAnswer answer{}; ///< set when the fate is Answered
 
     bool operator==(const KeyEntry &) const = default;
@@ -26,8 +26,8 @@
 struct LedgerCounters
 {
     std::uint64_t damaged = 0; ///< records that no codec could read
-    std::uint64_t doubled = 0; ///< batches appended again after a lost reply
-    std::uint64_t notHolder = 0; ///< intents and outcomes of a gate that did not hold the shard
+    std::uint64_t duplicates = 0; ///< batches appended again after a lost reply
+    std::uint64_t notFromHolder = 0; ///< intents and outcomes of a gate that did not hold the shard
     std::uint64_t staleClaims = 0; ///< claims that lost against an earlier one
     std::uint64_t refusedIntents = 0; ///< intents for keys already recorded, or below the floor
     std::uint64_t answersDropped = 0; ///< stored answers given up to save memory
@@ -54,7 +54,8 @@
     explicit KeyLedger(Options options);
 
     /**
-     * Folds the record at @p offset, which must be above folded(). @p batch is nothing when the record is damaged.
+     * Folds the record at @p offset, which must be above appliedOffset(). @p batch is nothing when the record is
+     * damaged.
      */
     void apply(LogOffset offset, std::optional<KeyBatch> batch);
 
@@ -62,13 +63,13 @@
      * Says that the records up to @p through have expired unread. Until a batch whose writer had seen them arrives,
      * or a claim that was made after the loss, the ledger is not whole.
      */
-    void recordsLost(LogOffset through);
+    void recordsExpired(LogOffset through);
 
     /** Whether nothing is missing: only then the absence of a key means anything. */
-    bool isWhole() const;
+    bool isComplete() const;
 
     /** The offset up to which all is folded or known as lost. */
-    LogOffset folded() const;
+    LogOffset appliedOffset() const;
 
     /** The claim in force, if any. */
     const std::optional<PlacedClaim> &claim() const;
@@ -86,7 +87,7 @@
     WallTime floor() const;
 
     /** Highest end of any claim among the records that wait for a reader that is whole again. */
-    WallTime pendingUntil() const;
+    WallTime latestPendingClaimEnd() const;
 
     /** What to write into the next batch; empty while not whole. */
     LedgerView view() const;
@@ -104,29 +105,29 @@
         KeyBatch batch{};
     };
 
-    void applyWhole(LogOffset offset, const KeyBatch &batch);
+    void applyBatch(LogOffset offset, const KeyBatch &batch);
     void applyClaim(LogOffset offset, const KeyBatch &batch, const KeyClaim &claim);
     void applyIntent(const KeyBatch &batch, const KeyIntent &intent);
     void applyOutcome(const KeyBatch &batch, const KeyOutcome &outcome);
-    bool mayAnnounce(const KeyBatch &batch) const;
-    bool closeEntry(const KeyBatch &batch, const KeyOutcome &outcome);
+    bool isAuthorizedWriter(const KeyBatch &batch) const;
+    bool closeOpenEntry(const KeyBatch &batch, const KeyOutcome &outcome);
     void resumeAfterLoss(const LedgerView &view);
-    void keepUnverified(const KeyBatch &batch);
+    void addUnverified(const KeyBatch &batch);
     void setAnswer(KeyEntry &entry, const KeyOutcome &outcome);
-    void noteTime(const Uuid7 &key);
-    void forgetOld();
-    void dropAnswers();
-    bool isDoubled(const KeyBatch &batch);
+    void updateNewestKeyTime(const Uuid7 &key);
+    void evictOldEntries();
+    void dropOldAnswerBodies();
+    bool isDuplicate(const KeyBatch &batch);
 
     Options m_options;
     std::map<Uuid7, KeyEntry> m_entries;
-    std::map<GateId, std::uint64_t> m_serials;
+    std::map<GateId, std::uint64_t> m_lastSerials;
     std::vector<Pending> m_pending;
     std::optional<PlacedClaim> m_claim;
     std::optional<LogOffset> m_lostThrough;
-    LogOffset m_folded{};
+    LogOffset m_appliedOffset{};
     WallTime m_floor{};
-    WallTime m_newest{};
+    WallTime m_newestKeyTime{};
     std::size_t m_answerBytes = 0;
     LedgerCounters m_counters;
 };
--- a/modules/heatherridge_state/keys/keyrecord.h
+++ b/modules/heatherridge_state/keys/keyrecord.h
@@ -26,7 +26,7 @@
 struct StoredAnswer
 {
     /** Longest body that is kept, in bytes. Of a longer one only the status is, and a repeat is told that it ran. */
-    static constexpr std::size_t MaxBody = 4096;
+    static constexpr std::size_t MaxBodyBytes = 4096;
 
     int status = 0; ///< HTTP status of the service
     std::string contentType{};
@@ -37,7 +37,7 @@
 };
 
 /** How the execution of one key ended. */
-enum class KeyFate {
+enum class RunState {
     Open, ///< it may run now, or its process died: nothing is known yet
     Answered, ///< the service answered
     NotRun, ///< the one process that could have run it did not, and will not run that try
@@ -60,7 +60,7 @@
     Uuid7 key{};
     RequestFingerprint fingerprint{};
     GateId runner{};
-    KeyFate fate = KeyFate::Unknown;
+    RunState runState = RunState::Unknown;
     StoredAnswer answer{};
 
     bool operator==(const KeyOutcome &) const = default;
@@ -116,7 +116,7 @@
     LogOffset covers{}; ///< folded up to here
     std::optional<PlacedClaim> claim{}; ///< the claim in force there
     WallTime floor{}; ///< lowest creation time that can be decided
-    WallTime newest{}; ///< highest creation time of any key recorded up to there
+    WallTime newestKeyTime{}; ///< highest creation time of any key recorded up to there
 
     bool operator==(const LedgerView &) const = default;
 };
@@ -128,7 +128,7 @@
 {
     bool claimsCompareOffset = true; ///< a claim counts only when it names the claim before it
     bool onlyHolderAnnounces = true; ///< intents of anybody but the holder are void
-    bool doubledBatchesSkipped = true; ///< a batch counts once, however often it lands
+    bool duplicateBatchesSkipped = true; ///< a batch counts once, however often it lands
     bool intentsReadBack = true; ///< a call runs when its intent is read back, not when it was appended
     bool witnessesAsked = true; ///< without the log, a call runs only when all witnesses have promised
     bool witnessesFrozen = true; ///< a witness that has answered a successor promises no more to the holder
--- a/modules/heatherridge_state/keys/keyshards.cpp
+++ b/modules/heatherridge_state/keys/keyshards.cpp
@@ -14,13 +14,13 @@
 
 std::vector<const Target *> holdersOf(const Inventory &inventory, const ServiceName &service, KeyShard shard)
 {
-    const auto weight = [shard](const Target *target) {
+    const auto scoreOf = [shard](const Target *target) {
         const auto &name = target->name.text();
         return XXH3_64bits_withSeed(name.data(), name.size(), toNumber(shard));
     };
     auto targets = inventory.targetsOf(service);
-    std::sort(targets.begin(), targets.end(), [&weight](const Target *left, const Target *right) {
-        return std::pair(weight(left), left->name) > std::pair(weight(right), right->name);
+    std::sort(targets.begin(), targets.end(), [&scoreOf](const Target *left, const Target *right) {
+        return std::pair(scoreOf(left), left->name) > std::pair(scoreOf(right), right->name);
     });
     return targets;
 }
--- a/modules/heatherridge_state/keys/requestfingerprint.cpp
+++ b/modules/heatherridge_state/keys/requestfingerprint.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-struct FreeState
+struct StateDeleter
 {
     void operator()(XXH3_state_t *state) const
     {
@@ -20,7 +20,7 @@
     }
 };
 
-void add(XXH3_state_t *state, std::string_view part)
+void hashPart(XXH3_state_t *state, std::string_view part)
 {
     const std::uint64_t size = part.size();
     XXH3_128bits_update(state, &size, sizeof size);
@@ -32,12 +32,12 @@
 RequestFingerprint fingerprintOf(const WorkspaceName &workspace, std::string_view method, std::string_view path,
                                  std::string_view body)
 {
-    const std::unique_ptr<XXH3_state_t, FreeState> state(XXH3_createState());
+    const std::unique_ptr<XXH3_state_t, StateDeleter> state(XXH3_createState());
     XXH3_128bits_reset(state.get());
-    add(state.get(), workspace.text());
-    add(state.get(), method);
-    add(state.get(), path);
-    add(state.get(), body);
+    hashPart(state.get(), workspace.text());
+    hashPart(state.get(), method);
+    hashPart(state.get(), path);
+    hashPart(state.get(), body);
     const auto hash = XXH3_128bits_digest(state.get());
     return {.high = hash.high64, .low = hash.low64};
 }
--- a/modules/heatherridge_state/keys/uuid7.cpp
+++ b/modules/heatherridge_state/keys/uuid7.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t TimeOctets = 6;
 constexpr std::string_view Digits = "0123456789abcdef";
 
-bool isHyphenPlace(std::size_t index)
+bool isHyphenPosition(std::size_t index)
 {
     return index == 8 || index == 13 || index == 18 || index == 23;
 }
@@ -28,11 +28,11 @@
     if (digit >= 'A' && digit <= 'F') {
         digit = static_cast<char>(digit - 'A' + 'a');
     }
-    const auto place = Digits.find(digit);
-    if (place == std::string_view::npos) {
+    const auto position = Digits.find(digit);
+    if (position == std::string_view::npos) {
         return std::nullopt;
     }
-    return static_cast<std::uint8_t>(place);
+    return static_cast<std::uint8_t>(position);
 }
 
 } // namespace
@@ -45,7 +45,7 @@
     Octets octets{};
     std::size_t digits = 0;
     for (std::size_t index = 0; index < text.size(); ++index) {
-        if (isHyphenPlace(index)) {
+        if (isHyphenPosition(index)) {
             if (text[index] != '-') {
                 return std::nullopt;
             }
@@ -74,10 +74,10 @@
 Uuid7 Uuid7::make(WallTime time, std::uint64_t randomHigh, std::uint64_t randomLow)
 {
     Uuid7 uuid;
-    auto stamp = static_cast<std::uint64_t>(std::max<std::int64_t>(time.time_since_epoch().count(), 0));
+    auto milliseconds = static_cast<std::uint64_t>(std::max<std::int64_t>(time.time_since_epoch().count(), 0));
     for (std::size_t index = TimeOctets; index-- > 0;) {
-        uuid.m_octets[index] = static_cast<std::uint8_t>(stamp);
-        stamp >>= 8U;
+        uuid.m_octets[index] = static_cast<std::uint8_t>(milliseconds);
+        milliseconds >>= 8U;
     }
     for (std::size_t index = VersionOctet; index < VariantOctet; ++index) {
         uuid.m_octets[index] = static_cast<std::uint8_t>(randomHigh);
@@ -96,11 +96,11 @@
 
 WallTime Uuid7::time() const
 {
-    std::int64_t stamp = 0;
+    std::int64_t milliseconds = 0;
     for (std::size_t index = 0; index < TimeOctets; ++index) {
-        stamp = stamp * 256 + m_octets[index];
+        milliseconds = milliseconds * 256 + m_octets[index];
     }
-    return WallTime(std::chrono::milliseconds(stamp));
+    return WallTime(std::chrono::milliseconds(milliseconds));
 }
 
 const Uuid7::Octets &Uuid7::octets() const
@@ -113,7 +113,7 @@
     std::string text;
     text.reserve(TextLength);
     for (const auto octet : m_octets) {
-        if (isHyphenPlace(text.size())) {
+        if (isHyphenPosition(text.size())) {
             text += '-';
         }
         text += Digits[octet >> 4U];
--- a/modules/heatherridge_transport/target/keyedcalls.cpp
+++ b/modules/heatherridge_transport/target/keyedcalls.cpp
@@ -100,7 +100,7 @@
     const std::string_view body(reinterpret_cast<const char *>(request.body.data()), request.body.size());
     const auto path = request.query.empty() ? request.path : request.path + "?" + request.query;
     auto &shard = shardFor(*key);
-    shard.perform(shard.gate().request(
+    shard.perform(shard.gate().requestReceived(
         {.attempt = attempt, .key = *key, .fingerprint = fingerprintOf(request.workspace, request.method, path, body)},
         wallNow()));
 }
@@ -133,7 +133,7 @@
 void KeyedCalls::served(const Uuid7 &key, const Result<StoredAnswer> &result)
 {
     auto &shard = shardFor(key);
-    shard.perform(shard.gate().served(key, result));
+    shard.perform(shard.gate().callCompleted(key, result));
 }
 
 void KeyedCalls::receive(const Envelope &envelope)
@@ -156,7 +156,7 @@
     // What is meant for an earlier run of this process rests on a memory that is gone.
     if (frame->to.incarnation == m_self.incarnation) {
         auto &shard = *m_shards.at(toNumber(frame->shard));
-        shard.perform(shard.gate().message(frame->from, frame->message, wallNow()));
+        shard.perform(shard.gate().messageReceived(frame->from, frame->message, wallNow()));
     }
 }
 
@@ -221,9 +221,9 @@
         if (!m_view->takesWork(*target) || (isSelf ? m_draining : !isAlive(*target, now))) {
             continue;
         }
-        if (placement.preferred.isEmpty()) {
-            placement.preferred = ProcessName(target->name.text());
-            placement.wanted = isSelf;
+        if (placement.preferredHolder.isEmpty()) {
+            placement.preferredHolder = ProcessName(target->name.text());
+            placement.shouldHold = isSelf;
         }
         const auto peer = m_peers.find(ProcessName(target->name.text()));
         if (!isSelf && peer != m_peers.end() && placement.witnesses.size() < WitnessCount) {
@@ -280,7 +280,7 @@
                        m_events.run(run.key, request, waiting.deadline);
                    },
                    [&](const AnswerCall &told) { answer(told.attempt, told.reply); },
-                   [&](const SendToGate &send) { sendFrame(shard, send.to, send.message); },
+                   [&](const SendKeyMessage &send) { sendFrame(shard, send.to, send.message); },
                },
                action);
 }
--- a/modules/heatherridge_transport/target/keyshardlink.cpp
+++ b/modules/heatherridge_transport/target/keyshardlink.cpp
@@ -122,18 +122,18 @@
 {
     if (page.first > next(m_read)) {
         m_read = static_cast<LogOffset>(toNumber(page.first) - 1);
-        perform(m_gate.recordsLost(m_read));
+        perform(m_gate.recordsExpired(m_read));
     }
     for (const auto &record : page.records) {
         if (record.offset > m_read) {
             m_read = record.offset;
-            perform(m_gate.read(record.offset, decoded(record), wallNow()));
+            perform(m_gate.recordRead(record.offset, decoded(record), wallNow()));
         }
     }
     // While appends fail, readable records are no sign that the log is well for this purpose.
     setLogWell(!m_appendFailing);
     if (m_read >= page.last) {
-        perform(m_gate.caughtUp(wallNow()));
+        perform(m_gate.streamCaughtUp(wallNow()));
     }
 }
 
@@ -153,7 +153,7 @@
 {
     if (errorIn(result) == nullptr) {
         m_appendFailing = false;
-        perform(m_gate.appended(batch->serial, true, wallNow()));
+        perform(m_gate.appendCompleted(batch->serial, true, wallNow()));
         setLogWell(true);
         return;
     }
@@ -174,7 +174,7 @@
     }
     m_logWell = well;
     logEvent(Severity::Info, well ? "key-log-well" : "key-log-out", {{"stream", m_options.stream.text()}});
-    perform(m_gate.logChanged(well, wallNow()));
+    perform(m_gate.logAvailabilityChanged(well, wallNow()));
     perform(m_gate.tick(wallNow()));
 }
 
--- a/tests/keymodel/keyworld.cpp
+++ b/tests/keymodel/keyworld.cpp
@@ -11,11 +11,11 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t GateCount = 3;
-constexpr std::size_t MaxKeys = 4;
+constexpr std::size_t RecentKeys = 4;
 constexpr auto ClaimSpan = 8min;
 /** Records expire no sooner than this. */
 constexpr auto Retention = 30min;
-constexpr int SettleRounds = 60;
+constexpr int MaxSettleRounds = 60;
 
 KeyGate::Options optionsFor(KeySafeguards safeguards)
 {
@@ -28,29 +28,29 @@
     return options;
 }
 
-GateId entryOf(std::size_t index)
+GateId entryId(std::size_t index)
 {
     return {.process = ProcessName("entry" + std::to_string(index)), .incarnation = Incarnation{1}};
 }
 
-std::string show(const GateId &gate)
+std::string toTraceText(const GateId &gate)
 {
     return gate.process.text() + "/" + std::to_string(toNumber(gate.incarnation));
 }
 
-std::string show(const Uuid7 &key)
+std::string toTraceText(const Uuid7 &key)
 {
     return key.toString().substr(24);
 }
 
-std::string show(const AttemptId &attempt)
+std::string toTraceText(const AttemptId &attempt)
 {
     return attempt.entry.process.text() + "#" + std::to_string(attempt.number);
 }
 
 } // namespace
 
-KeyWorld::KeyWorld(std::uint64_t seed, FaultProfile profile, KeySafeguards safeguards)
+KeySimulation::KeySimulation(std::uint64_t seed, FaultProfile profile, KeySafeguards safeguards)
     : m_random(seed)
     , m_profile(profile)
     , m_options(optionsFor(safeguards))
@@ -60,42 +60,42 @@
         startNode(index);
     }
     for (auto &node : m_nodes) {
-        place(node);
+        updatePlacement(node);
     }
 }
 
-void KeyWorld::run(int steps)
+void KeySimulation::run(int steps)
 {
     for (int index = 0; index < steps && m_violation.empty(); ++index) {
-        step();
+        runStep();
     }
 }
 
-bool KeyWorld::recovers()
+bool KeySimulation::recoversAfterFaults()
 {
-    m_logUp = true;
-    m_profile = {.loss = 0, .doubling = 0, .lostAppends = 0, .refusal = 0};
+    m_logAvailable = true;
+    m_profile = {.messageLoss = 0, .duplication = 0, .lostAppends = 0, .refusedCalls = 0};
     for (auto &node : m_nodes) {
-        node.paused = false;
-        node.reachesLog = true;
+        node.isPaused = false;
+        node.canReachLog = true;
     }
     // Past every promise and claim, a shard must be free again whatever happened before.
     for (int round = 0; round < 4; ++round) {
         m_now += ClaimSpan;
-        settle();
+        runUntilSettled();
     }
     const auto key = Uuid7::make(m_now, m_random.draw(), m_random.draw());
-    sendRequest(key, m_wanted);
-    settle();
+    sendRequest(key, m_preferredNode);
+    runUntilSettled();
     return m_violation.empty() && m_answers.contains(key);
 }
 
-const std::string &KeyWorld::violation() const
+const std::string &KeySimulation::violation() const
 {
     return m_violation;
 }
 
-std::string KeyWorld::trace() const
+std::string KeySimulation::trace() const
 {
     std::string text = m_violation + "\n";
     for (const auto &line : m_trace) {
@@ -104,370 +104,377 @@
     return text;
 }
 
-std::uint64_t KeyWorld::executions() const
+std::uint64_t KeySimulation::executions() const
 {
     return m_executions;
 }
 
-std::uint64_t KeyWorld::executionsWithoutLog() const
+std::uint64_t KeySimulation::executionsWithoutLog() const
 {
-    return m_withoutLog;
+    return m_executionsWithoutLog;
 }
 
-void KeyWorld::step()
+void KeySimulation::runStep()
 {
-    if (!faultStep()) {
-        ordinaryStep();
+    if (!runFaultStep()) {
+        runOrdinaryStep();
     }
 }
 
-bool KeyWorld::faultStep()
+bool KeySimulation::runFaultStep()
 {
-    if (chance(m_profile.crash)) {
+    if (drawChance(m_profile.crash)) {
         startNode(m_random.below(GateCount));
         return true;
     }
-    if (chance(m_profile.pause)) {
+    if (drawChance(m_profile.pause)) {
         auto &node = randomNode();
-        node.paused = !node.paused;
-        note(node.paused ? "pause " : "wake ", show(node.id));
+        node.isPaused = !node.isPaused;
+        addTrace(node.isPaused ? "pause " : "wake ", toTraceText(node.id));
         return true;
     }
-    if (chance(m_profile.outage)) {
-        if (chance(500)) {
-            m_logUp = !m_logUp;
-            note(m_logUp ? "log well" : "log out");
+    if (drawChance(m_profile.outage)) {
+        if (drawChance(500)) {
+            m_logAvailable = !m_logAvailable;
+            addTrace(m_logAvailable ? "log well" : "log out");
         } else {
             auto &node = randomNode();
-            node.reachesLog = !node.reachesLog;
-            note(node.reachesLog ? "log reached by " : "log cut from ", show(node.id));
+            node.canReachLog = !node.canReachLog;
+            addTrace(node.canReachLog ? "log reached by " : "log cut from ", toTraceText(node.id));
         }
         return true;
     }
-    if (chance(m_profile.placement)) {
-        m_wanted = m_random.below(GateCount);
-        note("wanted ", m_wanted);
+    if (drawChance(m_profile.placement)) {
+        m_preferredNode = m_random.below(GateCount);
+        addTrace("wanted ", m_preferredNode);
         return true;
     }
-    if (chance(m_profile.cancel) && !m_attempts.empty()) {
-        const auto attempt = std::next(m_attempts.begin(), static_cast<int>(m_random.below(m_attempts.size())))->first;
-        m_letters.push_back({.from = attempt.entry, .to = randomNode().id, .payload = CancelOf{attempt}});
+    if (drawChance(m_profile.cancel) && !m_openAttempts.empty()) {
+        const auto attempt =
+            std::next(m_openAttempts.begin(), static_cast<int>(m_random.below(m_openAttempts.size())))->first;
+        m_messages.push_back({.from = attempt.entry, .to = randomNode().id, .payload = Cancellation{attempt}});
         return true;
     }
-    if (chance(m_profile.trim)) {
+    if (drawChance(m_profile.expiry)) {
         std::erase_if(m_log, [this](const auto &entry) { return entry.second.appended < m_now - Retention; });
         return true;
     }
     return false;
 }
 
-void KeyWorld::ordinaryStep()
+void KeySimulation::runOrdinaryStep()
 {
     const auto kind = m_random.below(100);
     auto &node = randomNode();
     if (kind < 8) {
-        if (m_keys.empty() || chance(300)) {
-            const auto skew = std::chrono::seconds(m_random.below(60));
-            m_keys.push_back(Uuid7::make(m_now - skew, m_random.draw(), m_random.draw()));
+        if (m_keys.empty() || drawChance(300)) {
+            const auto clockSkew = std::chrono::seconds(m_random.below(60));
+            m_keys.push_back(Uuid7::make(m_now - clockSkew, m_random.draw(), m_random.draw()));
         }
-        const auto recent = std::min<std::uint64_t>(MaxKeys, m_keys.size());
+        const auto recent = std::min<std::uint64_t>(RecentKeys, m_keys.size());
         sendRequest(m_keys[m_keys.size() - 1 - m_random.below(recent)],
-                    chance(600) ? m_wanted : m_random.below(GateCount));
+                    drawChance(600) ? m_preferredNode : m_random.below(GateCount));
     } else if (kind < 38) {
-        deliver();
+        deliverRandomMessage();
     } else if (kind < 52) {
-        appendStep();
+        completeRandomAppend();
     } else if (kind < 68) {
-        readStep(node);
+        readRecords(node);
     } else if (kind < 78) {
-        serviceStep();
+        completeRandomRun();
     } else if (kind < 88) {
-        if (!node.paused) {
-            act(node, node.gate->tick(nowAt(node)));
+        if (!node.isPaused) {
+            perform(node, node.gate->tick(nowAt(node)));
         }
     } else if (kind < 92) {
-        if (!node.paused) {
-            act(node, node.gate->logChanged(m_logUp && node.reachesLog, nowAt(node)));
+        if (!node.isPaused) {
+            perform(node, node.gate->logAvailabilityChanged(m_logAvailable && node.canReachLog, nowAt(node)));
         }
     } else if (kind < 96) {
-        if (!node.paused) {
-            place(node);
+        if (!node.isPaused) {
+            updatePlacement(node);
         }
     } else {
         m_now += std::chrono::seconds(m_random.below(90));
     }
 }
 
-void KeyWorld::act(Node &node, KeyActions actions)
+void KeySimulation::perform(Node &node, KeyActions actions)
 {
     for (auto &action : actions) {
-        std::visit(Visitor{
-                       [&](AppendBatch &append) {
-                           m_appends.push_back({.writer = node.id, .batch = std::move(append.batch)});
-                       },
-                       [&](const RunCall &run) {
-                           note(show(node.id), " runs ", show(run.key), " for ", show(run.attempt));
-                           m_runs.push_back({.gate = node.id, .call = run});
-                       },
-                       [&](const AnswerCall &answer) { told(answer); },
-                       [&](const SendToGate &send) {
-                           note(show(node.id), " sends ", send.message.index(), " to ", show(send.to));
-                           m_letters.push_back({.from = node.id, .to = send.to, .payload = send.message});
-                       },
-                   },
-                   action);
+        std::visit(
+            Visitor{
+                [&](AppendBatch &append) {
+                    m_appends.push_back({.writer = node.id, .batch = std::move(append.batch)});
+                },
+                [&](const RunCall &run) {
+                    addTrace(toTraceText(node.id), " runs ", toTraceText(run.key), " for ", toTraceText(run.attempt));
+                    m_runs.push_back({.gate = node.id, .call = run});
+                },
+                [&](const AnswerCall &answer) { recordAnswer(answer); },
+                [&](const SendKeyMessage &send) {
+                    addTrace(toTraceText(node.id), " sends ", send.message.index(), " to ", toTraceText(send.to));
+                    m_messages.push_back({.from = node.id, .to = send.to, .payload = send.message});
+                },
+            },
+            action);
     }
 }
 
 /** A gate's word on one try; it counts from the moment it is said, whether or not it arrives. */
-void KeyWorld::told(const AnswerCall &answer)
+void KeySimulation::recordAnswer(const AnswerCall &answer)
 {
     const auto key = m_allAttempts.at(answer.attempt);
-    m_attempts.erase(answer.attempt);
+    m_openAttempts.erase(answer.attempt);
     const auto *error = std::get_if<Error>(&answer.reply);
     const bool redirected = std::holds_alternative<KeyRedirect>(answer.reply);
     const bool notRun = error != nullptr && error->ranOrDefault() == Ran::No;
-    note("told ", show(answer.attempt), " on ", show(key), ": ",
-         redirected ? "ask elsewhere" : (error != nullptr ? answerFor(error->kind).name : "answered"));
-    if (notRun && m_executed[key] > 0) {
-        fail("told not run after it ran: " + show(key));
+    addTrace("told ", toTraceText(answer.attempt), " on ", toTraceText(key), ": ",
+             redirected ? "ask elsewhere" : (error != nullptr ? answerFor(error->kind).name : "answered"));
+    if (notRun && m_executionsByKey[key] > 0) {
+        reportViolation("told not run after it ran: " + toTraceText(key));
     }
     if (notRun || redirected) {
-        m_toldNotRun.insert(answer.attempt);
+        m_reportedNotRun.insert(answer.attempt);
     }
-    if (redirected && m_executedFor.contains(answer.attempt)) {
-        fail("sent elsewhere after it ran: " + show(answer.attempt));
+    if (redirected && m_executedAttempts.contains(answer.attempt)) {
+        reportViolation("sent elsewhere after it ran: " + toTraceText(answer.attempt));
     }
     if (const auto *stored = std::get_if<StoredAnswer>(&answer.reply)) {
-        const auto [known, first] = m_answers.try_emplace(key, stored->body);
-        if (known->second != stored->body || m_executed[key] == 0) {
-            fail("two answers for one key: " + show(key));
+        const auto [known, isFirst] = m_answers.try_emplace(key, stored->body);
+        if (known->second != stored->body || m_executionsByKey[key] == 0) {
+            reportViolation("two answers for one key: " + toTraceText(key));
         }
     }
 }
 
-void KeyWorld::startNode(std::size_t index)
+void KeySimulation::startNode(std::size_t index)
 {
     auto &node = m_nodes[index];
-    const auto skew = std::chrono::seconds(m_random.below(2 * m_profile.clocksApart + 1));
+    const auto clockSkew = std::chrono::seconds(m_random.below(2 * m_profile.maxClockSkewSeconds + 1));
     node = Node{.id = {.process = ProcessName("gate" + std::to_string(index)),
                        .incarnation = static_cast<Incarnation>(++m_incarnations)},
-                .skew = skew - std::chrono::seconds(m_profile.clocksApart)};
+                .clockSkew = clockSkew - std::chrono::seconds(m_profile.maxClockSkewSeconds)};
     node.gate = std::make_unique<KeyGate>(node.id, m_options);
-    note("start ", show(node.id));
-    place(node);
+    addTrace("start ", toTraceText(node.id));
+    updatePlacement(node);
 }
 
 /** Tells @p node who is wanted, as the world has it now; other nodes may still believe otherwise. */
-void KeyWorld::place(Node &node)
+void KeySimulation::updatePlacement(Node &node)
 {
     KeyPlacement placement;
     for (std::size_t index = 0; index < m_nodes.size(); ++index) {
         if (&m_nodes[index] != &node) {
             placement.witnesses.push_back(m_nodes[index].id);
         } else {
-            placement.wanted = index == m_wanted;
+            placement.shouldHold = index == m_preferredNode;
         }
     }
-    placement.preferred = m_nodes[m_wanted].id.process;
-    act(node, node.gate->placementChanged(placement, nowAt(node)));
+    placement.preferredHolder = m_nodes[m_preferredNode].id.process;
+    perform(node, node.gate->placementChanged(placement, nowAt(node)));
 }
 
-void KeyWorld::sendRequest(const Uuid7 &key, std::size_t to)
+void KeySimulation::sendRequest(const Uuid7 &key, std::size_t to)
 {
     const auto entry = m_random.below(m_attemptNumbers.size());
-    const AttemptId attempt{.entry = entryOf(entry), .number = ++m_attemptNumbers[entry]};
-    m_attempts[attempt] = key;
+    const AttemptId attempt{.entry = entryId(entry), .number = ++m_attemptNumbers[entry]};
+    m_openAttempts[attempt] = key;
     m_allAttempts[attempt] = key;
     const auto fingerprint = fingerprintOf(WorkspaceName("w"), "POST", "/b", key.toString());
-    m_letters.push_back({.from = attempt.entry,
-                         .to = m_nodes[to].id,
-                         .payload = KeyedCall{.attempt = attempt, .key = key, .fingerprint = fingerprint}});
+    m_messages.push_back({.from = attempt.entry,
+                          .to = m_nodes[to].id,
+                          .payload = KeyedCall{.attempt = attempt, .key = key, .fingerprint = fingerprint}});
 }
 
-void KeyWorld::deliver()
+void KeySimulation::deliverRandomMessage()
 {
-    if (m_letters.empty()) {
+    if (m_messages.empty()) {
         return;
     }
-    const auto place = m_random.below(m_letters.size());
-    const auto letter = m_letters[place];
-    auto *node = alive(letter.to);
-    if (node != nullptr && node->paused) {
+    const auto position = m_random.below(m_messages.size());
+    const auto message = m_messages[position];
+    auto *node = findRunning(message.to);
+    if (node != nullptr && node->isPaused) {
         return;
     }
-    if (!chance(m_profile.doubling)) {
-        m_letters.erase(m_letters.begin() + static_cast<std::ptrdiff_t>(place));
+    if (!drawChance(m_profile.duplication)) {
+        m_messages.erase(m_messages.begin() + static_cast<std::ptrdiff_t>(position));
     }
-    if (node != nullptr && !chance(m_profile.loss)) {
-        deliverTo(*node, letter);
+    if (node != nullptr && !drawChance(m_profile.messageLoss)) {
+        deliverTo(*node, message);
     }
 }
 
-void KeyWorld::deliverTo(Node &node, const Letter &letter)
+void KeySimulation::deliverTo(Node &node, const Message &received)
 {
     const auto now = nowAt(node);
-    act(node,
-        std::visit(Visitor{
-                       [&](const KeyMessage &message) { return node.gate->message(letter.from, message, now); },
-                       [&](const KeyedCall &call) { return node.gate->request(call, now); },
-                       [&](const CancelOf &cancel) { return node.gate->cancel(cancel.attempt); },
-                   },
-                   letter.payload));
+    perform(node,
+            std::visit(
+                Visitor{
+                    [&](const KeyMessage &message) { return node.gate->messageReceived(received.from, message, now); },
+                    [&](const KeyedCall &call) { return node.gate->requestReceived(call, now); },
+                    [&](const Cancellation &cancel) { return node.gate->cancel(cancel.attempt); },
+                },
+                received.payload));
 }
 
-void KeyWorld::appendStep()
+void KeySimulation::completeRandomAppend()
 {
     if (m_appends.empty()) {
         return;
     }
-    const auto place = m_random.below(m_appends.size());
-    auto append = m_appends[place];
-    auto *node = alive(append.writer);
-    const bool reaches = m_logUp && (append.reported || node == nullptr || node->reachesLog);
-    const bool replyLost = !append.reported && (!reaches || chance(m_profile.lostAppends));
-    if (replyLost && chance(600)) {
-        m_appends[place].reported = true; // may land later, when nobody expects it any more
+    const auto position = m_random.below(m_appends.size());
+    auto append = m_appends[position];
+    auto *node = findRunning(append.writer);
+    const bool reachesLog = m_logAvailable && (append.isReportedFailed || node == nullptr || node->canReachLog);
+    const bool replyLost = !append.isReportedFailed && (!reachesLog || drawChance(m_profile.lostAppends));
+    if (replyLost && drawChance(600)) {
+        m_appends[position].isReportedFailed = true; // may land later, when nobody expects it any more
     } else {
-        m_appends.erase(m_appends.begin() + static_cast<std::ptrdiff_t>(place));
-        if (reaches) {
-            land(append);
+        m_appends.erase(m_appends.begin() + static_cast<std::ptrdiff_t>(position));
+        if (reachesLog) {
+            appendToLog(append);
         }
     }
-    if (node != nullptr && !append.reported) {
-        act(*node, node->gate->appended(append.batch.serial, !replyLost, nowAt(*node)));
+    if (node != nullptr && !append.isReportedFailed) {
+        perform(*node, node->gate->appendCompleted(append.batch.serial, !replyLost, nowAt(*node)));
     }
 }
 
-void KeyWorld::land(const Append &append)
+void KeySimulation::appendToLog(const Append &append)
 {
     m_log[++m_lastOffset] = Record{.batch = append.batch, .appended = m_now};
     std::string records;
     for (const auto &record : append.batch.records) {
-        records += std::visit(
-            Visitor{
-                [](const KeyIntent &intent) { return " intent " + show(intent.key); },
-                [](const KeyOutcome &outcome) {
-                    return " outcome " + show(outcome.key) + "=" + std::to_string(static_cast<int>(outcome.fate));
-                },
-                [](const KeyClaim &claim) { return " claim on " + std::to_string(toNumber(claim.basedOn)); },
-            },
-            record);
+        records +=
+            std::visit(Visitor{
+                           [](const KeyIntent &intent) { return " intent " + toTraceText(intent.key); },
+                           [](const KeyOutcome &outcome) {
+                               return " outcome " + toTraceText(outcome.key) + "="
+                                   + std::to_string(static_cast<int>(outcome.runState));
+                           },
+                           [](const KeyClaim &claim) { return " claim on " + std::to_string(toNumber(claim.basedOn)); },
+                       },
+                       record);
     }
-    note("log ", m_lastOffset, ": ", show(append.batch.writer), " batch ", append.batch.serial, records);
+    addTrace("log ", m_lastOffset, ": ", toTraceText(append.batch.writer), " batch ", append.batch.serial, records);
 }
 
-void KeyWorld::readStep(Node &node)
+void KeySimulation::readRecords(Node &node)
 {
-    if (node.paused || !m_logUp || !node.reachesLog) {
+    if (node.isPaused || !m_logAvailable || !node.canReachLog) {
         return;
     }
-    const auto first = m_log.empty() ? m_lastOffset + 1 : m_log.begin()->first;
-    if (first > node.readTo + 1) {
-        node.readTo = first - 1;
-        act(node, node.gate->recordsLost(static_cast<LogOffset>(node.readTo)));
+    const auto firstOffset = m_log.empty() ? m_lastOffset + 1 : m_log.begin()->first;
+    if (firstOffset > node.readThrough + 1) {
+        node.readThrough = firstOffset - 1;
+        perform(node, node.gate->recordsExpired(static_cast<LogOffset>(node.readThrough)));
     }
-    const auto until = std::min(m_lastOffset, node.readTo + 1 + m_random.below(4));
-    while (node.readTo < until) {
-        ++node.readTo;
-        act(node, node.gate->read(static_cast<LogOffset>(node.readTo), m_log.at(node.readTo).batch, nowAt(node)));
+    const auto until = std::min(m_lastOffset, node.readThrough + 1 + m_random.below(4));
+    while (node.readThrough < until) {
+        ++node.readThrough;
+        perform(node,
+                node.gate->recordRead(static_cast<LogOffset>(node.readThrough), m_log.at(node.readThrough).batch,
+                                      nowAt(node)));
     }
-    if (node.readTo == m_lastOffset) {
-        act(node, node.gate->caughtUp(nowAt(node)));
+    if (node.readThrough == m_lastOffset) {
+        perform(node, node.gate->streamCaughtUp(nowAt(node)));
     }
 }
 
-void KeyWorld::serviceStep()
+void KeySimulation::completeRandomRun()
 {
     if (m_runs.empty()) {
         return;
     }
-    const auto place = m_random.below(m_runs.size());
-    auto &run = m_runs[place];
-    auto *node = alive(run.gate);
-    const bool refused = !run.executed && chance(m_profile.refusal);
-    if (!refused && !run.executed) {
+    const auto position = m_random.below(m_runs.size());
+    auto &run = m_runs[position];
+    auto *node = findRunning(run.gate);
+    const bool refused = !run.isExecuted && drawChance(m_profile.refusedCalls);
+    if (!refused && !run.isExecuted) {
         execute(run);
         return;
     }
-    const auto done = run;
-    m_runs.erase(m_runs.begin() + static_cast<std::ptrdiff_t>(place));
+    const auto completed = run;
+    m_runs.erase(m_runs.begin() + static_cast<std::ptrdiff_t>(position));
     if (node == nullptr) {
         return;
     }
     Result<StoredAnswer> result;
     if (refused) {
         result = Error{.kind = ErrorKind::TargetUnreachable, .ran = Ran::No};
-    } else if (chance(m_profile.loss)) {
+    } else if (drawChance(m_profile.messageLoss)) {
         result = Error{.kind = ErrorKind::BackendFailed, .ran = Ran::Unknown};
     } else {
-        result = StoredAnswer{.status = 201, .body = std::to_string(m_executed[done.call.key])};
+        result = StoredAnswer{.status = 201, .body = std::to_string(m_executionsByKey[completed.call.key])};
     }
-    act(*node, node->gate->served(done.call.key, result));
+    perform(*node, node->gate->callCompleted(completed.call.key, result));
 }
 
-void KeyWorld::execute(Run &run)
+void KeySimulation::execute(Run &run)
 {
-    run.executed = true;
+    run.isExecuted = true;
     ++m_executions;
-    m_withoutLog += m_logUp ? 0 : 1;
-    m_executedFor.insert(run.call.attempt);
-    note("service executes ", show(run.call.key), " for ", show(run.call.attempt), " of ", show(run.gate));
-    if (++m_executed[run.call.key] > 1) {
-        fail("executed twice: " + show(run.call.key));
+    m_executionsWithoutLog += m_logAvailable ? 0 : 1;
+    m_executedAttempts.insert(run.call.attempt);
+    addTrace("service executes ", toTraceText(run.call.key), " for ", toTraceText(run.call.attempt), " of ",
+             toTraceText(run.gate));
+    if (++m_executionsByKey[run.call.key] > 1) {
+        reportViolation("executed twice: " + toTraceText(run.call.key));
     }
-    if (m_toldNotRun.contains(run.call.attempt)) {
-        fail("ran after told not run: " + show(run.call.attempt));
+    if (m_reportedNotRun.contains(run.call.attempt)) {
+        reportViolation("ran after told not run: " + toTraceText(run.call.attempt));
     }
 }
 
-void KeyWorld::settle()
+void KeySimulation::runUntilSettled()
 {
-    for (int round = 0; round < SettleRounds && m_violation.empty(); ++round) {
+    for (int round = 0; round < MaxSettleRounds && m_violation.empty(); ++round) {
         for (auto &node : m_nodes) {
-            place(node);
-            act(node, node.gate->logChanged(true, nowAt(node)));
-            act(node, node.gate->tick(nowAt(node)));
-            readStep(node);
+            updatePlacement(node);
+            perform(node, node.gate->logAvailabilityChanged(true, nowAt(node)));
+            perform(node, node.gate->tick(nowAt(node)));
+            readRecords(node);
         }
-        for (auto left = m_letters.size() + m_appends.size() + m_runs.size(); left > 0; --left) {
-            deliver();
-            appendStep();
-            serviceStep();
+        for (auto remaining = m_messages.size() + m_appends.size() + m_runs.size(); remaining > 0; --remaining) {
+            deliverRandomMessage();
+            completeRandomAppend();
+            completeRandomRun();
         }
     }
 }
 
-void KeyWorld::fail(const std::string &what)
+void KeySimulation::reportViolation(const std::string &what)
 {
     if (m_violation.empty()) {
         m_violation = what;
     }
 }
 
-KeyWorld::Node *KeyWorld::alive(const GateId &id)
+KeySimulation::Node *KeySimulation::findRunning(const GateId &id)
 {
     const auto node = std::find_if(m_nodes.begin(), m_nodes.end(), [&](const Node &each) { return each.id == id; });
     return node == m_nodes.end() ? nullptr : &*node;
 }
 
-KeyWorld::Node &KeyWorld::randomNode()
+KeySimulation::Node &KeySimulation::randomNode()
 {
     return m_nodes[m_random.below(m_nodes.size())];
 }
 
-WallTime KeyWorld::nowAt(const Node &node) const
+WallTime KeySimulation::nowAt(const Node &node) const
 {
-    return m_now + node.skew;
+    return m_now + node.clockSkew;
 }
 
-bool KeyWorld::chance(std::uint64_t perThousand)
+bool KeySimulation::drawChance(std::uint64_t perThousand)
 {
     return m_random.below(1000) < perThousand;
 }
 
 template<typename... Parts>
-void KeyWorld::note(const Parts &...parts)
+void KeySimulation::addTrace(const Parts &...parts)
 {
     std::ostringstream line;
     (line << ... << parts);
--- a/tests/keymodel/keyworld.h
+++ b/tests/keymodel/keyworld.h
@@ -13,17 +13,17 @@
 /** How often, out of 1000, a step of the schedule is of each kind. The rest are ordinary steps. */
 struct FaultProfile
 {
-    std::uint64_t loss = 60; ///< a message is lost, out of 1000 messages
-    std::uint64_t doubling = 60; ///< a message is delivered and stays to be delivered again
+    std::uint64_t messageLoss = 60; ///< a message is lost, out of 1000 messages
+    std::uint64_t duplication = 60; ///< a message is delivered and stays to be delivered again
     std::uint64_t lostAppends = 150; ///< an append fails, or its reply is lost, out of 1000 appends
     std::uint64_t crash = 6;
     std::uint64_t pause = 10;
     std::uint64_t outage = 12;
     std::uint64_t placement = 12;
     std::uint64_t cancel = 15;
-    std::uint64_t trim = 3;
-    std::uint64_t refusal = 150; ///< a call meets a closed port and does not run, out of 1000 calls
-    std::uint64_t clocksApart = 90; ///< seconds
+    std::uint64_t expiry = 3;
+    std::uint64_t refusedCalls = 150; ///< a call meets a closed port and does not run, out of 1000 calls
+    std::uint64_t maxClockSkewSeconds = 90; ///< seconds
 };
 
 /**
@@ -32,16 +32,16 @@
  * A schedule is one sequence of random steps: anything under way may be delivered, lost, doubled or left for later.
  * violation() tells the first broken promise.
  */
-class KeyWorld
+class KeySimulation
 {
 public:
-    KeyWorld(std::uint64_t seed, FaultProfile profile, KeySafeguards safeguards);
+    KeySimulation(std::uint64_t seed, FaultProfile profile, KeySafeguards safeguards);
 
     /** Runs @p steps random steps; stops at the first violation. */
     void run(int steps);
 
     /** Ends all faults, lets everything settle, and asks for a new key: true when it is executed and answered. */
-    bool recovers();
+    bool recoversAfterFaults();
 
     /** The first broken promise; empty when all were kept. */
     const std::string &violation() const;
@@ -54,13 +54,13 @@
     std::uint64_t executionsWithoutLog() const;
 
 private:
-    struct CancelOf
+    struct Cancellation
     {
         AttemptId attempt;
     };
-    using Payload = std::variant<KeyMessage, KeyedCall, CancelOf>;
+    using Payload = std::variant<KeyMessage, KeyedCall, Cancellation>;
 
-    struct Letter
+    struct Message
     {
         GateId from;
         GateId to;
@@ -71,14 +71,14 @@
     {
         GateId writer;
         KeyBatch batch;
-        bool reported = false; ///< the writer was told that it failed; it may land all the same
+        bool isReportedFailed = false; ///< the writer was told that it failed; it may land all the same
     };
 
     struct Run
     {
         GateId gate;
         RunCall call;
-        bool executed = false;
+        bool isExecuted = false;
     };
 
     struct Record
@@ -91,59 +91,59 @@
     {
         GateId id;
         std::unique_ptr<KeyGate> gate;
-        std::uint64_t readTo = 0;
-        std::chrono::seconds skew{};
-        bool paused = false;
-        bool reachesLog = true;
+        std::uint64_t readThrough = 0;
+        std::chrono::seconds clockSkew{};
+        bool isPaused = false;
+        bool canReachLog = true;
     };
 
-    void step();
-    bool faultStep();
-    void ordinaryStep();
-    void act(Node &node, KeyActions actions);
-    void told(const AnswerCall &answer);
+    void runStep();
+    bool runFaultStep();
+    void runOrdinaryStep();
+    void perform(Node &node, KeyActions actions);
+    void recordAnswer(const AnswerCall &answer);
     void startNode(std::size_t index);
-    void place(Node &node);
+    void updatePlacement(Node &node);
     void sendRequest(const Uuid7 &key, std::size_t to);
-    void deliver();
-    void deliverTo(Node &node, const Letter &letter);
-    void appendStep();
-    void land(const Append &append);
-    void readStep(Node &node);
-    void serviceStep();
+    void deliverRandomMessage();
+    void deliverTo(Node &node, const Message &received);
+    void completeRandomAppend();
+    void appendToLog(const Append &append);
+    void readRecords(Node &node);
+    void completeRandomRun();
     void execute(Run &run);
-    void settle();
-    void fail(const std::string &what);
-    Node *alive(const GateId &id);
+    void runUntilSettled();
+    void reportViolation(const std::string &what);
+    Node *findRunning(const GateId &id);
     Node &randomNode();
     WallTime nowAt(const Node &node) const;
-    bool chance(std::uint64_t perThousand);
+    bool drawChance(std::uint64_t perThousand);
     template<typename... Parts>
-    void note(const Parts &...parts);
+    void addTrace(const Parts &...parts);
 
     SeededRandom m_random;
     FaultProfile m_profile;
     KeyGate::Options m_options;
     WallTime m_now{std::chrono::hours(1000)};
     std::vector<Node> m_nodes;
-    std::vector<Letter> m_letters;
+    std::vector<Message> m_messages;
     std::vector<Append> m_appends;
     std::vector<Run> m_runs;
     std::map<std::uint64_t, Record> m_log;
     std::uint64_t m_lastOffset = 0;
     std::uint64_t m_incarnations = 0;
-    std::size_t m_wanted = 0;
+    std::size_t m_preferredNode = 0;
     std::vector<std::uint64_t> m_attemptNumbers{0, 0};
     std::vector<Uuid7> m_keys;
-    std::map<AttemptId, Uuid7> m_attempts; ///< not answered yet
+    std::map<AttemptId, Uuid7> m_openAttempts; ///< not answered yet
     std::map<AttemptId, Uuid7> m_allAttempts;
-    std::set<AttemptId> m_toldNotRun;
-    std::set<AttemptId> m_executedFor;
-    std::map<Uuid7, int> m_executed;
+    std::set<AttemptId> m_reportedNotRun;
+    std::set<AttemptId> m_executedAttempts;
+    std::map<Uuid7, int> m_executionsByKey;
     std::map<Uuid7, std::string> m_answers;
     std::uint64_t m_executions = 0;
-    std::uint64_t m_withoutLog = 0;
-    bool m_logUp = true;
+    std::uint64_t m_executionsWithoutLog = 0;
+    bool m_logAvailable = true;
     std::string m_violation;
     std::vector<std::string> m_trace;
 };
--- a/tests/keymodel/keyworld_test.cpp
+++ b/tests/keymodel/keyworld_test.cpp
@@ -12,47 +12,47 @@
 constexpr int SchedulesPerCase = 60;
 constexpr int SchedulesPerSafeguard = 20'000;
 
-FaultProfile drawProfile()
+FaultProfile generateProfile()
 {
-    const auto upTo = [](std::uint64_t most) { return *rc::gen::inRange<std::uint64_t>(0, most + 1); };
-    return {.loss = upTo(200),
-            .doubling = upTo(200),
+    const auto upTo = [](std::uint64_t max) { return *rc::gen::inRange<std::uint64_t>(0, max + 1); };
+    return {.messageLoss = upTo(200),
+            .duplication = upTo(200),
             .lostAppends = upTo(400),
             .crash = upTo(15),
             .pause = upTo(20),
             .outage = upTo(25),
             .placement = upTo(25),
             .cancel = upTo(30),
-            .trim = upTo(6),
-            .clocksApart = upTo(110)};
+            .expiry = upTo(6),
+            .maxClockSkewSeconds = upTo(110)};
 }
 
 // Two trucks come for one load, or a guest pays two deposits: a caller asked again, elsewhere, after its answer was
 // lost, while gates died, paused, lost the log or each other and the inventory changed. Or a caller that was told
 // "not run" books by telephone, and the first request runs after all. Random schedules of all these faults; whatever
 // happens, a key is executed at most once, no try runs after its "not run", and all answers to a key are the same.
-RC_GTEST_PROP(KeyWorld, NeverRunsTwiceAndNeverAfterNotRun, ())
+RC_GTEST_PROP(KeySimulation, RunsAtMostOnceAndNeverAfterNotRun, ())
 {
-    const auto profile = drawProfile();
+    const auto profile = generateProfile();
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     for (std::uint64_t schedule = 0; schedule < SchedulesPerCase; ++schedule) {
-        KeyWorld world(seed + schedule, profile, {});
-        world.run(StepsPerSchedule);
-        if (!world.violation().empty()) {
-            RC_FAIL(world.trace());
+        KeySimulation simulation(seed + schedule, profile, {});
+        simulation.run(StepsPerSchedule);
+        if (!simulation.violation().empty()) {
+            RC_FAIL(simulation.trace());
         }
     }
 }
 
 // Safe is easy for a gate that refuses everything. Once faults end and clocks have passed the last promise, a new key
 // must be run and answered, however the schedule left the shard.
-RC_GTEST_PROP(KeyWorld, RunsNewKeysOnceFaultsEnd, ())
+RC_GTEST_PROP(KeySimulation, RunsNewKeysOnceFaultsEnd, ())
 {
-    const auto profile = drawProfile();
-    KeyWorld world(*rc::gen::arbitrary<std::uint64_t>(), profile, {});
-    world.run(StepsPerSchedule);
-    if (!world.recovers()) {
-        RC_FAIL(world.trace());
+    const auto profile = generateProfile();
+    KeySimulation simulation(*rc::gen::arbitrary<std::uint64_t>(), profile, {});
+    simulation.run(StepsPerSchedule);
+    if (!simulation.recoversAfterFaults()) {
+        RC_FAIL(simulation.trace());
     }
 }
 
@@ -64,8 +64,8 @@
 };
 
 /** Appends that land late and unseen, by gates that have lost the shard meanwhile. */
-const FaultProfile LateAppends{.loss = 20,
-                               .doubling = 190,
+const FaultProfile LateAppends{.messageLoss = 20,
+                               .duplication = 190,
                                .lostAppends = 690,
                                .crash = 4,
                                .pause = 6,
@@ -92,16 +92,17 @@
 
 // The property above proves nothing if it can't fail. With any single safeguard off, some schedule must break it. Two
 // safeguards against coincidences too rare for that have scripted schedules instead; see keygate_test.cpp.
-TEST_P(SafeguardOff, IsCaught)
+TEST_P(SafeguardOff, IsDetected)
 {
     KeySafeguards safeguards;
     safeguards.*GetParam().safeguard = false;
     for (int schedule = 0; schedule < SchedulesPerSafeguard; ++schedule) {
-        KeyWorld world(static_cast<std::uint64_t>(schedule), GetParam().profile, safeguards);
-        world.run(StepsPerSchedule);
-        if (!world.violation().empty()) {
+        KeySimulation simulation(static_cast<std::uint64_t>(schedule), GetParam().profile, safeguards);
+        simulation.run(StepsPerSchedule);
+        if (!simulation.violation().empty()) {
             RecordProperty("schedules", schedule + 1);
-            std::cout << GetParam().name << " caught by schedule " << schedule + 1 << ": " << world.violation() << "\n";
+            std::cout << GetParam().name << " caught by schedule " << schedule + 1 << ": " << simulation.violation()
+                      << "\n";
             return;
         }
     }
@@ -112,15 +113,15 @@
                          [](const auto &row) { return std::string(row.param.name); });
 
 // Counts that show that the schedules do get somewhere: runs happen, also without the log.
-TEST(KeyWorld, SchedulesReachRunsWithoutTheLog)
+TEST(KeySimulation, SchedulesReachRunsWithoutLog)
 {
     std::uint64_t executions = 0;
     std::uint64_t withoutLog = 0;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
-        KeyWorld world(seed, {}, {});
-        world.run(StepsPerSchedule);
-        executions += world.executions();
-        withoutLog += world.executionsWithoutLog();
+        KeySimulation simulation(seed, {}, {});
+        simulation.run(StepsPerSchedule);
+        executions += simulation.executions();
+        withoutLog += simulation.executionsWithoutLog();
     }
     std::cout << executions << " executions in 200 schedules, " << withoutLog << " while the log was out\n";
     EXPECT_GT(executions, 200U);
--- a/tests/keys/keygate_test.cpp
+++ b/tests/keys/keygate_test.cpp
@@ -14,57 +14,57 @@
 const GateId Entry{.process = ProcessName("e"), .incarnation = Incarnation{3}};
 
 /** One gate with a hand-driven log: appends land, and are read back, only when told. */
-struct Bench
+struct GateFixture
 {
-    explicit Bench(KeySafeguards safeguards = {})
+    explicit GateFixture(KeySafeguards safeguards = {})
         : gate(Self, {.safeguards = safeguards})
     {
-        take(gate.placementChanged({.wanted = true, .witnesses = {Witness}}, Now));
-        take(gate.logChanged(true, Now));
-        take(gate.caughtUp(Now));
-        landAndRead();
+        collect(gate.placementChanged({.shouldHold = true, .witnesses = {Witness}}, Now));
+        collect(gate.logAvailabilityChanged(true, Now));
+        collect(gate.streamCaughtUp(Now));
+        completeAppendAndRead();
     }
 
-    void take(KeyActions actions)
+    void collect(KeyActions actions)
     {
         for (auto &action : actions) {
             std::visit(Visitor{
-                           [this](AppendBatch &append) { lastBatch = std::move(append.batch); },
+                           [this](AppendBatch &append) { pendingBatch = std::move(append.batch); },
                            [this](const RunCall &run) { runs.push_back(run); },
                            [this](AnswerCall &answer) { replies.push_back(std::move(answer.reply)); },
-                           [this](SendToGate &send) { sent.push_back(std::move(send)); },
+                           [this](SendKeyMessage &send) { sentMessages.push_back(std::move(send)); },
                        },
                        action);
         }
     }
 
-    void landAndRead()
+    void completeAppendAndRead()
     {
-        take(gate.appended(lastBatch->serial, true, Now));
-        take(gate.read(static_cast<LogOffset>(++offset), std::exchange(lastBatch, std::nullopt), Now));
+        collect(gate.appendCompleted(pendingBatch->serial, true, Now));
+        collect(gate.recordRead(static_cast<LogOffset>(++offset), std::exchange(pendingBatch, std::nullopt), Now));
     }
 
     void request(int key, std::string_view body = "b")
     {
-        take(gate.request({.attempt = {.entry = Entry, .number = ++attempts},
-                           .key = targetKey(key),
-                           .fingerprint = fingerprintOf(WorkspaceName("w"), "POST", "/", body)},
-                          Now));
+        collect(gate.requestReceived({.attempt = {.entry = Entry, .number = ++attempts},
+                                      .key = keyFor(key),
+                                      .fingerprint = fingerprintOf(WorkspaceName("w"), "POST", "/", body)},
+                                     Now));
     }
 
-    /** The witness promises for every claim that it was asked for but the last @p except ones. */
-    void promise(std::size_t except)
+    /** The witness promises for every claim that it was asked for but the last @p unansweredCount ones. */
+    void promiseClaims(std::size_t unansweredCount)
     {
-        sent.clear();
-        take(gate.tick(Now));
-        const auto asked = std::exchange(sent, {});
-        for (std::size_t index = 0; index + except < asked.size(); ++index) {
-            const auto &ask = std::get<ActivateRequest>(asked[index].message);
-            take(gate.message(Witness, ActivateReply{.claim = ask.claim, .until = ask.until}, Now));
+        sentMessages.clear();
+        collect(gate.tick(Now));
+        const auto requests = std::exchange(sentMessages, {});
+        for (std::size_t index = 0; index + unansweredCount < requests.size(); ++index) {
+            const auto &request = std::get<ActivateRequest>(requests[index].message);
+            collect(gate.messageReceived(Witness, ActivateReply{.claim = request.claim, .until = request.until}, Now));
         }
     }
 
-    static Uuid7 targetKey(int key)
+    static Uuid7 keyFor(int key)
     {
         return Uuid7::make(Now, 0, static_cast<std::uint64_t>(key) << 8U);
     }
@@ -76,138 +76,140 @@
     }
 
     KeyGate gate;
-    std::optional<KeyBatch> lastBatch;
+    std::optional<KeyBatch> pendingBatch;
     std::vector<RunCall> runs;
     std::vector<KeyReply> replies;
-    std::vector<SendToGate> sent;
+    std::vector<SendKeyMessage> sentMessages;
     std::uint64_t offset = 0;
     std::uint64_t attempts = 0;
 };
 
-TEST(KeyGate, RunsOnceTheIntentIsReadBackAndRepeatsTheAnswer)
+TEST(KeyGate, RunsOnceTheIntentIsReadBackAndReplaysTheAnswer)
 {
-    Bench bench;
-    bench.request(1);
-    EXPECT_TRUE(bench.runs.empty());
-    bench.landAndRead();
-    ASSERT_EQ(bench.runs.size(), 1U);
-    bench.request(1);
-    bench.request(1, "other");
-    EXPECT_EQ(bench.lastError(), ErrorKind::KeyMismatch);
+    GateFixture fixture;
+    fixture.request(1);
+    EXPECT_TRUE(fixture.runs.empty());
+    fixture.completeAppendAndRead();
+    ASSERT_EQ(fixture.runs.size(), 1U);
+    fixture.request(1);
+    fixture.request(1, "other");
+    EXPECT_EQ(fixture.lastError(), ErrorKind::KeyMismatch);
     const StoredAnswer answer{.status = 201, .body = "seat 7"};
-    bench.take(bench.gate.served(Bench::targetKey(1), answer));
-    bench.request(1);
-    ASSERT_EQ(bench.replies.size(), 4U);
+    fixture.collect(fixture.gate.callCompleted(GateFixture::keyFor(1), answer));
+    fixture.request(1);
+    ASSERT_EQ(fixture.replies.size(), 4U);
     for (const auto index : {1U, 2U, 3U}) {
-        EXPECT_EQ(std::get<StoredAnswer>(bench.replies[index]), answer);
+        EXPECT_EQ(std::get<StoredAnswer>(fixture.replies[index]), answer);
     }
-    EXPECT_EQ(bench.runs.size(), 1U);
-    bench.request(1, "other");
-    EXPECT_EQ(bench.lastError(), ErrorKind::KeyMismatch);
+    EXPECT_EQ(fixture.runs.size(), 1U);
+    fixture.request(1, "other");
+    EXPECT_EQ(fixture.lastError(), ErrorKind::KeyMismatch);
 }
 
-TEST(KeyGate, SaysThatALongAnswerRanWithoutKeepingIt)
+TEST(KeyGate, ReportsThatALongAnswerRanWithoutStoringIt)
 {
-    Bench bench;
-    bench.request(1);
-    bench.landAndRead();
-    bench.take(bench.gate.served(Bench::targetKey(1),
-                                 StoredAnswer{.status = 200, .body = std::string(StoredAnswer::MaxBody + 1, 'x')}));
-    EXPECT_EQ(std::get<StoredAnswer>(bench.replies.back()).body.size(), StoredAnswer::MaxBody + 1);
-    bench.request(1);
-    EXPECT_EQ(bench.lastError(), ErrorKind::KeyOutcomeUnknown);
-    EXPECT_EQ(std::get<Error>(bench.replies.back()).ranOrDefault(), Ran::Yes);
+    GateFixture fixture;
+    fixture.request(1);
+    fixture.completeAppendAndRead();
+    fixture.collect(fixture.gate.callCompleted(
+        GateFixture::keyFor(1), StoredAnswer{.status = 200, .body = std::string(StoredAnswer::MaxBodyBytes + 1, 'x')}));
+    EXPECT_EQ(std::get<StoredAnswer>(fixture.replies.back()).body.size(), StoredAnswer::MaxBodyBytes + 1);
+    fixture.request(1);
+    EXPECT_EQ(fixture.lastError(), ErrorKind::KeyOutcomeUnknown);
+    EXPECT_EQ(std::get<Error>(fixture.replies.back()).ranOrDefault(), Ran::Yes);
 }
 
-TEST(KeyGate, CommitsManyIntentsInOneAppend)
+TEST(KeyGate, GroupsIntentsInOneAppend)
 {
-    Bench bench;
-    bench.request(1);
-    const auto first = bench.lastBatch;
+    GateFixture fixture;
+    fixture.request(1);
+    const auto firstBatch = fixture.pendingBatch;
     for (int key = 2; key < 40; ++key) {
-        bench.request(key);
+        fixture.request(key);
     }
-    EXPECT_EQ(bench.lastBatch, first);
-    bench.landAndRead();
-    ASSERT_TRUE(bench.lastBatch);
-    EXPECT_EQ(bench.lastBatch->records.size(), 38U);
-    bench.landAndRead();
-    EXPECT_EQ(bench.runs.size(), 39U);
+    EXPECT_EQ(fixture.pendingBatch, firstBatch);
+    fixture.completeAppendAndRead();
+    ASSERT_TRUE(fixture.pendingBatch);
+    EXPECT_EQ(fixture.pendingBatch->records.size(), 38U);
+    fixture.completeAppendAndRead();
+    EXPECT_EQ(fixture.runs.size(), 39U);
 }
 
-struct WindowRow
+struct KeyTimeRow
 {
-    const char *story;
+    const char *description;
     std::chrono::milliseconds age;
     ErrorKind kind;
 };
 
-const WindowRow WindowRows[] = {
+const KeyTimeRow KeyTimeRows[] = {
     {"older than the window", 25h, ErrorKind::KeyExpired},
     {"from a clock far ahead", -5min, ErrorKind::BadIdempotencyKey},
 };
 
-class KeyWindow : public testing::TestWithParam<WindowRow>
+class KeyCreationTime : public testing::TestWithParam<KeyTimeRow>
 {
 };
 
-TEST_P(KeyWindow, RefusesKeysThatCantBeDated)
+TEST_P(KeyCreationTime, RejectsKeysOutsideTheWindow)
 {
-    Bench bench;
-    bench.take(bench.gate.request(
+    GateFixture fixture;
+    fixture.collect(fixture.gate.requestReceived(
         {.attempt = {.entry = Entry, .number = 1}, .key = Uuid7::make(Now - GetParam().age, 1, 1)}, Now));
-    EXPECT_EQ(bench.lastError(), GetParam().kind) << GetParam().story;
-    EXPECT_FALSE(bench.lastBatch);
+    EXPECT_EQ(fixture.lastError(), GetParam().kind) << GetParam().description;
+    EXPECT_FALSE(fixture.pendingBatch);
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, KeyWindow, testing::ValuesIn(WindowRows));
+INSTANTIATE_TEST_SUITE_P(Table, KeyCreationTime, testing::ValuesIn(KeyTimeRows));
 
 // Two trucks after an outage: the holder's renewal had landed unseen, and a successor was let in by a witness of that
 // renewal, while the holder went on under the promises for the claim before it. So a claim on its way counts.
-TEST(KeyGate, NeedsPromisesForAClaimOnItsWayToo)
+TEST(KeyGate, RequiresPromisesForAClaimInFlight)
 {
-    for (const bool counts : {true, false}) {
+    for (const bool claimInFlightCounts : {true, false}) {
         KeySafeguards safeguards;
-        safeguards.claimsInFlightCount = counts;
-        Bench bench(safeguards);
-        const auto other = GateId{.process = ProcessName("w2"), .incarnation = Incarnation{4}};
-        bench.take(bench.gate.placementChanged({.wanted = true, .witnesses = {other}}, Now));
-        ASSERT_TRUE(bench.lastBatch);
-        bench.take(bench.gate.appended(bench.lastBatch->serial, false, Now));
-        bench.take(bench.gate.logChanged(false, Now));
-        bench.promise(1);
-        bench.request(1);
-        EXPECT_EQ(bench.runs.size(), counts ? 0U : 1U);
+        safeguards.claimsInFlightCount = claimInFlightCounts;
+        GateFixture fixture(safeguards);
+        const auto otherWitness = GateId{.process = ProcessName("w2"), .incarnation = Incarnation{4}};
+        fixture.collect(fixture.gate.placementChanged({.shouldHold = true, .witnesses = {otherWitness}}, Now));
+        ASSERT_TRUE(fixture.pendingBatch);
+        fixture.collect(fixture.gate.appendCompleted(fixture.pendingBatch->serial, false, Now));
+        fixture.collect(fixture.gate.logAvailabilityChanged(false, Now));
+        fixture.promiseClaims(1);
+        fixture.request(1);
+        EXPECT_EQ(fixture.runs.size(), claimInFlightCounts ? 0U : 1U);
     }
 }
 
 // A deposit is charged twice: its first run met a closed port and was released; the batch that said so landed twice,
 // the second time after the key had been announced again, and so released a key that was running. See
 // LedgerFold for the safeguard; off, the fold must show the fault.
-TEST(KeyLedger, ADoubledReleaseIsSkippedByItsNumber)
+TEST(KeyLedger, SkipsADuplicateReleaseByItsSerial)
 {
-    for (const bool skipped : {true, false}) {
+    for (const bool duplicatesSkipped : {true, false}) {
         KeySafeguards safeguards;
-        safeguards.doubledBatchesSkipped = skipped;
-        Bench bench(safeguards);
-        bench.request(1);
-        bench.landAndRead();
-        bench.take(bench.gate.served(Bench::targetKey(1), Error{.kind = ErrorKind::TargetUnreachable, .ran = Ran::No}));
-        bench.take(bench.gate.tick(Now));
-        const auto release = bench.lastBatch;
-        bench.landAndRead();
-        bench.request(1);
-        bench.landAndRead();
-        ASSERT_EQ(bench.runs.size(), 2U);
-        bench.take(bench.gate.read(static_cast<LogOffset>(++bench.offset), release, Now));
-        EXPECT_EQ(bench.gate.ledger().find(Bench::targetKey(1))->fate, skipped ? KeyFate::Open : KeyFate::NotRun);
+        safeguards.duplicateBatchesSkipped = duplicatesSkipped;
+        GateFixture fixture(safeguards);
+        fixture.request(1);
+        fixture.completeAppendAndRead();
+        fixture.collect(fixture.gate.callCompleted(GateFixture::keyFor(1),
+                                                   Error{.kind = ErrorKind::TargetUnreachable, .ran = Ran::No}));
+        fixture.collect(fixture.gate.tick(Now));
+        const auto releaseBatch = fixture.pendingBatch;
+        fixture.completeAppendAndRead();
+        fixture.request(1);
+        fixture.completeAppendAndRead();
+        ASSERT_EQ(fixture.runs.size(), 2U);
+        fixture.collect(fixture.gate.recordRead(static_cast<LogOffset>(++fixture.offset), releaseBatch, Now));
+        EXPECT_EQ(fixture.gate.ledger().find(GateFixture::keyFor(1))->runState,
+                  duplicatesSkipped ? RunState::Open : RunState::NotRun);
     }
 }
 
-TEST(KeyFrame, SurvivesItsCodecAndAnyCutIsRefused)
+TEST(KeyFrame, RoundTripsAndRejectsTruncation)
 {
     const PlacedClaim placed{.offset = LogOffset{4}, .claim = {.id = {Self, 2}, .witnesses = {Witness}, .until = Now}};
-    const KeyIntent intent{.key = Bench::targetKey(1), .runner = Self};
+    const KeyIntent intent{.key = GateFixture::keyFor(1), .runner = Self};
     const KeyMessage messages[] = {
         ActivateRequest{.claim = {Self, 1}, .until = Now},
         ActivateReply{.claim = {Self, 1}, .until = Now},
@@ -219,12 +221,12 @@
     for (const auto &message : messages) {
         const KeyFrame frame{ServiceName("s"), KeyShard{3}, Self, Witness, message};
         const auto bytes = encode(frame);
-        const auto back = decodeKeyFrame(bytes);
-        ASSERT_EQ(errorIn(back), nullptr) << errorIn(back)->detail;
-        EXPECT_EQ(std::get<KeyFrame>(back), frame);
+        const auto decoded = decodeKeyFrame(bytes);
+        ASSERT_EQ(errorIn(decoded), nullptr) << errorIn(decoded)->detail;
+        EXPECT_EQ(std::get<KeyFrame>(decoded), frame);
         for (std::size_t length = 0; length < bytes.size(); ++length) {
-            const Bytes cut(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(length));
-            EXPECT_NE(errorIn(decodeKeyFrame(cut)), nullptr);
+            const Bytes truncated(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(length));
+            EXPECT_NE(errorIn(decodeKeyFrame(truncated)), nullptr);
         }
     }
 }
--- a/tests/keys/keyledger_test.cpp
+++ b/tests/keys/keyledger_test.cpp
@@ -29,9 +29,9 @@
     return {.key = keyAt(second), .runner = gate};
 }
 
-KeyOutcome outcomeOf(int second, const GateId &gate, KeyFate fate)
+KeyOutcome outcomeOf(int second, const GateId &gate, RunState runState)
 {
-    return {.key = keyAt(second), .runner = gate, .fate = fate, .answer = {.status = 201}};
+    return {.key = keyAt(second), .runner = gate, .runState = runState, .answer = {.status = 201}};
 }
 
 KeyBatch batchOf(const GateId &writer, std::uint64_t serial, std::vector<KeyRecord> records,
@@ -45,23 +45,23 @@
     return batch;
 }
 
-struct Step
+struct BatchRow
 {
     GateId writer;
     std::uint64_t serial;
     std::vector<KeyRecord> records;
 };
 
-struct FoldRow
+struct LedgerRow
 {
-    const char *story;
-    std::vector<Step> steps;
+    const char *description;
+    std::vector<BatchRow> batches;
     GateId holder;
     std::optional<GateId> runner; ///< of the key of second 5
-    KeyFate fate;
+    RunState runState;
 };
 
-const FoldRow FoldRows[] = {
+const LedgerRow LedgerRows[] = {
     {"an intent by the holder counts", {{GateA, 1, {claimOf(GateA, 0), intentOf(5, GateA)}}}, GateA, GateA, {}},
     {"an intent by anybody else is void",
      {{GateA, 1, {claimOf(GateA, 0)}}, {GateB, 1, {intentOf(5, GateB)}}},
@@ -82,34 +82,34 @@
      {{GateA, 1, {claimOf(GateA, 0), intentOf(5, GateA)}}, {GateB, 1, {claimOf(GateB, 1), intentOf(5, GateB)}}},
      GateB,
      GateA,
-     KeyFate::Open},
+     RunState::Open},
     {"the predecessor's outcome still counts",
      {{GateA, 1, {claimOf(GateA, 0), intentOf(5, GateA)}},
       {GateB, 1, {claimOf(GateB, 1)}},
-      {GateA, 2, {outcomeOf(5, GateA, KeyFate::Answered)}}},
+      {GateA, 2, {outcomeOf(5, GateA, RunState::Answered)}}},
      GateB,
      GateA,
-     KeyFate::Answered},
+     RunState::Answered},
     {"a released key may be announced anew",
      {{GateA, 1, {claimOf(GateA, 0), intentOf(5, GateA)}},
-      {GateA, 2, {outcomeOf(5, GateA, KeyFate::NotRun)}},
+      {GateA, 2, {outcomeOf(5, GateA, RunState::NotRun)}},
       {GateB, 1, {claimOf(GateB, 1), intentOf(5, GateB)}}},
      GateB,
      GateB,
-     KeyFate::Open},
+     RunState::Open},
     {"a doubled release doesn't release the second run",
      {{GateA, 1, {claimOf(GateA, 0), intentOf(5, GateA)}},
-      {GateA, 2, {outcomeOf(5, GateA, KeyFate::NotRun)}},
+      {GateA, 2, {outcomeOf(5, GateA, RunState::NotRun)}},
       {GateA, 3, {intentOf(5, GateA)}},
-      {GateA, 2, {outcomeOf(5, GateA, KeyFate::NotRun)}}},
+      {GateA, 2, {outcomeOf(5, GateA, RunState::NotRun)}}},
      GateA,
      GateA,
-     KeyFate::Open},
+     RunState::Open},
     {"an outcome without an intent stands for a run made while the log was out",
-     {{GateA, 1, {claimOf(GateA, 0)}}, {GateA, 2, {outcomeOf(5, GateA, KeyFate::Answered)}}},
+     {{GateA, 1, {claimOf(GateA, 0)}}, {GateA, 2, {outcomeOf(5, GateA, RunState::Answered)}}},
      GateA,
      GateA,
-     KeyFate::Answered},
+     RunState::Answered},
     {"a key below a claim's floor can't be announced",
      {{GateA, 1, {KeyClaim{.id = {GateA, 1}, .floor = keyAt(6).time()}, intentOf(5, GateA)}}},
      GateA,
@@ -117,31 +117,31 @@
      {}},
 };
 
-class LedgerFold : public testing::TestWithParam<FoldRow>
+class LedgerReplay : public testing::TestWithParam<LedgerRow>
 {
 };
 
-TEST_P(LedgerFold, GivesOneHolderAndOneRunner)
+TEST_P(LedgerReplay, YieldsOneHolderAndOneRunner)
 {
     KeyLedger ledger({});
     std::uint64_t offset = 0;
-    for (const auto &step : GetParam().steps) {
-        ledger.apply(static_cast<LogOffset>(++offset), batchOf(step.writer, step.serial, step.records));
+    for (const auto &batch : GetParam().batches) {
+        ledger.apply(static_cast<LogOffset>(++offset), batchOf(batch.writer, batch.serial, batch.records));
     }
-    EXPECT_TRUE(ledger.isHolder(GetParam().holder)) << GetParam().story;
+    EXPECT_TRUE(ledger.isHolder(GetParam().holder)) << GetParam().description;
     const auto *entry = ledger.find(keyAt(5));
-    ASSERT_EQ(entry != nullptr, GetParam().runner.has_value()) << GetParam().story;
+    ASSERT_EQ(entry != nullptr, GetParam().runner.has_value()) << GetParam().description;
     if (entry != nullptr) {
-        EXPECT_EQ(entry->runner, *GetParam().runner) << GetParam().story;
-        EXPECT_EQ(entry->fate, GetParam().fate) << GetParam().story;
+        EXPECT_EQ(entry->runner, *GetParam().runner) << GetParam().description;
+        EXPECT_EQ(entry->runState, GetParam().runState) << GetParam().description;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, LedgerFold, testing::ValuesIn(FoldRows));
+INSTANTIATE_TEST_SUITE_P(Table, LedgerReplay, testing::ValuesIn(LedgerRows));
 
 // A guest is charged again by a key from last week. The ledger had forgotten the key to bound its memory, and took its
 // absence for "never used". Whatever is forgotten lies below the floor, and the floor never sinks.
-RC_GTEST_PROP(KeyLedger, NeverForgetsAboveItsFloor, (const std::vector<std::uint8_t> &seconds))
+RC_GTEST_PROP(KeyLedger, EvictsOnlyKeysBelowTheFloor, (const std::vector<std::uint8_t> &seconds))
 {
     KeyLedger ledger({.window = 60s, .maxEntries = 20, .maxAnswerBytes = 100});
     ledger.apply(LogOffset{1}, batchOf(GateA, 1, {claimOf(GateA, 0)}));
@@ -149,78 +149,80 @@
     std::uint64_t serial = 1;
     for (const auto second : seconds) {
         const auto floor = ledger.floor();
-        auto outcome = outcomeOf(second, GateA, KeyFate::Answered);
+        auto outcome = outcomeOf(second, GateA, RunState::Answered);
         outcome.answer.body = "0123456789";
         ++serial;
         ledger.apply(static_cast<LogOffset>(serial), batchOf(GateA, serial, {outcome}));
         announced.push_back(second);
         RC_ASSERT(ledger.floor() >= floor);
         RC_ASSERT(ledger.entries().size() <= 20U);
-        for (const auto known : announced) {
-            RC_ASSERT(ledger.find(keyAt(known)) != nullptr || !ledger.canDecide(keyAt(known).time()));
+        for (const auto announcedSecond : announced) {
+            RC_ASSERT(ledger.find(keyAt(announcedSecond)) != nullptr
+                      || !ledger.canDecide(keyAt(announcedSecond).time()));
         }
     }
 }
 
 // A process comes up when the older records of a stream have expired. It must not take a key for new because the
 // record of it is gone, and has to know who holds the shard.
-TEST(KeyLedger, GoesOnFromABatchWhoseWriterSawTheLostRecords)
+TEST(KeyLedger, ResumesAtABatchThatCoversTheLostRecords)
 {
-    KeyLedger whole({});
-    whole.apply(LogOffset{1}, batchOf(GateA, 1, {claimOf(GateA, 0)}));
-    whole.apply(LogOffset{2}, batchOf(GateA, 2, {intentOf(3, GateA)}));
-    const auto unseen = batchOf(GateA, 3, {intentOf(4, GateA)}, {.covers = LogOffset{1}});
-    const auto seen = batchOf(GateA, 4, {intentOf(9, GateA)}, whole.view());
-    KeyLedger late({});
-    late.recordsLost(LogOffset{2});
-    late.apply(LogOffset{3}, unseen);
-    EXPECT_FALSE(late.isWhole());
-    EXPECT_FALSE(late.canDecide(keyAt(50).time()));
-    late.apply(LogOffset{4}, seen);
-    ASSERT_TRUE(late.isWhole());
-    EXPECT_TRUE(late.isHolder(GateA));
-    EXPECT_NE(late.find(keyAt(4)), nullptr);
-    EXPECT_FALSE(late.canDecide(keyAt(3).time()));
-    EXPECT_TRUE(late.canDecide(keyAt(50).time()));
+    KeyLedger complete({});
+    complete.apply(LogOffset{1}, batchOf(GateA, 1, {claimOf(GateA, 0)}));
+    complete.apply(LogOffset{2}, batchOf(GateA, 2, {intentOf(3, GateA)}));
+    const auto uncoveredBatch = batchOf(GateA, 3, {intentOf(4, GateA)}, {.covers = LogOffset{1}});
+    const auto coveredBatch = batchOf(GateA, 4, {intentOf(9, GateA)}, complete.view());
+    KeyLedger reader({});
+    reader.recordsExpired(LogOffset{2});
+    reader.apply(LogOffset{3}, uncoveredBatch);
+    EXPECT_FALSE(reader.isComplete());
+    EXPECT_FALSE(reader.canDecide(keyAt(50).time()));
+    reader.apply(LogOffset{4}, coveredBatch);
+    ASSERT_TRUE(reader.isComplete());
+    EXPECT_TRUE(reader.isHolder(GateA));
+    EXPECT_NE(reader.find(keyAt(4)), nullptr);
+    EXPECT_FALSE(reader.canDecide(keyAt(3).time()));
+    EXPECT_TRUE(reader.canDecide(keyAt(50).time()));
 }
 
 // All records of a quiet shard have expired, so that nobody's claim is known. A claim made after the loss counts only
 // at the very next offset; with anything in between, nobody may take it for valid.
 TEST(KeyLedger, AClaimAfterLossCountsOnlyAtTheNextOffset)
 {
-    for (const bool disturbed : {false, true}) {
+    for (const bool hasRecordBetween : {false, true}) {
         KeyLedger ledger({});
-        ledger.recordsLost(LogOffset{7});
+        ledger.recordsExpired(LogOffset{7});
         auto claim = claimOf(GateB, 7);
         claim.afterLoss = true;
         claim.floor = keyAt(10).time();
-        if (disturbed) {
+        if (hasRecordBetween) {
             ledger.apply(LogOffset{8}, batchOf(GateA, 9, {intentOf(20, GateA)}));
         }
-        ledger.apply(next(ledger.folded()), batchOf(GateB, 1, {claim}));
-        EXPECT_EQ(ledger.isHolder(GateB), !disturbed);
-        EXPECT_EQ(ledger.canDecide(keyAt(10).time()), !disturbed);
+        ledger.apply(next(ledger.appliedOffset()), batchOf(GateB, 1, {claim}));
+        EXPECT_EQ(ledger.isHolder(GateB), !hasRecordBetween);
+        EXPECT_EQ(ledger.canDecide(keyAt(10).time()), !hasRecordBetween);
         EXPECT_FALSE(ledger.canDecide(keyAt(9).time()));
     }
 }
 
-TEST(KeyBatch, SurvivesItsCodecAndAnyCutIsRefused)
+TEST(KeyBatch, RoundTripsAndRejectsTruncation)
 {
     KeyClaim claim = claimOf(GateB, 7);
     claim.witnesses = {GateA};
     claim.until = keyAt(100).time();
-    auto outcome = outcomeOf(4, GateA, KeyFate::Answered);
+    auto outcome = outcomeOf(4, GateA, RunState::Answered);
     outcome.answer = {.status = 201, .contentType = "application/json", .body = std::string("\x00\xff", 2)};
     const auto batch =
         batchOf(GateA, 3, {intentOf(3, GateA), outcome, claim},
                 {.covers = LogOffset{2}, .claim = PlacedClaim{LogOffset{1}, claim}, .floor = keyAt(1).time()});
     const auto bytes = encode(batch);
-    const auto back = decodeKeyBatch(bytes);
-    ASSERT_EQ(errorIn(back), nullptr);
-    EXPECT_EQ(std::get<KeyBatch>(back), batch);
+    const auto decoded = decodeKeyBatch(bytes);
+    ASSERT_EQ(errorIn(decoded), nullptr);
+    EXPECT_EQ(std::get<KeyBatch>(decoded), batch);
     for (std::size_t length = 0; length < bytes.size(); ++length) {
-        const auto cut = decodeKeyBatch(Bytes(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(length)));
-        EXPECT_NE(errorIn(cut), nullptr) << length;
+        const auto truncated =
+            decodeKeyBatch(Bytes(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(length)));
+        EXPECT_NE(errorIn(truncated), nullptr) << length;
     }
 }
 
@@ -237,11 +239,11 @@
     {"017f22e2-79b0-7cc3-98c4-dc0c0c07398f0", false}, {"", false},
 };
 
-class UuidText : public testing::TestWithParam<UuidRow>
+class UuidParsing : public testing::TestWithParam<UuidRow>
 {
 };
 
-TEST_P(UuidText, IsVersion7OrRefused)
+TEST_P(UuidParsing, ParsesOnlyVersion7)
 {
     const auto uuid = Uuid7::parse(GetParam().text);
     ASSERT_EQ(uuid.has_value(), GetParam().valid);
@@ -251,9 +253,9 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, UuidText, testing::ValuesIn(UuidRows));
+INSTANTIATE_TEST_SUITE_P(Table, UuidParsing, testing::ValuesIn(UuidRows));
 
-TEST(RequestFingerprint, SeesEachPartAndTheBorderBetweenParts)
+TEST(RequestFingerprint, DependsOnEachPartAndOnTheirBoundaries)
 {
     const auto base = fingerprintOf(WorkspaceName("w"), "POST", "/a", "b");
     EXPECT_EQ(base, fingerprintOf(WorkspaceName("w"), "POST", "/a", "b"));
@@ -280,12 +282,12 @@
         without += index == leaving ? "" : section(index);
     }
     const auto all = std::get<Inventory>(Inventory::fromDocument(IniDocument::parse(text)));
-    const auto rest = std::get<Inventory>(Inventory::fromDocument(IniDocument::parse(without)));
+    const auto remaining = std::get<Inventory>(Inventory::fromDocument(IniDocument::parse(without)));
     for (std::uint32_t shard = 0; shard < KeyShardCount; ++shard) {
         const auto before = holdersOf(all, ServiceName("s"), static_cast<KeyShard>(shard));
-        const auto after = holdersOf(rest, ServiceName("s"), static_cast<KeyShard>(shard));
-        const bool held = before[0]->name == TargetName("t" + std::to_string(leaving));
-        RC_ASSERT(after[0]->name == before[held ? 1 : 0]->name);
+        const auto after = holdersOf(remaining, ServiceName("s"), static_cast<KeyShard>(shard));
+        const bool isHeldByLeaving = before[0]->name == TargetName("t" + std::to_string(leaving));
+        RC_ASSERT(after[0]->name == before[isHeldByLeaving ? 1 : 0]->name);
     }
 }
 
