--- a/modules/heatherridge_coordination/keys/claimkeeper.cpp
+++ b/modules/heatherridge_coordination/keys/claimmanager.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_coordination/keys/claimkeeper.h"
+#include "heatherridge_coordination/keys/claimmanager.h"
 
 #include <algorithm>
 
--- a/modules/heatherridge_coordination/keys/keygate.h
+++ b/modules/heatherridge_coordination/keys/keygate.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include "heatherridge_coordination/keys/batchwriter.h"
-#include "heatherridge_coordination/keys/claimkeeper.h"
+#include "heatherridge_coordination/keys/claimmanager.h"
 #include "heatherridge_coordination/keys/keyaction.h"
 #include "heatherridge_coordination/keys/opencalls.h"
 #include "heatherridge_coordination/keys/unrecordedkeys.h"
-#include "heatherridge_coordination/keys/witnessbook.h"
+#include "heatherridge_coordination/keys/witnesspromises.h"
 
 #include <map>
 
--- a/modules/heatherridge_coordination/keys/witnessbook.cpp
+++ b/modules/heatherridge_coordination/keys/witnesspromises.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_coordination/keys/witnessbook.h"
+#include "heatherridge_coordination/keys/witnesspromises.h"
 
 #include <algorithm>
 
--- a/tests/keymodel/keyworld.cpp
+++ b/tests/keymodel/keysimulation.cpp
@@ -1,4 +1,4 @@
-#include "keyworld.h"
+#include "keysimulation.h"
 
 #include <algorithm>
 
--- a/tests/keymodel/keyworld_test.cpp
+++ b/tests/keymodel/keysimulation_test.cpp
@@ -1,4 +1,4 @@
-#include "keyworld.h"
+#include "keysimulation.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
