--- a/extras/heatherridge-gateway/main.cpp
+++ b/extras/heatherridge-gateway/main.cpp
@@ -125,23 +125,23 @@
             .control = {.withdrawalTime = settings.duration("withdrawal"), .silenceTime = settings.duration("silence")},
             .logPartitions = static_cast<int>(settings.number("log-partitions")),
             .maxConnections = static_cast<std::size_t>(settings.number("max-connections")),
-            .grace = settings.duration("grace")};
+            .gracePeriod = settings.duration("grace")};
 }
 
 GatewayServer::Adapter adapterFrom(const Settings &settings)
 {
     return {
-        .traffic = std::make_shared<PlatformTraffic>(),
-        .log =
+        .trafficCodec = std::make_shared<PlatformTraffic>(),
+        .makeLogClients =
             [log = settings.address("log-service")](HttpClient &client, LogEvents events) {
                 const auto calls =
                     std::make_shared<LogClient>(client, LogClient::Options{.endpoint = log}, std::move(events));
-                return GatewayServer::LogParts{.registers = std::make_unique<PlatformLog>(calls),
-                                               .shares = std::make_unique<PlatformShare>(calls, "group-keepers"),
-                                               .reports =
-                                                   std::make_unique<PlatformReports>(calls, "heatherridge-crashes")};
+                return GatewayServer::LogClients{.registers = std::make_unique<PlatformLog>(calls),
+                                                 .shares = std::make_unique<PlatformShare>(calls, "group-keepers"),
+                                                 .reports =
+                                                     std::make_unique<PlatformReports>(calls, "heatherridge-crashes")};
             },
-        .ranks =
+        .makeRankControl =
             [](HttpClient &client) { return std::make_unique<PlatformEngines>(client, PlatformEngines::Options{}); }};
 }
 
--- a/modules/heatherridge_transport/direct/crashguard.cpp
+++ b/modules/heatherridge_transport/direct/crashguard.cpp
@@ -17,8 +17,8 @@
 
 CrashGuard::CrashGuard(Events events, Metrics &metrics)
     : m_events(std::move(events))
-    , m_deaths(metrics.counter("heatherridge_deaths_under_requests_total"))
-    , m_blocked(metrics.counter("heatherridge_requests_blocked_total"))
+    , m_targetDeaths(metrics.counter("heatherridge_deaths_under_requests_total"))
+    , m_blockedRequests(metrics.counter("heatherridge_requests_blocked_total"))
 {
 }
 
@@ -37,40 +37,40 @@
     return m_suspects.isBlocked(request);
 }
 
-void CrashGuard::targetDied(const RequestId &id, const RequestFingerprint &request, const TargetName &target)
+void CrashGuard::recordTargetDeath(const RequestId &id, const RequestFingerprint &request, const TargetName &target)
 {
-    m_deaths.add();
+    m_targetDeaths.add();
     logEvent(Severity::Warning, "target-died",
              {{"request", id.text()}, {"fingerprint", toString(request)}, {"target", target.text()}});
     const CrashReport report{.kind = CrashReport::Kind::TargetDied, .request = request, .target = target};
-    take(report);
-    tell(report);
+    apply(report);
+    publish(report);
 }
 
-void CrashGuard::answered(const RequestFingerprint &request)
+void CrashGuard::recordAnswer(const RequestFingerprint &request)
 {
     const CrashReport report{.kind = CrashReport::Kind::Answered, .request = request};
-    take(report);
-    tell(report);
+    apply(report);
+    publish(report);
 }
 
-void CrashGuard::refused(const RequestFingerprint &request)
+void CrashGuard::recordRefusal(const RequestFingerprint &request)
 {
     if (const auto again = m_suspects.refused(request, now())) {
-        tell(*again);
+        publish(*again);
     }
 }
 
-void CrashGuard::learn(const std::vector<CrashReport> &reports)
+void CrashGuard::applyReports(const std::vector<CrashReport> &reports)
 {
     for (const auto &report : reports) {
-        take(report);
+        apply(report);
     }
 }
 
-SuspectPlaces &CrashGuard::places()
+SuspectPlaces &CrashGuard::suspectPlaces()
 {
-    return m_places;
+    return m_suspectPlaces;
 }
 
 void CrashGuard::tick(SteadyTime now)
@@ -78,20 +78,20 @@
     m_suspects.tick(now);
 }
 
-void CrashGuard::take(const CrashReport &report)
+void CrashGuard::apply(const CrashReport &report)
 {
     if (!m_suspects.take(report, now())) {
         return;
     }
-    m_blocked.add();
+    m_blockedRequests.add();
     logEvent(Severity::Warning, "request-blocked",
              {{"fingerprint", toString(report.request)}, {"target", report.target.text()}});
-    m_events.blocked(report.request);
+    m_events.requestBlocked(report.request);
 }
 
-void CrashGuard::tell(const CrashReport &report)
+void CrashGuard::publish(const CrashReport &report)
 {
-    m_events.report(report);
+    m_events.reportCreated(report);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/crashguard.h
+++ b/modules/heatherridge_transport/direct/crashguard.h
@@ -20,9 +20,9 @@
     struct Events
     {
         /** To be told to the other gateways. */
-        std::function<void(const CrashReport &)> report{};
+        std::function<void(const CrashReport &)> reportCreated{};
         /** @p request is not to be sent to targets any more. */
-        std::function<void(const RequestFingerprint &request)> blocked{};
+        std::function<void(const RequestFingerprint &request)> requestBlocked{};
     };
 
     /** @p metrics must outlive it. */
@@ -38,32 +38,32 @@
     bool isBlocked(const RequestFingerprint &request) const;
 
     /** @p target has died under @p request, which came as @p id. */
-    void targetDied(const RequestId &id, const RequestFingerprint &request, const TargetName &target);
+    void recordTargetDeath(const RequestId &id, const RequestFingerprint &request, const TargetName &target);
 
     /** A target has run the suspect @p request to an answer. */
-    void answered(const RequestFingerprint &request);
+    void recordAnswer(const RequestFingerprint &request);
 
     /** The blocked @p request has come again and was refused. */
-    void refused(const RequestFingerprint &request);
+    void recordRefusal(const RequestFingerprint &request);
 
     /** What gateways, this one among them, have told. */
-    void learn(const std::vector<CrashReport> &reports);
+    void applyReports(const std::vector<CrashReport> &reports);
 
     /** Targets that have suspects of this gateway. */
-    SuspectPlaces &places();
+    SuspectPlaces &suspectPlaces();
 
     /** Forgets what is old. Called about once a second. */
     void tick(SteadyTime now);
 
 private:
-    void take(const CrashReport &report);
-    void tell(const CrashReport &report);
+    void apply(const CrashReport &report);
+    void publish(const CrashReport &report);
 
     Events m_events;
-    Counter &m_deaths;
-    Counter &m_blocked;
+    Counter &m_targetDeaths;
+    Counter &m_blockedRequests;
     CrashSuspects m_suspects;
-    SuspectPlaces m_places;
+    SuspectPlaces m_suspectPlaces;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -37,41 +37,41 @@
     : m_traffic(traffic)
     , m_number(number)
     , m_exchange(std::move(exchange))
-    , m_fields(std::move(fields))
+    , m_callerFields(std::move(fields))
     , m_table(std::move(table))
     , m_route(*match.route)
     , m_match(match)
-    , m_arrived(now())
-    , m_deadline(m_arrived + std::min(m_route.timeout, m_fields.patience.value_or(m_route.timeout)))
+    , m_arrivedAt(now())
+    , m_deadline(m_arrivedAt + std::min(m_route.timeout, m_callerFields.patience.value_or(m_route.timeout)))
     , m_timer(traffic.m_loop)
-    , m_stream(m_fields.lastEvent)
+    , m_stream(m_callerFields.lastEvent)
 {
 }
 
-void GatewayCall::begin()
+void GatewayCall::start()
 {
     m_service = drawService(m_route, m_traffic.m_random);
-    m_traffic.budgetOf(m_service).recordRequest(m_arrived);
+    m_traffic.retryBudgetFor(m_service).recordRequest(m_arrivedAt);
     m_exchange->onClosed([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
-            self->callerLeft();
+            self->onCallerDisconnected();
         }
     });
     if (refuseIfBlocked()) {
         return;
     }
-    if (isStream() && m_traffic.m_queue.hasOnTimeStream(m_service, m_arrived)) {
+    if (isStream() && m_traffic.m_queue.hasOnTimeStream(m_service, m_arrivedAt)) {
         enqueue(); // behind those that came before it
     } else {
-        attempt();
+        startAttempt();
     }
     armTimer();
 }
 
-void GatewayCall::tryAgain()
+void GatewayCall::retryPlacement()
 {
     if (!m_isDone && m_isWaiting) {
-        attempt();
+        startAttempt();
         armTimer();
     }
 }
@@ -85,11 +85,11 @@
 {
     m_isDone = true;
     m_timer.cancel();
-    leaveTarget(false);
+    releaseTarget(false);
     m_exchange->abort();
 }
 
-void GatewayCall::attempt()
+void GatewayCall::startAttempt()
 {
     m_isWaiting = false;
     if (refuseIfBlocked()) {
@@ -97,31 +97,32 @@
     }
     const auto choice = chooseTarget();
     // An attempt that never left puts no load on anybody: what follows it is the first.
-    const bool isRepeat = m_arrivals > 0;
-    if (choice.target != nullptr && isRepeat && !m_traffic.budgetOf(m_service).tryTake(now())) {
-        m_traffic.m_counters.repeatsDenied.add();
-        awaitTarget({.kind = m_mayHaveRun > 0 ? ErrorKind::BackendFailed : ErrorKind::Overloaded,
-                     .detail = "no repeat left in the budget",
-                     .retryAfter = FullRetryAfter});
+    const bool isRepeat = m_possibleArrivals > 0;
+    if (choice.target != nullptr && isRepeat && !m_traffic.retryBudgetFor(m_service).tryTake(now())) {
+        m_traffic.m_counters.retriesDenied.add();
+        waitForTarget({.kind = m_possibleExecutions > 0 ? ErrorKind::BackendFailed : ErrorKind::Overloaded,
+                       .detail = "no repeat left in the budget",
+                       .retryAfter = FullRetryAfter});
         return;
     }
     if (choice.target != nullptr) {
-        m_traffic.m_counters.repeats.add(isRepeat ? 1 : 0);
-        m_traffic.m_counters.resumed.add(m_stream.hasBegun() ? 1 : 0);
+        m_traffic.m_counters.retries.add(isRepeat ? 1 : 0);
+        m_traffic.m_counters.resumedStreams.add(m_stream.hasBegun() ? 1 : 0);
         send(*choice.target, choice.load);
         return;
     }
     const auto kind = choice.isFull ? ErrorKind::Overloaded : ErrorKind::NoTarget;
-    awaitTarget({.kind = m_mayHaveRun > 0 ? ErrorKind::BackendFailed : kind,
-                 .detail = choice.isFull ? "all targets are full" : "no target for " + m_service.text(),
-                 .retryAfter = choice.heldFor.value_or(choice.isFull ? EnginesFullRetryAfter : NoTargetRetryAfter)});
+    waitForTarget(
+        {.kind = m_possibleExecutions > 0 ? ErrorKind::BackendFailed : kind,
+         .detail = choice.isFull ? "all targets are full" : "no target for " + m_service.text(),
+         .retryAfter = choice.limitWait.value_or(choice.isFull ? EnginesFullRetryAfter : NoTargetRetryAfter)});
 }
 
 GatewayTargets::Choice GatewayCall::chooseTarget()
 {
     auto &targets = m_traffic.m_targets;
     if (isSuspect()) {
-        const auto avoided = m_traffic.m_crashGuard.places().avoided(m_tried);
+        const auto avoided = m_traffic.m_crashGuard.suspectPlaces().avoided(m_tried);
         const auto apart = targets.choose(m_service, avoided, urgency(), now(), m_traffic.m_random);
         if (apart.target != nullptr) {
             return apart;
@@ -134,34 +135,34 @@
 {
     // What an engine has worked on goes on: its caller may have the beginning. What was refused unread has lost
     // nothing.
-    if (m_mayHaveRun > 0 || m_stream.hasBegun()) {
+    if (m_possibleExecutions > 0 || m_stream.hasBegun()) {
         return Urgency::Begun;
     }
-    return now() <= onTimeUntil() ? Urgency::Timely : Urgency::Late;
+    return now() <= timelyUntil() ? Urgency::Timely : Urgency::Late;
 }
 
-SteadyTime GatewayCall::onTimeUntil() const
+SteadyTime GatewayCall::timelyUntil() const
 {
     // A caller that comes again has waited before: it says how much of its patience is left.
-    const auto before = std::max(m_route.timeout - m_fields.patience.value_or(m_route.timeout), milliseconds(0));
-    const auto firstEvent = m_traffic.firstEventsOf(m_service).mean().value_or(UnknownFirstEvent);
-    return m_arrived + m_route.objective - before - duration_cast<milliseconds>(firstEvent);
+    const auto before = std::max(m_route.timeout - m_callerFields.patience.value_or(m_route.timeout), milliseconds(0));
+    const auto firstEvent = m_traffic.firstEventDelayFor(m_service).mean().value_or(UnknownFirstEvent);
+    return m_arrivedAt + m_route.objective - before - duration_cast<milliseconds>(firstEvent);
 }
 
 void GatewayCall::enqueue()
 {
-    if (!m_waitsUntil) {
-        m_waitsUntil = now() + placementWait(m_route.kind, timeLeft(), m_route.objective);
+    if (!m_waitDeadline) {
+        m_waitDeadline = now() + placementWait(m_route.kind, timeLeft(), m_route.objective);
     }
     const WaitingStream stream{.number = m_number,
                                .service = m_service,
                                .hasStarted = urgency() == Urgency::Begun,
-                               .onTimeUntil = onTimeUntil()};
+                               .onTimeUntil = timelyUntil()};
     // Asked when it joins and when it falls behind the timely ones: at other times it has moved up.
     const bool isLate = stream.onTimeUntil < now();
     const bool isBehind = !stream.hasStarted && m_isQueuedAsLate != isLate;
     const auto wait = isBehind ? m_traffic.m_queue.expectedWait(stream, now()) : milliseconds(0);
-    if (now() + wait > *m_waitsUntil) {
+    if (now() + wait > *m_waitDeadline) {
         fail({.kind = ErrorKind::Overloaded, .detail = "the queue is too long", .retryAfter = wait});
         return;
     }
@@ -170,12 +171,12 @@
     m_traffic.enqueue(shared_from_this(), stream);
 }
 
-void GatewayCall::awaitTarget(Error error)
+void GatewayCall::waitForTarget(Error error)
 {
-    if (!m_waitsUntil) {
-        m_waitsUntil = now() + placementWait(m_route.kind, timeLeft(), m_route.objective);
+    if (!m_waitDeadline) {
+        m_waitDeadline = now() + placementWait(m_route.kind, timeLeft(), m_route.objective);
     }
-    if (now() >= *m_waitsUntil) {
+    if (now() >= *m_waitDeadline) {
         fail(std::move(error));
         return;
     }
@@ -192,25 +193,25 @@
 {
     m_target = target.entry.id;
     m_tried.insert(m_target);
-    ++m_tries;
+    ++m_attempts;
     m_sentAt = now();
-    m_status = 0;
-    m_headers.clear();
-    m_answer = {};
-    m_body.clear();
-    m_isUnusable = false;
-    m_hasBegun = false;
+    m_responseStatus = 0;
+    m_responseHeaders.clear();
+    m_responseFields = {};
+    m_responseBody.clear();
+    m_isResponseUnusable = false;
+    m_hasBodyBegun = false;
     markSuspectAt(m_target);
     m_stream.beginAttempt();
     if (target.load.ownRequests() == 0) {
-        target.lastHeard = m_sentAt;
+        target.lastReceivedAt = m_sentAt;
     }
     m_loadAtSend = load;
-    m_passAtSend = target.engine ? target.engine->passTime : milliseconds(0);
+    m_passTimeAtSend = target.engine ? target.engine->passTime : milliseconds(0);
     m_group = target.engine ? target.engine->group : GroupName();
-    m_waited = age();
-    m_traffic.admitted(m_number, m_sentAt);
-    m_traffic.m_targets.sentTo(m_group, m_sentAt);
+    m_placementWait = age();
+    m_traffic.admit(m_number, m_sentAt);
+    m_traffic.m_targets.recordSend(m_group, m_sentAt);
     target.load.recordSent();
     target.limit.recordSent(m_sentAt);
     ++target.sentSinceReport;
@@ -220,129 +221,133 @@
                                     {.timeLeft = timeLeft(),
                                      .target = m_target,
                                      .workspace = m_match.workspace,
-                                     .lastEvent = m_stream.lastEvent(),
+                                     .lastEvent = m_stream.lastEventId(),
                                      .priority = isStream() ? std::optional(m_match.priority) : std::nullopt});
     m_connection = m_traffic.m_pool.take(target.entry);
     const auto self = shared_from_this();
     m_connection->exchange(requestText(request.method, request.target, headers, request.body), request.method == "HEAD",
                            m_traffic.m_options.connectTimeout,
-                           {.head = [self](const HttpMessageHead &head) { self->headCame(head); },
-                            .body = [self](std::string_view bytes) { self->bodyCame(bytes); },
-                            .complete = [self] { self->answerEnded(); },
-                            .failed = [self](const ExchangeFailure &failure) { self->exchangeFailed(failure); }});
+                           {.head = [self](const HttpMessageHead &head) { self->onResponseHead(head); },
+                            .body = [self](std::string_view bytes) { self->onResponseBody(bytes); },
+                            .complete = [self] { self->onResponseComplete(); },
+                            .failed = [self](const ExchangeFailure &failure) { self->onExchangeFailed(failure); }});
 }
 
-void GatewayCall::headCame(const HttpMessageHead &head)
+void GatewayCall::onResponseHead(const HttpMessageHead &head)
 {
-    m_status = head.status;
-    m_headers = head.headers;
-    m_answer = m_traffic.m_codec.readAnswer(head.status, head.headers);
+    m_responseStatus = head.status;
+    m_responseHeaders = head.headers;
+    m_responseFields = m_traffic.m_codec.readAnswer(head.status, head.headers);
     if (auto *target = m_traffic.m_targets.find(m_target)) {
-        target->lastHeard = now();
-        if (m_answer.load) {
-            target->load.recordReport(m_answer.load->running + m_answer.load->waiting, target->lastHeard);
+        target->lastReceivedAt = now();
+        if (m_responseFields.load) {
+            target->load.recordReport(m_responseFields.load->running + m_responseFields.load->waiting,
+                                      target->lastReceivedAt);
         }
-        takeLimit(*target);
+        updateTargetLimit(*target);
     }
-    const bool isOther = m_answer.id != m_fields.id;
-    const bool isForged = !m_answer.isSigned && !m_answer.isNotRun;
-    m_isUnusable = isOther || isForged || m_answer.isEncoded;
+    const bool isOther = m_responseFields.id != m_callerFields.id;
+    const bool isForged = !m_responseFields.isSigned && !m_responseFields.isNotRun;
+    m_isResponseUnusable = isOther || isForged || m_responseFields.isEncoded;
 }
 
-void GatewayCall::takeLimit(GatewayTarget &target)
+void GatewayCall::updateTargetLimit(GatewayTarget &target)
 {
     // A refusal may name a limit, but does not end one by naming none.
-    const bool says = m_answer.id == m_fields.id && (m_answer.isSigned || m_answer.requestsPerSecond);
-    const auto limit = m_answer.requestsPerSecond;
-    if (!says || !m_traffic.m_targets.takeLimit(target, limit, now(), m_traffic.m_random)) {
+    const bool says =
+        m_responseFields.id == m_callerFields.id && (m_responseFields.isSigned || m_responseFields.requestsPerSecond);
+    const auto limit = m_responseFields.requestsPerSecond;
+    if (!says || !m_traffic.m_targets.updateLimit(target, limit, now(), m_traffic.m_random)) {
         return;
     }
     logEvent(Severity::Info, "target-limit",
              {{"target", target.entry.id.text()},
               {"requests-per-second", limit ? std::to_string(*limit) : std::string("none")},
-              {"request", m_fields.id.text()}});
+              {"request", m_callerFields.id.text()}});
 }
 
-void GatewayCall::bodyCame(std::string_view bytes)
+void GatewayCall::onResponseBody(std::string_view bytes)
 {
     if (auto *target = m_traffic.m_targets.find(m_target)) {
-        target->lastHeard = now();
+        target->lastReceivedAt = now();
     }
-    if (m_isUnusable) {
+    if (m_isResponseUnusable) {
         return;
     }
-    m_hasBegun = true;
+    m_hasBodyBegun = true;
     unmarkSuspect();
-    if (isStream() && m_status == 200) {
-        streamEvents(bytes);
+    if (isStream() && m_responseStatus == 200) {
+        forwardEvents(bytes);
         return;
     }
-    if (m_body.size() + bytes.size() > MostHeld) {
-        m_isUnusable = true;
-        m_body.clear();
+    if (m_responseBody.size() + bytes.size() > MaxBufferedBodyBytes) {
+        m_isResponseUnusable = true;
+        m_responseBody.clear();
         return;
     }
-    m_body.append(bytes);
+    m_responseBody.append(bytes);
 }
 
-void GatewayCall::answerEnded()
+void GatewayCall::onResponseComplete()
 {
     if (m_isDone) {
         return;
     }
-    if (isStream() && m_status == 200 && !m_isUnusable) {
-        streamEnded();
+    if (isStream() && m_responseStatus == 200 && !m_isResponseUnusable) {
+        onStreamComplete();
         return;
     }
-    attemptEnded(plainEnd(), {});
+    finishAttempt(plainAttemptEnd(), {});
 }
 
-AttemptEnd GatewayCall::plainEnd() const
+AttemptEnd GatewayCall::plainAttemptEnd() const
 {
-    if (m_answer.isNotRun && m_answer.id == m_fields.id) {
+    if (m_responseFields.isNotRun && m_responseFields.id == m_callerFields.id) {
         return AttemptEnd::RefusedAtTarget;
     }
-    if (m_isUnusable) {
+    if (m_isResponseUnusable) {
         return AttemptEnd::Unusable;
     }
-    const bool isPromise = m_status == 408 || m_status == 421 || m_status == 429 || m_status == 503;
+    const bool isPromise =
+        m_responseStatus == 408 || m_responseStatus == 421 || m_responseStatus == 429 || m_responseStatus == 503;
     if (isPromise) {
         return AttemptEnd::Unusable; // the status says that it has not run, and the target does not
     }
-    return m_status >= 500 ? AttemptEnd::FailedAtTarget : AttemptEnd::Answered;
+    return m_responseStatus >= 500 ? AttemptEnd::FailedAtTarget : AttemptEnd::Answered;
 }
 
-void GatewayCall::exchangeFailed(const ExchangeFailure &failure)
+void GatewayCall::onExchangeFailed(const ExchangeFailure &failure)
 {
     if (m_isDone) {
         return;
     }
-    if (failure.isSent && !m_hasBegun) {
-        brokeUnanswered(failure.reason);
+    if (failure.isSent && !m_hasBodyBegun) {
+        probeTargetAfterFailure(failure.reason);
         return;
     }
-    attemptEnded(failure.isSent ? AttemptEnd::Broken : AttemptEnd::NeverSent, failure.reason);
+    finishAttempt(failure.isSent ? AttemptEnd::Broken : AttemptEnd::NeverSent, failure.reason);
 }
 
-void GatewayCall::brokeUnanswered(const std::string &reason)
+void GatewayCall::probeTargetAfterFailure(const std::string &reason)
 {
-    leaveTarget(false);
+    releaseTarget(false);
     const auto *target = m_traffic.m_targets.find(m_target);
     if (target == nullptr) {
-        attemptEnded(AttemptEnd::Broken, reason);
+        finishAttempt(AttemptEnd::Broken, reason);
         return;
     }
-    m_isExamined = true;
+    m_isProbingTarget = true;
     m_traffic.m_probe.ask(target->entry, [weak = weak_from_this(), reason](Presence presence) {
         const auto self = weak.lock();
         if (!self || self->m_isDone) {
             return;
         }
-        self->m_isExamined = false;
+        self->m_isProbingTarget = false;
         if (presence == Presence::Gone) {
-            self->m_traffic.m_crashGuard.targetDied(self->m_fields.id, self->fingerprint(), self->m_target);
+            self->m_traffic.m_crashGuard.recordTargetDeath(self->m_callerFields.id, self->fingerprint(),
+                                                           self->m_target);
         }
-        self->attemptEnded(AttemptEnd::Broken, reason);
+        self->finishAttempt(AttemptEnd::Broken, reason);
     });
 }
 
@@ -367,58 +372,58 @@
     if (guard.isIdle() || !guard.isBlocked(fingerprint())) {
         return false;
     }
-    guard.refused(fingerprint());
-    fail({.kind = m_mayHaveRun > 0 ? ErrorKind::BackendFailed : ErrorKind::EndsTargets,
+    guard.recordRefusal(fingerprint());
+    fail({.kind = m_possibleExecutions > 0 ? ErrorKind::BackendFailed : ErrorKind::EndsTargets,
           .detail = "fingerprint " + toString(fingerprint())});
     return true;
 }
 
-void GatewayCall::blocked(const RequestFingerprint &request)
+void GatewayCall::cancelIfBlocked(const RequestFingerprint &request)
 {
     const bool isUnderWay = m_connection != nullptr || m_isWaiting;
-    if (m_isDone || m_hasBegun || !isUnderWay || fingerprint() != request) {
+    if (m_isDone || m_hasBodyBegun || !isUnderWay || fingerprint() != request) {
         return;
     }
-    m_mayHaveRun += m_connection != nullptr ? 1 : 0;
-    leaveTarget(false);
+    m_possibleExecutions += m_connection != nullptr ? 1 : 0;
+    releaseTarget(false);
     refuseIfBlocked();
 }
 
 void GatewayCall::markSuspectAt(const TargetName &target)
 {
     if (isSuspect()) {
-        m_suspectAt = target;
-        m_traffic.m_crashGuard.places().put(target);
+        m_suspectTarget = target;
+        m_traffic.m_crashGuard.suspectPlaces().put(target);
     }
 }
 
 void GatewayCall::unmarkSuspect()
 {
-    if (!m_suspectAt) {
+    if (!m_suspectTarget) {
         return;
     }
-    m_traffic.m_crashGuard.places().remove(*m_suspectAt);
-    m_suspectAt.reset();
+    m_traffic.m_crashGuard.suspectPlaces().remove(*m_suspectTarget);
+    m_suspectTarget.reset();
 }
 
-void GatewayCall::streamEvents(std::string_view bytes)
+void GatewayCall::forwardEvents(std::string_view bytes)
 {
-    for (const auto &event : m_stream.take(bytes)) {
+    for (const auto &event : m_stream.feed(bytes)) {
         if (!m_isDone) {
-            passOn(event);
+            forwardEvent(event);
         }
     }
 }
 
-void GatewayCall::passOn(const StreamEvent &event)
+void GatewayCall::forwardEvent(const StreamEvent &event)
 {
     const auto at = now();
     const bool isFirstOfAttempt = m_stream.lastEventAt() <= m_sentAt;
-    const auto pause = m_stream.passedOn(at, age());
+    const auto pause = m_stream.recordForwarded(at, age());
     if (!pause) {
-        m_traffic.firstEventsOf(m_service).record(at - m_sentAt);
-        m_traffic.m_counters.streamHead.record(m_stream.firstEventAfter());
-        m_exchange->beginStream(m_status, m_headers);
+        m_traffic.firstEventDelayFor(m_service).record(at - m_sentAt);
+        m_traffic.m_counters.streamFirstEvent.record(m_stream.timeToFirstEvent());
+        m_exchange->beginStream(m_responseStatus, m_responseHeaders);
     } else if (!isFirstOfAttempt) {
         m_traffic.m_targets.recordPause(m_group, *pause, at);
     }
@@ -428,8 +433,8 @@
 void GatewayCall::write(const std::string &text)
 {
     const auto size = text.size();
-    m_unsent += size;
-    if (m_unsent > MostUnsent) {
+    m_unsentBytes += size;
+    if (m_unsentBytes > MaxUnsentBytes) {
         m_connection->pauseReading();
     }
     m_exchange->write(text, [weak = weak_from_this(), size](bool) {
@@ -437,94 +442,95 @@
         if (!self) {
             return;
         }
-        const bool wasHeldBack = self->m_unsent > MostUnsent;
-        self->m_unsent -= size;
-        if (wasHeldBack && self->m_unsent <= MostUnsent && self->m_connection) {
+        const bool wasHeldBack = self->m_unsentBytes > MaxUnsentBytes;
+        self->m_unsentBytes -= size;
+        if (wasHeldBack && self->m_unsentBytes <= MaxUnsentBytes && self->m_connection) {
             self->m_connection->resumeReading();
         }
     });
 }
 
-void GatewayCall::streamEnded()
+void GatewayCall::onStreamComplete()
 {
     if (m_stream.isBroken()) {
-        attemptEnded(AttemptEnd::Broken, "the stream ended within an event");
+        finishAttempt(AttemptEnd::Broken, "the stream ended within an event");
         return;
     }
-    leaveTarget(true);
-    m_traffic.m_targets.record(m_target, AttemptOutcome::Succeeded, now());
+    releaseTarget(true);
+    m_traffic.m_targets.recordAttempt(m_target, AttemptOutcome::Succeeded, now());
     if (isSuspect()) {
-        m_traffic.m_crashGuard.answered(fingerprint());
+        m_traffic.m_crashGuard.recordAnswer(fingerprint());
     }
     if (!m_stream.hasBegun()) {
-        m_exchange->beginStream(m_status, m_headers);
+        m_exchange->beginStream(m_responseStatus, m_responseHeaders);
     }
     m_exchange->end();
-    finish("delivered", m_status);
+    finish("delivered", m_responseStatus);
 }
 
-void GatewayCall::attemptEnded(AttemptEnd end, std::string_view reason)
+void GatewayCall::finishAttempt(AttemptEnd end, std::string_view reason)
 {
-    leaveTarget(end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget || end == AttemptEnd::RefusedAtTarget);
+    releaseTarget(end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget
+                  || end == AttemptEnd::RefusedAtTarget);
     if (end == AttemptEnd::RefusedAtTarget) {
-        m_traffic.m_targets.refused(m_target, now());
+        m_traffic.m_targets.recordRefusal(m_target, now());
     }
     if (end == AttemptEnd::Answered) {
-        m_traffic.m_targets.record(m_target, AttemptOutcome::Succeeded, now());
+        m_traffic.m_targets.recordAttempt(m_target, AttemptOutcome::Succeeded, now());
     } else if (end != AttemptEnd::RefusedAtTarget) {
-        m_traffic.m_targets.record(
+        m_traffic.m_targets.recordAttempt(
             m_target, end == AttemptEnd::Silent ? AttemptOutcome::TimedOut : AttemptOutcome::Failed, now());
     }
     const bool hasRunToAnEnd = end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget;
     if (hasRunToAnEnd && isSuspect()) {
-        m_traffic.m_crashGuard.answered(fingerprint());
+        m_traffic.m_crashGuard.recordAnswer(fingerprint());
     }
-    m_mayHaveRun += mayHaveRun(end) ? 1 : 0;
-    m_arrivals += end != AttemptEnd::NeverSent ? 1 : 0;
+    m_possibleExecutions += mayHaveRun(end) ? 1 : 0;
+    m_possibleArrivals += end != AttemptEnd::NeverSent ? 1 : 0;
     const auto step = nextStep(end,
                                {.kind = m_route.kind,
                                 .isResumable = m_route.isResumable,
-                                .mayHaveRun = m_mayHaveRun,
+                                .mayHaveRun = m_possibleExecutions,
                                 .maxAttempts = m_route.maxAttempts,
-                                .tries = m_tries,
-                                .isTimeLeft = timeLeft() >= LeastTime});
+                                .tries = m_attempts,
+                                .isTimeLeft = timeLeft() >= MinAttemptTime});
     switch (step) {
     case NextStep::Deliver:
         deliver();
         return;
     case NextStep::Repeat:
-        repeat(end, reason);
+        retry(end, reason);
         return;
     case NextStep::Fail:
         break;
     }
-    Error error{.kind = m_mayHaveRun > 0 ? ErrorKind::BackendFailed : ErrorKind::Overloaded,
+    Error error{.kind = m_possibleExecutions > 0 ? ErrorKind::BackendFailed : ErrorKind::Overloaded,
                 .detail = std::string(toString(end)) + " at " + m_target.text() + " " + std::string(reason),
                 .retryAfter = FullRetryAfter};
     if (mayHaveRun(end)) {
         fail(std::move(error));
     } else {
-        awaitTarget(std::move(error));
+        waitForTarget(std::move(error));
     }
 }
 
-void GatewayCall::repeat(AttemptEnd end, std::string_view reason)
+void GatewayCall::retry(AttemptEnd end, std::string_view reason)
 {
-    if (end == AttemptEnd::FailedAtTarget && m_traffic.budgetOf(m_service).left(now()) < 1) {
+    if (end == AttemptEnd::FailedAtTarget && m_traffic.retryBudgetFor(m_service).left(now()) < 1) {
         deliver(); // the target's own answer says more than one of this process's
         return;
     }
     logEvent(Severity::Info, "repeat",
-             {{"request", m_fields.id.text()},
+             {{"request", m_callerFields.id.text()},
               {"after", std::string(toString(end))},
               {"target", m_target.text()},
               {"reason", std::string(reason)},
-              {"tries", std::to_string(m_tries)},
+              {"tries", std::to_string(m_attempts)},
               {"age-ms", std::to_string(age().count())}});
-    attempt();
+    startAttempt();
 }
 
-void GatewayCall::leaveTarget(bool keepConnection)
+void GatewayCall::releaseTarget(bool keepConnection)
 {
     unmarkSuspect();
     if (!m_connection) {
@@ -535,7 +541,7 @@
         target->load.recordEnded();
     }
     if (keepConnection) {
-        m_traffic.m_pool.give(m_target, connection, m_answer.idleTimeout);
+        m_traffic.m_pool.give(m_target, connection, m_responseFields.idleTimeout);
     } else {
         connection->close();
     }
@@ -543,10 +549,10 @@
 
 void GatewayCall::deliver()
 {
-    m_traffic.m_counters.delivered.add();
+    m_traffic.m_counters.plainAnswers.add();
     m_traffic.m_counters.plainAnswer.record(age());
-    const int status = m_status;
-    m_exchange->respond({.status = status, .headers = std::move(m_headers), .body = std::move(m_body)});
+    const int status = m_responseStatus;
+    m_exchange->respond({.status = status, .headers = std::move(m_responseHeaders), .body = std::move(m_responseBody)});
     finish(status < 400 ? "delivered" : "target-failure", status);
 }
 
@@ -557,9 +563,9 @@
         finish("stream-broken", 200);
         return;
     }
-    error.ran = m_mayHaveRun > 0 ? Ran::Unknown : Ran::No;
+    error.ran = m_possibleExecutions > 0 ? Ran::Unknown : Ran::No;
     m_traffic.m_metrics.errors(error.kind).add();
-    auto response = m_traffic.m_codec.refusal(error, m_fields.id);
+    auto response = m_traffic.m_codec.refusal(error, m_callerFields.id);
     const int status = response.status;
     m_exchange->respond(std::move(response));
     finish(std::string(answerFor(error.kind).name) + ": " + error.detail, status);
@@ -573,22 +579,22 @@
     m_isDone = true;
     m_timer.cancel();
     logEvent(Severity::Info, "request",
-             {{"request", m_fields.id.text()},
+             {{"request", m_callerFields.id.text()},
               {"route", m_route.name},
               {"service", m_service.text()},
               {"target", m_target.text()},
               {"group", m_group.text()},
               {"load", std::to_string(static_cast<int>(m_loadAtSend))},
-              {"pass-ms", std::to_string(m_passAtSend.count())},
-              {"waited-ms", std::to_string(m_waited.count())},
-              {"tries", std::to_string(m_tries)},
+              {"pass-ms", std::to_string(m_passTimeAtSend.count())},
+              {"waited-ms", std::to_string(m_placementWait.count())},
+              {"tries", std::to_string(m_attempts)},
               {"outcome", std::string(outcome)},
               {"status", std::to_string(status)},
               {"ms", std::to_string(age().count())},
-              {"first-event-ms", std::to_string(m_stream.firstEventAfter().count())},
+              {"first-event-ms", std::to_string(m_stream.timeToFirstEvent().count())},
               {"longest-pause-ms", std::to_string(m_stream.longestPause().count())},
               {"config", std::to_string(m_table->config().version)}});
-    m_traffic.finished(shared_from_this());
+    m_traffic.removeCall(shared_from_this());
 }
 
 void GatewayCall::armTimer()
@@ -596,31 +602,31 @@
     if (m_isDone) {
         return;
     }
-    const auto watch = m_isWaiting && isStream()                ? *m_waitsUntil
-        : m_isWaiting                                           ? now() + WaitPeriod
-        : isStream() || m_route.kind == RequestKind::Idempotent ? now() + WatchPeriod
+    const auto watch = m_isWaiting && isStream()                ? *m_waitDeadline
+        : m_isWaiting                                           ? now() + PlacementRetryPeriod
+        : isStream() || m_route.kind == RequestKind::Idempotent ? now() + SilenceCheckPeriod
                                                                 : m_deadline;
     m_timer.expires_at(std::min(m_deadline, watch));
     m_timer.async_wait([weak = weak_from_this()](const asio::error_code &error) {
         const auto self = weak.lock();
         if (self && !error && !self->m_isDone) {
-            self->timerFired();
+            self->onTimer();
             self->armTimer();
         }
     });
 }
 
-void GatewayCall::timerFired()
+void GatewayCall::onTimer()
 {
     if (now() >= m_deadline) {
-        const auto wasSent = m_connection != nullptr || m_isExamined;
-        leaveTarget(false);
-        m_mayHaveRun += wasSent ? 1 : 0;
+        const auto wasSent = m_connection != nullptr || m_isProbingTarget;
+        releaseTarget(false);
+        m_possibleExecutions += wasSent ? 1 : 0;
         fail({.kind = ErrorKind::DeadlineExceeded, .detail = "timeout at " + m_target.text()});
         return;
     }
     if (m_isWaiting) {
-        attempt();
+        startAttempt();
         return;
     }
     if (!m_connection) {
@@ -628,29 +634,29 @@
     }
     const auto *target = m_traffic.m_targets.find(m_target);
     const bool isSilentStream = isStream() && m_route.isResumable
-        && now() - std::max(m_sentAt, target != nullptr ? target->lastHeard : m_sentAt) > SilenceTimeout;
+        && now() - std::max(m_sentAt, target != nullptr ? target->lastReceivedAt : m_sentAt) > SilenceTimeout;
     const bool isSilentCall =
-        m_route.kind == RequestKind::Idempotent && m_status == 0 && now() - m_sentAt > m_route.objective;
-    const bool mayRepeat = m_mayHaveRun + 1 < m_route.maxAttempts && timeLeft() > LeastTime * 2;
-    if ((isSilentStream || isSilentCall) && mayRepeat && couldGoOnElsewhere()) {
-        attemptEnded(AttemptEnd::Silent, "no sign of life");
+        m_route.kind == RequestKind::Idempotent && m_responseStatus == 0 && now() - m_sentAt > m_route.objective;
+    const bool mayRepeat = m_possibleExecutions + 1 < m_route.maxAttempts && timeLeft() > MinAttemptTime * 2;
+    if ((isSilentStream || isSilentCall) && mayRepeat && canContinueElsewhere()) {
+        finishAttempt(AttemptEnd::Silent, "no sign of life");
     }
 }
 
-bool GatewayCall::couldGoOnElsewhere()
+bool GatewayCall::canContinueElsewhere()
 {
     // A group that stands still mostly goes on, and all its streams fall silent at once: one that finds no repeat in
     // the budget or no other engine is better left where it is.
-    return m_traffic.budgetOf(m_service).left(now()) >= 1
+    return m_traffic.retryBudgetFor(m_service).left(now()) >= 1
         && m_traffic.m_targets.choose(m_service, m_tried, urgency(), now(), m_traffic.m_random).target != nullptr;
 }
 
-void GatewayCall::callerLeft()
+void GatewayCall::onCallerDisconnected()
 {
     if (m_isDone) {
         return;
     }
-    leaveTarget(false);
+    releaseTarget(false);
     finish("caller-gone", 0);
 }
 
@@ -666,7 +672,7 @@
 
 milliseconds GatewayCall::age() const
 {
-    return duration_cast<milliseconds>(now() - m_arrived);
+    return duration_cast<milliseconds>(now() - m_arrivedAt);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaycontrol.h
+++ b/modules/heatherridge_transport/direct/gatewaycontrol.h
@@ -35,19 +35,19 @@
 
     /** Part of the time for a withdrawal from one read for targets to the next; a read, its repeat after a failure and
      * the way to the traffic thread take the rest. Targets' heartbeats make a read that waits return at once. */
-    static constexpr double TargetsPeriodPart = 0.425;
+    static constexpr double TargetsReadPeriodFraction = 0.425;
     /** Time over which all gateways read the registers anew, for each target in it: larger registers take longer to
      * read, and belong to deployments with more gateways. */
     static constexpr std::chrono::microseconds RereadSpreadPerTarget{1'250};
     /** Part of the time for silence that a read for rules waits. Longer saves calls; a log that hangs is noticed after
      * it. */
-    static constexpr double RulesWaitPart = 0.6;
+    static constexpr double RulesWaitFraction = 0.6;
 
     struct Events
     {
-        std::function<void(std::shared_ptr<const RouteTable>)> rules{};
-        std::function<void(std::vector<TargetEntry>)> targets{};
-        std::function<void(bool answers)> logAnswers{}; ///< a register has been lost or regained
+        std::function<void(std::shared_ptr<const RouteTable>)> rulesChanged{};
+        std::function<void(std::vector<TargetEntry>)> targetsChanged{};
+        std::function<void(bool answers)> reachabilityChanged{}; ///< a register has been lost or regained
     };
 
     /** How long a read that waits for rules waits at most. */
@@ -63,7 +63,7 @@
      * The log has come back from an older copy. What is in force stays; the registers are read anew, each at a time
      * drawn from @p random, since all gateways notice at once.
      */
-    void logRestored(RandomSource &random);
+    void onLogRestored(RandomSource &random);
 
     /** All targets as they are believed to be. */
     std::vector<TargetEntry> targets() const;
@@ -78,30 +78,30 @@
         Copy,
     };
 
-    void takeRules(const std::vector<RegisterChange> &changes, Source source);
-    void takeRulesFrom(const RegisterChange &change, Source source);
+    void applyRules(const std::vector<RegisterChange> &changes, Source source);
+    void applyRulesChange(const RegisterChange &change, Source source);
     void replaceTargets(const std::vector<RegisterChange> &changes);
     void changeTargets(const std::vector<RegisterChange> &changes);
     void publishTargets();
-    void registerAnswers(std::string_view which, bool answers, std::string_view reason);
+    void reportReachability(std::string_view which, bool answers, std::string_view reason);
 
     RegisterLog &m_log;
     Events m_events;
-    Gauge &m_version;
+    Gauge &m_rulesVersion;
     Gauge &m_targetCount;
     Gauge &m_lapsedCount;
-    Counter &m_malformed;
-    Counter &m_outages;
-    Counter &m_stale;
-    Counter &m_copyFailures;
+    Counter &m_malformedRecords;
+    Counter &m_registerOutages;
+    Counter &m_staleRules;
+    Counter &m_rulesCopyFailures;
     RegisterFollower m_rulesFollower;
     RegisterFollower m_targetsFollower;
-    RulesCopies m_copies;
+    RulesCopies m_rulesCopies;
     TargetDirectory m_directory;
     std::shared_ptr<const RouteTable> m_rules;
-    std::vector<TargetEntry> m_published;
-    bool m_rulesAnswer = true;
-    bool m_targetsAnswer = true;
+    std::vector<TargetEntry> m_publishedTargets;
+    bool m_isRulesRegisterReachable = true;
+    bool m_isTargetsRegisterReachable = true;
     SteadyTime m_now{};
 };
 
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -60,7 +60,7 @@
                .retryBudget = m_options.retryBudget,
                .reportCrash =
                    [this](const auto &report) { m_controlLoop.post([this, report] { m_crashFeed.report(report); }); }},
-              *m_adapter.traffic, m_metrics)
+              *m_adapter.trafficCodec, m_metrics)
         , m_callers(
               m_trafficLoop.context(), {.listen = m_options.listen, .maxConnections = m_options.maxConnections},
               [this](const auto &exchange) { m_traffic.handle(exchange); },
@@ -74,21 +74,21 @@
               [this](const auto &exchange) { answerMetrics(*exchange); },
               [this](ErrorKind kind) { return refusal(kind); }, m_metrics)
         , m_client(m_controlLoop.context(), {.connectTimeout = milliseconds(500)})
-        , m_log(m_adapter.log(m_client,
-                              {.restored = [this](const auto &restored) { logRestored(restored); },
-                               .malformed = [this](auto answer) { logAnswerMalformed(answer); }}))
-        , m_ranks(m_client, {.port = m_options.sidecarPort}, m_adapter.ranks(m_client), m_metrics)
-        , m_workShare(*m_log.shares,
+        , m_logClients(m_adapter.makeLogClients(m_client,
+                                                {.restored = [this](const auto &restored) { onLogRestored(restored); },
+                                                 .malformed = [this](auto answer) { onLogAnswerMalformed(answer); }}))
+        , m_ranks(m_client, {.port = m_options.sidecarPort}, m_adapter.makeRankControl(m_client), m_metrics)
+        , m_workShare(*m_logClients.shares,
                       {.member = m_options.process.text() + "-" + std::to_string(m_entropy()),
                        .parts = m_options.logPartitions})
-        , m_crashFeed(*m_log.reports, {.busyWait = GatewayControl::rulesWait(m_options.control)},
-                      {.learnt = [this](auto reports) { crashesLearnt(std::move(reports)); },
-                       .failed = [this](auto call, const auto &error) { crashFeedFailed(call, error); },
-                       .lost = [this](auto what) { crashReportLost(what); }})
-        , m_control(*m_log.registers, controlOptions(m_options),
-                    {.rules = [this](auto table) { rulesChanged(std::move(table)); },
-                     .targets = [this](auto targets) { targetsChanged(std::move(targets)); },
-                     .logAnswers = [this](bool) { m_crashFeed.restartRead(); }},
+        , m_crashFeed(*m_logClients.reports, {.busyWait = GatewayControl::rulesWait(m_options.control)},
+                      {.learnt = [this](auto reports) { onCrashReports(std::move(reports)); },
+                       .failed = [this](auto call, const auto &error) { onCrashFeedFailed(call, error); },
+                       .lost = [this](auto what) { onCrashReportLost(what); }})
+        , m_control(*m_logClients.registers, controlOptions(m_options),
+                    {.rulesChanged = [this](auto table) { onRulesChanged(std::move(table)); },
+                     .targetsChanged = [this](auto targets) { onTargetsChanged(std::move(targets)); },
+                     .reachabilityChanged = [this](bool) { m_crashFeed.restartRead(); }},
                     m_metrics)
     {
     }
@@ -124,15 +124,15 @@
     void drainAndStop()
     {
         const auto began = std::chrono::steady_clock::now();
-        logEvent(Severity::Info, "stopping", {{"open", std::to_string(openCalls())}});
+        logEvent(Severity::Info, "stopping", {{"open", std::to_string(openCallCount())}});
         m_isStopping = true;
         m_controlLoop.post([this] { m_workShare.leave(); });
         m_trafficLoop.post([this] { m_callers.beginDrain(); });
         // By half of the time few callers still pick a kept connection.
-        m_trafficLoop.after(m_options.balancerNotices / 2, [this] { m_callers.closeIdle(); });
-        m_trafficLoop.after(m_options.balancerNotices, [this] { m_traffic.refuseStreams(); });
-        waitUntilDone(began);
-        logEvent(Severity::Info, "stopped", {{"cut", std::to_string(openCalls())}});
+        m_trafficLoop.after(m_options.balancerDetectionTime / 2, [this] { m_callers.closeIdle(); });
+        m_trafficLoop.after(m_options.balancerDetectionTime, [this] { m_traffic.refuseStreams(); });
+        waitUntilDrained(began);
+        logEvent(Severity::Info, "stopped", {{"cut", std::to_string(openCallCount())}});
         m_trafficLoop.run([this] {
             m_traffic.stop();
             m_callers.stop();
@@ -144,24 +144,24 @@
     }
 
 private:
-    void waitUntilDone(SteadyTime began)
+    void waitUntilDrained(SteadyTime began)
     {
         while (true) {
             std::this_thread::sleep_for(DrainTick);
             const auto waited = std::chrono::steady_clock::now() - began;
-            if (waited >= m_options.grace - GraceMargin) {
+            if (waited >= m_options.gracePeriod - GraceMargin) {
                 return;
             }
-            if (waited >= m_options.balancerNotices && openCalls() == 0) {
+            if (waited >= m_options.balancerDetectionTime && openCallCount() == 0) {
                 return;
             }
         }
     }
 
-    std::size_t openCalls()
+    std::size_t openCallCount()
     {
         std::size_t open = 0;
-        m_trafficLoop.run([&] { open = std::max(m_traffic.openCalls(), m_callers.busyConnections()); });
+        m_trafficLoop.run([&] { open = std::max(m_traffic.openCallCount(), m_callers.busyConnections()); });
         return open;
     }
 
@@ -169,7 +169,7 @@
     {
         m_metrics.errors(kind).add();
         logEvent(Severity::Info, "refused", {{"kind", std::string(answerFor(kind).name)}});
-        return m_adapter.traffic->refusal({.kind = kind}, {});
+        return m_adapter.trafficCodec->refusal({.kind = kind}, {});
     }
 
     void answerMetrics(HttpExchange &exchange)
@@ -194,8 +194,8 @@
         m_control.tick(now, m_workShare.isMine(CopiesWork));
         m_workShare.tick(now);
         m_crashFeed.tick(now);
-        shareBudget();
-        for (auto &[service, keeper] : m_keepers) {
+        updateShares();
+        for (auto &[service, keeper] : m_groupKeepers) {
             const bool isMine = m_workShare.isMine(service.text());
             if (isMine != m_activeKeepers.contains(service)) {
                 logEvent(Severity::Info, isMine ? "keeper-active" : "keeper-inactive", {{"service", service.text()}});
@@ -203,20 +203,20 @@
             }
             keeper->setActive(isMine, m_workShare.isConfirmed(now));
             keeper->tick(now);
-            m_skew.set(static_cast<std::int64_t>(keeper->lastSkew() * 100));
+            m_groupSkew.set(static_cast<std::int64_t>(keeper->lastSkew() * 100));
         }
     }
 
     /** Divides the slack for repeats among the gateways as the log divides work among them. */
-    void shareBudget()
+    void updateShares()
     {
         const auto part = m_workShare.part();
-        if (!part || part == m_budgetPart) {
+        if (!part || part == m_budgetShare) {
             return;
         }
-        m_budgetPart = part;
+        m_budgetShare = part;
         const auto evenPart = m_workShare.evenPart().value_or(*part);
-        m_trafficLoop.post([this, part = *part, evenPart] { m_traffic.setParts(part, evenPart); });
+        m_trafficLoop.post([this, part = *part, evenPart] { m_traffic.setShares(part, evenPart); });
     }
 
     /** Tells the keepers of services with expert groups which targets there are. */
@@ -236,7 +236,7 @@
             if (!service.engine || service.engine->layerSets == 0) {
                 continue;
             }
-            auto &keeper = m_keepers[service.name];
+            auto &keeper = m_groupKeepers[service.name];
             if (!keeper) {
                 keeper = makeKeeper();
             }
@@ -250,14 +250,14 @@
             logEvent(Severity::Info, what, {{"group", group.text()}, {"details", details}});
         };
         const auto watched = [this](std::vector<EngineView> engines) {
-            m_trafficLoop.post([this, engines = std::move(engines)] { m_traffic.setEngines(engines); });
+            m_trafficLoop.post([this, engines = std::move(engines)] { m_traffic.updateEngines(engines); });
         };
         return std::make_unique<ExpertRebalancer>(
             m_ranks, m_options.groups, ExpertRebalancerEvents{.enginesUpdated = watched, .decisionMade = decided},
             m_clock, [this] { return static_cast<std::uint64_t>(m_entropy()); });
     }
 
-    void rulesChanged(std::shared_ptr<const RouteTable> table)
+    void onRulesChanged(std::shared_ptr<const RouteTable> table)
     {
         updateKeepers();
         m_trafficLoop.post([this, table = std::move(table)] {
@@ -266,13 +266,13 @@
         });
     }
 
-    void targetsChanged(std::vector<TargetEntry> targets)
+    void onTargetsChanged(std::vector<TargetEntry> targets)
     {
         updateKeepers();
         m_trafficLoop.post([this, targets = std::move(targets)] { m_traffic.setTargets(targets); });
     }
 
-    void logRestored(const LogRestored &restored)
+    void onLogRestored(const LogRestored &restored)
     {
         m_logRestores.add();
         logEvent(Severity::Warning, "log-restored",
@@ -281,29 +281,29 @@
                   {"read-again", "rules targets copies-of-rules crash-reports"},
                   {"unconfirmed", "share-of-work"}});
         SeededRandom random(m_entropy());
-        m_control.logRestored(random);
+        m_control.onLogRestored(random);
         m_workShare.logRestored();
         m_crashFeed.logRestored();
     }
 
-    void logAnswerMalformed(std::string_view answer)
+    void onLogAnswerMalformed(std::string_view answer)
     {
         m_logAnswersMalformed.add();
         logEvent(Severity::Warning, "log-answer-malformed", {{"era", std::string(answer)}});
     }
 
-    void crashesLearnt(std::vector<CrashReport> reports)
+    void onCrashReports(std::vector<CrashReport> reports)
     {
-        m_trafficLoop.post([this, reports = std::move(reports)] { m_traffic.learnCrashes(reports); });
+        m_trafficLoop.post([this, reports = std::move(reports)] { m_traffic.applyCrashReports(reports); });
     }
 
-    void crashFeedFailed(std::string_view call, const Error &error)
+    void onCrashFeedFailed(std::string_view call, const Error &error)
     {
         m_crashFeedFailures.add();
         logEvent(Severity::Warning, "crash-reports-failed", {{"call", std::string(call)}, {"reason", error.detail}});
     }
 
-    void crashReportLost(std::string_view reason)
+    void onCrashReportLost(std::string_view reason)
     {
         m_crashReportsLost.add();
         logEvent(Severity::Warning, "crash-report-lost", {{"reason", std::string(reason)}});
@@ -320,11 +320,11 @@
     CallerServer m_readiness;
     CallerServer m_metricsServer;
     HttpClient m_client; ///< on the control thread, as what follows
-    LogParts m_log;
+    LogClients m_logClients;
     SidecarRanks m_ranks;
     std::random_device m_entropy;
     SystemClock m_clock;
-    Gauge &m_skew = m_metrics.gauge("heatherridge_group_skew_percent");
+    Gauge &m_groupSkew = m_metrics.gauge("heatherridge_group_skew_percent");
     Counter &m_logRestores = m_metrics.counter("heatherridge_log_restores_total");
     Counter &m_logAnswersMalformed = m_metrics.counter("heatherridge_log_answers_malformed_total");
     Counter &m_crashFeedFailures = m_metrics.counter("heatherridge_crash_report_failures_total");
@@ -332,8 +332,8 @@
     WorkShare m_workShare;
     CrashFeed m_crashFeed;
     GatewayControl m_control;
-    std::map<ServiceName, std::unique_ptr<ExpertRebalancer>> m_keepers;
-    std::optional<double> m_budgetPart; ///< as the traffic thread was told
+    std::map<ServiceName, std::unique_ptr<ExpertRebalancer>> m_groupKeepers;
+    std::optional<double> m_budgetShare; ///< as the traffic thread was told
     std::set<ServiceName> m_activeKeepers; ///< services whose groups this gateway keeps even
 };
 
--- a/modules/heatherridge_transport/direct/gatewayserver.h
+++ b/modules/heatherridge_transport/direct/gatewayserver.h
@@ -37,14 +37,14 @@
         GatewayControl::Options control{};
         int logPartitions = 1; ///< partitions of a topic of the platform's log
         std::size_t maxConnections = 1'000; ///< of callers
-        std::chrono::milliseconds grace{8'000}; ///< from the signal to stop until the process is killed
+        std::chrono::milliseconds gracePeriod{8'000}; ///< from the signal to stop until the process is killed
         /** The balancer leaves a gateway out after two failed questions, a second apart; until then connections come.
          */
-        std::chrono::milliseconds balancerNotices{3'000};
+        std::chrono::milliseconds balancerDetectionTime{3'000};
     };
 
     /** What a gateway uses of the platform's log. */
-    struct LogParts
+    struct LogClients
     {
         std::unique_ptr<RegisterLog> registers{};
         std::unique_ptr<ShareLog> shares{};
@@ -54,9 +54,9 @@
     /** Makes what is spelled by the platform. Called on construction. */
     struct Adapter
     {
-        std::shared_ptr<const TrafficCodec> traffic{};
-        std::function<LogParts(HttpClient &client, LogEvents events)> log{};
-        std::function<std::unique_ptr<RankControl>(HttpClient &client)> ranks{};
+        std::shared_ptr<const TrafficCodec> trafficCodec{};
+        std::function<LogClients(HttpClient &client, LogEvents events)> makeLogClients{};
+        std::function<std::unique_ptr<RankControl>(HttpClient &client)> makeRankControl{};
     };
 
     GatewayServer(Options options, Adapter adapter);
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -48,17 +48,17 @@
     std::vector<TargetName> gone;
     for (auto it = m_targets.begin(); it != m_targets.end();) {
         if (listed.contains(it->first)) {
-            m_gone.erase(it->first);
+            m_unregistered.erase(it->first);
             ++it;
             continue;
         }
         gone.push_back(it->first);
         m_health[it->second.entry.service].remove(it->first);
         if (it->second.load.ownRequests() > 0) {
-            m_gone.insert(it->first);
+            m_unregistered.insert(it->first);
             ++it;
         } else {
-            m_gone.erase(it->first);
+            m_unregistered.erase(it->first);
             it = m_targets.erase(it);
         }
     }
@@ -77,8 +77,8 @@
     std::vector<GatewayTarget *> targets;
     std::vector<DirectCandidate> candidates;
     const auto &health = m_health[service];
-    const auto rules = m_engineRules.find(service);
-    const bool isGrouped = rules != m_engineRules.end()
+    const auto rules = m_passBudgetRules.find(service);
+    const bool isGrouped = rules != m_passBudgetRules.end()
         && std::any_of(m_targets.begin(), m_targets.end(),
                        [&](const auto &entry) { return entry.second.engine && isUsable(entry.second, service); });
     for (auto &[id, target] : m_targets) {
@@ -91,7 +91,7 @@
     const double usual = isGrouped ? usualOthers(targets, now) : 0;
     candidates.reserve(targets.size());
     for (const auto *target : targets) {
-        candidates.push_back(candidateOf(*target, usual, health, tried, now));
+        candidates.push_back(makeCandidate(*target, usual, health, tried, now));
     }
     if (isGrouped) {
         return chooseEngine(targets, candidates, rules->second, urgency, now, random);
@@ -100,16 +100,16 @@
     if (chosen) {
         return {.target = targets[*chosen], .load = candidates[*chosen].load};
     }
-    const auto heldFor = shortestHold(targets, now);
-    return {.isFull = heldFor.has_value(), .heldFor = heldFor};
+    const auto heldFor = shortestLimitWait(targets, now);
+    return {.isFull = heldFor.has_value(), .limitWait = heldFor};
 }
 
-std::optional<std::chrono::milliseconds> GatewayTargets::shortestHold(const std::vector<GatewayTarget *> &targets,
-                                                                      SteadyTime now) const
+std::optional<std::chrono::milliseconds> GatewayTargets::shortestLimitWait(const std::vector<GatewayTarget *> &targets,
+                                                                           SteadyTime now) const
 {
     std::optional<std::chrono::milliseconds> shortest;
     for (const auto *target : targets) {
-        const auto wait = target->limit.timeUntilAllowed(m_limitPart, now);
+        const auto wait = target->limit.timeUntilAllowed(m_limitShare, now);
         if (wait.count() > 0) {
             shortest = std::min(shortest.value_or(wait), wait);
         }
@@ -117,9 +117,9 @@
     return shortest;
 }
 
-DirectCandidate GatewayTargets::candidateOf(const GatewayTarget &target, double usualOthers,
-                                            const HealthTracker &health, const std::set<TargetName> &tried,
-                                            SteadyTime now) const
+DirectCandidate GatewayTargets::makeCandidate(const GatewayTarget &target, double usualOthers,
+                                              const HealthTracker &health, const std::set<TargetName> &tried,
+                                              SteadyTime now) const
 {
     const bool isOut = isStalled(target, now) || now < target.refusedUntil;
     return {.load = target.load.total(now, usualOthers),
@@ -127,7 +127,7 @@
             .isNear = target.entry.zone == m_zone,
             .isCold = target.entry.coldFor.count() > 0,
             .wasTried = tried.contains(target.entry.id),
-            .isHeldBack = target.limit.timeUntilAllowed(m_limitPart, now).count() > 0,
+            .isHeldBack = target.limit.timeUntilAllowed(m_limitShare, now).count() > 0,
             .health = isOut ? Health::Ejected : health.healthOf(target.entry.id, now)};
 }
 
@@ -147,25 +147,25 @@
             names.push_back(view.group);
             work.push_back({.reportedPass = view.passTime});
         }
-        addTo(work[group], *targets[index], candidates[index].load, now);
+        addToGroup(work[group], *targets[index], candidates[index].load, now);
         engines.push_back({.target = candidates[index],
                            .group = group,
                            .isOpen = view.isOpen,
-                           .refusesNow = now < targets[index]->refusedUntil || hasUsedItsRoom(*targets[index]),
+                           .refusesNow = now < targets[index]->refusedUntil || hasUsedCapacityShare(*targets[index]),
                            .pace = view.pace});
     }
     std::vector<EngineGroup> groups;
     for (std::size_t group = 0; group < work.size(); ++group) {
-        groups.push_back(m_groups[names[group]].view(work[group], rules, m_part, now));
+        groups.push_back(m_groups[names[group]].view(work[group], rules, m_capacityShare, now));
     }
-    const auto choice = placeStream(engines, groups, {.urgency = urgency, .share = m_part}, random);
+    const auto choice = placeStream(engines, groups, {.urgency = urgency, .share = m_capacityShare}, random);
     if (choice.index) {
         return {.target = targets[*choice.index], .load = candidates[*choice.index].load};
     }
     return {.isFull = choice.isFull};
 }
 
-void GatewayTargets::addTo(GroupWork &work, const GatewayTarget &target, double load, SteadyTime now)
+void GatewayTargets::addToGroup(GroupWork &work, const GatewayTarget &target, double load, SteadyTime now)
 {
     ++work.engines;
     work.requests += load;
@@ -176,7 +176,7 @@
     work.isStalled = work.isStalled || isStalled(target, now);
 }
 
-void GatewayTargets::sentTo(const GroupName &group, SteadyTime now)
+void GatewayTargets::recordSend(const GroupName &group, SteadyTime now)
 {
     if (!group.isEmpty()) {
         m_groups[group].sent(now);
@@ -190,54 +190,55 @@
     }
 }
 
-bool GatewayTargets::hasUsedItsRoom(const GatewayTarget &target) const
+bool GatewayTargets::hasUsedCapacityShare(const GatewayTarget &target) const
 {
     const auto found = m_groups.find(target.engine->group);
     const int reported = target.engine->running + target.engine->waiting;
     return found != m_groups.end() && found->second.isStarting()
-        && target.sentSinceReport >= slowStartAllowance(target.entry.slots, reported, m_part);
+        && target.sentSinceReport >= slowStartAllowance(target.entry.slots, reported, m_capacityShare);
 }
 
-void GatewayTargets::setParts(double limitPart, double roomPart)
+void GatewayTargets::setShares(double limitPart, double roomPart)
 {
-    m_limitPart = limitPart;
+    m_limitShare = limitPart;
     // Without a share this process has lost the log for a while; the last one says better how many others there are.
-    m_part = roomPart > 0 ? roomPart : m_part;
+    m_capacityShare = roomPart > 0 ? roomPart : m_capacityShare;
 }
 
-bool GatewayTargets::takeLimit(GatewayTarget &target, std::optional<double> requestsPerSecond, SteadyTime now,
-                               RandomSource &random) const
+bool GatewayTargets::updateLimit(GatewayTarget &target, std::optional<double> requestsPerSecond, SteadyTime now,
+                                 RandomSource &random) const
 {
     const bool isOther = target.limit.requestsPerSecond() != requestsPerSecond;
-    target.limit.update(requestsPerSecond, m_limitPart, now, random);
+    target.limit.update(requestsPerSecond, m_limitShare, now, random);
     return isOther;
 }
 
-void GatewayTargets::refused(const TargetName &id, SteadyTime now)
+void GatewayTargets::recordRefusal(const TargetName &id, SteadyTime now)
 {
     if (auto *target = find(id)) {
         target->refusedUntil = now + RefusalPause;
     }
 }
 
-void GatewayTargets::setProfiles(const RoutingConfig &config)
+void GatewayTargets::setEngineProfiles(const RoutingConfig &config)
 {
-    m_engineRules.clear();
+    m_passBudgetRules.clear();
     for (const auto &service : config.services) {
         if (!service.engine || service.engine->layerSets == 0) {
             continue;
         }
         const auto &engine = *service.engine;
-        m_engineRules.emplace(service.name,
-                              PassTimeModel{.baseTime = engine.step * engine.stepsPerPass,
-                                            .timePerRequest = engine.stepPerRequest * engine.stepsPerPass,
-                                            .promptTime = engine.promptTime,
-                                            .passesPerStream = engine.usualAnswer / std::max(engine.stepsPerPass, 1),
-                                            .maxPassTime = longestPauseOf(config, service.name) * UsedPartOfPause});
+        m_passBudgetRules.emplace(
+            service.name,
+            PassTimeModel{.baseTime = engine.step * engine.stepsPerPass,
+                          .timePerRequest = engine.stepPerRequest * engine.stepsPerPass,
+                          .promptTime = engine.promptTime,
+                          .passesPerStream = engine.usualAnswer / std::max(engine.stepsPerPass, 1),
+                          .maxPassTime = longestPauseOf(config, service.name) * UsedPartOfPause});
     }
 }
 
-void GatewayTargets::setEngines(const std::vector<EngineView> &engines)
+void GatewayTargets::updateEngines(const std::vector<EngineView> &engines)
 {
     for (const auto &engine : engines) {
         m_groups[engine.group].setOpen(engine.isOpen, engine.requestedAt);
@@ -253,22 +254,22 @@
     }
 }
 
-void GatewayTargets::record(const TargetName &id, AttemptOutcome attempt, SteadyTime now)
+void GatewayTargets::recordAttempt(const TargetName &id, AttemptOutcome attempt, SteadyTime now)
 {
     const auto *target = find(id);
-    if (target != nullptr && !m_gone.contains(id)) {
+    if (target != nullptr && !m_unregistered.contains(id)) {
         m_health[target->entry.service].record(id, attempt, now);
     }
 }
 
 bool GatewayTargets::isStalled(const GatewayTarget &target, SteadyTime now)
 {
-    return target.load.ownRequests() > 0 && now - target.lastHeard > StallTime;
+    return target.load.ownRequests() > 0 && now - target.lastReceivedAt > StallTimeout;
 }
 
 bool GatewayTargets::isUsable(const GatewayTarget &target, const ServiceName &service) const
 {
-    return target.entry.service == service && !target.entry.isDraining && !m_gone.contains(target.entry.id);
+    return target.entry.service == service && !target.entry.isDraining && !m_unregistered.contains(target.entry.id);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -21,7 +21,7 @@
 {
     TargetEntry entry{};
     LoadEstimate load{};
-    SteadyTime lastHeard{}; ///< when bytes of any answer last came from it
+    SteadyTime lastReceivedAt{}; ///< when bytes of any answer last came from it
     std::optional<EngineView> engine{}; ///< of an engine in an expert group, its own last word
     int sentSinceReport = 0; ///< requests of this gateway since the engine's last word
     SteadyTime refusedUntil{}; ///< it has refused a request; nothing is sent before
@@ -37,7 +37,7 @@
 {
 public:
     /** A target with open requests that says nothing for so long stands still, and its whole group with it. */
-    static constexpr std::chrono::milliseconds StallTime{700};
+    static constexpr std::chrono::milliseconds StallTimeout{700};
 
     explicit GatewayTargets(ZoneName zone);
 
@@ -45,10 +45,10 @@
     std::vector<TargetName> setEntries(const std::vector<TargetEntry> &entries);
 
     /** How the engines of each service work. */
-    void setProfiles(const RoutingConfig &config);
+    void setEngineProfiles(const RoutingConfig &config);
 
     /** What the engines of expert groups say of themselves. */
-    void setEngines(const std::vector<EngineView> &engines);
+    void updateEngines(const std::vector<EngineView> &engines);
 
     /** The target @p id, or nullptr once it is gone. */
     GatewayTarget *find(const TargetName &id);
@@ -58,7 +58,7 @@
      * @param limitPart of the limits that targets name; those of all gateways add up to 1
      * @param roomPart of the room that engines report, over 0; what is left is for the other gateways
      */
-    void setParts(double limitPart, double roomPart);
+    void setShares(double limitPart, double roomPart);
 
     /** Where a request goes. */
     struct Choice
@@ -66,7 +66,8 @@
         GatewayTarget *target = nullptr; ///< null for nowhere
         double load = 0; ///< that the target is believed to have
         bool isFull = false; ///< there are targets, but all have as much as they should
-        std::optional<std::chrono::milliseconds> heldFor{}; ///< until a target may get more by the limit that it names
+        std::optional<std::chrono::milliseconds>
+            limitWait{}; ///< until a target may get more by the limit that it names
     };
 
     /**
@@ -77,43 +78,44 @@
                   RandomSource &random);
 
     /** A stream was sent to an engine of @p group. */
-    void sentTo(const GroupName &group, SteadyTime now);
+    void recordSend(const GroupName &group, SteadyTime now);
 
     /** A stream of @p group had @p pause between two events: a pass of the group took as long. */
     void recordPause(const GroupName &group, std::chrono::milliseconds pause, SteadyTime now);
 
     /** What an answer of @p target says of its limit. @returns whether it is another one than before */
-    bool takeLimit(GatewayTarget &target, std::optional<double> requestsPerSecond, SteadyTime now,
-                   RandomSource &random) const;
+    bool updateLimit(GatewayTarget &target, std::optional<double> requestsPerSecond, SteadyTime now,
+                     RandomSource &random) const;
 
     /** @p id has refused a request. */
-    void refused(const TargetName &id, SteadyTime now);
+    void recordRefusal(const TargetName &id, SteadyTime now);
 
     /** An attempt at @p id ended; tells of its health. */
-    void record(const TargetName &id, AttemptOutcome attempt, SteadyTime now);
+    void recordAttempt(const TargetName &id, AttemptOutcome attempt, SteadyTime now);
 
     /** Whether @p target has open requests and has said nothing for StallTime. */
     static bool isStalled(const GatewayTarget &target, SteadyTime now);
 
 private:
-    bool hasUsedItsRoom(const GatewayTarget &target) const;
-    static void addTo(GroupWork &work, const GatewayTarget &target, double load, SteadyTime now);
+    bool hasUsedCapacityShare(const GatewayTarget &target) const;
+    static void addToGroup(GroupWork &work, const GatewayTarget &target, double load, SteadyTime now);
     bool isUsable(const GatewayTarget &target, const ServiceName &service) const;
-    DirectCandidate candidateOf(const GatewayTarget &target, double usualOthers, const HealthTracker &health,
-                                const std::set<TargetName> &tried, SteadyTime now) const;
-    std::optional<std::chrono::milliseconds> shortestHold(const std::vector<GatewayTarget *> &targets,
-                                                          SteadyTime now) const;
+    DirectCandidate makeCandidate(const GatewayTarget &target, double usualOthers, const HealthTracker &health,
+                                  const std::set<TargetName> &tried, SteadyTime now) const;
+    std::optional<std::chrono::milliseconds> shortestLimitWait(const std::vector<GatewayTarget *> &targets,
+                                                               SteadyTime now) const;
     Choice chooseEngine(const std::vector<GatewayTarget *> &targets, const std::vector<DirectCandidate> &candidates,
                         const PassTimeModel &rules, Urgency urgency, SteadyTime now, RandomSource &random);
 
     ZoneName m_zone;
-    double m_limitPart = 0;
-    double m_part = 0.25; ///< of the room that engines report, until the share of the work is known: four gateways
+    double m_limitShare = 0;
+    double m_capacityShare =
+        0.25; ///< of the room that engines report, until the share of the work is known: four gateways
     std::map<GroupName, GroupAdmission> m_groups;
     std::map<TargetName, GatewayTarget> m_targets;
-    std::set<TargetName> m_gone; ///< left the register, with requests open
+    std::set<TargetName> m_unregistered; ///< left the register, with requests open
     std::map<ServiceName, HealthTracker> m_health;
-    std::map<ServiceName, PassTimeModel> m_engineRules; ///< of services with expert groups
+    std::map<ServiceName, PassTimeModel> m_passBudgetRules; ///< of services with expert groups
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaytraffic.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.cpp
@@ -23,11 +23,11 @@
 
 GatewayTraffic::Counters::Counters(Metrics &metrics)
     : requests(metrics.counter("heatherridge_requests_total"))
-    , delivered(metrics.counter("heatherridge_plain_answers_total"))
-    , repeats(metrics.counter("heatherridge_repeats_total"))
-    , repeatsDenied(metrics.counter("heatherridge_repeats_denied_total"))
-    , resumed(metrics.counter("heatherridge_streams_resumed_total"))
-    , streamHead(metrics.histogram("heatherridge_stream_first_event_seconds"))
+    , plainAnswers(metrics.counter("heatherridge_plain_answers_total"))
+    , retries(metrics.counter("heatherridge_repeats_total"))
+    , retriesDenied(metrics.counter("heatherridge_repeats_denied_total"))
+    , resumedStreams(metrics.counter("heatherridge_streams_resumed_total"))
+    , streamFirstEvent(metrics.histogram("heatherridge_stream_first_event_seconds"))
     , plainAnswer(metrics.histogram("heatherridge_plain_answer_seconds"))
 {
 }
@@ -41,7 +41,8 @@
     , m_targets(m_options.zone)
     , m_pool(loop, metrics)
     , m_probe(loop, m_options.connectTimeout, metrics)
-    , m_crashGuard({.report = m_options.reportCrash, .blocked = [this](const auto &request) { endBlocked(request); }},
+    , m_crashGuard({.reportCreated = m_options.reportCrash,
+                    .requestBlocked = [this](const auto &request) { cancelBlocked(request); }},
                    metrics)
     , m_random(std::random_device{}())
     , m_queueTimer(loop)
@@ -52,7 +53,7 @@
 
 void GatewayTraffic::setTable(std::shared_ptr<const RouteTable> table)
 {
-    m_targets.setProfiles(table->config());
+    m_targets.setEngineProfiles(table->config());
     m_table = std::move(table);
 }
 
@@ -68,16 +69,16 @@
 {
     options.part = m_options.retryBudget.part;
     m_options.retryBudget = options;
-    for (auto &[service, budget] : m_budgets) {
+    for (auto &[service, budget] : m_retryBudgets) {
         budget.setOptions(options);
     }
 }
 
-void GatewayTraffic::setParts(double budgetPart, double evenPart)
+void GatewayTraffic::setShares(double budgetPart, double evenPart)
 {
     m_options.retryBudget.part = budgetPart;
-    m_targets.setParts(budgetPart, evenPart);
-    for (auto &[service, budget] : m_budgets) {
+    m_targets.setShares(budgetPart, evenPart);
+    for (auto &[service, budget] : m_retryBudgets) {
         budget.setPart(budgetPart);
     }
 }
@@ -87,9 +88,9 @@
     m_refusesStreams = true;
 }
 
-void GatewayTraffic::setEngines(const std::vector<EngineView> &engines)
+void GatewayTraffic::updateEngines(const std::vector<EngineView> &engines)
 {
-    m_targets.setEngines(engines);
+    m_targets.updateEngines(engines);
 }
 
 void GatewayTraffic::handle(const std::shared_ptr<HttpExchange> &exchange)
@@ -104,7 +105,7 @@
     const auto call = std::make_shared<GatewayCall>(*this, ++m_callCount, exchange, std::move(fields), m_table,
                                                     std::get<RouteMatch>(accepted));
     m_calls.insert(call);
-    call->begin();
+    call->start();
 }
 
 void GatewayTraffic::tick(SteadyTime now)
@@ -118,7 +119,7 @@
     return m_table != nullptr && m_hasTargets;
 }
 
-std::size_t GatewayTraffic::openCalls() const
+std::size_t GatewayTraffic::openCallCount() const
 {
     return m_calls.size();
 }
@@ -130,33 +131,33 @@
     }
 }
 
-FleetRetryBudget &GatewayTraffic::budgetOf(const ServiceName &service)
+FleetRetryBudget &GatewayTraffic::retryBudgetFor(const ServiceName &service)
 {
-    return m_budgets.try_emplace(service, m_options.retryBudget).first->second;
+    return m_retryBudgets.try_emplace(service, m_options.retryBudget).first->second;
 }
 
-RunningEstimate &GatewayTraffic::firstEventsOf(const ServiceName &service)
+RunningEstimate &GatewayTraffic::firstEventDelayFor(const ServiceName &service)
 {
-    return m_firstEvents[service];
+    return m_firstEventDelays[service];
 }
 
 void GatewayTraffic::enqueue(const std::shared_ptr<GatewayCall> &call, const WaitingStream &stream)
 {
     m_queue.enqueue(stream, std::chrono::steady_clock::now());
-    m_waiting.insert_or_assign(stream.number, call);
+    m_waitingCalls.insert_or_assign(stream.number, call);
     armQueueTimer();
 }
 
 void GatewayTraffic::dequeue(std::uint64_t number)
 {
     m_queue.remove(number);
-    m_waiting.erase(number);
+    m_waitingCalls.erase(number);
 }
 
-void GatewayTraffic::admitted(std::uint64_t number, SteadyTime now)
+void GatewayTraffic::admit(std::uint64_t number, SteadyTime now)
 {
     m_queue.admit(number, now);
-    m_waiting.erase(number);
+    m_waitingCalls.erase(number);
 }
 
 void GatewayTraffic::armQueueTimer()
@@ -179,8 +180,8 @@
 {
     std::set<ServiceName> full;
     for (const auto &stream : m_queue.inAdmissionOrder(std::chrono::steady_clock::now())) {
-        const auto found = m_waiting.find(stream.number);
-        const auto call = found == m_waiting.end() ? nullptr : found->second.lock();
+        const auto found = m_waitingCalls.find(stream.number);
+        const auto call = found == m_waitingCalls.end() ? nullptr : found->second.lock();
         if (!call) {
             dequeue(stream.number);
             continue;
@@ -189,24 +190,24 @@
         if (full.contains(stream.service)) {
             continue;
         }
-        call->tryAgain();
-        const bool isStillWaiting = m_waiting.contains(stream.number);
+        call->retryPlacement();
+        const bool isStillWaiting = m_waitingCalls.contains(stream.number);
         if (!stream.hasStarted && isStillWaiting) {
             full.insert(stream.service);
         }
     }
 }
 
-void GatewayTraffic::learnCrashes(const std::vector<CrashReport> &reports)
+void GatewayTraffic::applyCrashReports(const std::vector<CrashReport> &reports)
 {
-    m_crashGuard.learn(reports);
+    m_crashGuard.applyReports(reports);
 }
 
-void GatewayTraffic::endBlocked(const RequestFingerprint &request)
+void GatewayTraffic::cancelBlocked(const RequestFingerprint &request)
 {
     const std::vector<std::shared_ptr<GatewayCall>> calls(m_calls.begin(), m_calls.end());
     for (const auto &call : calls) {
-        call->blocked(request);
+        call->cancelIfBlocked(request);
     }
 }
 
@@ -246,7 +247,7 @@
     return match;
 }
 
-void GatewayTraffic::finished(const std::shared_ptr<GatewayCall> &call)
+void GatewayTraffic::removeCall(const std::shared_ptr<GatewayCall> &call)
 {
     dequeue(call->number());
     m_calls.erase(call);
--- a/modules/heatherridge_transport/direct/gatewaytraffic.h
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.h
@@ -63,16 +63,16 @@
      * @param budgetPart of the slack for repeats and of targets' limits, which must not add up to more than these
      * @param evenPart of the streams, as if all had alike
      */
-    void setParts(double budgetPart, double evenPart);
+    void setShares(double budgetPart, double evenPart);
 
     /** From now on nothing is taken that could outlast the process. */
     void refuseStreams();
 
     /** What the engines of expert groups say of themselves. */
-    void setEngines(const std::vector<EngineView> &engines);
+    void updateEngines(const std::vector<EngineView> &engines);
 
     /** What gateways, this one among them, have seen of requests that end targets. */
-    void learnCrashes(const std::vector<CrashReport> &reports);
+    void applyCrashReports(const std::vector<CrashReport> &reports);
 
     /** Takes a request. */
     void handle(const std::shared_ptr<HttpExchange> &exchange);
@@ -84,7 +84,7 @@
     bool isReady() const;
 
     /** Requests without a whole answer. */
-    std::size_t openCalls() const;
+    std::size_t openCallCount() const;
 
     /** Drops all calls. */
     void stop();
@@ -97,25 +97,25 @@
         explicit Counters(Metrics &metrics);
 
         Counter &requests;
-        Counter &delivered;
-        Counter &repeats;
-        Counter &repeatsDenied;
-        Counter &resumed;
-        DurationHistogram &streamHead;
+        Counter &plainAnswers;
+        Counter &retries;
+        Counter &retriesDenied;
+        Counter &resumedStreams;
+        DurationHistogram &streamFirstEvent;
         DurationHistogram &plainAnswer;
     };
 
-    FleetRetryBudget &budgetOf(const ServiceName &service);
-    RunningEstimate &firstEventsOf(const ServiceName &service);
+    FleetRetryBudget &retryBudgetFor(const ServiceName &service);
+    RunningEstimate &firstEventDelayFor(const ServiceName &service);
     void enqueue(const std::shared_ptr<GatewayCall> &call, const WaitingStream &stream);
-    void admitted(std::uint64_t number, SteadyTime now);
+    void admit(std::uint64_t number, SteadyTime now);
     void dequeue(std::uint64_t number);
     void armQueueTimer();
     void advanceQueue();
-    void endBlocked(const RequestFingerprint &request);
+    void cancelBlocked(const RequestFingerprint &request);
     void refuse(const std::shared_ptr<HttpExchange> &exchange, const RequestId &id, const Error &error);
     Result<RouteMatch> accept(const HttpRequest &request, const CallerFields &fields) const;
-    void finished(const std::shared_ptr<GatewayCall> &call);
+    void removeCall(const std::shared_ptr<GatewayCall> &call);
 
     asio::io_context &m_loop;
     Options m_options;
@@ -128,10 +128,10 @@
     TargetProbe m_probe;
     CrashGuard m_crashGuard;
     SeededRandom m_random;
-    std::map<ServiceName, FleetRetryBudget> m_budgets;
-    std::map<ServiceName, RunningEstimate> m_firstEvents; ///< from sending a stream to its first event
+    std::map<ServiceName, FleetRetryBudget> m_retryBudgets;
+    std::map<ServiceName, RunningEstimate> m_firstEventDelays; ///< from sending a stream to its first event
     StreamQueue m_queue; ///< streams that wait for an engine
-    std::map<std::uint64_t, std::weak_ptr<GatewayCall>> m_waiting; ///< their calls
+    std::map<std::uint64_t, std::weak_ptr<GatewayCall>> m_waitingCalls; ///< their calls
     asio::steady_timer m_queueTimer;
     bool m_isQueueTimerArmed = false;
     std::uint64_t m_callCount = 0;
--- a/modules/heatherridge_transport/direct/streamprogress.cpp
+++ b/modules/heatherridge_transport/direct/streamprogress.cpp
@@ -7,7 +7,7 @@
 {
 
 StreamProgress::StreamProgress(std::optional<std::uint64_t> lastEvent)
-    : m_lastEvent(lastEvent)
+    : m_lastEventId(lastEvent)
 {
 }
 
@@ -16,7 +16,7 @@
     m_splitter = {};
 }
 
-std::vector<StreamEvent> StreamProgress::take(std::string_view bytes)
+std::vector<StreamEvent> StreamProgress::feed(std::string_view bytes)
 {
     std::vector<StreamEvent> fresh;
     bool hasBegun = m_hasBegun;
@@ -24,26 +24,26 @@
         if (m_isBroken) {
             break;
         }
-        const bool isKnown = event.id && m_lastEvent && *event.id <= *m_lastEvent;
+        const bool isKnown = event.id && m_lastEventId && *event.id <= *m_lastEventId;
         if (isKnown) {
             continue; // the caller has it from an earlier target
         }
-        m_isBroken = event.id && m_lastEvent && hasBegun && *event.id != *m_lastEvent + 1;
+        m_isBroken = event.id && m_lastEventId && hasBegun && *event.id != *m_lastEventId + 1;
         if (m_isBroken) {
             break;
         }
-        m_lastEvent = event.id ? event.id : m_lastEvent;
+        m_lastEventId = event.id ? event.id : m_lastEventId;
         hasBegun = true;
         fresh.push_back(std::move(event));
     }
     return fresh;
 }
 
-std::optional<std::chrono::milliseconds> StreamProgress::passedOn(SteadyTime now, std::chrono::milliseconds age)
+std::optional<std::chrono::milliseconds> StreamProgress::recordForwarded(SteadyTime now, std::chrono::milliseconds age)
 {
     const auto before = std::exchange(m_lastEventAt, now);
     if (!std::exchange(m_hasBegun, true)) {
-        m_firstEventAfter = age;
+        m_timeToFirstEvent = age;
         return std::nullopt;
     }
     const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(now - before);
@@ -61,9 +61,9 @@
     return m_isBroken || m_splitter.hasPartialEvent();
 }
 
-std::optional<std::uint64_t> StreamProgress::lastEvent() const
+std::optional<std::uint64_t> StreamProgress::lastEventId() const
 {
-    return m_lastEvent;
+    return m_lastEventId;
 }
 
 SteadyTime StreamProgress::lastEventAt() const
@@ -71,9 +71,9 @@
     return m_lastEventAt;
 }
 
-std::chrono::milliseconds StreamProgress::firstEventAfter() const
+std::chrono::milliseconds StreamProgress::timeToFirstEvent() const
 {
-    return m_firstEventAfter;
+    return m_timeToFirstEvent;
 }
 
 std::chrono::milliseconds StreamProgress::longestPause() const
--- a/tests/gateway/gatewaysite.cpp
+++ b/tests/gateway/gatewaysite.cpp
@@ -107,15 +107,15 @@
                            .zone = ZoneName("z"),
                            .slots = 8});
     }
-    GatewayServer::Adapter adapter{.traffic = std::make_shared<PlatformTraffic>(),
-                                   .log =
+    GatewayServer::Adapter adapter{.trafficCodec = std::make_shared<PlatformTraffic>(),
+                                   .makeLogClients =
                                        [entries, options](HttpClient &, const LogEvents &) {
-                                           return GatewayServer::LogParts{
+                                           return GatewayServer::LogClients{
                                                .registers = std::make_unique<Registers>(usualConfig(), entries),
                                                .shares = std::make_unique<FixedShares>(options.parts),
                                                .reports = std::make_unique<SharedReports>(options.reports)};
                                        },
-                                   .ranks = [](HttpClient &) { return std::make_unique<SilentRanks>(); }};
+                                   .makeRankControl = [](HttpClient &) { return std::make_unique<SilentRanks>(); }};
     m_server = std::make_unique<GatewayServer>(GatewayServer::Options{.process = ProcessName("g"),
                                                                       .zone = ZoneName("z"),
                                                                       .listen = {.address = "127.0.0.1"},
@@ -123,7 +123,7 @@
                                                                       .readyPath = "/ready",
                                                                       .retryBudget = {.slack = 800},
                                                                       .logPartitions = options.logPartitions,
-                                                                      .balancerNotices = milliseconds(200)},
+                                                                      .balancerDetectionTime = milliseconds(200)},
                                                std::move(adapter));
     m_callers = std::get<std::vector<Endpoint>>(m_server->start()).front();
     // The registers are read by the control thread; callers before that are told that there is no configuration.
--- a/tests/restoredlog/restoredworld.cpp
+++ b/tests/restoredlog/restoredworld.cpp
@@ -239,14 +239,15 @@
         , crashFeed(log, {}, {.learnt = [](auto) {}, .failed = [](auto, const auto &) {}, .lost = [](auto) {}})
         , workShare(log, {.member = "m"})
         , control(log, {.rulesCopies = Copies},
-                  {.rules = [](auto) {}, .targets = [](auto) {}, .logAnswers = [](bool) {}}, metrics)
+                  {.rulesChanged = [](auto) {}, .targetsChanged = [](auto) {}, .reachabilityChanged = [](bool) {}},
+                  metrics)
     {
     }
 
     void restored(RestoredWorld &world)
     {
         if (world.m_safeguards.readsAnew) {
-            control.logRestored(world.m_random);
+            control.onLogRestored(world.m_random);
         }
         if (world.m_safeguards.tellsAgain) {
             crashFeed.logRestored();
