--- a/modules/heatherridge_transport/direct/crashguard.cpp
+++ b/modules/heatherridge_transport/direct/crashguard.cpp
@@ -56,8 +56,8 @@
 
 void CrashGuard::recordRefusal(const RequestFingerprint &request)
 {
-    if (const auto again = m_suspects.refused(request, now())) {
-        publish(*again);
+    if (const auto repeatedReport = m_suspects.refused(request, now())) {
+        publish(*repeatedReport);
     }
 }
 
--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -20,10 +20,10 @@
 /** When to ask again after all engines were found full: a third of the time that one takes for an answer. */
 constexpr milliseconds EnginesFullRetryAfter{500};
 /** When to ask again after the targets refused: a slot of a plain service comes free within this. */
-constexpr milliseconds FullRetryAfter{300};
+constexpr milliseconds TargetsFullRetryAfter{300};
 
 /** From sending a stream to its first event, before any was seen: two passes that keep the usual pauses. */
-constexpr milliseconds UnknownFirstEvent{200};
+constexpr milliseconds DefaultFirstEventDelay{200};
 
 SteadyTime now()
 {
@@ -97,16 +97,16 @@
     }
     const auto choice = chooseTarget();
     // An attempt that never left puts no load on anybody: what follows it is the first.
-    const bool isRepeat = m_possibleArrivals > 0;
-    if (choice.target != nullptr && isRepeat && !m_traffic.retryBudgetFor(m_service).tryTake(now())) {
+    const bool isRetry = m_possibleArrivals > 0;
+    if (choice.target != nullptr && isRetry && !m_traffic.retryBudgetFor(m_service).tryTake(now())) {
         m_traffic.m_counters.retriesDenied.add();
         waitForTarget({.kind = m_possibleExecutions > 0 ? ErrorKind::BackendFailed : ErrorKind::Overloaded,
                        .detail = "no repeat left in the budget",
-                       .retryAfter = FullRetryAfter});
+                       .retryAfter = TargetsFullRetryAfter});
         return;
     }
     if (choice.target != nullptr) {
-        m_traffic.m_counters.retries.add(isRepeat ? 1 : 0);
+        m_traffic.m_counters.retries.add(isRetry ? 1 : 0);
         m_traffic.m_counters.resumedStreams.add(m_stream.hasBegun() ? 1 : 0);
         send(*choice.target, choice.load);
         return;
@@ -123,9 +123,9 @@
     auto &targets = m_traffic.m_targets;
     if (isSuspect()) {
         const auto avoided = m_traffic.m_crashGuard.suspectPlaces().avoided(m_tried);
-        const auto apart = targets.choose(m_service, avoided, urgency(), now(), m_traffic.m_random);
-        if (apart.target != nullptr) {
-            return apart;
+        const auto unsuspectedChoice = targets.choose(m_service, avoided, urgency(), now(), m_traffic.m_random);
+        if (unsuspectedChoice.target != nullptr) {
+            return unsuspectedChoice;
         }
     }
     return targets.choose(m_service, m_tried, urgency(), now(), m_traffic.m_random);
@@ -144,9 +144,10 @@
 SteadyTime GatewayCall::timelyUntil() const
 {
     // A caller that comes again has waited before: it says how much of its patience is left.
-    const auto before = std::max(m_route.timeout - m_callerFields.patience.value_or(m_route.timeout), milliseconds(0));
-    const auto firstEvent = m_traffic.firstEventDelayFor(m_service).mean().value_or(UnknownFirstEvent);
-    return m_arrivedAt + m_route.objective - before - duration_cast<milliseconds>(firstEvent);
+    const auto timeWaitedBefore =
+        std::max(m_route.timeout - m_callerFields.patience.value_or(m_route.timeout), milliseconds(0));
+    const auto firstEventDelay = m_traffic.firstEventDelayFor(m_service).mean().value_or(DefaultFirstEventDelay);
+    return m_arrivedAt + m_route.objective - timeWaitedBefore - duration_cast<milliseconds>(firstEventDelay);
 }
 
 void GatewayCall::enqueue()
@@ -160,10 +161,10 @@
                                .onTimeUntil = timelyUntil()};
     // Asked when it joins and when it falls behind the timely ones: at other times it has moved up.
     const bool isLate = stream.onTimeUntil < now();
-    const bool isBehind = !stream.hasStarted && m_isQueuedAsLate != isLate;
-    const auto wait = isBehind ? m_traffic.m_queue.expectedWait(stream, now()) : milliseconds(0);
-    if (now() + wait > *m_waitDeadline) {
-        fail({.kind = ErrorKind::Overloaded, .detail = "the queue is too long", .retryAfter = wait});
+    const bool needsWaitEstimate = !stream.hasStarted && m_isQueuedAsLate != isLate;
+    const auto expectedWait = needsWaitEstimate ? m_traffic.m_queue.expectedWait(stream, now()) : milliseconds(0);
+    if (now() + expectedWait > *m_waitDeadline) {
+        fail({.kind = ErrorKind::Overloaded, .detail = "the queue is too long", .retryAfter = expectedWait});
         return;
     }
     m_isQueuedAsLate = isLate;
@@ -246,18 +247,18 @@
         }
         updateTargetLimit(*target);
     }
-    const bool isOther = m_responseFields.id != m_callerFields.id;
-    const bool isForged = !m_responseFields.isSigned && !m_responseFields.isNotRun;
-    m_isResponseUnusable = isOther || isForged || m_responseFields.isEncoded;
+    const bool isOtherRequest = m_responseFields.id != m_callerFields.id;
+    const bool isUnsigned = !m_responseFields.isSigned && !m_responseFields.isNotRun;
+    m_isResponseUnusable = isOtherRequest || isUnsigned || m_responseFields.isEncoded;
 }
 
 void GatewayCall::updateTargetLimit(GatewayTarget &target)
 {
     // A refusal may name a limit, but does not end one by naming none.
-    const bool says =
+    const bool isAuthoritative =
         m_responseFields.id == m_callerFields.id && (m_responseFields.isSigned || m_responseFields.requestsPerSecond);
     const auto limit = m_responseFields.requestsPerSecond;
-    if (!says || !m_traffic.m_targets.updateLimit(target, limit, now(), m_traffic.m_random)) {
+    if (!isAuthoritative || !m_traffic.m_targets.updateLimit(target, limit, now(), m_traffic.m_random)) {
         return;
     }
     logEvent(Severity::Info, "target-limit",
@@ -308,9 +309,9 @@
     if (m_isResponseUnusable) {
         return AttemptEnd::Unusable;
     }
-    const bool isPromise =
+    const bool impliesNotExecuted =
         m_responseStatus == 408 || m_responseStatus == 421 || m_responseStatus == 429 || m_responseStatus == 503;
-    if (isPromise) {
+    if (impliesNotExecuted) {
         return AttemptEnd::Unusable; // the status says that it has not run, and the target does not
     }
     return m_responseStatus >= 500 ? AttemptEnd::FailedAtTarget : AttemptEnd::Answered;
@@ -355,8 +356,8 @@
 {
     if (!m_fingerprint) {
         const auto &request = m_exchange->request();
-        const auto place = std::string(request.header("Host")) + request.target;
-        m_fingerprint = fingerprintOf(m_match.workspace, request.method, place, request.body);
+        const auto url = std::string(request.header("Host")) + request.target;
+        m_fingerprint = fingerprintOf(m_match.workspace, request.method, url, request.body);
     }
     return *m_fingerprint;
 }
@@ -380,8 +381,8 @@
 
 void GatewayCall::cancelIfBlocked(const RequestFingerprint &request)
 {
-    const bool isUnderWay = m_connection != nullptr || m_isWaiting;
-    if (m_isDone || m_hasBodyBegun || !isUnderWay || fingerprint() != request) {
+    const bool isInProgress = m_connection != nullptr || m_isWaiting;
+    if (m_isDone || m_hasBodyBegun || !isInProgress || fingerprint() != request) {
         return;
     }
     m_possibleExecutions += m_connection != nullptr ? 1 : 0;
@@ -417,15 +418,15 @@
 
 void GatewayCall::forwardEvent(const StreamEvent &event)
 {
-    const auto at = now();
+    const auto forwardedAt = now();
     const bool isFirstOfAttempt = m_stream.lastEventAt() <= m_sentAt;
-    const auto pause = m_stream.recordForwarded(at, age());
+    const auto pause = m_stream.recordForwarded(forwardedAt, age());
     if (!pause) {
-        m_traffic.firstEventDelayFor(m_service).record(at - m_sentAt);
+        m_traffic.firstEventDelayFor(m_service).record(forwardedAt - m_sentAt);
         m_traffic.m_counters.streamFirstEvent.record(m_stream.timeToFirstEvent());
         m_exchange->beginStream(m_responseStatus, m_responseHeaders);
     } else if (!isFirstOfAttempt) {
-        m_traffic.m_targets.recordPause(m_group, *pause, at);
+        m_traffic.m_targets.recordPause(m_group, *pause, forwardedAt);
     }
     write(event.text);
 }
@@ -442,9 +443,9 @@
         if (!self) {
             return;
         }
-        const bool wasHeldBack = self->m_unsentBytes > MaxUnsentBytes;
+        const bool wasPaused = self->m_unsentBytes > MaxUnsentBytes;
         self->m_unsentBytes -= size;
-        if (wasHeldBack && self->m_unsentBytes <= MaxUnsentBytes && self->m_connection) {
+        if (wasPaused && self->m_unsentBytes <= MaxUnsentBytes && self->m_connection) {
             self->m_connection->resumeReading();
         }
     });
@@ -481,8 +482,8 @@
         m_traffic.m_targets.recordAttempt(
             m_target, end == AttemptEnd::Silent ? AttemptOutcome::TimedOut : AttemptOutcome::Failed, now());
     }
-    const bool hasRunToAnEnd = end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget;
-    if (hasRunToAnEnd && isSuspect()) {
+    const bool hasCompleted = end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget;
+    if (hasCompleted && isSuspect()) {
         m_traffic.m_crashGuard.recordAnswer(fingerprint());
     }
     m_possibleExecutions += mayHaveRun(end) ? 1 : 0;
@@ -506,7 +507,7 @@
     }
     Error error{.kind = m_possibleExecutions > 0 ? ErrorKind::BackendFailed : ErrorKind::Overloaded,
                 .detail = std::string(toString(end)) + " at " + m_target.text() + " " + std::string(reason),
-                .retryAfter = FullRetryAfter};
+                .retryAfter = TargetsFullRetryAfter};
     if (mayHaveRun(end)) {
         fail(std::move(error));
     } else {
@@ -602,11 +603,11 @@
     if (m_isDone) {
         return;
     }
-    const auto watch = m_isWaiting && isStream()                ? *m_waitDeadline
+    const auto nextCheck = m_isWaiting && isStream()            ? *m_waitDeadline
         : m_isWaiting                                           ? now() + PlacementRetryPeriod
         : isStream() || m_route.kind == RequestKind::Idempotent ? now() + SilenceCheckPeriod
                                                                 : m_deadline;
-    m_timer.expires_at(std::min(m_deadline, watch));
+    m_timer.expires_at(std::min(m_deadline, nextCheck));
     m_timer.async_wait([weak = weak_from_this()](const asio::error_code &error) {
         const auto self = weak.lock();
         if (self && !error && !self->m_isDone) {
@@ -637,8 +638,8 @@
         && now() - std::max(m_sentAt, target != nullptr ? target->lastReceivedAt : m_sentAt) > SilenceTimeout;
     const bool isSilentCall =
         m_route.kind == RequestKind::Idempotent && m_responseStatus == 0 && now() - m_sentAt > m_route.objective;
-    const bool mayRepeat = m_possibleExecutions + 1 < m_route.maxAttempts && timeLeft() > MinAttemptTime * 2;
-    if ((isSilentStream || isSilentCall) && mayRepeat && canContinueElsewhere()) {
+    const bool mayRetry = m_possibleExecutions + 1 < m_route.maxAttempts && timeLeft() > MinAttemptTime * 2;
+    if ((isSilentStream || isSilentCall) && mayRetry && canContinueElsewhere()) {
         finishAttempt(AttemptEnd::Silent, "no sign of life");
     }
 }
--- a/modules/heatherridge_transport/direct/gatewaycontrol.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycontrol.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-std::chrono::milliseconds partOf(std::chrono::milliseconds time, double part)
+std::chrono::milliseconds fractionOf(std::chrono::milliseconds time, double fraction)
 {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(time * part);
+    return std::chrono::duration_cast<std::chrono::milliseconds>(time * fraction);
 }
 
 } // namespace
@@ -29,23 +29,23 @@
                       {.replaced = [this](const auto &changes) { applyRules(changes, Source::Register); },
                        .changed = [this](const auto &changes) { applyRules(changes, Source::Register); },
                        .reachable =
-                           [this](bool answers, std::string_view reason) {
-                               if (answers != m_isRulesRegisterReachable) {
-                                   m_isRulesRegisterReachable = answers;
-                                   reportReachability("rules", answers, reason);
+                           [this](bool isReachable, std::string_view reason) {
+                               if (isReachable != m_isRulesRegisterReachable) {
+                                   m_isRulesRegisterReachable = isReachable;
+                                   reportReachability("rules", isReachable, reason);
                                }
                            }})
     , m_targetsFollower(
-          log, {.kind = RegisterKind::Targets, .period = partOf(options.withdrawalTime, TargetsReadPeriodFraction)},
+          log, {.kind = RegisterKind::Targets, .period = fractionOf(options.withdrawalTime, TargetsReadPeriodFraction)},
           {.replaced = [this](const auto &changes) { replaceTargets(changes); },
            .changed = [this](const auto &changes) { changeTargets(changes); },
            .reachable =
-               [this](bool answers, std::string_view reason) {
-                   if (answers != m_isTargetsRegisterReachable) {
-                       m_isTargetsRegisterReachable = answers;
-                       reportReachability("targets", answers, reason);
+               [this](bool isReachable, std::string_view reason) {
+                   if (isReachable != m_isTargetsRegisterReachable) {
+                       m_isTargetsRegisterReachable = isReachable;
+                       reportReachability("targets", isReachable, reason);
                    }
-                   if (answers) {
+                   if (isReachable) {
                        m_directory.readable(m_now);
                    } else {
                        m_directory.unreadable(m_now);
@@ -64,15 +64,15 @@
 
 std::chrono::milliseconds GatewayControl::rulesWait(const Options &options)
 {
-    return partOf(options.silenceTime, RulesWaitFraction);
+    return fractionOf(options.silenceTime, RulesWaitFraction);
 }
 
-void GatewayControl::tick(SteadyTime now, bool keepsCopies)
+void GatewayControl::tick(SteadyTime now, bool writesRulesCopies)
 {
     m_now = now;
     m_rulesFollower.tick(now);
     m_targetsFollower.tick(now);
-    m_rulesCopies.tick({.writes = keepsCopies, .reads = !m_rules && !m_isRulesRegisterReachable}, now);
+    m_rulesCopies.tick({.writes = writesRulesCopies, .reads = !m_rules && !m_isRulesRegisterReachable}, now);
     if (m_directory.tick(now)) {
         publishTargets();
     }
@@ -81,12 +81,12 @@
 void GatewayControl::onLogRestored(RandomSource &random)
 {
     const auto spread = RereadSpreadPerTarget * m_directory.targets().size();
-    const auto drawn = [&] {
+    const auto randomDelay = [&] {
         return std::chrono::duration_cast<std::chrono::milliseconds>(spread * random.fraction());
     };
     m_directory.restored(m_now);
-    m_rulesFollower.restart(drawn());
-    m_targetsFollower.restart(drawn());
+    m_rulesFollower.restart(randomDelay());
+    m_targetsFollower.restart(randomDelay());
     m_rulesCopies.logRestored();
 }
 
@@ -109,27 +109,27 @@
 
 void GatewayControl::applyRulesChange(const RegisterChange &change, Source source)
 {
-    auto read = m_log.rulesIn(change);
-    if (!read) {
+    auto decoded = m_log.rulesIn(change);
+    if (!decoded) {
         return;
     }
-    if (const auto *error = errorIn(*read)) {
+    if (const auto *error = errorIn(*decoded)) {
         m_malformedRecords.add();
         logEvent(Severity::Warning, "rules-malformed", {{"reason", error->detail}});
         return;
     }
-    auto &config = std::get<RoutingConfig>(*read);
-    const auto current = m_rules ? m_rules->config().version : 0;
-    if (source == Source::Register && config.version >= current) {
+    auto &config = std::get<RoutingConfig>(*decoded);
+    const auto currentVersion = m_rules ? m_rules->config().version : 0;
+    if (source == Source::Register && config.version >= currentVersion) {
         m_rulesCopies.setRules(change, config.version);
     }
-    if (m_rules && config.version <= current) {
-        m_staleRules.add(config.version < current ? 1 : 0);
+    if (m_rules && config.version <= currentVersion) {
+        m_staleRules.add(config.version < currentVersion ? 1 : 0);
         return;
     }
     logEvent(Severity::Info, "rules-in-force",
              {{"version", std::to_string(config.version)},
-              {"before", std::to_string(current)},
+              {"before", std::to_string(currentVersion)},
               {"from", source == Source::Register ? "register" : "copy"},
               {"routes", std::to_string(config.routes.size())},
               {"workspaces", std::to_string(config.workspaces.size())}});
@@ -185,14 +185,14 @@
     m_events.targetsChanged(std::move(targets));
 }
 
-void GatewayControl::reportReachability(std::string_view which, bool answers, std::string_view reason)
+void GatewayControl::reportReachability(std::string_view registerName, bool isReachable, std::string_view reason)
 {
-    if (!answers) {
+    if (!isReachable) {
         m_registerOutages.add();
     }
-    logEvent(answers ? Severity::Info : Severity::Warning, answers ? "register-regained" : "register-lost",
-             {{"register", std::string(which)}, {"reason", std::string(reason)}});
-    m_events.reachabilityChanged(answers);
+    logEvent(isReachable ? Severity::Info : Severity::Warning, isReachable ? "register-regained" : "register-lost",
+             {{"register", std::string(registerName)}, {"reason", std::string(reason)}});
+    m_events.reachabilityChanged(isReachable);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaycontrol.h
+++ b/modules/heatherridge_transport/direct/gatewaycontrol.h
@@ -47,7 +47,7 @@
     {
         std::function<void(std::shared_ptr<const RouteTable>)> rulesChanged{};
         std::function<void(std::vector<TargetEntry>)> targetsChanged{};
-        std::function<void(bool answers)> reachabilityChanged{}; ///< a register has been lost or regained
+        std::function<void(bool isReachable)> reachabilityChanged{}; ///< a register has been lost or regained
     };
 
     /** How long a read that waits for rules waits at most. */
@@ -56,8 +56,9 @@
     /** @p log and @p metrics must outlive it. */
     GatewayControl(RegisterLog &log, Options options, Events events, Metrics &metrics);
 
-    /** Does what is due. Called every few tens of milliseconds. @param keepsCopies of the rules, for all gateways */
-    void tick(SteadyTime now, bool keepsCopies);
+    /** Does what is due. Called every few tens of milliseconds. @param writesRulesCopies of the rules, for all gateways
+     */
+    void tick(SteadyTime now, bool writesRulesCopies);
 
     /**
      * The log has come back from an older copy. What is in force stays; the registers are read anew, each at a time
@@ -83,7 +84,7 @@
     void replaceTargets(const std::vector<RegisterChange> &changes);
     void changeTargets(const std::vector<RegisterChange> &changes);
     void publishTargets();
-    void reportReachability(std::string_view which, bool answers, std::string_view reason);
+    void reportReachability(std::string_view registerName, bool isReachable, std::string_view reason);
 
     RegisterLog &m_log;
     Events m_events;
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -30,19 +30,19 @@
  * order to either. One that is closed is opened again at the next round, and handshakes are paid for. */
 constexpr long KeptConnectionsPerTarget = 4;
 /** The same beside them, for the platform's log and targets that come and go. */
-constexpr long KeptConnectionsBeside = 64;
+constexpr long ExtraKeptConnections = 64;
 /** Before the grace is over the process ends by itself, so that its log says what was cut. */
 constexpr milliseconds GraceMargin{250};
 /** Names the work of keeping copies of the rules, which one gateway does. */
-constexpr std::string_view CopiesWork = "copies-of-rules";
+constexpr std::string_view RulesCopiesTask = "copies-of-rules";
 
 /** Copies of the rules; with three, an outage of a third of the log's partitions seldom hides them all. */
-constexpr int MostRulesCopies = 3;
+constexpr int MaxRulesCopies = 3;
 
 GatewayControl::Options controlOptions(const GatewayServer::Options &options)
 {
     auto control = options.control;
-    control.rulesCopies = std::min(MostRulesCopies, options.logPartitions);
+    control.rulesCopies = std::min(MaxRulesCopies, options.logPartitions);
     return control;
 }
 
@@ -123,7 +123,7 @@
 
     void drainAndStop()
     {
-        const auto began = std::chrono::steady_clock::now();
+        const auto drainStart = std::chrono::steady_clock::now();
         logEvent(Severity::Info, "stopping", {{"open", std::to_string(openCallCount())}});
         m_isStopping = true;
         m_controlLoop.post([this] { m_workShare.leave(); });
@@ -131,7 +131,7 @@
         // By half of the time few callers still pick a kept connection.
         m_trafficLoop.after(m_options.balancerDetectionTime / 2, [this] { m_callers.closeIdle(); });
         m_trafficLoop.after(m_options.balancerDetectionTime, [this] { m_traffic.refuseStreams(); });
-        waitUntilDrained(began);
+        waitUntilDrained(drainStart);
         logEvent(Severity::Info, "stopped", {{"cut", std::to_string(openCallCount())}});
         m_trafficLoop.run([this] {
             m_traffic.stop();
@@ -144,11 +144,11 @@
     }
 
 private:
-    void waitUntilDrained(SteadyTime began)
+    void waitUntilDrained(SteadyTime drainStart)
     {
         while (true) {
             std::this_thread::sleep_for(DrainTick);
-            const auto waited = std::chrono::steady_clock::now() - began;
+            const auto waited = std::chrono::steady_clock::now() - drainStart;
             if (waited >= m_options.gracePeriod - GraceMargin) {
                 return;
             }
@@ -191,75 +191,79 @@
     void controlTick()
     {
         const auto now = std::chrono::steady_clock::now();
-        m_control.tick(now, m_workShare.isMine(CopiesWork));
+        m_control.tick(now, m_workShare.isMine(RulesCopiesTask));
         m_workShare.tick(now);
         m_crashFeed.tick(now);
         updateShares();
-        for (auto &[service, keeper] : m_groupKeepers) {
-            const bool isMine = m_workShare.isMine(service.text());
-            if (isMine != m_activeKeepers.contains(service)) {
-                logEvent(Severity::Info, isMine ? "keeper-active" : "keeper-inactive", {{"service", service.text()}});
-                isMine ? void(m_activeKeepers.insert(service)) : void(m_activeKeepers.erase(service));
+        for (auto &[service, rebalancer] : m_rebalancers) {
+            const bool isAssigned = m_workShare.isMine(service.text());
+            if (isAssigned != m_activeRebalancers.contains(service)) {
+                logEvent(Severity::Info, isAssigned ? "keeper-active" : "keeper-inactive",
+                         {{"service", service.text()}});
+                isAssigned ? void(m_activeRebalancers.insert(service)) : void(m_activeRebalancers.erase(service));
             }
-            keeper->setActive(isMine, m_workShare.isConfirmed(now));
-            keeper->tick(now);
-            m_groupSkew.set(static_cast<std::int64_t>(keeper->lastSkew() * 100));
+            rebalancer->setActive(isAssigned, m_workShare.isConfirmed(now));
+            rebalancer->tick(now);
+            m_groupSkew.set(static_cast<std::int64_t>(rebalancer->lastSkew() * 100));
         }
     }
 
     /** Divides the slack for repeats among the gateways as the log divides work among them. */
     void updateShares()
     {
-        const auto part = m_workShare.part();
-        if (!part || part == m_budgetShare) {
+        const auto share = m_workShare.part();
+        if (!share || share == m_budgetShare) {
             return;
         }
-        m_budgetShare = part;
-        const auto evenPart = m_workShare.evenPart().value_or(*part);
-        m_trafficLoop.post([this, part = *part, evenPart] { m_traffic.setShares(part, evenPart); });
+        m_budgetShare = share;
+        const auto evenShare = m_workShare.evenPart().value_or(*share);
+        m_trafficLoop.post([this, share = *share, evenShare] { m_traffic.setShares(share, evenShare); });
     }
 
     /** Tells the keepers of services with expert groups which targets there are. */
-    void updateKeepers()
+    void updateRebalancers()
     {
         const auto rules = m_control.rules();
         if (!rules) {
             return;
         }
-        std::map<ServiceName, std::vector<TargetEntry>> targets;
-        const auto all = m_control.targets();
-        for (const auto &target : all) {
-            targets[target.service].push_back(target);
+        std::map<ServiceName, std::vector<TargetEntry>> targetsByService;
+        const auto allTargets = m_control.targets();
+        for (const auto &target : allTargets) {
+            targetsByService[target.service].push_back(target);
         }
-        m_client.setKeptConnections(KeptConnectionsBeside + KeptConnectionsPerTarget * static_cast<long>(all.size()));
+        m_client.setKeptConnections(ExtraKeptConnections
+                                    + KeptConnectionsPerTarget * static_cast<long>(allTargets.size()));
         for (const auto &service : rules->config().services) {
             if (!service.engine || service.engine->layerSets == 0) {
                 continue;
             }
-            auto &keeper = m_groupKeepers[service.name];
-            if (!keeper) {
-                keeper = makeKeeper();
+            auto &rebalancer = m_rebalancers[service.name];
+            if (!rebalancer) {
+                rebalancer = makeRebalancer();
             }
-            keeper->setTargets(targets[service.name], *service.engine, longestPauseOf(rules->config(), service.name));
+            rebalancer->setTargets(targetsByService[service.name], *service.engine,
+                                   longestPauseOf(rules->config(), service.name));
         }
     }
 
-    std::unique_ptr<ExpertRebalancer> makeKeeper()
+    std::unique_ptr<ExpertRebalancer> makeRebalancer()
     {
-        const auto decided = [](std::string_view what, const GroupName &group, const std::string &details) {
+        const auto onDecision = [](std::string_view what, const GroupName &group, const std::string &details) {
             logEvent(Severity::Info, what, {{"group", group.text()}, {"details", details}});
         };
-        const auto watched = [this](std::vector<EngineView> engines) {
+        const auto onEngineViews = [this](std::vector<EngineView> engines) {
             m_trafficLoop.post([this, engines = std::move(engines)] { m_traffic.updateEngines(engines); });
         };
         return std::make_unique<ExpertRebalancer>(
-            m_ranks, m_options.groups, ExpertRebalancerEvents{.enginesUpdated = watched, .decisionMade = decided},
-            m_clock, [this] { return static_cast<std::uint64_t>(m_entropy()); });
+            m_ranks, m_options.groups,
+            ExpertRebalancerEvents{.enginesUpdated = onEngineViews, .decisionMade = onDecision}, m_clock,
+            [this] { return static_cast<std::uint64_t>(m_entropy()); });
     }
 
     void onRulesChanged(std::shared_ptr<const RouteTable> table)
     {
-        updateKeepers();
+        updateRebalancers();
         m_trafficLoop.post([this, table = std::move(table)] {
             m_callers.setBounds(table->config().bounds);
             m_traffic.setTable(table);
@@ -268,7 +272,7 @@
 
     void onTargetsChanged(std::vector<TargetEntry> targets)
     {
-        updateKeepers();
+        updateRebalancers();
         m_trafficLoop.post([this, targets = std::move(targets)] { m_traffic.setTargets(targets); });
     }
 
@@ -332,9 +336,9 @@
     WorkShare m_workShare;
     CrashFeed m_crashFeed;
     GatewayControl m_control;
-    std::map<ServiceName, std::unique_ptr<ExpertRebalancer>> m_groupKeepers;
+    std::map<ServiceName, std::unique_ptr<ExpertRebalancer>> m_rebalancers;
     std::optional<double> m_budgetShare; ///< as the traffic thread was told
-    std::set<ServiceName> m_activeKeepers; ///< services whose groups this gateway keeps even
+    std::set<ServiceName> m_activeRebalancers; ///< services whose groups this gateway keeps even
 };
 
 GatewayServer::GatewayServer(Options options, Adapter adapter)
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -12,20 +12,20 @@
 {
 
 /** Nothing is sent to a target that has refused a request for as long; a slot of a plain service comes free in it. */
-constexpr std::chrono::milliseconds RefusalPause{100};
+constexpr std::chrono::milliseconds RefusalBackoff{100};
 /** Part of the promised pause between events that a pass may take; the rest is for the ways between engine and caller.
  */
-constexpr double UsedPartOfPause = 0.9;
+constexpr double PassFractionOfPause = 0.9;
 
 /** What other entries have at each of @p targets on average, by what these told of late. */
-double usualOthers(const std::vector<GatewayTarget *> &targets, SteadyTime now)
+double averageOtherLoad(const std::vector<GatewayTarget *> &targets, SteadyTime now)
 {
     double sum = 0;
     double weight = 0;
     for (const auto *target : targets) {
-        const double fresh = target->load.freshness(now);
-        sum += target->load.otherRequests() * fresh;
-        weight += fresh;
+        const double freshness = target->load.freshness(now);
+        sum += target->load.otherRequests() * freshness;
+        weight += freshness;
     }
     return weight > 0 ? sum / weight : 0;
 }
@@ -39,20 +39,20 @@
 
 std::vector<TargetName> GatewayTargets::setEntries(const std::vector<TargetEntry> &entries)
 {
-    std::set<TargetName> listed;
+    std::set<TargetName> registered;
     for (const auto &entry : entries) {
-        listed.insert(entry.id);
+        registered.insert(entry.id);
         m_targets[entry.id].entry = entry;
         m_health[entry.service].add(entry.id);
     }
-    std::vector<TargetName> gone;
+    std::vector<TargetName> removed;
     for (auto it = m_targets.begin(); it != m_targets.end();) {
-        if (listed.contains(it->first)) {
+        if (registered.contains(it->first)) {
             m_unregistered.erase(it->first);
             ++it;
             continue;
         }
-        gone.push_back(it->first);
+        removed.push_back(it->first);
         m_health[it->second.entry.service].remove(it->first);
         if (it->second.load.ownRequests() > 0) {
             m_unregistered.insert(it->first);
@@ -62,7 +62,7 @@
             it = m_targets.erase(it);
         }
     }
-    return gone;
+    return removed;
 }
 
 GatewayTarget *GatewayTargets::find(const TargetName &id)
@@ -78,22 +78,22 @@
     std::vector<DirectCandidate> candidates;
     const auto &health = m_health[service];
     const auto rules = m_passBudgetRules.find(service);
-    const bool isGrouped = rules != m_passBudgetRules.end()
+    const bool hasEngineGroups = rules != m_passBudgetRules.end()
         && std::any_of(m_targets.begin(), m_targets.end(),
                        [&](const auto &entry) { return entry.second.engine && isUsable(entry.second, service); });
     for (auto &[id, target] : m_targets) {
         // An engine that has not said which group it is in has just come, and takes part in no pass yet.
-        if (isUsable(target, service) && (!isGrouped || target.engine)) {
+        if (isUsable(target, service) && (!hasEngineGroups || target.engine)) {
             targets.push_back(&target);
         }
     }
     // Plain services tell their load with each answer; one that has not answered for long is idle.
-    const double usual = isGrouped ? usualOthers(targets, now) : 0;
+    const double averageOthers = hasEngineGroups ? averageOtherLoad(targets, now) : 0;
     candidates.reserve(targets.size());
     for (const auto *target : targets) {
-        candidates.push_back(makeCandidate(*target, usual, health, tried, now));
+        candidates.push_back(makeCandidate(*target, averageOthers, health, tried, now));
     }
-    if (isGrouped) {
+    if (hasEngineGroups) {
         return chooseEngine(targets, candidates, rules->second, urgency, now, random);
     }
     const auto chosen = placeDirectly(candidates, random);
@@ -117,18 +117,18 @@
     return shortest;
 }
 
-DirectCandidate GatewayTargets::makeCandidate(const GatewayTarget &target, double usualOthers,
+DirectCandidate GatewayTargets::makeCandidate(const GatewayTarget &target, double averageOthers,
                                               const HealthTracker &health, const std::set<TargetName> &tried,
                                               SteadyTime now) const
 {
-    const bool isOut = isStalled(target, now) || now < target.refusedUntil;
-    return {.load = target.load.total(now, usualOthers),
+    const bool isExcluded = isStalled(target, now) || now < target.refusedUntil;
+    return {.load = target.load.total(now, averageOthers),
             .slots = target.entry.slots,
             .isNear = target.entry.zone == m_zone,
             .isCold = target.entry.coldFor.count() > 0,
             .wasTried = tried.contains(target.entry.id),
             .isHeldBack = target.limit.timeUntilAllowed(m_limitShare, now).count() > 0,
-            .health = isOut ? Health::Ejected : health.healthOf(target.entry.id, now)};
+            .health = isExcluded ? Health::Ejected : health.healthOf(target.entry.id, now)};
 }
 
 GatewayTargets::Choice GatewayTargets::chooseEngine(const std::vector<GatewayTarget *> &targets,
@@ -137,17 +137,17 @@
                                                     RandomSource &random)
 {
     std::vector<EngineCandidate> engines;
-    std::vector<GroupName> names;
-    std::vector<GroupWork> work;
-    std::map<GroupName, std::size_t> indices;
+    std::vector<GroupName> groupNames;
+    std::vector<GroupWork> groupWork;
+    std::map<GroupName, std::size_t> groupIndices;
     for (std::size_t index = 0; index < targets.size(); ++index) {
         const auto &view = *targets[index]->engine;
-        const auto group = indices.try_emplace(view.group, work.size()).first->second;
-        if (group == work.size()) {
-            names.push_back(view.group);
-            work.push_back({.reportedPass = view.passTime});
+        const auto group = groupIndices.try_emplace(view.group, groupWork.size()).first->second;
+        if (group == groupWork.size()) {
+            groupNames.push_back(view.group);
+            groupWork.push_back({.reportedPass = view.passTime});
         }
-        addToGroup(work[group], *targets[index], candidates[index].load, now);
+        addToGroup(groupWork[group], *targets[index], candidates[index].load, now);
         engines.push_back({.target = candidates[index],
                            .group = group,
                            .isOpen = view.isOpen,
@@ -155,8 +155,8 @@
                            .pace = view.pace});
     }
     std::vector<EngineGroup> groups;
-    for (std::size_t group = 0; group < work.size(); ++group) {
-        groups.push_back(m_groups[names[group]].view(work[group], rules, m_capacityShare, now));
+    for (std::size_t group = 0; group < groupWork.size(); ++group) {
+        groups.push_back(m_groups[groupNames[group]].view(groupWork[group], rules, m_capacityShare, now));
     }
     const auto choice = placeStream(engines, groups, {.urgency = urgency, .share = m_capacityShare}, random);
     if (choice.index) {
@@ -193,30 +193,30 @@
 bool GatewayTargets::hasUsedCapacityShare(const GatewayTarget &target) const
 {
     const auto found = m_groups.find(target.engine->group);
-    const int reported = target.engine->running + target.engine->waiting;
+    const int reportedRequests = target.engine->running + target.engine->waiting;
     return found != m_groups.end() && found->second.isStarting()
-        && target.sentSinceReport >= slowStartAllowance(target.entry.slots, reported, m_capacityShare);
+        && target.sentSinceReport >= slowStartAllowance(target.entry.slots, reportedRequests, m_capacityShare);
 }
 
-void GatewayTargets::setShares(double limitPart, double roomPart)
+void GatewayTargets::setShares(double limitShare, double capacityShare)
 {
-    m_limitShare = limitPart;
+    m_limitShare = limitShare;
     // Without a share this process has lost the log for a while; the last one says better how many others there are.
-    m_capacityShare = roomPart > 0 ? roomPart : m_capacityShare;
+    m_capacityShare = capacityShare > 0 ? capacityShare : m_capacityShare;
 }
 
 bool GatewayTargets::updateLimit(GatewayTarget &target, std::optional<double> requestsPerSecond, SteadyTime now,
                                  RandomSource &random) const
 {
-    const bool isOther = target.limit.requestsPerSecond() != requestsPerSecond;
+    const bool isChanged = target.limit.requestsPerSecond() != requestsPerSecond;
     target.limit.update(requestsPerSecond, m_limitShare, now, random);
-    return isOther;
+    return isChanged;
 }
 
 void GatewayTargets::recordRefusal(const TargetName &id, SteadyTime now)
 {
     if (auto *target = find(id)) {
-        target->refusedUntil = now + RefusalPause;
+        target->refusedUntil = now + RefusalBackoff;
     }
 }
 
@@ -234,7 +234,7 @@
                           .timePerRequest = engine.stepPerRequest * engine.stepsPerPass,
                           .promptTime = engine.promptTime,
                           .passesPerStream = engine.usualAnswer / std::max(engine.stepsPerPass, 1),
-                          .maxPassTime = longestPauseOf(config, service.name) * UsedPartOfPause});
+                          .maxPassTime = longestPauseOf(config, service.name) * PassFractionOfPause});
     }
 }
 
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -55,10 +55,10 @@
 
     /**
      * This gateway's part of what all gateways do.
-     * @param limitPart of the limits that targets name; those of all gateways add up to 1
-     * @param roomPart of the room that engines report, over 0; what is left is for the other gateways
+     * @param limitShare of the limits that targets name; those of all gateways add up to 1
+     * @param capacityShare of the room that engines report, over 0; what is left is for the other gateways
      */
-    void setShares(double limitPart, double roomPart);
+    void setShares(double limitShare, double capacityShare);
 
     /** Where a request goes. */
     struct Choice
@@ -100,7 +100,7 @@
     bool hasUsedCapacityShare(const GatewayTarget &target) const;
     static void addToGroup(GroupWork &work, const GatewayTarget &target, double load, SteadyTime now);
     bool isUsable(const GatewayTarget &target, const ServiceName &service) const;
-    DirectCandidate makeCandidate(const GatewayTarget &target, double usualOthers, const HealthTracker &health,
+    DirectCandidate makeCandidate(const GatewayTarget &target, double averageOthers, const HealthTracker &health,
                                   const std::set<TargetName> &tried, SteadyTime now) const;
     std::optional<std::chrono::milliseconds> shortestLimitWait(const std::vector<GatewayTarget *> &targets,
                                                                SteadyTime now) const;
--- a/modules/heatherridge_transport/direct/gatewaytraffic.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.cpp
@@ -74,12 +74,12 @@
     }
 }
 
-void GatewayTraffic::setShares(double budgetPart, double evenPart)
+void GatewayTraffic::setShares(double budgetShare, double evenShare)
 {
-    m_options.retryBudget.part = budgetPart;
-    m_targets.setShares(budgetPart, evenPart);
+    m_options.retryBudget.part = budgetShare;
+    m_targets.setShares(budgetShare, evenShare);
     for (auto &[service, budget] : m_retryBudgets) {
-        budget.setPart(budgetPart);
+        budget.setPart(budgetShare);
     }
 }
 
@@ -178,7 +178,7 @@
 
 void GatewayTraffic::advanceQueue()
 {
-    std::set<ServiceName> full;
+    std::set<ServiceName> fullServices;
     for (const auto &stream : m_queue.inAdmissionOrder(std::chrono::steady_clock::now())) {
         const auto found = m_waitingCalls.find(stream.number);
         const auto call = found == m_waitingCalls.end() ? nullptr : found->second.lock();
@@ -187,13 +187,13 @@
             continue;
         }
         // What finds no room leaves none for those behind it.
-        if (full.contains(stream.service)) {
+        if (fullServices.contains(stream.service)) {
             continue;
         }
         call->retryPlacement();
         const bool isStillWaiting = m_waitingCalls.contains(stream.number);
         if (!stream.hasStarted && isStillWaiting) {
-            full.insert(stream.service);
+            fullServices.insert(stream.service);
         }
     }
 }
--- a/modules/heatherridge_transport/direct/gatewaytraffic.h
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.h
@@ -60,10 +60,10 @@
 
     /**
      * This gateway's part of what all gateways do.
-     * @param budgetPart of the slack for repeats and of targets' limits, which must not add up to more than these
-     * @param evenPart of the streams, as if all had alike
+     * @param budgetShare of the slack for repeats and of targets' limits, which must not add up to more than these
+     * @param evenShare of the streams, as if all had alike
      */
-    void setShares(double budgetPart, double evenPart);
+    void setShares(double budgetShare, double evenShare);
 
     /** From now on nothing is taken that could outlast the process. */
     void refuseStreams();
--- a/modules/heatherridge_transport/direct/streamprogress.cpp
+++ b/modules/heatherridge_transport/direct/streamprogress.cpp
@@ -6,8 +6,8 @@
 namespace Heatherridge
 {
 
-StreamProgress::StreamProgress(std::optional<std::uint64_t> lastEvent)
-    : m_lastEventId(lastEvent)
+StreamProgress::StreamProgress(std::optional<std::uint64_t> lastEventId)
+    : m_lastEventId(lastEventId)
 {
 }
 
@@ -18,14 +18,14 @@
 
 std::vector<StreamEvent> StreamProgress::feed(std::string_view bytes)
 {
-    std::vector<StreamEvent> fresh;
+    std::vector<StreamEvent> newEvents;
     bool hasBegun = m_hasBegun;
     for (auto &event : m_splitter.feed(bytes)) {
         if (m_isBroken) {
             break;
         }
-        const bool isKnown = event.id && m_lastEventId && *event.id <= *m_lastEventId;
-        if (isKnown) {
+        const bool isDuplicate = event.id && m_lastEventId && *event.id <= *m_lastEventId;
+        if (isDuplicate) {
             continue; // the caller has it from an earlier target
         }
         m_isBroken = event.id && m_lastEventId && hasBegun && *event.id != *m_lastEventId + 1;
@@ -34,19 +34,19 @@
         }
         m_lastEventId = event.id ? event.id : m_lastEventId;
         hasBegun = true;
-        fresh.push_back(std::move(event));
+        newEvents.push_back(std::move(event));
     }
-    return fresh;
+    return newEvents;
 }
 
 std::optional<std::chrono::milliseconds> StreamProgress::recordForwarded(SteadyTime now, std::chrono::milliseconds age)
 {
-    const auto before = std::exchange(m_lastEventAt, now);
+    const auto previousEventAt = std::exchange(m_lastEventAt, now);
     if (!std::exchange(m_hasBegun, true)) {
         m_timeToFirstEvent = age;
         return std::nullopt;
     }
-    const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(now - before);
+    const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(now - previousEventAt);
     m_longestPause = std::max(m_longestPause, pause);
     return pause;
 }
--- a/modules/heatherridge_transport/direct/streamprogress.h
+++ b/modules/heatherridge_transport/direct/streamprogress.h
@@ -16,8 +16,8 @@
 class StreamProgress
 {
 public:
-    /** @param lastEvent that the caller has already */
-    explicit StreamProgress(std::optional<std::uint64_t> lastEvent);
+    /** @param lastEventId that the caller has already */
+    explicit StreamProgress(std::optional<std::uint64_t> lastEventId);
 
     /** A target begins to send, behind lastEvent(). */
     void beginAttempt();
