--- a/tests/gateway/crashing_test.cpp
+++ b/tests/gateway/crashing_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/gatewaysite.h"
+#include "gateway/gatewayfixture.h"
 
 #include <gtest/gtest.h>
 
