--- a/tests/gateway/crashing_test.cpp
+++ b/tests/gateway/crashing_test.cpp
@@ -11,18 +11,18 @@
 namespace
 {
 
-using Acts = std::vector<TargetAct>;
+using Actions = std::vector<TargetAct>;
 using Kind = TargetAct::Kind;
 
 constexpr auto CrashingBody = "crashes";
 constexpr auto BrokenBody = "breaks";
 /** Deaths of targets under one request after which it reaches no target any more. */
-constexpr std::ptrdiff_t MostCrashes = 3;
+constexpr std::ptrdiff_t MaxCrashes = 3;
 /** What one gateway has seen is known to the others within this. */
-constexpr auto TimeToSpread = 500ms;
+constexpr auto ReportPropagationTime = 500ms;
 
 /** A target that ends when it begins to run one request, breaks off another, and answers all others. */
-Acts fragile(const std::string &request, int)
+Actions answerOrCrash(const std::string &request, int)
 {
     if (request.ends_with(CrashingBody)) {
         return {{.kind = Kind::Crash}};
@@ -34,10 +34,10 @@
 }
 
 /** A group of targets, each of its own port. */
-class FragileTargets
+class CrashableTargets
 {
 public:
-    explicit FragileTargets(std::size_t count, const ScriptedTarget::Script &script = fragile)
+    explicit CrashableTargets(std::size_t count, const ScriptedTarget::Script &script = answerOrCrash)
     {
         while (m_targets.size() < count) {
             m_targets.push_back(std::make_unique<ScriptedTarget>(script));
@@ -52,13 +52,13 @@
         return all;
     }
 
-    std::ptrdiff_t crashed() const
+    std::ptrdiff_t crashedCount() const
     {
         return std::count_if(m_targets.begin(), m_targets.end(),
                              [](const auto &target) { return target->hasCrashed(); });
     }
 
-    std::size_t arrivals() const
+    std::size_t requestCount() const
     {
         return std::accumulate(m_targets.begin(), m_targets.end(), std::size_t{0},
                                [](std::size_t sum, const auto &target) { return sum + target->requests().size(); });
@@ -69,107 +69,108 @@
 };
 
 /** Sends a request and waits for its answer. @returns the status */
-int call(const GatewaySite &site, const std::string &path, const std::string &id, const std::string &body)
+int sendRequest(const GatewayFixture &gateway, const std::string &path, const std::string &id, const std::string &body)
 {
-    RawCaller caller(site.callers());
+    RawCaller caller(gateway.callerEndpoint());
     caller.send(requestText("POST", path, id, body));
     return caller.receive().status;
 }
 
-struct CrashRow
+struct CrashCase
 {
     const char *name;
     const char *path;
     std::size_t gateways;
 };
 
-const CrashRow CrashRows[] = {
+const CrashCase CrashCases[] = {
     {"StreamAtOneGateway", "/stream/1", 1},
     {"StreamAtTwoGateways", "/stream/1", 2},
     {"LookUpAtTwoGateways", "/look/1", 2},
     {"BookingAtTwoGateways", "/book/1", 2},
 };
 
-std::string nameOf(const testing::TestParamInfo<CrashRow> &row)
+std::string caseName(const testing::TestParamInfo<CrashCase> &info)
 {
-    return row.param.name;
+    return info.param.name;
 }
 
-class CrashingRequests : public testing::TestWithParam<CrashRow>
+class CrashingRequests : public testing::TestWithParam<CrashCase>
 {
 };
 
 // Guards against one request that ends every target that runs it and comes again, with another id, at any gateway.
-TEST_P(CrashingRequests, ReachNoTargetAfterThreeHaveEnded)
+TEST_P(CrashingRequests, AreBlockedAfterThreeTargetDeaths)
 {
-    const auto &row = GetParam();
-    const FragileTargets targets(12);
+    const auto &testCase = GetParam();
+    const CrashableTargets targets(12);
     const auto reports = std::make_shared<SharedRecords>();
-    std::vector<std::unique_ptr<GatewaySite>> sites;
-    while (sites.size() < row.gateways) {
-        sites.push_back(std::make_unique<GatewaySite>(targets.all(), GatewaySite::Options{.reports = reports}));
+    std::vector<std::unique_ptr<GatewayFixture>> gateways;
+    while (gateways.size() < testCase.gateways) {
+        gateways.push_back(
+            std::make_unique<GatewayFixture>(targets.all(), GatewayFixture::Options{.reports = reports}));
     }
-    constexpr int times = 8;
-    for (int time = 0; time < times; ++time) {
-        call(*sites[time % sites.size()], row.path, "r" + std::to_string(time), CrashingBody);
-        std::this_thread::sleep_for(TimeToSpread);
+    constexpr int requests = 8;
+    for (int index = 0; index < requests; ++index) {
+        sendRequest(*gateways[index % gateways.size()], testCase.path, "r" + std::to_string(index), CrashingBody);
+        std::this_thread::sleep_for(ReportPropagationTime);
     }
-    EXPECT_LE(targets.crashed(), MostCrashes);
-    EXPECT_EQ(call(*sites.front(), row.path, "other", "harmless"), 200);
+    EXPECT_LE(targets.crashedCount(), MaxCrashes);
+    EXPECT_EQ(sendRequest(*gateways.front(), testCase.path, "other", "harmless"), 200);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, CrashingRequests, testing::ValuesIn(CrashRows), nameOf);
+INSTANTIATE_TEST_SUITE_P(All, CrashingRequests, testing::ValuesIn(CrashCases), caseName);
 
 // Guards against a gateway that starts anew and sends out again what the others have found to end targets.
-TEST(LaterGateways, SendNothingThatIsKnownToEndTargets)
+TEST(LaterGateways, RefuseRequestsKnownToCrashTargets)
 {
-    const FragileTargets targets(12);
+    const CrashableTargets targets(12);
     const auto reports = std::make_shared<SharedRecords>();
     {
-        GatewaySite site(targets.all(), {.reports = reports});
-        for (int time = 0; time < 3; ++time) {
-            call(site, "/stream/1", "r" + std::to_string(time), CrashingBody);
+        GatewayFixture gateway(targets.all(), {.reports = reports});
+        for (int index = 0; index < 3; ++index) {
+            sendRequest(gateway, "/stream/1", "r" + std::to_string(index), CrashingBody);
         }
     }
-    const auto before = targets.arrivals();
-    GatewaySite later(targets.all(), {.reports = reports});
-    std::this_thread::sleep_for(TimeToSpread);
-    EXPECT_EQ(call(later, "/stream/1", "again", CrashingBody), 503);
-    EXPECT_EQ(targets.arrivals(), before);
+    const auto before = targets.requestCount();
+    GatewayFixture later(targets.all(), {.reports = reports});
+    std::this_thread::sleep_for(ReportPropagationTime);
+    EXPECT_EQ(sendRequest(later, "/stream/1", "again", CrashingBody), 503);
+    EXPECT_EQ(targets.requestCount(), before);
 }
 
 // Guards against a copy that waits in a target's queue, and ends that target too once its turn comes.
-TEST(WaitingCopies, AreEndedOnceTheyAreBlocked)
+TEST(WaitingCopies, AreCancelledOnceTheyAreBlocked)
 {
     const auto script = [](const std::string &request, int number) {
-        return headerIn(request, "X-Heatherridge-Request-Id") == "waits" ? Acts{{.kind = Kind::AwaitClose}}
-                                                                         : fragile(request, number);
+        return headerIn(request, "X-Heatherridge-Request-Id") == "waits" ? Actions{{.kind = Kind::AwaitClose}}
+                                                                         : answerOrCrash(request, number);
     };
-    FragileTargets targets(8, script);
-    GatewaySite site(targets.all());
-    RawCaller waiting(site.callers());
+    CrashableTargets targets(8, script);
+    GatewayFixture gateway(targets.all());
+    RawCaller waiting(gateway.callerEndpoint());
     waiting.send(requestText("POST", "/book/1", "waits", CrashingBody));
-    while (targets.arrivals() == 0) {
+    while (targets.requestCount() == 0) {
         std::this_thread::sleep_for(5ms);
     }
-    for (int time = 0; time < 3; ++time) {
-        call(site, "/book/1", "r" + std::to_string(time), CrashingBody);
+    for (int index = 0; index < 3; ++index) {
+        sendRequest(gateway, "/book/1", "r" + std::to_string(index), CrashingBody);
     }
     EXPECT_EQ(waiting.receive().status, 502);
-    EXPECT_LE(targets.crashed(), MostCrashes);
+    EXPECT_LE(targets.crashedCount(), MaxCrashes);
 }
 
 // Guards against refusing a request whose connections broke while the targets lived on.
-TEST(BrokenRequests, AreStillSentToTargetsThatLive)
+TEST(BrokenRequests, AreStillSentToLiveTargets)
 {
-    const FragileTargets targets(3);
-    GatewaySite site(targets.all());
-    constexpr int times = 6;
-    for (int time = 0; time < times; ++time) {
-        call(site, "/book/1", "r" + std::to_string(time), BrokenBody);
+    const CrashableTargets targets(3);
+    GatewayFixture gateway(targets.all());
+    constexpr int requests = 6;
+    for (int index = 0; index < requests; ++index) {
+        sendRequest(gateway, "/book/1", "r" + std::to_string(index), BrokenBody);
     }
-    EXPECT_EQ(targets.arrivals(), std::size_t{times});
-    EXPECT_EQ(targets.crashed(), 0);
+    EXPECT_EQ(targets.requestCount(), std::size_t{requests});
+    EXPECT_EQ(targets.crashedCount(), 0);
 }
 
 } // namespace
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -12,15 +12,15 @@
 namespace
 {
 
-using Acts = std::vector<TargetAct>;
+using Actions = std::vector<TargetAct>;
 using Kind = TargetAct::Kind;
 
-TargetAct send(std::string bytes)
+TargetAct sendBytes(std::string bytes)
 {
     return {.bytes = std::move(bytes)};
 }
 
-TargetAct pause(std::chrono::milliseconds time)
+TargetAct waitFor(std::chrono::milliseconds time)
 {
     return {.kind = Kind::Wait, .pause = time};
 }
@@ -45,9 +45,9 @@
 }
 
 /** A target that always answers well. */
-Acts good(const std::string &request, int)
+Actions answerGood(const std::string &request, int)
 {
-    return {send(answerTo(request, "good"))};
+    return {sendBytes(answerTo(request, "good"))};
 }
 
 std::string refusalTo(const std::string &request)
@@ -56,111 +56,114 @@
         + "\r\nX-Heatherridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 }
 
-struct AnswerRow
+struct AnswerCase
 {
-    const char *story;
+    const char *description;
     ScriptedTarget::Script first; ///< what the target does that is asked first; the next one is good
-    const char *target; ///< path that is asked for
+    const char *path; ///< path that is asked for
     int status;
     const char *body;
     std::size_t requests = 1; ///< that arrive at both targets together
 };
 
-const AnswerRow AnswerRows[] = {
-    {"a whole answer", good, "/look/1", 200, "good"},
+const AnswerCase AnswerCases[] = {
+    {"a whole answer", answerGood, "/look/1", 200, "good"},
     {"a failure of the target's own, for a booking",
-     [](const auto &request, int) { return Acts{send(answerTo(request, "bad", 500))}; }, "/book/1", 500, "bad"},
+     [](const auto &request, int) { return Actions{sendBytes(answerTo(request, "bad", 500))}; }, "/book/1", 500, "bad"},
     {"an answer that ends with its connection",
      [](const auto &request, int) {
-         return Acts{
-             send("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
-                  + "\r\nX-Heatherridge-Response-Signature: s\r\n\r\ngood"),
+         return Actions{
+             sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
+                       + "\r\nX-Heatherridge-Response-Signature: s\r\n\r\ngood"),
              {.kind = Kind::Close}};
      },
      "/look/1", 200, "good"},
     {"a refusal is asked elsewhere, also for a booking",
-     [](const auto &request, int) { return Acts{send(refusalTo(request))}; }, "/book/1", 200, "good", 2},
+     [](const auto &request, int) { return Actions{sendBytes(refusalTo(request))}; }, "/book/1", 200, "good", 2},
     // The target ran the booking and its answer was lost. Asked elsewhere, it would be made twice.
     {"a booking whose connection is reset is not asked elsewhere",
-     [](const auto &, int) { return Acts{{.kind = Kind::Reset}}; }, "/book/1", 502, nullptr},
-    {"a look-up whose connection is reset is", [](const auto &, int) { return Acts{{.kind = Kind::Reset}}; }, "/look/1",
-     200, "good", 2},
+     [](const auto &, int) { return Actions{{.kind = Kind::Reset}}; }, "/book/1", 502, nullptr},
+    {"a look-up whose connection is reset is", [](const auto &, int) { return Actions{{.kind = Kind::Reset}}; },
+     "/look/1", 200, "good", 2},
     {"an answer that is cut off is not passed on as whole",
      [](const auto &request, int) {
          const auto whole = answerTo(request, "a longer answer");
-         return Acts{send(whole.substr(0, whole.size() - 4)), {.kind = Kind::Close}};
+         return Actions{sendBytes(whole.substr(0, whole.size() - 4)), {.kind = Kind::Close}};
      },
      "/look/1", 200, "good", 2},
     {"an answer without length that is reset is not whole",
      [](const auto &request, int) {
-         return Acts{
-             send("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
-                  + "\r\nX-Heatherridge-Response-Signature: s\r\n\r\ntorn"),
-             pause(50ms),
+         return Actions{
+             sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
+                       + "\r\nX-Heatherridge-Response-Signature: s\r\n\r\ntorn"),
+             waitFor(50ms),
              {.kind = Kind::Reset}};
      },
      "/look/1", 200, "good", 2},
-    {"another request's answer", [](const auto &, int) { return Acts{send(answerTo("", "stolen"))}; }, "/look/1", 200,
-     "good", 2},
-    {"bytes that are no answer", [](const auto &, int) { return Acts{send("garbage garbage\r\n\r\n")}; }, "/look/1",
-     200, "good", 2},
+    {"another request's answer", [](const auto &, int) { return Actions{sendBytes(answerTo("", "stolen"))}; },
+     "/look/1", 200, "good", 2},
+    {"bytes that are no answer", [](const auto &, int) { return Actions{sendBytes("garbage garbage\r\n\r\n")}; },
+     "/look/1", 200, "good", 2},
     {"an answer without a signature",
      [](const auto &request, int) {
-         return Acts{send("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: "
-                          + headerIn(request, "X-Heatherridge-Request-Id") + "\r\nContent-Length: 5\r\n\r\nfalse")};
+         return Actions{
+             sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
+                       + "\r\nContent-Length: 5\r\n\r\nfalse")};
      },
      "/look/1", 200, "good", 2},
     {"a body in an encoding that nobody asked for",
-     [](const auto &request, int) { return Acts{send(answerTo(request, "zip", 200, "Content-Encoding: gzip\r\n"))}; },
+     [](const auto &request, int) {
+         return Actions{sendBytes(answerTo(request, "zip", 200, "Content-Encoding: gzip\r\n"))};
+     },
      "/look/1", 200, "good", 2},
     // The status says that the booking has not run, and its target does not say so: the caller would book again.
     {"a status that promises without the target's word",
-     [](const auto &request, int) { return Acts{send(answerTo(request, "", 503))}; }, "/book/1", 502, nullptr},
+     [](const auto &request, int) { return Actions{sendBytes(answerTo(request, "", 503))}; }, "/book/1", 502, nullptr},
     {"a look-up that gets no answer is asked elsewhere within its objective",
-     [](const auto &, int) { return Acts{{.kind = Kind::AwaitClose}}; }, "/look/1", 200, "good", 2},
+     [](const auto &, int) { return Actions{{.kind = Kind::AwaitClose}}; }, "/look/1", 200, "good", 2},
     {"a booking that gets no answer is given up at its timeout",
-     [](const auto &, int) { return Acts{{.kind = Kind::AwaitClose}}; }, "/book/1", 504, nullptr},
-    {"a path without a route", good, "/none/1", 404, nullptr, 0},
+     [](const auto &, int) { return Actions{{.kind = Kind::AwaitClose}}; }, "/book/1", 504, nullptr},
+    {"a path without a route", answerGood, "/none/1", 404, nullptr, 0},
 };
 
-class TargetAnswers : public testing::TestWithParam<AnswerRow>
+class TargetResponses : public testing::TestWithParam<AnswerCase>
 {
 };
 
-TEST_P(TargetAnswers, ReachTheCallerWholeOrNotAtAll)
+TEST_P(TargetResponses, AreForwardedCompleteOrNotAtAll)
 {
-    const auto &row = GetParam();
+    const auto &testCase = GetParam();
     // Whichever of the two is asked first does as the row says.
-    std::atomic<int> asked = 0;
+    std::atomic<int> requestCount = 0;
     const auto script = [&](const std::string &request, int number) {
-        return asked++ == 0 ? row.first(request, number) : good(request, number);
+        return requestCount++ == 0 ? testCase.first(request, number) : answerGood(request, number);
     };
     const ScriptedTarget first(script);
     const ScriptedTarget second(script);
-    GatewaySite site({&first, &second});
-    RawCaller caller(site.callers());
-    caller.send(requestText("GET", row.target, "r1"));
+    GatewayFixture gateway({&first, &second});
+    RawCaller caller(gateway.callerEndpoint());
+    caller.send(requestText("GET", testCase.path, "r1"));
     const auto answer = caller.receive();
-    EXPECT_EQ(answer.status, row.status) << row.story;
-    EXPECT_TRUE(answer.isWhole) << row.story;
-    if (row.body != nullptr) {
-        EXPECT_EQ(answer.body, row.body) << row.story;
+    EXPECT_EQ(answer.status, testCase.status) << testCase.description;
+    EXPECT_TRUE(answer.isWhole) << testCase.description;
+    if (testCase.body != nullptr) {
+        EXPECT_EQ(answer.body, testCase.body) << testCase.description;
     }
-    EXPECT_EQ(first.requests().size() + second.requests().size(), row.requests) << row.story;
+    EXPECT_EQ(first.requests().size() + second.requests().size(), testCase.requests) << testCase.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, TargetAnswers, testing::ValuesIn(AnswerRows));
+INSTANTIATE_TEST_SUITE_P(All, TargetResponses, testing::ValuesIn(AnswerCases));
 
 // A target sends a second answer after a whole one. On a kept connection it would be taken for the answer to the next
 // request, which another caller sent.
-TEST(KeptConnections, AreNotUsedAgainAfterBytesThatNobodyAskedFor)
+TEST(KeepAliveConnections, AreNotReusedAfterUnsolicitedBytes)
 {
     const ScriptedTarget target([](const std::string &request, int) {
-        return Acts{send(answerTo(request, "own")), pause(30ms), send(answerTo(request, "stray"))};
+        return Actions{sendBytes(answerTo(request, "own")), waitFor(30ms), sendBytes(answerTo(request, "stray"))};
     });
-    GatewaySite site({&target});
+    GatewayFixture gateway({&target});
     for (int number = 0; number < 5; ++number) {
-        RawCaller caller(site.callers());
+        RawCaller caller(gateway.callerEndpoint());
         caller.send(requestText("GET", "/look/1", "r" + std::to_string(number)));
         const auto answer = caller.receive();
         EXPECT_EQ(answer.body, "own");
@@ -169,13 +172,13 @@
     }
 }
 
-TEST(KeptConnections, ServeOneRequestAfterTheOtherInOrder)
+TEST(KeepAliveConnections, ServePipelinedRequestsInOrder)
 {
     const ScriptedTarget target([](const std::string &request, int) {
-        return Acts{send(answerTo(request, headerIn(request, "X-Heatherridge-Request-Id")))};
+        return Actions{sendBytes(answerTo(request, headerIn(request, "X-Heatherridge-Request-Id")))};
     });
-    GatewaySite site({&target});
-    RawCaller caller(site.callers());
+    GatewayFixture gateway({&target});
+    RawCaller caller(gateway.callerEndpoint());
     caller.send(requestText("GET", "/look/1", "a") + requestText("POST", "/book/1", "b", "body")
                 + requestText("GET", "/look/1", "c"));
     for (const auto *id : {"a", "b", "c"}) {
@@ -183,11 +186,11 @@
     }
 }
 
-TEST(Requests, ReachTheTargetUnchangedButForWhatConcernsTheConnection)
+TEST(Requests, AreForwardedUnchangedExceptHopByHopHeaders)
 {
-    const ScriptedTarget target(good);
-    GatewaySite site({&target});
-    RawCaller caller(site.callers());
+    const ScriptedTarget target(answerGood);
+    GatewayFixture gateway({&target});
+    RawCaller caller(gateway.callerEndpoint());
     caller.send(
         "POST /book/a%20b?x=1&y HTTP/1.1\r\nHost: h\r\nX-Heatherridge-Request-Id: r9\r\nX-Own: kept\r\nConnection: "
         "X-Hop\r\nX-Hop: dropped\r\nTransfer-Encoding: chunked\r\nX-Heatherridge-Deadline-Ms: "
@@ -204,14 +207,14 @@
     EXPECT_LE(std::stoi(headerIn(request, "X-Heatherridge-Deadline-Ms")), 900);
 }
 
-struct BadRow
+struct BadRequestCase
 {
-    const char *story;
+    const char *description;
     std::string bytes;
     int status; ///< 0: closed without an answer
 };
 
-const BadRow BadRows[] = {
+const BadRequestCase BadRequestCases[] = {
     {"not HTTP", "hello there\r\n\r\n", 400},
     {"headers beyond the bound", "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Big: " + std::string(5'000, 'x') + "\r\n\r\n",
      431},
@@ -231,36 +234,36 @@
     {"a tunnel", "CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 };
 
-class BadRequests : public testing::TestWithParam<BadRow>
+class BadRequests : public testing::TestWithParam<BadRequestCase>
 {
 };
 
-TEST_P(BadRequests, GetAClearAnswer)
+TEST_P(BadRequests, GetAnErrorStatus)
 {
-    const ScriptedTarget target(good);
-    GatewaySite site({&target});
-    RawCaller caller(site.callers());
+    const ScriptedTarget target(answerGood);
+    GatewayFixture gateway({&target});
+    RawCaller caller(gateway.callerEndpoint());
     caller.send(GetParam().bytes);
-    EXPECT_EQ(caller.receive().status, GetParam().status) << GetParam().story;
-    EXPECT_TRUE(target.requests().empty()) << GetParam().story;
+    EXPECT_EQ(caller.receive().status, GetParam().status) << GetParam().description;
+    EXPECT_TRUE(target.requests().empty()) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, BadRequests, testing::ValuesIn(BadRows));
+INSTANTIATE_TEST_SUITE_P(All, BadRequests, testing::ValuesIn(BadRequestCases));
 
 // A caller leaves while its booking runs. The target works on for nobody, and a hundred such callers fill it. The
 // connection is reset: closed in order, a request that lies before a frozen host reached its target seconds later.
-TEST(Callers, ThatLeaveEndTheWorkAtTheirTarget)
+TEST(CallerDisconnects, ResetTheTargetConnection)
 {
-    const ScriptedTarget target([](const std::string &, int) { return Acts{{.kind = Kind::AwaitClose}}; });
-    GatewaySite site({&target});
-    RawCaller caller(site.callers());
+    const ScriptedTarget target([](const std::string &, int) { return Actions{{.kind = Kind::AwaitClose}}; });
+    GatewayFixture gateway({&target});
+    RawCaller caller(gateway.callerEndpoint());
     caller.send(requestText("POST", "/book/1", "r1", "body"));
     while (target.requests().empty()) {
         std::this_thread::sleep_for(5ms);
     }
     caller.close();
-    constexpr int mostWaits = 400;
-    for (int waits = 0; target.closedByPeer() == 0 && waits < mostWaits; ++waits) {
+    constexpr int maxWaits = 400;
+    for (int waits = 0; target.closedByPeer() == 0 && waits < maxWaits; ++waits) {
         std::this_thread::sleep_for(5ms);
     }
     EXPECT_EQ(target.resetByPeer(), 1);
@@ -268,22 +271,22 @@
 
 // A target dies in the midst of an event. The caller's answer goes on at another target behind the last whole event,
 // and neither the torn one nor a second copy of one is seen.
-TEST(EventStreams, GoOnAtAnotherTargetBehindTheLastWholeEvent)
+TEST(EventStreams, ResumeAtAnotherTargetAfterTheLastCompleteEvent)
 {
-    std::atomic<int> asked = 0;
+    std::atomic<int> requestCount = 0;
     const auto script = [&](const std::string &request, int) {
-        if (++asked == 1) {
-            return Acts{send(streamHead(request) + chunk(event(1)) + chunk(event(2)) + chunk("id: 3\nda")),
-                        pause(50ms),
-                        {.kind = Kind::Reset}};
+        if (++requestCount == 1) {
+            return Actions{sendBytes(streamHead(request) + chunk(event(1)) + chunk(event(2)) + chunk("id: 3\nda")),
+                           waitFor(50ms),
+                           {.kind = Kind::Reset}};
         }
         EXPECT_EQ(headerIn(request, "Last-Event-Id"), "2");
-        return Acts{send(streamHead(request) + chunk(event(3)) + chunk(event(4)) + "0\r\n\r\n")};
+        return Actions{sendBytes(streamHead(request) + chunk(event(3)) + chunk(event(4)) + "0\r\n\r\n")};
     };
     const ScriptedTarget first(script);
     const ScriptedTarget second(script);
-    GatewaySite site({&first, &second});
-    RawCaller caller(site.callers());
+    GatewayFixture gateway({&first, &second});
+    RawCaller caller(gateway.callerEndpoint());
     caller.send(requestText("POST", "/stream/1", "r1", "prompt"));
     const auto answer = caller.receive();
     EXPECT_TRUE(answer.isWhole);
@@ -292,13 +295,14 @@
 
 // A group of engines stands still for a second and a half and goes on. Its callers' answers are cut off in the middle:
 // their gateway has given them up at the silent engine, and no other takes them.
-TEST(EventStreams, StayAtASilentTargetWhenNoOtherTakesThem)
+TEST(EventStreams, StayAtASilentTargetWithoutAnAlternative)
 {
     const ScriptedTarget target([](const std::string &request, int) {
-        return Acts{send(streamHead(request) + chunk(event(1))), pause(1'600ms), send(chunk(event(2)) + "0\r\n\r\n")};
+        return Actions{sendBytes(streamHead(request) + chunk(event(1))), waitFor(1'600ms),
+                       sendBytes(chunk(event(2)) + "0\r\n\r\n")};
     });
-    GatewaySite site({&target});
-    RawCaller caller(site.callers());
+    GatewayFixture gateway({&target});
+    RawCaller caller(gateway.callerEndpoint());
     caller.send(requestText("POST", "/stream/1", "r1", "prompt"));
     const auto answer = caller.receive();
     EXPECT_TRUE(answer.isWhole);
@@ -306,16 +310,16 @@
     EXPECT_EQ(target.requests().size(), 1U);
 }
 
-TEST(EventStreams, ThatCannotGoOnEndCutOff)
+TEST(EventStreams, AreAbortedWhenTheyCannotResume)
 {
     const ScriptedTarget target([](const std::string &request, int number) {
         if (number > 0) {
-            return Acts{{.kind = Kind::Reset}};
+            return Actions{{.kind = Kind::Reset}};
         }
-        return Acts{send(streamHead(request) + chunk(event(1))), pause(50ms), {.kind = Kind::Reset}};
+        return Actions{sendBytes(streamHead(request) + chunk(event(1))), waitFor(50ms), {.kind = Kind::Reset}};
     });
-    GatewaySite site({&target});
-    RawCaller caller(site.callers());
+    GatewayFixture gateway({&target});
+    RawCaller caller(gateway.callerEndpoint());
     caller.send(requestText("POST", "/stream/1", "r1", "prompt"));
     const auto answer = caller.receive();
     EXPECT_FALSE(answer.isWhole);
@@ -324,30 +328,30 @@
 
 // A planned stop: requests that run get their answers, new callers are still served, kept connections end after an
 // answer, and the balancer is told at once.
-TEST(PlannedStops, CutNothing)
+TEST(PlannedStops, CompleteOpenAndNewRequests)
 {
     const ScriptedTarget target([](const std::string &request, int) {
-        return Acts{pause(400ms), send(answerTo(request, "late but whole"))};
+        return Actions{waitFor(400ms), sendBytes(answerTo(request, "late but whole"))};
     });
-    GatewaySite site({&target});
-    RawCaller running(site.callers());
+    GatewayFixture gateway({&target});
+    RawCaller running(gateway.callerEndpoint());
     running.send(requestText("POST", "/book/1", "r1", "body"));
     while (target.requests().empty()) {
         std::this_thread::sleep_for(5ms);
     }
-    site.beginStop();
+    gateway.beginStop();
     std::this_thread::sleep_for(50ms);
-    RawCaller balancer(site.balancer());
+    RawCaller balancer(gateway.readinessEndpoint());
     balancer.send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     EXPECT_EQ(balancer.receive().status, 503);
-    RawCaller late(site.callers());
+    RawCaller late(gateway.callerEndpoint());
     late.send(requestText("POST", "/book/1", "r2", "body"));
     for (auto *caller : {&running, &late}) {
         const auto answer = caller->receive();
         EXPECT_EQ(answer.body, "late but whole");
         EXPECT_NE(answer.head.find("Connection: close"), std::string::npos);
     }
-    site.awaitStop();
+    gateway.awaitStop();
 }
 
 } // namespace
--- a/tests/gateway/gatewayfixture.cpp
+++ b/tests/gateway/gatewayfixture.cpp
@@ -31,15 +31,15 @@
 class FixedShares final : public ShareLog
 {
 public:
-    explicit FixedShares(std::set<int> parts)
-        : m_parts(std::move(parts))
+    explicit FixedShares(std::set<int> partitions)
+        : m_partitions(std::move(partitions))
     {
     }
 
     void join(const std::string &, milliseconds, std::uint64_t, std::function<void(Result<ShareAnswer>)> done) override
     {
-        if (!m_parts.empty()) {
-            done(ShareAnswer{.generation = 1, .parts = m_parts});
+        if (!m_partitions.empty()) {
+            done(ShareAnswer{.generation = 1, .parts = m_partitions});
         }
     }
 
@@ -48,16 +48,16 @@
     }
 
 private:
-    std::set<int> m_parts;
+    std::set<int> m_partitions;
 };
 
 } // namespace
 
 /** Registers that hold still: one configuration, and the targets given. */
-class GatewaySite::Registers final : public SilentRegisters
+class GatewayFixture::FixedRegisters final : public SilentRegisters
 {
 public:
-    Registers(RoutingConfig config, std::vector<TargetEntry> targets)
+    FixedRegisters(RoutingConfig config, std::vector<TargetEntry> targets)
         : m_config(std::move(config))
         , m_targets(std::move(targets))
     {
@@ -95,8 +95,8 @@
     std::vector<TargetEntry> m_targets;
 };
 
-GatewaySite::GatewaySite(const std::vector<const ScriptedTarget *> &targets, const Options &options)
-    : m_ready({.address = "127.0.0.1", .port = freePort()})
+GatewayFixture::GatewayFixture(const std::vector<const ScriptedTarget *> &targets, const Options &options)
+    : m_readinessEndpoint({.address = "127.0.0.1", .port = freePort()})
 {
     std::vector<TargetEntry> entries;
     entries.reserve(targets.size());
@@ -111,25 +111,25 @@
                                    .makeLogClients =
                                        [entries, options](HttpClient &, const LogEvents &) {
                                            return GatewayServer::LogClients{
-                                               .registers = std::make_unique<Registers>(usualConfig(), entries),
-                                               .shares = std::make_unique<FixedShares>(options.parts),
+                                               .registers = std::make_unique<FixedRegisters>(defaultConfig(), entries),
+                                               .shares = std::make_unique<FixedShares>(options.partitions),
                                                .reports = std::make_unique<SharedReports>(options.reports)};
                                        },
                                    .makeRankControl = [](HttpClient &) { return std::make_unique<SilentRanks>(); }};
     m_server = std::make_unique<GatewayServer>(GatewayServer::Options{.process = ProcessName("g"),
                                                                       .zone = ZoneName("z"),
                                                                       .listen = {.address = "127.0.0.1"},
-                                                                      .readyListen = m_ready,
+                                                                      .readyListen = m_readinessEndpoint,
                                                                       .readyPath = "/ready",
                                                                       .retryBudget = {.slack = 800},
                                                                       .logPartitions = options.logPartitions,
                                                                       .balancerDetectionTime = milliseconds(200)},
                                                std::move(adapter));
-    m_callers = std::get<std::vector<Endpoint>>(m_server->start()).front();
+    m_callerEndpoint = std::get<std::vector<Endpoint>>(m_server->start()).front();
     // The registers are read by the control thread; callers before that are told that there is no configuration.
-    constexpr int mostTries = 500;
-    for (int i = 0; i < mostTries; ++i) {
-        RawCaller caller(m_ready);
+    constexpr int maxTries = 500;
+    for (int i = 0; i < maxTries; ++i) {
+        RawCaller caller(m_readinessEndpoint);
         caller.send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
         if (caller.receive().status == 200) {
             return;
@@ -138,7 +138,7 @@
     }
 }
 
-GatewaySite::~GatewaySite()
+GatewayFixture::~GatewayFixture()
 {
     if (!m_isStopping) {
         beginStop();
@@ -146,7 +146,7 @@
     awaitStop();
 }
 
-RoutingConfig GatewaySite::usualConfig()
+RoutingConfig GatewayFixture::defaultConfig()
 {
     const auto route = [](const char *prefix, RequestKind kind, int attempts) {
         return RouteRule{.name = prefix,
@@ -170,26 +170,26 @@
     return config;
 }
 
-Endpoint GatewaySite::callers() const
+Endpoint GatewayFixture::callerEndpoint() const
 {
-    return m_callers;
+    return m_callerEndpoint;
 }
 
-Endpoint GatewaySite::balancer() const
+Endpoint GatewayFixture::readinessEndpoint() const
 {
-    return m_ready;
+    return m_readinessEndpoint;
 }
 
-void GatewaySite::beginStop()
+void GatewayFixture::beginStop()
 {
     m_isStopping = true;
-    m_stopping = std::thread([this] { m_server->drainAndStop(); });
+    m_stopThread = std::thread([this] { m_server->drainAndStop(); });
 }
 
-void GatewaySite::awaitStop()
+void GatewayFixture::awaitStop()
 {
-    if (m_stopping.joinable()) {
-        m_stopping.join();
+    if (m_stopThread.joinable()) {
+        m_stopThread.join();
     }
 }
 
@@ -214,7 +214,7 @@
     return {buffer.data(), error ? 0 : size};
 }
 
-RawCaller::Answer RawCaller::receive(bool isHead)
+RawCaller::Answer RawCaller::receive(bool isHeadRequest)
 {
     Answer answer;
     HttpMessageReader reader(
@@ -224,18 +224,18 @@
             for (const auto &header : head.headers) {
                 answer.head += header.name + ": " + header.value + "\n";
             }
-            return !isHead;
+            return !isHeadRequest;
         },
         [&](std::string_view bytes) { answer.body.append(bytes); });
     while (reader.state() != HttpMessageReader::State::Complete) {
-        if (m_held.empty()) {
-            m_held = readSome();
-            if (m_held.empty()) {
+        if (m_buffered.empty()) {
+            m_buffered = readSome();
+            if (m_buffered.empty()) {
                 reader.feedEnd();
                 break;
             }
         }
-        m_held.erase(0, reader.feed(m_held));
+        m_buffered.erase(0, reader.feed(m_buffered));
         if (reader.state() == HttpMessageReader::State::Malformed) {
             break;
         }
@@ -244,11 +244,11 @@
     return answer;
 }
 
-bool RawCaller::isClosedWithin(milliseconds patience)
+bool RawCaller::isClosedWithin(milliseconds timeout)
 {
     m_socket.non_blocking(true);
     std::array<char, 64> buffer{};
-    for (auto waited = milliseconds(0); waited < patience; waited += milliseconds(10)) {
+    for (auto waited = milliseconds(0); waited < timeout; waited += milliseconds(10)) {
         asio::error_code error;
         m_socket.read_some(asio::buffer(buffer), error);
         if (error && error != asio::error::would_block) {
@@ -266,10 +266,10 @@
 }
 
 std::string requestText(const std::string &method, const std::string &target, const std::string &id,
-                        const std::string &body, const std::string &furtherHeaders)
+                        const std::string &body, const std::string &extraHeaders)
 {
     std::string text =
-        method + " " + target + " HTTP/1.1\r\nHost: h\r\nX-Heatherridge-Request-Id: " + id + "\r\n" + furtherHeaders;
+        method + " " + target + " HTTP/1.1\r\nHost: h\r\nX-Heatherridge-Request-Id: " + id + "\r\n" + extraHeaders;
     if (!body.empty()) {
         text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     }
--- a/tests/gateway/gatewayfixture.h
+++ b/tests/gateway/gatewayfixture.h
@@ -16,35 +16,35 @@
 {
 
 /** A gateway on loopback before scripted targets, with registers that the test writes. */
-class GatewaySite
+class GatewayFixture
 {
 public:
     struct Options
     {
         std::shared_ptr<SharedRecords> reports = std::make_shared<SharedRecords>(); ///< shared with other gateways
-        std::set<int> parts{}; ///< of the log's partitions that belong to this gateway; none: the log does not say
+        std::set<int> partitions{}; ///< of the log's partitions that belong to this gateway; none: the log does not say
         int logPartitions = 1;
     };
 
     /** @param targets all serve the one service */
-    explicit GatewaySite(const std::vector<const ScriptedTarget *> &targets)
-        : GatewaySite(targets, Options{})
+    explicit GatewayFixture(const std::vector<const ScriptedTarget *> &targets)
+        : GatewayFixture(targets, Options{})
     {
     }
-    GatewaySite(const std::vector<const ScriptedTarget *> &targets, const Options &options);
-    ~GatewaySite();
+    GatewayFixture(const std::vector<const ScriptedTarget *> &targets, const Options &options);
+    ~GatewayFixture();
 
-    GatewaySite(const GatewaySite &) = delete;
-    GatewaySite &operator=(const GatewaySite &) = delete;
+    GatewayFixture(const GatewayFixture &) = delete;
+    GatewayFixture &operator=(const GatewayFixture &) = delete;
 
     /** Look-ups at /look/, bookings at /book/ and resumable streams at /stream/ of host "h", without keys. */
-    static RoutingConfig usualConfig();
+    static RoutingConfig defaultConfig();
 
     /** Where callers connect. */
-    Endpoint callers() const;
+    Endpoint callerEndpoint() const;
 
     /** Where the balancer asks. */
-    Endpoint balancer() const;
+    Endpoint readinessEndpoint() const;
 
     /** Begins the graceful shutdown on a thread of its own. */
     void beginStop();
@@ -53,13 +53,13 @@
     void awaitStop();
 
 private:
-    class Registers;
+    class FixedRegisters;
 
-    Endpoint m_ready{};
-    Endpoint m_callers{};
+    Endpoint m_readinessEndpoint{};
+    Endpoint m_callerEndpoint{};
     std::unique_ptr<GatewayServer> m_server;
     bool m_isStopping = false;
-    std::thread m_stopping;
+    std::thread m_stopThread;
 };
 
 /** A caller's connection. */
@@ -79,10 +79,10 @@
         std::string body{};
         bool isWhole = false;
     };
-    Answer receive(bool isHead = false);
+    Answer receive(bool isHeadRequest = false);
 
-    /** Whether the other side has closed, waiting up to @p patience. */
-    bool isClosedWithin(std::chrono::milliseconds patience);
+    /** Whether the other side has closed, waiting up to @p timeout. */
+    bool isClosedWithin(std::chrono::milliseconds timeout);
 
     /** Closes. */
     void close();
@@ -92,11 +92,11 @@
 
     asio::io_context m_loop;
     asio::ip::tcp::socket m_socket;
-    std::string m_held;
+    std::string m_buffered;
 };
 
 /** A request of id @p id. */
 std::string requestText(const std::string &method, const std::string &target, const std::string &id,
-                        const std::string &body = {}, const std::string &furtherHeaders = {});
+                        const std::string &body = {}, const std::string &extraHeaders = {});
 
 } // namespace Heatherridge
--- a/tests/gateway/limit_test.cpp
+++ b/tests/gateway/limit_test.cpp
@@ -12,11 +12,11 @@
 namespace
 {
 
-using Acts = std::vector<TargetAct>;
+using Actions = std::vector<TargetAct>;
 
 /** What the users promise of a target that names a limit. */
 constexpr auto LimitWindow = 4s;
-constexpr auto TimeToKeepLimit = 3s;
+constexpr auto LimitSettlingTime = 3s;
 constexpr double LimitTolerance = 1.5;
 constexpr double LimitSlack = 5;
 
@@ -36,44 +36,46 @@
     }
 
     /** The most requests in any LimitWindow that begins TimeToKeepLimit after the first answer. */
-    std::ptrdiff_t mostInAWindow() const
+    std::ptrdiff_t maxRequestsInWindow() const
     {
         const std::lock_guard lock(m_mutex);
-        const auto first = std::lower_bound(m_times.begin(), m_times.end(), m_times.front() + TimeToKeepLimit);
-        std::ptrdiff_t most = 0;
-        for (auto begin = first; begin != m_times.end(); ++begin) {
-            most = std::max(most, std::lower_bound(begin, m_times.end(), *begin + LimitWindow) - begin);
+        const auto first =
+            std::lower_bound(m_requestTimes.begin(), m_requestTimes.end(), m_requestTimes.front() + LimitSettlingTime);
+        std::ptrdiff_t maxRequests = 0;
+        for (auto begin = first; begin != m_requestTimes.end(); ++begin) {
+            maxRequests =
+                std::max(maxRequests, std::lower_bound(begin, m_requestTimes.end(), *begin + LimitWindow) - begin);
         }
-        return most;
+        return maxRequests;
     }
 
 private:
-    Acts answer(const std::string &request)
+    Actions answer(const std::string &request)
     {
         const std::lock_guard lock(m_mutex);
-        m_times.push_back(std::chrono::steady_clock::now());
+        m_requestTimes.push_back(std::chrono::steady_clock::now());
         return {{.bytes = answerTo(request, "good", 200, "Server-Limit: " + std::to_string(m_limit) + "\r\n")}};
     }
 
     double m_limit;
     mutable std::mutex m_mutex;
-    std::vector<SteadyTime> m_times;
+    std::vector<SteadyTime> m_requestTimes;
     ScriptedTarget m_target;
 };
 
 // Guards against a target in need that names its limit and gets as much as before, from each gateway for itself.
-TEST(Limits, AreKeptByAllGatewaysTogether)
+TEST(TargetLimits, HoldAcrossAllGateways)
 {
     constexpr double limit = 1;
     constexpr int gateways = 4;
     const LimitedTarget limited(limit);
-    const ScriptedTarget other([](const auto &request, int) { return Acts{{.bytes = answerTo(request, "good")}}; });
-    std::vector<std::unique_ptr<GatewaySite>> sites;
+    const ScriptedTarget other([](const auto &request, int) { return Actions{{.bytes = answerTo(request, "good")}}; });
+    std::vector<std::unique_ptr<GatewayFixture>> fixtures;
     std::vector<std::unique_ptr<RawCaller>> callers;
     for (int gateway = 0; gateway < gateways; ++gateway) {
-        const GatewaySite::Options options{.parts = {gateway}, .logPartitions = gateways};
-        sites.push_back(std::make_unique<GatewaySite>(std::vector{&limited.target(), &other}, options));
-        callers.push_back(std::make_unique<RawCaller>(sites.back()->callers()));
+        const GatewayFixture::Options options{.partitions = {gateway}, .logPartitions = gateways};
+        fixtures.push_back(std::make_unique<GatewayFixture>(std::vector{&limited.target(), &other}, options));
+        callers.push_back(std::make_unique<RawCaller>(fixtures.back()->callerEndpoint()));
     }
     constexpr int rounds = 90;
     int served = 0;
@@ -86,7 +88,7 @@
         });
         std::this_thread::sleep_for(100ms);
     }
-    EXPECT_LE(limited.mostInAWindow(), LimitTolerance * limit * LimitWindow / 1s + LimitSlack);
+    EXPECT_LE(limited.maxRequestsInWindow(), LimitTolerance * limit * LimitWindow / 1s + LimitSlack);
     EXPECT_EQ(served, rounds * gateways) << "the other target takes what is left";
 }
 
