--- a/benchmarks/decisioncost.cpp
+++ b/benchmarks/decisioncost.cpp
@@ -41,7 +41,7 @@
 void admitOne(benchmark::State &state)
 {
     const auto workspaces = state.range(0);
-    AdmissionQueue queue({.places = static_cast<std::size_t>(2 * workspaces + 8)});
+    AdmissionQueue queue({.queueCapacity = static_cast<std::size_t>(2 * workspaces + 8)});
     const SteadyTime start{};
     const auto request = [&](std::int64_t number) {
         return WorkRequest{.id = RequestId(std::to_string(number)),
@@ -58,7 +58,7 @@
     for (auto _ : state) {
         queue.offer(request(number++), start);
         queue.finish(running, 300, start);
-        running = *queue.take(start);
+        running = *queue.startNext(start);
     }
 }
 
--- a/extras/heatherridge-policies/model/fakegate.cpp
+++ b/extras/heatherridge-policies/model/fakegate.cpp
@@ -122,10 +122,10 @@
 
 void FakeGate::pump()
 {
-    while (const auto next = m_queue.take(m_loop.now())) {
+    while (const auto next = m_queue.startNext(m_loop.now())) {
         start(*next);
     }
-    for (const auto &givenUp : m_queue.collectGivenUp()) {
+    for (const auto &givenUp : m_queue.collectAbandoned()) {
         end(givenUp.id, {.error = givenUp.error});
     }
     watchSweep();
--- a/modules/heatherridge_state/decisions/admissionqueue.cpp
+++ b/modules/heatherridge_state/decisions/admissionqueue.cpp
@@ -12,16 +12,16 @@
 
 /** Shortest and longest time a refused caller is told to wait: below, it costs more than it saves; above, nobody can
  * foresee the load. */
-constexpr std::chrono::milliseconds ShortestReturn{100};
-constexpr std::chrono::milliseconds LongestReturn{30'000};
+constexpr std::chrono::milliseconds MinRetryAfter{100};
+constexpr std::chrono::milliseconds MaxRetryAfter{30'000};
 /** How long after the last short request slots are kept free for the next. */
-constexpr std::chrono::seconds ShortMemory{10};
+constexpr std::chrono::seconds ShortRequestMemory{10};
 /** Long enough for tens of requests at a target, short enough to follow a burst. */
 constexpr std::chrono::milliseconds PressureHalfLife{2000};
 /** Shortest time between two looks at a lane that waits. */
-constexpr std::chrono::milliseconds SweepStep{100};
+constexpr std::chrono::milliseconds MinSweepInterval{100};
 /** Share of the newest request in the average cost. */
-constexpr double NewestShare = 0.02;
+constexpr double CostSmoothing = 0.02;
 
 } // namespace
 
@@ -30,33 +30,34 @@
 {
 }
 
-Offer AdmissionQueue::offer(const WorkRequest &request, SteadyTime now)
+OfferResult AdmissionQueue::offer(const WorkRequest &request, SteadyTime now)
 {
-    Share &share = shareOf(request);
+    Share &share = shareFor(request);
     if (m_draining) {
-        return Error{.kind = ErrorKind::Draining, .ran = Ran::No, .retryAfter = ShortestReturn};
+        return Error{.kind = ErrorKind::Draining, .ran = Ran::No, .retryAfter = MinRetryAfter};
     }
-    fade(now);
-    m_offered += request.cost;
-    m_averageCost = m_averageCost == 0 ? request.cost : m_averageCost * (1 - NewestShare) + request.cost * NewestShare;
-    const bool isLong = request.cost > m_options.longFactor * m_averageCost;
+    decayPressure(now);
+    m_offeredCost += request.cost;
+    m_averageCost =
+        m_averageCost == 0 ? request.cost : m_averageCost * (1 - CostSmoothing) + request.cost * CostSmoothing;
+    const bool isLong = request.cost > m_options.longRequestFactor * m_averageCost;
     if (!isLong) {
-        m_lastShort = now;
+        m_lastShortArrival = now;
     }
     const auto latestStart = request.deadline - m_rate.durationOf(request.cost);
     if (latestStart < now) {
-        return refusal(ErrorKind::DeadlineUnreachable, share, request.cost, now);
+        return makeRefusal(ErrorKind::DeadlineUnreachable, share, request.cost, now);
     }
-    const bool slotFree = m_running.size() < m_limit && (!isLong || longAllowed(now));
+    const bool slotFree = m_running.size() < m_limit && (!isLong || mayStartLong(now));
     if (slotFree && m_waiting.empty()) {
         start(share, request, isLong, now);
         return Started{};
     }
     if (!isOverloaded(share, now) && now + expectedWait(share, now) > latestStart) {
-        return refusal(ErrorKind::DeadlineUnreachable, share, request.cost, now);
+        return makeRefusal(ErrorKind::DeadlineUnreachable, share, request.cost, now);
     }
-    if (!makePlace(share, now)) {
-        return refusal(ErrorKind::QueueFull, share, request.cost, now);
+    if (!makeRoom(share, now)) {
+        return makeRefusal(ErrorKind::QueueFull, share, request.cost, now);
     }
     if (share.lane.isEmpty()) {
         m_activeWeight += share.weight;
@@ -68,23 +69,23 @@
     return Queued{};
 }
 
-std::optional<RequestId> AdmissionQueue::take(SteadyTime now)
+std::optional<RequestId> AdmissionQueue::startNext(SteadyTime now)
 {
     sweep(now);
     if (m_running.size() >= m_limit || m_waiting.empty()) {
         return std::nullopt;
     }
-    const bool allowLong = longAllowed(now);
+    const bool allowLong = mayStartLong(now);
     Share *next = nullptr;
-    double lowest = 0;
+    double lowestTag = 0;
     for (auto &[name, share] : m_shares) {
         if (share.lane.isEmpty(allowLong)) {
             continue;
         }
         const double tag = share.tag - share.lane.highestPriority() * m_averageCost / share.weight;
-        if (next == nullptr || tag < lowest) {
+        if (next == nullptr || tag < lowestTag) {
             next = &share;
-            lowest = tag;
+            lowestTag = tag;
         }
     }
     if (next == nullptr) {
@@ -139,8 +140,9 @@
     m_draining = true;
     for (auto &[name, share] : m_shares) {
         while (const auto waiting = share.lane.popOldest()) {
-            m_givenUp.push_back({.id = waiting->request.id,
-                                 .error = {.kind = ErrorKind::Draining, .ran = Ran::No, .retryAfter = ShortestReturn}});
+            m_abandoned.push_back(
+                {.id = waiting->request.id,
+                 .error = {.kind = ErrorKind::Draining, .ran = Ran::No, .retryAfter = MinRetryAfter}});
         }
     }
     m_waiting.clear();
@@ -148,9 +150,9 @@
     m_nextSweep.reset();
 }
 
-std::vector<GivenUp> AdmissionQueue::collectGivenUp()
+std::vector<AbandonedRequest> AdmissionQueue::collectAbandoned()
 {
-    return std::exchange(m_givenUp, {});
+    return std::exchange(m_abandoned, {});
 }
 
 void AdmissionQueue::sweep(SteadyTime now)
@@ -161,9 +163,9 @@
     m_nextSweep.reset();
     for (auto &[name, share] : m_shares) {
         while (auto waiting = share.lane.popLate(now)) {
-            giveUp(share, std::move(waiting), ErrorKind::DeadlineUnreachable, now);
+            abandon(share, std::move(waiting), ErrorKind::DeadlineUnreachable, now);
         }
-        giveUpStale(share, now);
+        abandonStale(share, now);
         scheduleSweep(share, now);
     }
 }
@@ -178,7 +180,7 @@
     AdmissionLoad load{.running = m_running.size(),
                        .waiting = m_waiting.size(),
                        .limit = m_limit,
-                       .pressure = m_started > 0 ? std::max(1.0, m_offered / m_started) : 1,
+                       .pressure = m_startedCost > 0 ? std::max(1.0, m_offeredCost / m_startedCost) : 1,
                        .capacity = static_cast<double>(m_limit) * m_averageCost};
     for (const auto &[name, share] : m_shares) {
         load.waitingCost += share.lane.backlog();
@@ -199,7 +201,7 @@
     return m_waiting.size();
 }
 
-AdmissionQueue::Share &AdmissionQueue::shareOf(const WorkRequest &request)
+AdmissionQueue::Share &AdmissionQueue::shareFor(const WorkRequest &request)
 {
     Share &share = m_shares[request.workspace];
     if (!share.lane.isEmpty()) {
@@ -210,10 +212,10 @@
 }
 
 /** The part of the slots that falls to @p share while it competes with the other lanes that wait. */
-double AdmissionQueue::slotsOf(const Share &share) const
+double AdmissionQueue::fairSlots(const Share &share) const
 {
-    const double others = m_activeWeight - (share.lane.isEmpty() ? 0 : share.weight);
-    return static_cast<double>(m_limit) * share.weight / (share.weight + std::max(others, 0.0));
+    const double otherWeight = m_activeWeight - (share.lane.isEmpty() ? 0 : share.weight);
+    return static_cast<double>(m_limit) * share.weight / (share.weight + std::max(otherWeight, 0.0));
 }
 
 /**
@@ -227,48 +229,48 @@
         return false;
     }
     const auto prompt = share.lane.lastPrompt();
-    return prompt && now - *prompt > m_options.overloadedAfter;
+    return prompt && now - *prompt > m_options.overloadDelay;
 }
 
-bool AdmissionQueue::longAllowed(SteadyTime now) const
+bool AdmissionQueue::mayStartLong(SteadyTime now) const
 {
-    if (!m_lastShort || now - *m_lastShort > ShortMemory) {
+    if (!m_lastShortArrival || now - *m_lastShortArrival > ShortRequestMemory) {
         return true;
     }
-    const double most = std::max(1.0, m_options.longShare * static_cast<double>(m_limit));
-    return static_cast<double>(m_longRunning) < most;
+    const double maxLong = std::max(1.0, m_options.longRequestShare * static_cast<double>(m_limit));
+    return static_cast<double>(m_longRunning) < maxLong;
 }
 
 std::chrono::microseconds AdmissionQueue::expectedWait(const Share &share, SteadyTime /*now*/) const
 {
-    return m_rate.drainTime(share.lane.backlog(), slotsOf(share));
+    return m_rate.drainTime(share.lane.backlog(), fairSlots(share));
 }
 
 /**
  * When a refused request should come back: after what waits and what was sent back before it has been worked off.
  * Counting the latter spreads the returns; without it all refused callers would come back at one moment.
  */
-std::chrono::milliseconds AdmissionQueue::comeBackAfter(Share &share, double cost, SteadyTime now)
+std::chrono::milliseconds AdmissionQueue::retryDelay(Share &share, double cost, SteadyTime now)
 {
-    const double slots = slotsOf(share);
+    const double slots = fairSlots(share);
     if (m_rate.isKnown()) {
-        const std::chrono::duration<double, std::micro> passed = now - share.promisedAt;
-        const double unit = static_cast<double>(m_rate.drainTime(1'000, slots).count()) / 1'000;
-        share.promised = std::max(0.0, share.promised - passed.count() / std::max(unit, 1e-3));
+        const std::chrono::duration<double, std::micro> elapsed = now - share.deferredAt;
+        const double timePerUnit = static_cast<double>(m_rate.drainTime(1'000, slots).count()) / 1'000;
+        share.deferredCost = std::max(0.0, share.deferredCost - elapsed.count() / std::max(timePerUnit, 1e-3));
     }
-    share.promisedAt = now;
-    share.promised += cost;
-    const auto wait = m_rate.drainTime(share.lane.backlog() + share.promised, slots);
+    share.deferredAt = now;
+    share.deferredCost += cost;
+    const auto delay = m_rate.drainTime(share.lane.backlog() + share.deferredCost, slots);
     // What has been promised is bounded as well, so that the time is right again soon after the load has gone.
-    if (wait > LongestReturn) {
-        share.promised -= cost;
+    if (delay > MaxRetryAfter) {
+        share.deferredCost -= cost;
     }
-    return std::clamp(std::chrono::duration_cast<std::chrono::milliseconds>(wait), ShortestReturn, LongestReturn);
+    return std::clamp(std::chrono::duration_cast<std::chrono::milliseconds>(delay), MinRetryAfter, MaxRetryAfter);
 }
 
-Error AdmissionQueue::refusal(ErrorKind kind, Share &share, double cost, SteadyTime now)
+Error AdmissionQueue::makeRefusal(ErrorKind kind, Share &share, double cost, SteadyTime now)
 {
-    return Error{.kind = kind, .ran = Ran::No, .retryAfter = comeBackAfter(share, cost, now)};
+    return Error{.kind = kind, .ran = Ran::No, .retryAfter = retryDelay(share, cost, now)};
 }
 
 /**
@@ -277,18 +279,19 @@
  */
 ErrorKind AdmissionQueue::overloadKind(const Share &share) const
 {
-    const bool ahead = share.tag - m_virtualTime > m_averageCost / share.weight;
-    const bool alone = m_activeWeight <= share.weight * 1.001;
-    return ahead && !alone ? ErrorKind::WorkspaceOverLimit : ErrorKind::Overloaded;
+    const bool isOverShare = share.tag - m_virtualTime > m_averageCost / share.weight;
+    const bool isAlone = m_activeWeight <= share.weight * 1.001;
+    return isOverShare && !isAlone ? ErrorKind::WorkspaceOverLimit : ErrorKind::Overloaded;
 }
 
-void AdmissionQueue::giveUp(Share &share, std::optional<WorkspaceLane::Waiting> waiting, ErrorKind kind, SteadyTime now)
+void AdmissionQueue::abandon(Share &share, std::optional<WorkspaceLane::Waiting> waiting, ErrorKind kind,
+                             SteadyTime now)
 {
     if (!waiting) {
         return;
     }
     m_waiting.erase(waiting->request.id);
-    m_givenUp.push_back({.id = waiting->request.id, .error = refusal(kind, share, waiting->request.cost, now)});
+    m_abandoned.push_back({.id = waiting->request.id, .error = makeRefusal(kind, share, waiting->request.cost, now)});
     if (share.lane.isEmpty()) {
         m_activeWeight -= share.weight;
     }
@@ -298,11 +301,11 @@
  * Gives up what has waited too long in an overloaded lane, while newer requests come to take its place. When none do,
  * as after the loss of a neighbour whose work came here at once, giving up would leave slots idle later.
  */
-void AdmissionQueue::giveUpStale(Share &share, SteadyTime now)
+void AdmissionQueue::abandonStale(Share &share, SteadyTime now)
 {
-    while (isOverloaded(share, now) && now - *share.lane.lastArrival() < m_options.overloadedWait
-           && now - *share.lane.oldestArrival() >= m_options.overloadedWait) {
-        giveUp(share, share.lane.popOldest(), overloadKind(share), now);
+    while (isOverloaded(share, now) && now - *share.lane.lastArrival() < m_options.maxOverloadWait
+           && now - *share.lane.oldestArrival() >= m_options.maxOverloadWait) {
+        abandon(share, share.lane.popOldest(), overloadKind(share), now);
     }
 }
 
@@ -312,8 +315,8 @@
         return;
     }
     // A lane whose oldest has waited that long already is looked at again to see whether it has become overloaded.
-    const auto stale = std::max(*share.lane.oldestArrival() + m_options.overloadedWait, now + SweepStep);
-    const auto next = std::min(stale, *share.lane.earliestLatestStart());
+    const auto staleAt = std::max(*share.lane.oldestArrival() + m_options.maxOverloadWait, now + MinSweepInterval);
+    const auto next = std::min(staleAt, *share.lane.earliestLatestStart());
     m_nextSweep = m_nextSweep ? std::min(*m_nextSweep, next) : next;
 }
 
@@ -321,32 +324,32 @@
  * Makes a place for a request of @p share when all are taken: the lane that holds most for its weight loses its oldest.
  * Without it a workspace that fills the queue would lock the others out before shares come into play.
  */
-bool AdmissionQueue::makePlace(Share &share, SteadyTime now)
+bool AdmissionQueue::makeRoom(Share &share, SteadyTime now)
 {
-    if (m_waiting.size() < m_options.places) {
+    if (m_waiting.size() < m_options.queueCapacity) {
         return true;
     }
-    Share *fullest = &share;
+    Share *largest = &share;
     for (auto &[name, other] : m_shares) {
-        if (other.lane.backlog() / other.weight > fullest->lane.backlog() / fullest->weight) {
-            fullest = &other;
+        if (other.lane.backlog() / other.weight > largest->lane.backlog() / largest->weight) {
+            largest = &other;
         }
     }
-    if (fullest == &share && !isOverloaded(share, now)) {
+    if (largest == &share && !isOverloaded(share, now)) {
         return false;
     }
-    giveUp(*fullest, fullest->lane.popOldest(), ErrorKind::QueueFull, now);
+    abandon(*largest, largest->lane.popOldest(), ErrorKind::QueueFull, now);
     return true;
 }
 
 /** Lets what was offered and started fade alike, so that their ratio is that of the last seconds. */
-void AdmissionQueue::fade(SteadyTime now)
+void AdmissionQueue::decayPressure(SteadyTime now)
 {
-    const std::chrono::duration<double> passed = now - m_fadedAt;
-    m_fadedAt = now;
-    const double kept = std::exp2(-(passed / PressureHalfLife));
-    m_offered *= kept;
-    m_started *= kept;
+    const std::chrono::duration<double> elapsed = now - m_decayedAt;
+    m_decayedAt = now;
+    const double factor = std::exp2(-(elapsed / PressureHalfLife));
+    m_offeredCost *= factor;
+    m_startedCost *= factor;
 }
 
 void AdmissionQueue::start(Share &share, const WorkRequest &request, bool isLong, SteadyTime now)
@@ -354,8 +357,8 @@
     share.tag = std::max(share.tag, m_virtualTime - m_options.burst / share.weight);
     m_virtualTime = std::max(m_virtualTime, share.tag);
     share.tag += request.cost / share.weight;
-    fade(now);
-    m_started += request.cost;
+    decayPressure(now);
+    m_startedCost += request.cost;
     m_longRunning += isLong ? 1 : 0;
     m_running.emplace(request.id,
                       Running{.workspace = request.workspace, .cost = request.cost, .started = now, .isLong = isLong});
--- a/modules/heatherridge_state/decisions/admissionqueue.h
+++ b/modules/heatherridge_state/decisions/admissionqueue.h
@@ -16,19 +16,19 @@
 {
     /** Waiting requests in all. At 16 slots and half a second a request, 256 are 8 s of work: beyond it callers are
      * better served by an answer at once. */
-    std::size_t places = 256;
+    std::size_t queueCapacity = 256;
     /** Cost that a workspace may receive ahead of its share after a pause: about 16 calls of 500 tokens, the burst of
      * one page that asks several questions. */
     double burst = 8'000;
     /** A lane is overloaded when for so long none of its requests started promptly (WorkspaceLane::PromptWait): a burst
      * that fits the target ends sooner. */
-    std::chrono::milliseconds overloadedAfter{1000};
+    std::chrono::milliseconds overloadDelay{1000};
     /** Longest wait in an overloaded lane: bridges the gap between two arrivals, and a refused caller knows soon. */
-    std::chrono::milliseconds overloadedWait{500};
+    std::chrono::milliseconds maxOverloadWait{500};
     /** A request is long from this multiple of the average cost on. */
-    double longFactor = 4;
+    double longRequestFactor = 4;
     /** Slots that long requests may hold while short ones have been asking. */
-    double longShare = 0.5;
+    double longRequestShare = 0.5;
 };
 
 /** A request that was started at once. */
@@ -42,10 +42,10 @@
 };
 
 /** What becomes of an offered request; an error always means that it did not run. */
-using Offer = std::variant<Started, Queued, Error>;
+using OfferResult = std::variant<Started, Queued, Error>;
 
 /** A request that waited and will not be started. */
-struct GivenUp
+struct AbandonedRequest
 {
     RequestId id{};
     Error error{};
@@ -91,10 +91,10 @@
     explicit AdmissionQueue(AdmissionOptions options = {});
 
     /** Asks for a place for @p request at @p now. A refusal says when asking again can help. */
-    Offer offer(const WorkRequest &request, SteadyTime now);
+    OfferResult offer(const WorkRequest &request, SteadyTime now);
 
     /** The request to start next, or nothing when none waits or all slots are taken. It holds a slot until finish(). */
-    std::optional<RequestId> take(SteadyTime now);
+    std::optional<RequestId> startNext(SteadyTime now);
 
     /**
      * The started request @p id has ended.
@@ -113,7 +113,7 @@
     void drain();
 
     /** Requests given up since the last call, each reported exactly once. */
-    std::vector<GivenUp> collectGivenUp();
+    std::vector<AbandonedRequest> collectAbandoned();
 
     /** Gives up what cannot finish any more. Called by take() too; the owner sets a timer for nextSweep(). */
     void sweep(SteadyTime now);
@@ -136,8 +136,8 @@
         WorkspaceLane lane{};
         double tag = 0; ///< cost / weight started so far, on the common virtual time line
         double weight = 1;
-        double promised = 0; ///< cost refused with a time to come back, worked off since
-        SteadyTime promisedAt{};
+        double deferredCost = 0; ///< cost refused with a time to come back, worked off since
+        SteadyTime deferredAt{};
     };
 
     struct Running
@@ -148,34 +148,34 @@
         bool isLong = false;
     };
 
-    Share &shareOf(const WorkRequest &request);
-    double slotsOf(const Share &share) const;
+    Share &shareFor(const WorkRequest &request);
+    double fairSlots(const Share &share) const;
     bool isOverloaded(const Share &share, SteadyTime now) const;
-    bool longAllowed(SteadyTime now) const;
+    bool mayStartLong(SteadyTime now) const;
     std::chrono::microseconds expectedWait(const Share &share, SteadyTime now) const;
-    std::chrono::milliseconds comeBackAfter(Share &share, double cost, SteadyTime now);
-    Error refusal(ErrorKind kind, Share &share, double cost, SteadyTime now);
+    std::chrono::milliseconds retryDelay(Share &share, double cost, SteadyTime now);
+    Error makeRefusal(ErrorKind kind, Share &share, double cost, SteadyTime now);
     ErrorKind overloadKind(const Share &share) const;
-    void giveUp(Share &share, std::optional<WorkspaceLane::Waiting> waiting, ErrorKind kind, SteadyTime now);
-    void giveUpStale(Share &share, SteadyTime now);
+    void abandon(Share &share, std::optional<WorkspaceLane::Waiting> waiting, ErrorKind kind, SteadyTime now);
+    void abandonStale(Share &share, SteadyTime now);
     void scheduleSweep(const Share &share, SteadyTime now);
-    bool makePlace(Share &share, SteadyTime now);
-    void fade(SteadyTime now);
+    bool makeRoom(Share &share, SteadyTime now);
+    void decayPressure(SteadyTime now);
     void start(Share &share, const WorkRequest &request, bool isLong, SteadyTime now);
 
     AdmissionOptions m_options;
     std::map<WorkspaceName, Share> m_shares; ///< ordered, so that equal tags are served in the same order everywhere
     std::unordered_map<RequestId, WorkspaceName> m_waiting;
     std::unordered_map<RequestId, Running> m_running;
-    std::vector<GivenUp> m_givenUp;
+    std::vector<AbandonedRequest> m_abandoned;
     ServiceRate m_rate;
     std::optional<SteadyTime> m_nextSweep;
-    std::optional<SteadyTime> m_lastShort; ///< when a short request last came
+    std::optional<SteadyTime> m_lastShortArrival; ///< when a short request last came
     double m_virtualTime = 0;
     double m_activeWeight = 0; ///< sum of the weights of lanes with waiting requests
-    double m_offered = 0; ///< cost offered lately, fading
-    double m_started = 0; ///< cost started lately, fading alike
-    SteadyTime m_fadedAt{};
+    double m_offeredCost = 0; ///< cost offered lately, fading
+    double m_startedCost = 0; ///< cost started lately, fading alike
+    SteadyTime m_decayedAt{};
     double m_averageCost = 0; ///< of all offered requests
     std::size_t m_limit = 1;
     std::size_t m_longRunning = 0;
--- a/modules/heatherridge_transport/target/targettraffic.cpp
+++ b/modules/heatherridge_transport/target/targettraffic.cpp
@@ -462,13 +462,13 @@
 void TargetTraffic::pump()
 {
     const auto now = std::chrono::steady_clock::now();
-    while (const auto id = m_queue.take(now)) {
+    while (const auto id = m_queue.startNext(now)) {
         const auto entry = m_works.find(*id);
         if (entry != m_works.end()) {
             start(entry->second);
         }
     }
-    for (const auto &givenUp : m_queue.collectGivenUp()) {
+    for (const auto &givenUp : m_queue.collectAbandoned()) {
         const auto entry = m_works.find(givenUp.id);
         if (entry != m_works.end()) {
             const auto work = entry->second;
--- a/tests/decisions/admission_test.cpp
+++ b/tests/decisions/admission_test.cpp
@@ -22,83 +22,83 @@
             .deadline = deadline};
 }
 
-const Error *refusalIn(const Offer &offer)
+const Error *refusalOf(const OfferResult &offer)
 {
     return std::get_if<Error>(&offer);
 }
 
 /** Teaches @p queue that a request of @p cost takes @p duration. */
-void teach(AdmissionQueue &queue, double cost, std::chrono::microseconds duration)
+void recordServiceTime(AdmissionQueue &queue, double cost, std::chrono::microseconds duration)
 {
-    auto lesson = request(-1, "teacher", Start + 1h, cost);
-    ASSERT_TRUE(std::holds_alternative<Started>(queue.offer(lesson, Start - duration)));
-    queue.finish(lesson.id, cost, Start);
+    auto sample = request(-1, "teacher", Start + 1h, cost);
+    ASSERT_TRUE(std::holds_alternative<Started>(queue.offer(sample, Start - duration)));
+    queue.finish(sample.id, cost, Start);
 }
 
 // A caller asks with a deadline that the target cannot meet, at first because the call itself takes longer, then
 // because of the work before it. Starting or holding it would end in a late answer or a late refusal.
-TEST(AdmissionQueue, WhatCannotFinishIsRefusedAtOnceWithATimeToComeBack)
+TEST(AdmissionQueue, RefusesUnreachableDeadlineWithRetryAfter)
 {
     AdmissionQueue queue;
-    teach(queue, 100, 100ms);
+    recordServiceTime(queue, 100, 100ms);
     const auto tooShort = queue.offer(request(1, "a", Start + 50ms), Start);
-    ASSERT_NE(refusalIn(tooShort), nullptr);
-    EXPECT_EQ(refusalIn(tooShort)->kind, ErrorKind::DeadlineUnreachable);
-    EXPECT_EQ(refusalIn(tooShort)->ranOrDefault(), Ran::No);
+    ASSERT_NE(refusalOf(tooShort), nullptr);
+    EXPECT_EQ(refusalOf(tooShort)->kind, ErrorKind::DeadlineUnreachable);
+    EXPECT_EQ(refusalOf(tooShort)->ranOrDefault(), Ran::No);
     EXPECT_TRUE(std::holds_alternative<Started>(queue.offer(request(2, "a", Start + 150ms), Start)));
     EXPECT_TRUE(std::holds_alternative<Queued>(queue.offer(request(3, "a", Start + 250ms), Start)));
-    const auto behind = queue.offer(request(4, "a", Start + 150ms), Start);
-    ASSERT_NE(refusalIn(behind), nullptr);
-    EXPECT_GE(refusalIn(behind)->retryAfter, 100ms);
+    const auto queuedBehind = queue.offer(request(4, "a", Start + 150ms), Start);
+    ASSERT_NE(refusalOf(queuedBehind), nullptr);
+    EXPECT_GE(refusalOf(queuedBehind)->retryAfter, 100ms);
 }
 
 // A request waits and the target stalls. Once its deadline cannot be met any more it gets its answer at that moment,
 // not when the deadline passes.
-TEST(AdmissionQueue, AWaitingRequestIsGivenUpAsSoonAsItCannotFinish)
+TEST(AdmissionQueue, AbandonsWaitingRequestOnceDeadlineIsUnreachable)
 {
     AdmissionQueue queue;
-    teach(queue, 100, 100ms);
+    recordServiceTime(queue, 100, 100ms);
     queue.offer(request(1, "a"), Start);
     queue.offer(request(2, "a", Start + 300ms), Start);
     ASSERT_EQ(queue.nextSweep(), Start + 200ms);
     queue.sweep(Start + 200ms + 1us);
-    const auto givenUp = queue.collectGivenUp();
-    ASSERT_EQ(givenUp.size(), 1U);
-    EXPECT_EQ(givenUp[0].id, RequestId("2"));
-    EXPECT_EQ(givenUp[0].error.ranOrDefault(), Ran::No);
+    const auto abandoned = queue.collectAbandoned();
+    ASSERT_EQ(abandoned.size(), 1U);
+    EXPECT_EQ(abandoned[0].id, RequestId("2"));
+    EXPECT_EQ(abandoned[0].error.ranOrDefault(), Ran::No);
     EXPECT_FALSE(queue.cancel(RequestId("2")));
 }
 
-struct OrderRow
+struct ServiceOrderCase
 {
-    const char *story;
+    const char *description;
     std::vector<WorkRequest> waiting;
     std::vector<std::string> order;
 };
 
-WorkRequest with(WorkRequest request, int priority, double cost = 100)
+WorkRequest withPriorityAndCost(WorkRequest request, int priority, double cost = 100)
 {
     request.priority = priority;
     request.cost = cost;
     return request;
 }
 
-const OrderRow OrderRows[] = {
+const ServiceOrderCase ServiceOrderCases[] = {
     {"same class: first come, first served", {request(1, "a"), request(2, "a")}, {"1", "2"}},
-    {"higher priority first", {request(1, "a"), with(request(2, "a"), 5)}, {"2", "1"}},
+    {"higher priority first", {request(1, "a"), withPriorityAndCost(request(2, "a"), 5)}, {"2", "1"}},
     {"a workspace that sent more does not go first twice",
      {request(1, "a"), request(2, "a"), request(3, "b")},
      {"1", "3", "2"}},
-    {"short before long", {with(request(1, "a"), 0, 5000), request(2, "a")}, {"2", "1"}},
+    {"short before long", {withPriorityAndCost(request(1, "a"), 0, 5000), request(2, "a")}, {"2", "1"}},
 };
 
-class Order : public testing::TestWithParam<OrderRow>
+class ServiceOrder : public testing::TestWithParam<ServiceOrderCase>
 {
 };
 
-TEST_P(Order, IsAsTheRowSays)
+TEST_P(ServiceOrder, MatchesExpectedOrder)
 {
-    AdmissionQueue queue({.burst = 0, .longShare = 1});
+    AdmissionQueue queue({.burst = 0, .longRequestShare = 1});
     queue.offer(request(0, "other"), Start);
     for (const auto &waiting : GetParam().waiting) {
         ASSERT_TRUE(std::holds_alternative<Queued>(queue.offer(waiting, Start)));
@@ -107,52 +107,52 @@
     auto running = RequestId("0");
     for (std::size_t i = 0; i < GetParam().waiting.size(); ++i) {
         queue.finish(running, 100, Start + 1ms);
-        running = queue.take(Start + 1ms).value_or(RequestId{});
+        running = queue.startNext(Start + 1ms).value_or(RequestId{});
         order.push_back(running.text());
     }
-    EXPECT_EQ(order, GetParam().order) << GetParam().story;
+    EXPECT_EQ(order, GetParam().order) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, Order, testing::ValuesIn(OrderRows));
+INSTANTIATE_TEST_SUITE_P(Table, ServiceOrder, testing::ValuesIn(ServiceOrderCases));
 
 // A workspace fills every place of the queue; then another one asks. It must not be locked out by the first.
-TEST(AdmissionQueue, AFullQueueMakesAPlaceForAnotherWorkspace)
+TEST(AdmissionQueue, FullQueueEvictsOldestRequestOfLargestWorkspace)
 {
-    AdmissionQueue queue({.places = 4});
+    AdmissionQueue queue({.queueCapacity = 4});
     for (int i = 0; i < 5; ++i) {
         queue.offer(request(i, "hog"), Start);
     }
-    EXPECT_EQ(refusalIn(queue.offer(request(5, "hog"), Start))->kind, ErrorKind::QueueFull);
+    EXPECT_EQ(refusalOf(queue.offer(request(5, "hog"), Start))->kind, ErrorKind::QueueFull);
     EXPECT_TRUE(std::holds_alternative<Queued>(queue.offer(request(6, "other"), Start)));
-    const auto givenUp = queue.collectGivenUp();
-    ASSERT_EQ(givenUp.size(), 1U);
-    EXPECT_EQ(givenUp[0].id, RequestId("1"));
+    const auto abandoned = queue.collectAbandoned();
+    ASSERT_EQ(abandoned.size(), 1U);
+    EXPECT_EQ(abandoned[0].id, RequestId("1"));
 }
 
 // A target is told to stop while work waits. Each waiting caller is told "not run" once, and nothing starts afterwards.
-TEST(AdmissionQueue, DrainHandsBackWhatWaitsAndStartsNothing)
+TEST(AdmissionQueue, DrainAbandonsWaitingRequestsAndStartsNone)
 {
     AdmissionQueue queue;
     queue.offer(request(1, "a"), Start);
     queue.offer(request(2, "a"), Start);
     queue.drain();
-    EXPECT_EQ(queue.collectGivenUp().size(), 1U);
-    EXPECT_EQ(refusalIn(queue.offer(request(3, "a"), Start))->kind, ErrorKind::Draining);
+    EXPECT_EQ(queue.collectAbandoned().size(), 1U);
+    EXPECT_EQ(refusalOf(queue.offer(request(3, "a"), Start))->kind, ErrorKind::Draining);
     queue.finish(RequestId("1"), 100, Start);
-    EXPECT_EQ(queue.take(Start), std::nullopt);
-    EXPECT_TRUE(queue.collectGivenUp().empty());
+    EXPECT_EQ(queue.startNext(Start), std::nullopt);
+    EXPECT_TRUE(queue.collectAbandoned().empty());
 }
 
 // Whatever is offered, cancelled and finished in whatever order: a request that was given up or cancelled never starts,
 // each request has one outcome, and no more than the limit run.
 RC_GTEST_PROP(AdmissionQueue, EveryRequestHasOneOutcome, ())
 {
-    AdmissionQueue queue({.places = 6, .overloadedAfter = 20ms, .overloadedWait = 10ms});
+    AdmissionQueue queue({.queueCapacity = 6, .overloadDelay = 20ms, .maxOverloadWait = 10ms});
     queue.setLimit(3);
     std::map<RequestId, std::string> outcomes;
     std::vector<RequestId> running;
     auto now = Start;
-    const auto settle = [&](const RequestId &id, const char *outcome) {
+    const auto recordOutcome = [&](const RequestId &id, const char *outcome) {
         RC_ASSERT(outcomes.emplace(id, outcome).second);
     };
     const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100));
@@ -160,34 +160,35 @@
     for (const int step : steps) {
         now += std::chrono::milliseconds(step % 7);
         if (step < 60) {
-            const auto next = with(request(number++, step % 2 == 0 ? "a" : "b", now + std::chrono::milliseconds(step)),
-                                   step % 5, 1 + (step * 37) % 500);
+            const auto next =
+                withPriorityAndCost(request(number++, step % 2 == 0 ? "a" : "b", now + std::chrono::milliseconds(step)),
+                                    step % 5, 1 + (step * 37) % 500);
             const auto offer = queue.offer(next, now);
             if (std::holds_alternative<Started>(offer)) {
-                settle(next.id, "started");
+                recordOutcome(next.id, "started");
                 running.push_back(next.id);
-            } else if (refusalIn(offer) != nullptr) {
-                settle(next.id, "refused");
+            } else if (refusalOf(offer) != nullptr) {
+                recordOutcome(next.id, "refused");
             }
         } else if (step < 85 && !running.empty()) {
             queue.finish(running.back(), step, now);
             running.pop_back();
         } else if (number > 0 && queue.cancel(RequestId(std::to_string(step % number)))) {
-            settle(RequestId(std::to_string(step % number)), "cancelled");
+            recordOutcome(RequestId(std::to_string(step % number)), "cancelled");
         }
-        while (const auto taken = queue.take(now)) {
-            settle(*taken, "started");
-            running.push_back(*taken);
+        while (const auto started = queue.startNext(now)) {
+            recordOutcome(*started, "started");
+            running.push_back(*started);
         }
-        for (const auto &givenUp : queue.collectGivenUp()) {
-            settle(givenUp.id, "given up");
+        for (const auto &abandoned : queue.collectAbandoned()) {
+            recordOutcome(abandoned.id, "given up");
         }
         RC_ASSERT(running.size() <= 3U);
         RC_ASSERT(queue.load().waiting <= 6U);
     }
     queue.drain();
-    for (const auto &givenUp : queue.collectGivenUp()) {
-        settle(givenUp.id, "given up");
+    for (const auto &abandoned : queue.collectAbandoned()) {
+        recordOutcome(abandoned.id, "given up");
     }
     RC_ASSERT(outcomes.size() == static_cast<std::size_t>(number));
 }
