--- a/extras/heatherridge-policies/model/fakegate.cpp
+++ b/extras/heatherridge-policies/model/fakegate.cpp
@@ -17,13 +17,13 @@
     updateLimit();
     m_engine.setWatcher({.stepped =
                              [this](microseconds duration) {
-                                 m_limit.recordBetween(duration, m_running, m_loop.now());
+                                 m_limit.recordTokenGap(duration, m_running, m_loop.now());
                                  updateLimit();
                              },
                          .firstToken =
                              [this](const Job &job, SteadyTime started) {
                                  m_pendingPrompt -= job.expectedFresh;
-                                 m_limit.recordFirst(started, m_running, m_loop.now());
+                                 m_limit.recordFirstToken(started, m_running, m_loop.now());
                              }});
 }
 
--- a/extras/heatherridge-policies/model/fakegate.h
+++ b/extras/heatherridge-policies/model/fakegate.h
@@ -15,7 +15,7 @@
     bool adaptive = true; ///< off: fixedLimit
     std::size_t fixedLimit = 64;
     AdmissionOptions queue{};
-    ConcurrencyOptions limit{.initial = 16};
+    ConcurrencyOptions limit{.initialLimit = 16};
 };
 
 /** What a gate tells an entry, with each answer and each heartbeat. */
--- a/modules/heatherridge_coordination/config/retrypause.h
+++ b/modules/heatherridge_coordination/config/retrypause.h
@@ -11,7 +11,7 @@
 public:
     /** Pauses of up to @p first, growing to @p longest. */
     RetryPause(std::chrono::milliseconds first, std::chrono::milliseconds longest)
-        : m_backoff({.base = first, .most = longest})
+        : m_backoff({.baseDelay = first, .maxDelay = longest})
     {
     }
 
--- a/modules/heatherridge_state/decisions/answertimeout.cpp
+++ b/modules/heatherridge_state/decisions/answertimeout.cpp
@@ -10,9 +10,9 @@
 
 constexpr RunningEstimateOptions RoundTripGains{.meanGain = 0.125, .deviationGain = 0.25};
 /** Deviations beyond the mean that an answer is waited for. */
-constexpr double Deviations = 4;
-constexpr double Backoff = 2;
-constexpr double MostBackoff = 64;
+constexpr double DeviationFactor = 4;
+constexpr double BackoffFactor = 2;
+constexpr double MaxBackoffFactor = 64;
 
 } // namespace
 
@@ -26,21 +26,21 @@
 {
     const auto mean = m_roundTrip.mean();
     if (!mean) {
-        return m_options.most;
+        return m_options.maximum;
     }
-    const auto wait = (*mean + m_roundTrip.deviation() * Deviations) * m_backoff;
-    return std::clamp(std::chrono::ceil<std::chrono::milliseconds>(wait), m_options.least, m_options.most);
+    const auto timeout = (*mean + m_roundTrip.deviation() * DeviationFactor) * m_backoff;
+    return std::clamp(std::chrono::ceil<std::chrono::milliseconds>(timeout), m_options.minimum, m_options.maximum);
 }
 
-void AnswerTimeout::answered(RunningEstimate::Milliseconds after)
+void AnswerTimeout::recordAnswer(RunningEstimate::Milliseconds roundTrip)
 {
     m_backoff = 1;
-    m_roundTrip.record(after);
+    m_roundTrip.record(roundTrip);
 }
 
-void AnswerTimeout::missed()
+void AnswerTimeout::recordTimeout()
 {
-    m_backoff = std::min(m_backoff * Backoff, MostBackoff);
+    m_backoff = std::min(m_backoff * BackoffFactor, MaxBackoffFactor);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/answertimeout.h
+++ b/modules/heatherridge_state/decisions/answertimeout.h
@@ -19,8 +19,8 @@
 public:
     struct Options
     {
-        std::chrono::milliseconds least{25}; ///< a process that gets a part of a core answers within this
-        std::chrono::milliseconds most{80}; ///< also the first, before anything was measured
+        std::chrono::milliseconds minimum{25}; ///< a process that gets a part of a core answers within this
+        std::chrono::milliseconds maximum{80}; ///< also the first, before anything was measured
     };
 
     explicit AnswerTimeout(Options options);
@@ -28,11 +28,11 @@
     /** For a request that is sent now. */
     std::chrono::milliseconds current() const;
 
-    /** An answer came @p after its request was sent. */
-    void answered(RunningEstimate::Milliseconds after);
+    /** An answer came @p roundTrip its request was sent. */
+    void recordAnswer(RunningEstimate::Milliseconds roundTrip);
 
     /** No answer came in time. */
-    void missed();
+    void recordTimeout();
 
 private:
     Options m_options;
--- a/modules/heatherridge_state/decisions/backoff.h
+++ b/modules/heatherridge_state/decisions/backoff.h
@@ -11,8 +11,8 @@
 /** Bounds of a Backoff. */
 struct BackoffOptions
 {
-    std::chrono::milliseconds base{20}; ///< about ten round trips between zones
-    std::chrono::milliseconds most{2000}; ///< beyond it a retry seldom meets the deadline
+    std::chrono::milliseconds baseDelay{20}; ///< about ten round trips between zones
+    std::chrono::milliseconds maxDelay{2000}; ///< beyond it a retry seldom meets the deadline
 };
 
 /**
--- a/modules/heatherridge_state/decisions/concurrencylimit.h
+++ b/modules/heatherridge_state/decisions/concurrencylimit.h
@@ -13,12 +13,12 @@
 /** Bounds of a ConcurrencyLimit. */
 struct ConcurrencyOptions
 {
-    std::size_t least = 2; ///< never lower: one slow request must not stop a target
-    std::size_t most = 256; ///< never higher: the inventory's `concurrency` where it names one
-    std::size_t initial = 8; ///< where a target starts that joins, was restarted or is cold
-    std::chrono::microseconds acceptableFirst{
+    std::size_t minLimit = 2; ///< never lower: one slow request must not stop a target
+    std::size_t maxLimit = 256; ///< never higher: the inventory's `concurrency` where it names one
+    std::size_t initialLimit = 8; ///< where a target starts that joins, was restarted or is cold
+    std::chrono::microseconds acceptableFirstToken{
         500'000}; ///< mean time to first token that tells of waiting inside the engine
-    std::chrono::microseconds acceptableBetween{59'000}; ///< time between tokens that no caller minds
+    std::chrono::microseconds acceptableTokenGap{59'000}; ///< time between tokens that no caller minds
     std::chrono::milliseconds window{500}; ///< shortest time between two decisions
 };
 
@@ -50,10 +50,10 @@
      * A request that started at @p started has given its first token or byte at @p now.
      * @param running how many run, it included
      */
-    void recordFirst(SteadyTime started, std::size_t running, SteadyTime now);
+    void recordFirstToken(SteadyTime started, std::size_t running, SteadyTime now);
 
     /** @p gap has passed between two tokens of a request. @param running how many run, it included */
-    void recordBetween(std::chrono::microseconds gap, std::size_t running, SteadyTime now);
+    void recordTokenGap(std::chrono::microseconds gap, std::size_t running, SteadyTime now);
 
     /** The target was restarted, changed its model or lost its cache: starts anew from the initial limit. */
     void restart();
@@ -65,19 +65,19 @@
     double warmth() const;
 
 private:
-    void notice(std::size_t running, SteadyTime now);
+    void updateWindow(std::size_t running, SteadyTime now);
     void closeWindow(SteadyTime now);
 
     ConcurrencyOptions m_options;
-    LatencyBaseline m_first;
-    LatencyBaseline m_between;
+    LatencyBaseline m_firstToken;
+    LatencyBaseline m_tokenGap;
     double m_limit;
     double m_ceiling = 0; ///< where the limit was when it was last late; 0 before
-    std::size_t m_peak = 0; ///< most that ran at a time in this window
+    std::size_t m_peakRunning = 0; ///< most that ran at a time in this window
     std::optional<SteadyTime> m_windowStart;
     bool m_slowStart = true;
-    std::size_t m_running = 0; ///< at the last sample
-    std::optional<SteadyTime> m_cutAt; ///< when the limit was last lowered
+    std::size_t m_lastRunning = 0; ///< at the last sample
+    std::optional<SteadyTime> m_loweredAt; ///< when the limit was last lowered
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -295,19 +295,19 @@
     attemptEnded(plainEnd(), {});
 }
 
-AttemptEnd GatewayCall::plainEnd() const
+AttemptOutcome GatewayCall::plainEnd() const
 {
     if (m_answer.isNotRun && m_answer.id == m_fields.id) {
-        return AttemptEnd::RefusedAtTarget;
+        return AttemptOutcome::RefusedAtTarget;
     }
     if (m_isUnusable) {
-        return AttemptEnd::Unusable;
+        return AttemptOutcome::InvalidAnswer;
     }
     const bool isPromise = m_status == 408 || m_status == 421 || m_status == 429 || m_status == 503;
     if (isPromise) {
-        return AttemptEnd::Unusable; // the status says that it has not run, and the target does not
+        return AttemptOutcome::InvalidAnswer; // the status says that it has not run, and the target does not
     }
-    return m_status >= 500 ? AttemptEnd::FailedAtTarget : AttemptEnd::Answered;
+    return m_status >= 500 ? AttemptOutcome::FailedAtTarget : AttemptOutcome::Answered;
 }
 
 void GatewayCall::exchangeFailed(const ExchangeFailure &failure)
@@ -319,7 +319,7 @@
         brokeUnanswered(failure.reason);
         return;
     }
-    attemptEnded(failure.isSent ? AttemptEnd::Broken : AttemptEnd::NeverSent, failure.reason);
+    attemptEnded(failure.isSent ? AttemptOutcome::Interrupted : AttemptOutcome::NeverSent, failure.reason);
 }
 
 void GatewayCall::brokeUnanswered(const std::string &reason)
@@ -327,7 +327,7 @@
     leaveTarget(false);
     const auto *target = m_traffic.m_targets.find(m_target);
     if (target == nullptr) {
-        attemptEnded(AttemptEnd::Broken, reason);
+        attemptEnded(AttemptOutcome::Interrupted, reason);
         return;
     }
     m_isExamined = true;
@@ -340,7 +340,7 @@
         if (presence == Presence::Gone) {
             self->m_traffic.m_crashGuard.targetDied(self->m_fields.id, self->fingerprint(), self->m_target);
         }
-        self->attemptEnded(AttemptEnd::Broken, reason);
+        self->attemptEnded(AttemptOutcome::Interrupted, reason);
     });
 }
 
@@ -446,7 +446,7 @@
 void GatewayCall::streamEnded()
 {
     if (m_stream.isBroken()) {
-        attemptEnded(AttemptEnd::Broken, "the stream ended within an event");
+        attemptEnded(AttemptOutcome::Interrupted, "the stream ended within an event");
         return;
     }
     leaveTarget(true);
@@ -461,35 +461,35 @@
     finish("delivered", m_status);
 }
 
-void GatewayCall::attemptEnded(AttemptEnd end, std::string_view reason)
+void GatewayCall::attemptEnded(AttemptOutcome end, std::string_view reason)
 {
-    leaveTarget(end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget || end == AttemptEnd::RefusedAtTarget);
-    if (end == AttemptEnd::RefusedAtTarget) {
+    leaveTarget(end == AttemptOutcome::Answered || end == AttemptOutcome::FailedAtTarget || end == AttemptOutcome::RefusedAtTarget);
+    if (end == AttemptOutcome::RefusedAtTarget) {
         m_traffic.m_targets.refused(m_target, now());
     }
-    if (end == AttemptEnd::Answered) {
+    if (end == AttemptOutcome::Answered) {
         m_traffic.m_targets.record(m_target, Attempt::Succeeded, now());
-    } else if (end != AttemptEnd::RefusedAtTarget) {
-        m_traffic.m_targets.record(m_target, end == AttemptEnd::Silent ? Attempt::TimedOut : Attempt::Failed, now());
+    } else if (end != AttemptOutcome::RefusedAtTarget) {
+        m_traffic.m_targets.record(m_target, end == AttemptOutcome::TimedOut ? Attempt::TimedOut : Attempt::Failed, now());
     }
-    const bool hasRunToAnEnd = end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget;
+    const bool hasRunToAnEnd = end == AttemptOutcome::Answered || end == AttemptOutcome::FailedAtTarget;
     if (hasRunToAnEnd && isSuspect()) {
         m_traffic.m_crashGuard.answered(fingerprint());
     }
     m_mayHaveRun += mayHaveRun(end) ? 1 : 0;
-    m_arrivals += end != AttemptEnd::NeverSent ? 1 : 0;
+    m_arrivals += end != AttemptOutcome::NeverSent ? 1 : 0;
     const auto step = nextStep(end,
                                {.kind = m_route.kind,
                                 .isResumable = m_route.isResumable,
-                                .mayHaveRun = m_mayHaveRun,
-                                .maxAttempts = m_route.maxAttempts,
-                                .tries = m_tries,
-                                .isTimeLeft = timeLeft() >= LeastTime});
+                                .possibleRuns = m_mayHaveRun,
+                                .maxRuns = m_route.maxAttempts,
+                                .attempts = m_tries,
+                                .hasTimeLeft = timeLeft() >= LeastTime});
     switch (step) {
     case NextStep::Deliver:
         deliver();
         return;
-    case NextStep::Repeat:
+    case NextStep::Retry:
         repeat(end, reason);
         return;
     case NextStep::Fail:
@@ -505,9 +505,9 @@
     }
 }
 
-void GatewayCall::repeat(AttemptEnd end, std::string_view reason)
+void GatewayCall::repeat(AttemptOutcome end, std::string_view reason)
 {
-    if (end == AttemptEnd::FailedAtTarget && m_traffic.budgetOf(m_service).left(now()) < 1) {
+    if (end == AttemptOutcome::FailedAtTarget && m_traffic.budgetOf(m_service).left(now()) < 1) {
         deliver(); // the target's own answer says more than one of this process's
         return;
     }
@@ -630,7 +630,7 @@
         m_route.kind == RequestKind::Idempotent && m_status == 0 && now() - m_sentAt > m_route.objective;
     const bool mayRepeat = m_mayHaveRun + 1 < m_route.maxAttempts && timeLeft() > LeastTime * 2;
     if ((isSilentStream || isSilentCall) && mayRepeat && couldGoOnElsewhere()) {
-        attemptEnded(AttemptEnd::Silent, "no sign of life");
+        attemptEnded(AttemptOutcome::TimedOut, "no sign of life");
     }
 }
 
--- a/modules/heatherridge_transport/direct/sidecarranks.cpp
+++ b/modules/heatherridge_transport/direct/sidecarranks.cpp
@@ -101,7 +101,7 @@
                   [this, target, order, epoch, sentAt = std::chrono::steady_clock::now(),
                    done = std::move(done)](std::variant<HttpResponse, HttpClient::Failure> ended) {
                       if (const auto *failure = std::get_if<HttpClient::Failure>(&ended)) {
-                          m_orderTimeout.missed();
+                          m_orderTimeout.recordTimeout();
                           missed(target);
                           if (failure->mayHaveArrived) {
                               done(OrderReply::NoAnswer); // given again, it goes past the sidecar
@@ -110,7 +110,7 @@
                           }
                           return;
                       }
-                      m_orderTimeout.answered(std::chrono::steady_clock::now() - sentAt);
+                      m_orderTimeout.recordAnswer(std::chrono::steady_clock::now() - sentAt);
                       answered(target);
                       const auto &response = std::get<HttpResponse>(ended);
                       const auto reply = decodeOrderReply(response.body);
--- a/modules/heatherridge_transport/direct/sidecarranks.h
+++ b/modules/heatherridge_transport/direct/sidecarranks.h
@@ -42,8 +42,8 @@
         int port = 0; ///< at which every sidecar listens, on its engine's host
         std::chrono::milliseconds readTimeout{250}; ///< for a status or counts
         /** For an order; the sidecar's own wait for its engine is a part of each answer. */
-        AnswerTimeout::Options orderTimeout{.least = std::chrono::milliseconds(50),
-                                            .most = std::chrono::milliseconds(130)};
+        AnswerTimeout::Options orderTimeout{.minimum = std::chrono::milliseconds(50),
+                                            .maximum = std::chrono::milliseconds(130)};
         std::chrono::milliseconds absence{1'000}; ///< how long a sidecar is passed over; a restart takes about as long
         std::chrono::milliseconds longestAbsence{4'000}; ///< doubles up to this for one that stays silent
     };
--- a/modules/heatherridge_transport/target/targettraffic.cpp
+++ b/modules/heatherridge_transport/target/targettraffic.cpp
@@ -109,8 +109,8 @@
         const auto *target = self();
         if (target != nullptr && target->concurrency != hadConcurrency && target->concurrency > 0) {
             m_limit = std::make_unique<ConcurrencyLimit>(ConcurrencyOptions{
-                .most = static_cast<std::size_t>(target->concurrency),
-                .initial = std::min(ConcurrencyOptions{}.initial, static_cast<std::size_t>(target->concurrency))});
+                .maxLimit = static_cast<std::size_t>(target->concurrency),
+                .initialLimit = std::min(ConcurrencyOptions{}.initialLimit, static_cast<std::size_t>(target->concurrency))});
             m_queue.setLimit(m_limit->limit());
         }
         if (target == nullptr || !m_view->takesWork(*target)) {
@@ -310,7 +310,7 @@
 {
     work->firstByte = std::chrono::steady_clock::now();
     work->headSent = true;
-    m_limit->recordFirst(*work->started, m_queue.running(), *work->firstByte);
+    m_limit->recordFirstToken(*work->started, m_queue.running(), *work->firstByte);
     applyLimit();
     if (self() != nullptr && self()->kind == TargetKind::Plain) {
         recordPace(between(*work->started, *work->firstByte));
@@ -340,7 +340,7 @@
     const auto now = std::chrono::steady_clock::now();
     // While the answer is paused for a slow caller its gaps say nothing about the engine.
     if (work->lastChunk && !work->wasPaused) {
-        m_limit->recordBetween(between(*work->lastChunk, now), m_queue.running(), now);
+        m_limit->recordTokenGap(between(*work->lastChunk, now), m_queue.running(), now);
         applyLimit();
         recordPace(between(*work->lastChunk, now));
     }
--- a/tests/decisions/answertimeout_test.cpp
+++ b/tests/decisions/answertimeout_test.cpp
@@ -14,9 +14,9 @@
 {
     const char *name;
     std::vector<std::chrono::milliseconds> answers; ///< the last twenty round trips, in turn
-    int missed; ///< answers that did not come since
-    std::chrono::milliseconds shortest;
-    std::chrono::milliseconds longest;
+    int recordTimeout; ///< answers that did not come since
+    std::chrono::milliseconds atLeast;
+    std::chrono::milliseconds atMost;
 };
 
 const TimeoutRow TimeoutRows[] = {
@@ -38,27 +38,27 @@
 TEST_P(AnswerTimeouts, FollowRoundTripsAndBackOff)
 {
     const auto &row = GetParam();
-    AnswerTimeout timeout({.least = 25ms, .most = 80ms});
+    AnswerTimeout timeout({.minimum = 25ms, .maximum = 80ms});
     for (int round = 0; round < 20 && !row.answers.empty(); ++round) {
-        timeout.answered(row.answers[static_cast<std::size_t>(round) % row.answers.size()]);
+        timeout.recordAnswer(row.answers[static_cast<std::size_t>(round) % row.answers.size()]);
     }
-    for (int lost = 0; lost < row.missed; ++lost) {
-        timeout.missed();
+    for (int lost = 0; lost < row.recordTimeout; ++lost) {
+        timeout.recordTimeout();
     }
-    EXPECT_GE(timeout.current(), row.shortest) << row.name;
-    EXPECT_LE(timeout.current(), row.longest) << row.name;
+    EXPECT_GE(timeout.current(), row.atLeast) << row.name;
+    EXPECT_LE(timeout.current(), row.atMost) << row.name;
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, AnswerTimeouts, testing::ValuesIn(TimeoutRows));
 
 TEST(AnswerTimeout, FallsAgainWithTheNextAnswer)
 {
-    AnswerTimeout timeout({.least = 25ms, .most = 80ms});
-    timeout.answered(20ms);
-    timeout.missed();
-    timeout.missed();
+    AnswerTimeout timeout({.minimum = 25ms, .maximum = 80ms});
+    timeout.recordAnswer(20ms);
+    timeout.recordTimeout();
+    timeout.recordTimeout();
     const auto backedOff = timeout.current();
-    timeout.answered(20ms);
+    timeout.recordAnswer(20ms);
     EXPECT_LT(timeout.current(), backedOff);
 }
 
--- a/tests/decisions/direct_test.cpp
+++ b/tests/decisions/direct_test.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_state/decisions/attemptend.h"
+#include "heatherridge_state/decisions/attemptoutcome.h"
 #include "heatherridge_state/decisions/directplacement.h"
 #include "heatherridge_state/decisions/fleetretrybudget.h"
 #include "heatherridge_state/decisions/loadestimate.h"
@@ -21,7 +21,7 @@
 struct StepRow
 {
     const char *story;
-    AttemptEnd end;
+    AttemptOutcome end;
     AttemptContext context;
     NextStep step;
 };
@@ -31,56 +31,56 @@
 constexpr auto EventStream = RequestKind::EventStream;
 
 const StepRow StepRows[] = {
-    {"a whole answer", AttemptEnd::Answered, {.kind = NonIdempotent, .mayHaveRun = 1}, NextStep::Deliver},
+    {"a whole answer", AttemptOutcome::Answered, {.kind = NonIdempotent, .possibleRuns = 1}, NextStep::Deliver},
     // A booking whose connection was reset may have been made. Sent again it is made twice.
     {"a booking after a reset",
-     AttemptEnd::Broken,
-     {.kind = NonIdempotent, .mayHaveRun = 1, .maxAttempts = 3},
+     AttemptOutcome::Interrupted,
+     {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
     {"a booking after silence",
-     AttemptEnd::Silent,
-     {.kind = NonIdempotent, .mayHaveRun = 1, .maxAttempts = 3},
+     AttemptOutcome::TimedOut,
+     {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
     {"a booking after bytes that are no answer",
-     AttemptEnd::Unusable,
-     {.kind = NonIdempotent, .mayHaveRun = 1, .maxAttempts = 3},
+     AttemptOutcome::InvalidAnswer,
+     {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
     {"a booking that its target failed",
-     AttemptEnd::FailedAtTarget,
-     {.kind = NonIdempotent, .mayHaveRun = 1, .maxAttempts = 3},
+     AttemptOutcome::FailedAtTarget,
+     {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Deliver},
     {"a booking that its target refused",
-     AttemptEnd::RefusedAtTarget,
-     {.kind = NonIdempotent, .maxAttempts = 1},
-     NextStep::Repeat},
-    {"a booking that never left", AttemptEnd::NeverSent, {.kind = NonIdempotent, .maxAttempts = 1}, NextStep::Repeat},
+     AttemptOutcome::RefusedAtTarget,
+     {.kind = NonIdempotent, .maxRuns = 1},
+     NextStep::Retry},
+    {"a booking that never left", AttemptOutcome::NeverSent, {.kind = NonIdempotent, .maxRuns = 1}, NextStep::Retry},
     {"a look-up after a reset",
-     AttemptEnd::Broken,
-     {.kind = Idempotent, .mayHaveRun = 1, .maxAttempts = 2},
-     NextStep::Repeat},
+     AttemptOutcome::Interrupted,
+     {.kind = Idempotent, .possibleRuns = 1, .maxRuns = 2},
+     NextStep::Retry},
     {"a look-up that has run on as many targets as it may",
-     AttemptEnd::Broken,
-     {.kind = Idempotent, .mayHaveRun = 2, .maxAttempts = 2, .tries = 2},
+     AttemptOutcome::Interrupted,
+     {.kind = Idempotent, .possibleRuns = 2, .maxRuns = 2, .attempts = 2},
      NextStep::Fail},
     {"a look-up failed by the last target it may run on",
-     AttemptEnd::FailedAtTarget,
-     {.kind = Idempotent, .mayHaveRun = 2, .maxAttempts = 2, .tries = 2},
+     AttemptOutcome::FailedAtTarget,
+     {.kind = Idempotent, .possibleRuns = 2, .maxRuns = 2, .attempts = 2},
      NextStep::Deliver},
     {"a stream that may go on elsewhere",
-     AttemptEnd::Broken,
-     {.kind = EventStream, .isResumable = true, .mayHaveRun = 1, .maxAttempts = 2},
-     NextStep::Repeat},
+     AttemptOutcome::Interrupted,
+     {.kind = EventStream, .isResumable = true, .possibleRuns = 1, .maxRuns = 2},
+     NextStep::Retry},
     {"a stream that may not",
-     AttemptEnd::Broken,
-     {.kind = EventStream, .mayHaveRun = 1, .maxAttempts = 2},
+     AttemptOutcome::Interrupted,
+     {.kind = EventStream, .possibleRuns = 1, .maxRuns = 2},
      NextStep::Fail},
     {"refused everywhere",
-     AttemptEnd::RefusedAtTarget,
-     {.kind = Idempotent, .maxAttempts = 2, .tries = MostTries},
+     AttemptOutcome::RefusedAtTarget,
+     {.kind = Idempotent, .maxRuns = 2, .attempts = MaxAttempts},
      NextStep::Fail},
     {"no time for another attempt",
-     AttemptEnd::Broken,
-     {.kind = Idempotent, .mayHaveRun = 1, .maxAttempts = 2, .isTimeLeft = false},
+     AttemptOutcome::Interrupted,
+     {.kind = Idempotent, .possibleRuns = 1, .maxRuns = 2, .hasTimeLeft = false},
      NextStep::Fail},
 };
 
@@ -98,9 +98,9 @@
 RC_GTEST_PROP(Steps, NeverRepeatWhatMayHaveRunAndMayNotRunTwice,
               (std::uint8_t endNumber, std::uint8_t ran, std::uint8_t tries))
 {
-    const auto end = static_cast<AttemptEnd>(endNumber % 7);
-    const auto step = nextStep(end, {.kind = NonIdempotent, .mayHaveRun = ran, .maxAttempts = 5, .tries = tries});
-    RC_ASSERT(!(mayHaveRun(end) && step == NextStep::Repeat));
+    const auto end = static_cast<AttemptOutcome>(endNumber % 7);
+    const auto step = nextStep(end, {.kind = NonIdempotent, .possibleRuns = ran, .maxRuns = 5, .attempts = tries});
+    RC_ASSERT(!(mayHaveRun(end) && step == NextStep::Retry));
 }
 
 // A fault makes half of all requests fail at once at every entry. The bound on repeats is one for all entries together,
