--- a/modules/heatherridge_state/decisions/costplacement.cpp
+++ b/modules/heatherridge_state/decisions/costplacement.cpp
@@ -10,25 +10,25 @@
 {
 
 /** Below this warmth a target would be shut out altogether. */
-constexpr double LeastWarmth = 0.05;
+constexpr double MinWarmth = 0.05;
 /** Part of the prompt that its home is assumed to hold when nothing is known: a beginning shared with others. */
-constexpr double HomeShare = 0.25;
+constexpr double HashedPrefixShare = 0.25;
 
 /** Which of @p targets the prompt's beginning hashes to (rendezvous hashing): others keep theirs when one leaves. */
-std::optional<std::size_t> homeOf(std::span<const TargetView> targets, std::uint64_t affinityKey)
+std::optional<std::size_t> hashedTarget(std::span<const TargetView> targets, std::uint64_t affinityKey)
 {
-    std::optional<std::size_t> home;
+    std::optional<std::size_t> hashed;
     std::uint64_t highest = 0;
     for (std::size_t index = 0; index < targets.size(); ++index) {
         // A multiplication in place of a full hash: this runs over all targets for each request.
-        const std::uint64_t place = (targets[index].key ^ affinityKey) * 0x9E3779B97F4A7C15ULL;
-        const std::uint64_t mixed = place ^ (place >> 32U);
-        if (targets[index].usable && (!home || mixed > highest)) {
-            home = index;
+        const std::uint64_t product = (targets[index].key ^ affinityKey) * 0x9E3779B97F4A7C15ULL;
+        const std::uint64_t mixed = product ^ (product >> 32U);
+        if (targets[index].usable && (!hashed || mixed > highest)) {
+            hashed = index;
             highest = mixed;
         }
     }
-    return home;
+    return hashed;
 }
 
 } // namespace
@@ -41,17 +41,17 @@
 std::optional<std::size_t> CostPlacement::choose(std::span<const TargetView> targets, const RequestTraits &traits,
                                                  RandomSource &random) const
 {
-    const Means means = meansOf(targets);
+    const Means means = computeMeans(targets);
     if (means.usable == 0) {
         return std::nullopt;
     }
     std::optional<std::size_t> best;
     double lowest = 0;
-    const auto consider = [&](std::size_t index, bool isHome) {
+    const auto consider = [&](std::size_t index, bool isHashedTarget) {
         if (!targets[index].usable) {
             return;
         }
-        const double score = scoreOf(targets[index], traits, means, isHome);
+        const double score = computeScore(targets[index], traits, means, isHashedTarget);
         if (!best || score < lowest) {
             best = index;
             lowest = score;
@@ -63,9 +63,9 @@
                 consider(index, false);
             }
         }
-        const auto home = best || traits.affinityKey == 0 ? std::nullopt : homeOf(targets, traits.affinityKey);
-        if (home) {
-            consider(*home, true);
+        const auto hashed = best || traits.affinityKey == 0 ? std::nullopt : hashedTarget(targets, traits.affinityKey);
+        if (hashed) {
+            consider(*hashed, true);
         }
     }
     const std::size_t samples = std::max<std::size_t>(m_options.samples, 1);
@@ -75,56 +75,57 @@
         }
         return best;
     }
-    for (std::size_t drawn = 0; drawn < samples || !best; ++drawn) {
+    for (std::size_t drawCount = 0; drawCount < samples || !best; ++drawCount) {
         consider(random.below(targets.size()), false);
     }
     return best;
 }
 
-CostPlacement::Means CostPlacement::meansOf(std::span<const TargetView> targets) const
+CostPlacement::Means CostPlacement::computeMeans(std::span<const TargetView> targets) const
 {
     Means means;
-    double own = 0;
+    double ownTotal = 0;
     for (const auto &target : targets) {
         if (target.usable) {
             ++means.usable;
-            own += target.ownLoad;
+            ownTotal += target.ownLoad;
             means.capacity += target.reportedCapacity;
-            means.others += std::max(0.0, target.reportedLoad - target.ownAtReport);
+            means.otherLoad += std::max(0.0, target.reportedLoad - target.ownAtReport);
         }
     }
     const double count = std::max<double>(1, static_cast<double>(means.usable));
-    means.others = m_options.useReports ? means.others / count : 0;
-    means.load = own / count + means.others;
+    means.otherLoad = m_options.useReports ? means.otherLoad / count : 0;
+    means.load = ownTotal / count + means.otherLoad;
     means.capacity /= count;
     return means;
 }
 
-double CostPlacement::loadOf(const TargetView &target, const Means &means) const
+double CostPlacement::estimatedLoad(const TargetView &target, const Means &means) const
 {
     if (!m_options.useReports) {
         return target.ownLoad;
     }
     const std::chrono::duration<double> age = target.reportAge;
-    const double trust = std::exp2(-(age / ReportHalfLife));
-    const double others = std::max(0.0, target.reportedLoad - target.ownAtReport);
-    const double load = target.ownLoad + trust * others + (1 - trust) * means.others;
-    const double full = target.reportedCapacity;
-    return full > 0 && load > full ? std::max(full, means.capacity) + (load - full) * ExcessShare : load;
+    const double reportWeight = std::exp2(-(age / ReportHalfLife));
+    const double otherLoad = std::max(0.0, target.reportedLoad - target.ownAtReport);
+    const double load = target.ownLoad + reportWeight * otherLoad + (1 - reportWeight) * means.otherLoad;
+    const double fullLoad = target.reportedCapacity;
+    return fullLoad > 0 && load > fullLoad ? std::max(fullLoad, means.capacity) + (load - fullLoad) * ExcessWeight
+                                           : load;
 }
 
-double CostPlacement::scoreOf(const TargetView &target, const RequestTraits &traits, const Means &means,
-                              bool isHome) const
+double CostPlacement::computeScore(const TargetView &target, const RequestTraits &traits, const Means &means,
+                                   bool isHashedTarget) const
 {
-    const double load = loadOf(target, means);
-    double saved = 0;
-    if (m_options.usePrefix && load <= PrefixBound * means.load + traits.cost) {
-        saved = std::min<double>(target.prefixTokens, traits.promptTokens);
-        saved = isHome ? std::max(saved, traits.promptTokens * HomeShare) : saved;
+    const double load = estimatedLoad(target, means);
+    double cachedTokens = 0;
+    if (m_options.usePrefix && load <= PrefixLoadBound * means.load + traits.cost) {
+        cachedTokens = std::min<double>(target.prefixTokens, traits.promptTokens);
+        cachedTokens = isHashedTarget ? std::max(cachedTokens, traits.promptTokens * HashedPrefixShare) : cachedTokens;
     }
-    const double refused = PressurePrice * means.capacity * std::log(std::max(1.0, target.reportedPressure));
-    const double work = refused + load / std::max(target.warmth, LeastWarmth) + traits.cost
-        + (target.pendingPrompt - saved) * PrefixTokenValue;
+    const double refusalCost = PressureWeight * means.capacity * std::log(std::max(1.0, target.reportedPressure));
+    const double work = refusalCost + load / std::max(target.warmth, MinWarmth) + traits.cost
+        + (target.pendingPrompt - cachedTokens) * PrefixTokenValue;
     const double delay = 2 * m_options.zonePrice * static_cast<double>(target.zoneDelay.count());
     return work * target.slowness * traits.timePerUnit.count() + delay;
 }
--- a/modules/heatherridge_state/decisions/costplacement.h
+++ b/modules/heatherridge_state/decisions/costplacement.h
@@ -46,12 +46,12 @@
     static constexpr double PrefixTokenValue = 1;
     /** Just enough to spread the work over full targets: a hundredth lets single ones fill their queues, a fifth loses
      * the caches. */
-    static constexpr double ExcessShare = 0.05;
+    static constexpr double ExcessWeight = 0.05;
     /** Part of the capacity that a doubling of the refused share weighs, times ln 2: 0.1 leaves a workspace beside a
      * hog with 0.92 of its share, 1 loses a tenth of the goodput with the caches. */
-    static constexpr double PressurePrice = 0.3;
+    static constexpr double PressureWeight = 0.3;
     /** Consistent hashing with bounded loads loses little affinity at twice the mean, and no target exceeds it. */
-    static constexpr double PrefixBound = 2;
+    static constexpr double PrefixLoadBound = 2;
 
     explicit CostPlacement(CostPlacementOptions options = {});
 
@@ -63,14 +63,15 @@
     struct Means
     {
         double load = 0; ///< of own and others
-        double others = 0; ///< of others alone
+        double otherLoad = 0; ///< of others alone
         double capacity = 0; ///< load at which targets are full
         std::size_t usable = 0;
     };
 
-    Means meansOf(std::span<const TargetView> targets) const;
-    double loadOf(const TargetView &target, const Means &means) const;
-    double scoreOf(const TargetView &target, const RequestTraits &traits, const Means &means, bool isHome) const;
+    Means computeMeans(std::span<const TargetView> targets) const;
+    double estimatedLoad(const TargetView &target, const Means &means) const;
+    double computeScore(const TargetView &target, const RequestTraits &traits, const Means &means,
+                        bool isHashedTarget) const;
 
     CostPlacementOptions m_options;
 };
--- a/modules/heatherridge_state/decisions/crashsuspects.cpp
+++ b/modules/heatherridge_state/decisions/crashsuspects.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-bool CrashSuspects::take(const CrashReport &report, SteadyTime now)
+bool CrashSuspects::record(const CrashReport &report, SteadyTime now)
 {
     if (report.kind == CrashReport::Kind::Answered) {
         m_suspects.erase(report.request);
@@ -18,12 +18,12 @@
     }
     auto &suspect = m_suspects[report.request];
     const bool wasBlocked = isBlocked(suspect);
-    suspect.died.insert(report.target);
-    suspect.reportedAt = now;
-    suspect.heardAt = now;
+    suspect.deadTargets.insert(report.target);
+    suspect.lastReport = now;
+    suspect.lastActivity = now;
     const bool isNewlyBlocked = !wasBlocked && isBlocked(suspect);
-    if (m_suspects.size() > m_options.mostRequests) {
-        dropOldest();
+    if (m_suspects.size() > m_options.maxRequests) {
+        evictOldest();
     }
     return isNewlyBlocked;
 }
@@ -41,7 +41,7 @@
 
 bool CrashSuspects::isBlocked(const Suspect &suspect) const
 {
-    return suspect.died.size() >= m_options.deathsToBlock;
+    return suspect.deadTargets.size() >= m_options.deathsToBlock;
 }
 
 bool CrashSuspects::isEmpty() const
@@ -49,46 +49,47 @@
     return m_suspects.empty();
 }
 
-std::optional<CrashReport> CrashSuspects::refused(const RequestFingerprint &request, SteadyTime now)
+std::optional<CrashReport> CrashSuspects::recordRefusal(const RequestFingerprint &request, SteadyTime now)
 {
     const auto found = m_suspects.find(request);
     if (found == m_suspects.end()) {
         return std::nullopt;
     }
     auto &suspect = found->second;
-    suspect.heardAt = now;
-    if (now - suspect.reportedAt < m_options.memory / 2) {
+    suspect.lastActivity = now;
+    if (now - suspect.lastReport < m_options.retention / 2) {
         return std::nullopt;
     }
-    suspect.reportedAt = now;
-    return CrashReport{.kind = CrashReport::Kind::TargetDied, .request = request, .target = *suspect.died.begin()};
+    suspect.lastReport = now;
+    return CrashReport{
+        .kind = CrashReport::Kind::TargetDied, .request = request, .target = *suspect.deadTargets.begin()};
 }
 
-void CrashSuspects::tick(SteadyTime now)
+void CrashSuspects::evictExpired(SteadyTime now)
 {
-    std::erase_if(m_suspects, [&](const auto &entry) { return now - entry.second.heardAt > m_options.memory; });
+    std::erase_if(m_suspects, [&](const auto &entry) { return now - entry.second.lastActivity > m_options.retention; });
 }
 
-void CrashSuspects::dropOldest()
+void CrashSuspects::evictOldest()
 {
     m_suspects.erase(std::min_element(m_suspects.begin(), m_suspects.end(), [](const auto &a, const auto &b) {
-        return a.second.heardAt < b.second.heardAt;
+        return a.second.lastActivity < b.second.lastActivity;
     }));
 }
 
-void SuspectPlaces::put(const TargetName &target)
+void SuspectTargets::add(const TargetName &target)
 {
     m_targets.insert(target);
 }
 
-void SuspectPlaces::remove(const TargetName &target)
+void SuspectTargets::remove(const TargetName &target)
 {
     if (const auto found = m_targets.find(target); found != m_targets.end()) {
         m_targets.erase(found);
     }
 }
 
-std::set<TargetName> SuspectPlaces::avoided(std::set<TargetName> tried) const
+std::set<TargetName> SuspectTargets::targetsToAvoid(std::set<TargetName> tried) const
 {
     tried.insert(m_targets.begin(), m_targets.end());
     return tried;
--- a/modules/heatherridge_state/decisions/crashsuspects.h
+++ b/modules/heatherridge_state/decisions/crashsuspects.h
@@ -45,8 +45,8 @@
         /** Targets that died under a request before it is blocked. With one, all requests at a target that dies for
          * another reason would be blocked. */
         std::size_t deathsToBlock = 2;
-        std::chrono::milliseconds memory{300'000}; ///< since the last report or refusal
-        std::size_t mostRequests = 10'000; ///< beyond it the one that was heard of least recently is dropped
+        std::chrono::milliseconds retention{300'000}; ///< since the last report or refusal
+        std::size_t maxRequests = 10'000; ///< beyond it the one that was heard of least recently is dropped
     };
 
     CrashSuspects()
@@ -56,7 +56,7 @@
     explicit CrashSuspects(Options options);
 
     /** Takes @p report. @returns whether a request is blocked that was not before */
-    bool take(const CrashReport &report, SteadyTime now);
+    bool record(const CrashReport &report, SteadyTime now);
 
     /** Whether a target has died under @p request, and none has answered it since. */
     bool isSuspect(const RequestFingerprint &request) const;
@@ -71,21 +71,21 @@
      * The blocked @p request came again and was refused; it stays blocked while it goes on coming.
      * @returns a report to tell again when the last one is about to be forgotten by the others
      */
-    std::optional<CrashReport> refused(const RequestFingerprint &request, SteadyTime now);
+    std::optional<CrashReport> recordRefusal(const RequestFingerprint &request, SteadyTime now);
 
     /** Forgets what has not been heard of for long. */
-    void tick(SteadyTime now);
+    void evictExpired(SteadyTime now);
 
 private:
     struct Suspect
     {
-        std::set<TargetName> died{};
-        SteadyTime reportedAt{};
-        SteadyTime heardAt{}; ///< of the last report or refusal
+        std::set<TargetName> deadTargets{};
+        SteadyTime lastReport{};
+        SteadyTime lastActivity{}; ///< of the last report or refusal
     };
 
     bool isBlocked(const Suspect &suspect) const;
-    void dropOldest();
+    void evictOldest();
 
     Options m_options;
     std::map<RequestFingerprint, Suspect> m_suspects;
@@ -98,17 +98,17 @@
  * next target together, and all of them blocked when the one among them that ends targets ends that one too. One
  * thread.
  */
-class SuspectPlaces
+class SuspectTargets
 {
 public:
     /** @p target was sent a suspect. */
-    void put(const TargetName &target);
+    void add(const TargetName &target);
 
     /** It has begun to answer it, or has it no longer. */
     void remove(const TargetName &target);
 
     /** Targets to send the next suspect to only when there are no others: @p tried and those that have a suspect. */
-    std::set<TargetName> avoided(std::set<TargetName> tried) const;
+    std::set<TargetName> targetsToAvoid(std::set<TargetName> tried) const;
 
 private:
     std::multiset<TargetName> m_targets;
--- a/modules/heatherridge_state/decisions/directplacement.cpp
+++ b/modules/heatherridge_state/decisions/directplacement.cpp
@@ -9,22 +9,22 @@
 {
 
 /** Width of the random draw among near-equals, in requests. */
-constexpr double DrawWidth = 0.3;
+constexpr double JitterWidth = 0.3;
 /** Set above all loads: a target that was tried or is on probation is the last choice, but better than none. */
-constexpr double LastChoice = 1e6;
+constexpr double LastResortPenalty = 1e6;
 
 double scoreOf(const DirectCandidate &candidate, double meanSlots, RandomSource &random)
 {
     const double slots = std::max(candidate.slots, 1);
-    double score = candidate.load * meanSlots / slots + random.fraction() * DrawWidth;
-    if (!candidate.isNear) {
-        score += FarPenalty;
+    double score = candidate.load * meanSlots / slots + random.fraction() * JitterWidth;
+    if (!candidate.isInOwnZone) {
+        score += OtherZonePenalty;
     }
     if (candidate.isCold) {
-        score += ColdPart * slots;
+        score += ColdSlotShare * slots;
     }
     if (candidate.health == Health::Ejected) {
-        score += LastChoice;
+        score += LastResortPenalty;
     }
     return score;
 }
@@ -41,7 +41,7 @@
     std::optional<std::size_t> best;
     double bestScore = 0;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
-        if (candidates[index].wasTried || candidates[index].isHeldBack) {
+        if (candidates[index].wasTried || candidates[index].isAtLimit) {
             continue;
         }
         const double score = scoreOf(candidates[index], meanSlots, random);
--- a/modules/heatherridge_state/decisions/directplacement.h
+++ b/modules/heatherridge_state/decisions/directplacement.h
@@ -15,10 +15,10 @@
 {
     double load = 0; ///< requests of all entries, @see LoadEstimate
     int slots = 1; ///< requests that it runs at once
-    bool isNear = false; ///< in the entry's own availability zone
+    bool isInOwnZone = false; ///< in the entry's own availability zone
     bool isCold = false; ///< slow after its start
     bool wasTried = false; ///< the request has failed or been refused there
-    bool isHeldBack = false; ///< gets nothing now, by the limit that it names
+    bool isAtLimit = false; ///< gets nothing now, by the limit that it names
     Health health = Health::Healthy;
 };
 
@@ -33,8 +33,8 @@
 std::optional<std::size_t> placeDirectly(std::span<const DirectCandidate> candidates, RandomSource &random);
 
 /** Requests by which a far target must be less loaded: under one, so that a queue never forms for the zone's sake. */
-constexpr double FarPenalty = 0.6;
+constexpr double OtherZonePenalty = 0.6;
 /** Parts of its slots that a cold target counts as taken. */
-constexpr double ColdPart = 0.5;
+constexpr double ColdSlotShare = 0.5;
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/engineplacement.h
+++ b/modules/heatherridge_state/decisions/engineplacement.h
@@ -17,34 +17,34 @@
     DirectCandidate target{}; ///< as for any target; its slots are the engine's batch
     std::size_t group = 0; ///< index of its group
     bool isOpen = true; ///< its group works
-    bool refusesNow = false; ///< it has just refused a request
-    double pace = 1; ///< over 1: it takes so many times as long as usual; its group waits for it in every pass
+    bool isRefusing = false; ///< it has just refused a request
+    double slowdown = 1; ///< over 1: it takes so many times as long as usual; its group waits for it in every pass
 };
 
 /** What is known of a group as a whole. */
 struct EngineGroup
 {
     bool isStalled = false; ///< one of its engines has open streams and says nothing: so do they all
-    bool hasRoom = true; ///< its passes stay short enough with one stream more, @see streamsPerPass()
-    bool hasRoomForLate = true; ///< they would even if demand jumped now; what is late takes no room but that
-    double room = 1; ///< requests that it can take on time beyond those that it has; weighs groups with room
+    bool hasHeadroom = true; ///< its passes stay short enough with one stream more, @see streamsPerPass()
+    bool hasHeadroomForLate = true; ///< they would even if demand jumped now; what is late takes no room but that
+    double headroom = 1; ///< requests that it can take on time beyond those that it has; weighs groups with room
     bool cannotBeOnTime = false; ///< none of its streams is on time, @see cannotBeOnTime()
 };
 
 /** How much a stream needs an engine. */
 enum class Urgency {
-    Begun, ///< its caller has a part of it
-    Timely, ///< it can still be on time
+    InProgress, ///< its caller has a part of it
+    OnTime, ///< it can still be on time
     Late,
 };
 
 /** Engines that take so many times as long as the quickest of their group get streams only when there are no others. */
-constexpr double SlowPace = 1.5;
+constexpr double SlowEngineFactor = 1.5;
 
 /** What is asked for when a stream is placed. */
-struct StreamNeed
+struct PlacementRequest
 {
-    Urgency urgency = Urgency::Timely;
+    Urgency urgency = Urgency::OnTime;
     double share = 1; ///< of this entry in all work, over 0 up to 1
 };
 
@@ -68,6 +68,6 @@
  *   the same statuses and would choose the same engines.
  */
 EngineChoice placeStream(std::span<const EngineCandidate> engines, std::span<const EngineGroup> groups,
-                         const StreamNeed &need, RandomSource &random);
+                         const PlacementRequest &request, RandomSource &random);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/fleetretrybudget.cpp
+++ b/modules/heatherridge_state/decisions/fleetretrybudget.cpp
@@ -10,7 +10,7 @@
 
 void FleetRetryBudget::recordRequest(SteadyTime now)
 {
-    ++current(now).requests;
+    ++currentSecond(now).requests;
 }
 
 void FleetRetryBudget::setOptions(FleetRetryBudgetOptions options)
@@ -18,34 +18,34 @@
     m_options = options;
 }
 
-void FleetRetryBudget::setPart(double part)
+void FleetRetryBudget::setSlackShare(double slackShare)
 {
-    m_options.part = part;
+    m_options.slackShare = slackShare;
 }
 
 bool FleetRetryBudget::tryTake(SteadyTime now)
 {
-    if (left(now) < 1) {
+    if (remaining(now) < 1) {
         return false;
     }
-    ++current(now).repeats;
+    ++currentSecond(now).retries;
     return true;
 }
 
-double FleetRetryBudget::left(SteadyTime now)
+double FleetRetryBudget::remaining(SteadyTime now)
 {
-    current(now);
+    currentSecond(now);
     double requests = 0;
-    double repeats = 0;
+    double retries = 0;
     for (const auto &second : m_seconds) {
         requests += second.requests;
-        repeats += second.repeats;
+        retries += second.retries;
     }
-    const double allowed = m_options.share * requests + m_options.slack * m_options.part;
-    return allowed * UsedPart - repeats;
+    const double allowed = m_options.share * requests + m_options.slack * m_options.slackShare;
+    return allowed * SafetyFactor - retries;
 }
 
-FleetRetryBudget::Second &FleetRetryBudget::current(SteadyTime now)
+FleetRetryBudget::SecondCounts &FleetRetryBudget::currentSecond(SteadyTime now)
 {
     const auto number = std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
     while (!m_seconds.empty() && m_seconds.front().number <= number - m_options.window.count()) {
--- a/modules/heatherridge_state/decisions/fleetretrybudget.h
+++ b/modules/heatherridge_state/decisions/fleetretrybudget.h
@@ -15,7 +15,7 @@
     double share = 0.2; ///< repeats for each request, over all entries; from the deployment's bounds
     double slack = 0; ///< repeats that all entries together may make beyond it in one window
     std::chrono::seconds window{10};
-    double part = 0.125; ///< of the slack, for this entry while it does not know its share of the work
+    double slackShare = 0.125; ///< of the slack, for this entry while it does not know its share of the work
 };
 
 /**
@@ -29,7 +29,7 @@
 {
 public:
     /** Part of the bound that is used: windows of entries and of whoever checks don't line up. */
-    static constexpr double UsedPart = 0.75;
+    static constexpr double SafetyFactor = 0.75;
 
     explicit FleetRetryBudget(FleetRetryBudgetOptions options);
 
@@ -40,26 +40,26 @@
     void setOptions(FleetRetryBudgetOptions options);
 
     /** This entry's part of the slack. All entries' parts together are at most 1. */
-    void setPart(double part);
+    void setSlackShare(double slackShare);
 
     /** Takes one repeat out of the budget; false when none is left. */
     bool tryTake(SteadyTime now);
 
     /** How many repeats are left at @p now. */
-    double left(SteadyTime now);
+    double remaining(SteadyTime now);
 
 private:
-    struct Second
+    struct SecondCounts
     {
         std::int64_t number = 0;
         int requests = 0;
-        int repeats = 0;
+        int retries = 0;
     };
 
-    Second &current(SteadyTime now);
+    SecondCounts &currentSecond(SteadyTime now);
 
     FleetRetryBudgetOptions m_options;
-    std::deque<Second> m_seconds; ///< of the window, oldest first
+    std::deque<SecondCounts> m_seconds; ///< of the window, oldest first
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/groupadmission.cpp
+++ b/modules/heatherridge_state/decisions/groupadmission.cpp
@@ -12,42 +12,43 @@
 {
 
 /** Streams that were sent are remembered for so long: two of the longest passes. */
-constexpr std::chrono::milliseconds SendMemory = GroupAdmission::LongestPass * 2;
+constexpr std::chrono::milliseconds SendHistory = GroupAdmission::MaxPass * 2;
 /** Weight, in own requests, of the assumption that all entries send alike, against what was seen of the others. */
-constexpr double PriorOwn = 4;
+constexpr double PriorOwnRequests = 4;
 /** Growth of a starting group from one pass to the next. */
-constexpr double MostGrowth = 2;
+constexpr double MaxGrowth = 2;
 /** Of the work in the first passes of a group, by its first map. */
-constexpr double FirstStretch = 2;
+constexpr double InitialStretch = 2;
 
 /** What the other entries' part of a group has grown by since its engines last told their load, if it has grown as this
  * entry's has. */
-double othersGrowth(const GroupWork &work, double share)
+double estimateOthersGrowth(const GroupLoad &load, double share)
 {
-    const double others = work.requests - work.own;
-    const double othersForEach = (others + PriorOwn * (1 / share - 1)) / (work.ownReported + PriorOwn);
-    const double growth = work.own - work.ownReported;
-    return std::max(growth * othersForEach, -others);
+    const double others = load.requests - load.ownRequests;
+    const double othersPerOwn =
+        (others + PriorOwnRequests * (1 / share - 1)) / (load.ownRequestsAtReport + PriorOwnRequests);
+    const double growth = load.ownRequests - load.ownRequestsAtReport;
+    return std::max(growth * othersPerOwn, -others);
 }
 
 /** By how much the requests of a group that has just opened may grow after a pass of @p pass. */
-double growthAfter(std::chrono::milliseconds pass, const PassBudgetRules &rules)
+double growthFactor(std::chrono::milliseconds pass, const PassBudgetRules &rules)
 {
-    const auto ofWork = std::max(pass - rules.base, PassBudgetRules::Milliseconds(1));
-    return std::clamp((rules.longestPass - rules.base) / ofWork, 0.5, MostGrowth);
+    const auto workTime = std::max(pass - rules.base, PassBudgetRules::Milliseconds(1));
+    return std::clamp((rules.longestPass - rules.base) / workTime, 0.5, MaxGrowth);
 }
 
 /** Requests an engine that a group is given before it has shown a pass: their prompts are all read in its first pass,
  * with a map that is expected to double the work of it. */
-double firstRequests(const PassBudgetRules &rules)
+double initialRequests(const PassBudgetRules &rules)
 {
-    const auto each = rules.perRequest + rules.promptTime;
-    return each.count() > 0 ? std::max(1.0, (rules.longestPass - rules.base) / (each * FirstStretch)) : 1;
+    const auto perStream = rules.perRequest + rules.promptTime;
+    return perStream.count() > 0 ? std::max(1.0, (rules.longestPass - rules.base) / (perStream * InitialStretch)) : 1;
 }
 
-double perEngine(double all, const GroupWork &work)
+double perEngine(double all, const GroupLoad &load)
 {
-    return all / static_cast<double>(std::max<std::size_t>(work.engines, 1));
+    return all / static_cast<double>(std::max<std::size_t>(load.engines, 1));
 }
 
 } // namespace
@@ -56,9 +57,9 @@
 {
     if (isOpen && !m_isOpen) {
         m_stretch = {}; // its passes are others than before
-        m_openSince = now;
+        m_openedAt = now;
         m_isStarting = true;
-        m_proven.reset();
+        m_provenRequests.reset();
         m_requestsAtPass = 0;
         m_lastPass.reset();
     }
@@ -70,11 +71,11 @@
     return m_isOpen && m_isStarting;
 }
 
-void GroupAdmission::sent(SteadyTime now)
+void GroupAdmission::recordSent(SteadyTime now)
 {
-    m_sent.push_back(now);
-    while (now - m_sent.front() > SendMemory) {
-        m_sent.pop_front();
+    m_sendTimes.push_back(now);
+    while (now - m_sendTimes.front() > SendHistory) {
+        m_sendTimes.pop_front();
     }
 }
 
@@ -85,69 +86,69 @@
         return;
     }
     // What was sent during the pass before was read in this one; the other entries send as this one does.
-    const double prompts = sentWithin(now - pause * 2, now - pause) / m_share;
-    m_stretch.record(std::min(pause, LongestPass),
-                     {.requests = m_requestsAtPass, .prompts = perEngine(prompts, m_work)}, m_rules,
-                     !m_work.hasSlowRank, now);
+    const double prompts = countSentWithin(now - pause * 2, now - pause) / m_share;
+    m_stretch.record(std::min(pause, MaxPass), {.requests = m_requestsAtPass, .prompts = perEngine(prompts, m_load)},
+                     m_rules, !m_load.hasSlowRank, now);
     if (m_requestsAtPass > 0) {
-        m_proven = m_requestsAtPass * growthAfter(pause, m_rules);
+        m_provenRequests = m_requestsAtPass * growthFactor(pause, m_rules);
     }
-    m_requestsAtPass = perEngine(m_work.requests, m_work);
+    m_requestsAtPass = perEngine(m_load.requests, m_load);
     m_lastPass = pause;
 }
 
-EngineGroup GroupAdmission::view(const GroupWork &work, const PassBudgetRules &rules, double share, SteadyTime now)
+EngineGroup GroupAdmission::evaluate(const GroupLoad &load, const PassBudgetRules &rules, double share, SteadyTime now)
 {
-    m_work = work;
-    m_work.requests += othersGrowth(work, share);
+    m_load = load;
+    m_load.requests += estimateOthersGrowth(load, share);
     m_rules = rules;
     m_share = share;
-    if (m_isStarting && now - m_openSince >= SlowStart) {
+    if (m_isStarting && now - m_openedAt >= SlowStart) {
         m_isStarting = false;
         m_stretch.forgetOld();
     }
-    if (!m_isStarting && now - m_stretch.recordedAt() > PauseMemory) {
-        m_stretch.record(work.reportedPass, {.requests = perEngine(m_work.requests, m_work)}, rules, !work.hasSlowRank,
+    if (!m_isStarting && now - m_stretch.recordedAt() > PauseLifetime) {
+        m_stretch.record(load.reportedPass, {.requests = perEngine(m_load.requests, m_load)}, rules, !load.hasSlowRank,
                          now);
     }
     const double stretch = m_stretch.present();
-    const auto bound = m_isStarting ? startingBound(stretch) : establishedBound(stretch);
-    return {.isStalled = work.isStalled,
-            .hasRoom = sentWithin(now - bound.span, now) < bound.streams,
-            .hasRoomForLate = bound.roomForLate >= 1,
-            .room = std::min(bound.room, work.slots - m_work.requests),
+    const auto limit = m_isStarting ? startingLimit(stretch) : establishedLimit(stretch);
+    return {.isStalled = load.isStalled,
+            .hasHeadroom = countSentWithin(now - limit.interval, now) < limit.maxStreams,
+            .hasHeadroomForLate = limit.headroomForLate >= 1,
+            .headroom = std::min(limit.headroom, load.slots - m_load.requests),
             .cannotBeOnTime = !m_isStarting && Heatherridge::cannotBeOnTime(stretch, rules)};
 }
 
-GroupAdmission::Bound GroupAdmission::startingBound(double stretch) const
+GroupAdmission::SendLimit GroupAdmission::startingLimit(double stretch) const
 {
-    const double onTime = requestsOnTime(stretch, m_work.engines, m_rules);
-    const double proven = m_proven.value_or(firstRequests(m_rules)) * static_cast<double>(m_work.engines);
-    const double room = std::min(onTime, proven) - m_work.requests;
+    const double onTime = requestsOnTime(stretch, m_load.engines, m_rules);
+    const double provenRequests =
+        m_provenRequests.value_or(initialRequests(m_rules)) * static_cast<double>(m_load.engines);
+    const double headroom = std::min(onTime, provenRequests) - m_load.requests;
     // An entry without a stream of its own in the group sees none of its passes.
-    const bool maySend = room >= 1 || m_work.own == 0;
-    const auto share = static_cast<int>(std::lround(std::max(room, 0.0) * m_share));
-    return {.room = room,
-            .roomForLate = room,
-            .streams = maySend ? std::max(share, 1) : 0,
-            .span = m_lastPass ? SteadyTime::duration(*m_lastPass)
-                               : std::chrono::duration_cast<SteadyTime::duration>(m_rules.longestPass)};
+    const bool maySend = headroom >= 1 || m_load.ownRequests == 0;
+    const auto share = static_cast<int>(std::lround(std::max(headroom, 0.0) * m_share));
+    return {.headroom = headroom,
+            .headroomForLate = headroom,
+            .maxStreams = maySend ? std::max(share, 1) : 0,
+            .interval = m_lastPass ? SteadyTime::duration(*m_lastPass)
+                                   : std::chrono::duration_cast<SteadyTime::duration>(m_rules.longestPass)};
 }
 
-GroupAdmission::Bound GroupAdmission::establishedBound(double stretch) const
+GroupAdmission::SendLimit GroupAdmission::establishedLimit(double stretch) const
 {
-    const double room = requestsOnTime(stretch, m_work.engines, m_rules) - m_work.requests;
-    const auto pass = m_rules.bestPass(perEngine(m_work.requests, m_work), 0) * stretch;
-    return {.room = room,
-            .roomForLate = requestsOnTime(m_stretch.usual(), m_work.engines, m_rules) - m_work.requests,
-            .streams = streamsPerPass(room, m_rules, m_share),
-            .span = std::chrono::duration_cast<SteadyTime::duration>(pass)};
+    const double headroom = requestsOnTime(stretch, m_load.engines, m_rules) - m_load.requests;
+    const auto pass = m_rules.bestPass(perEngine(m_load.requests, m_load), 0) * stretch;
+    return {.headroom = headroom,
+            .headroomForLate = requestsOnTime(m_stretch.usual(), m_load.engines, m_rules) - m_load.requests,
+            .maxStreams = streamsPerPass(headroom, m_rules, m_share),
+            .interval = std::chrono::duration_cast<SteadyTime::duration>(pass)};
 }
 
-int GroupAdmission::sentWithin(SteadyTime after, SteadyTime until) const
+int GroupAdmission::countSentWithin(SteadyTime after, SteadyTime until) const
 {
-    return static_cast<int>(
-        std::count_if(m_sent.begin(), m_sent.end(), [&](auto sentAt) { return sentAt > after && sentAt <= until; }));
+    return static_cast<int>(std::count_if(m_sendTimes.begin(), m_sendTimes.end(),
+                                          [&](auto sentAt) { return sentAt > after && sentAt <= until; }));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/groupadmission.h
+++ b/modules/heatherridge_state/decisions/groupadmission.h
@@ -12,12 +12,12 @@
 {
 
 /** What is believed of a group's engines when a stream is placed. */
-struct GroupWork
+struct GroupLoad
 {
     std::chrono::milliseconds reportedPass{}; ///< as the engines' statuses say
     double requests = 0; ///< of all entries, at all its engines
-    int own = 0; ///< of them, requests of this entry
-    int ownReported = 0; ///< what `own` was when each engine last told its load
+    int ownRequests = 0; ///< of them, requests of this entry
+    int ownRequestsAtReport = 0; ///< what `own` was when each engine last told its load
     std::size_t engines = 0;
     double slots = 0; ///< of all its engines
     bool isStalled = false; ///< one of its engines has open streams and says nothing
@@ -38,9 +38,9 @@
 {
 public:
     /** Pauses tell of passes for so long; without one, statuses do. */
-    static constexpr std::chrono::milliseconds PauseMemory{400};
+    static constexpr std::chrono::milliseconds PauseLifetime{400};
     /** A longer pause is a group that stands still, not one of its passes. */
-    static constexpr std::chrono::milliseconds LongestPass{300};
+    static constexpr std::chrono::milliseconds MaxPass{300};
 
     /** The group works, or does not. */
     void setOpen(bool isOpen, SteadyTime now);
@@ -49,7 +49,7 @@
     bool isStarting() const;
 
     /** This entry sends the group a stream. */
-    void sent(SteadyTime now);
+    void recordSent(SteadyTime now);
 
     /** A stream of this entry had @p pause between two events. */
     void recordPause(std::chrono::milliseconds pause, SteadyTime now);
@@ -58,31 +58,31 @@
      * The group as it is when a stream is placed.
      * @param share of this entry in all work, over 0 up to 1
      */
-    EngineGroup view(const GroupWork &work, const PassBudgetRules &rules, double share, SteadyTime now);
+    EngineGroup evaluate(const GroupLoad &load, const PassBudgetRules &rules, double share, SteadyTime now);
 
 private:
     /** What bounds this entry's sending to the group. */
-    struct Bound
+    struct SendLimit
     {
-        double room = 0; ///< requests that the group can take on time beyond those that it has
-        double roomForLate = 0; ///< the same in bad moments
-        int streams = 0; ///< that this entry may send within `span`
-        SteadyTime::duration span{};
+        double headroom = 0; ///< requests that the group can take on time beyond those that it has
+        double headroomForLate = 0; ///< the same in bad moments
+        int maxStreams = 0; ///< that this entry may send within `span`
+        SteadyTime::duration interval{};
     };
 
-    Bound startingBound(double stretch) const;
-    Bound establishedBound(double stretch) const;
-    int sentWithin(SteadyTime after, SteadyTime until) const;
+    SendLimit startingLimit(double stretch) const;
+    SendLimit establishedLimit(double stretch) const;
+    int countSentWithin(SteadyTime after, SteadyTime until) const;
 
     PassStretch m_stretch;
     PassBudgetRules m_rules;
-    GroupWork m_work; ///< when a stream was last placed
+    GroupLoad m_load; ///< when a stream was last placed
     double m_share = 1; ///< then
-    std::deque<SteadyTime> m_sent; ///< when streams were sent, of late
-    SteadyTime m_openSince{};
+    std::deque<SteadyTime> m_sendTimes; ///< when streams were sent, of late
+    SteadyTime m_openedAt{};
     bool m_isStarting = false;
     /** Requests an engine that a group which has just opened may have, by its last pass; nothing before one. */
-    std::optional<double> m_proven{};
+    std::optional<double> m_provenRequests{};
     double m_requestsAtPass = 0; ///< requests an engine when the pass under way began
     std::optional<std::chrono::milliseconds> m_lastPass{}; ///< since the group has opened
     bool m_isOpen = false;
--- a/modules/heatherridge_transport/direct/crashguard.cpp
+++ b/modules/heatherridge_transport/direct/crashguard.cpp
@@ -56,7 +56,7 @@
 
 void CrashGuard::refused(const RequestFingerprint &request)
 {
-    if (const auto again = m_suspects.refused(request, now())) {
+    if (const auto again = m_suspects.recordRefusal(request, now())) {
         tell(*again);
     }
 }
@@ -68,19 +68,19 @@
     }
 }
 
-SuspectPlaces &CrashGuard::places()
+SuspectTargets &CrashGuard::places()
 {
     return m_places;
 }
 
 void CrashGuard::tick(SteadyTime now)
 {
-    m_suspects.tick(now);
+    m_suspects.evictExpired(now);
 }
 
 void CrashGuard::take(const CrashReport &report)
 {
-    if (!m_suspects.take(report, now())) {
+    if (!m_suspects.record(report, now())) {
         return;
     }
     m_blocked.add();
--- a/modules/heatherridge_transport/direct/crashguard.h
+++ b/modules/heatherridge_transport/direct/crashguard.h
@@ -50,7 +50,7 @@
     void learn(const std::vector<CrashReport> &reports);
 
     /** Targets that have suspects of this gateway. */
-    SuspectPlaces &places();
+    SuspectTargets &places();
 
     /** Forgets what is old. Called about once a second. */
     void tick(SteadyTime now);
@@ -63,7 +63,7 @@
     Counter &m_deaths;
     Counter &m_blocked;
     CrashSuspects m_suspects;
-    SuspectPlaces m_places;
+    SuspectTargets m_places;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -121,7 +121,7 @@
 {
     auto &targets = m_traffic.m_targets;
     if (isSuspect()) {
-        const auto avoided = m_traffic.m_crashGuard.places().avoided(m_tried);
+        const auto avoided = m_traffic.m_crashGuard.places().targetsToAvoid(m_tried);
         const auto apart = targets.choose(m_service, avoided, urgency(), now(), m_traffic.m_random);
         if (apart.target != nullptr) {
             return apart;
@@ -135,9 +135,9 @@
     // What an engine has worked on goes on: its caller may have the beginning. What was refused unread has lost
     // nothing.
     if (m_mayHaveRun > 0 || m_stream.hasBegun()) {
-        return Urgency::Begun;
+        return Urgency::InProgress;
     }
-    return now() <= onTimeUntil() ? Urgency::Timely : Urgency::Late;
+    return now() <= onTimeUntil() ? Urgency::OnTime : Urgency::Late;
 }
 
 SteadyTime GatewayCall::onTimeUntil() const
@@ -153,8 +153,10 @@
     if (!m_waitsUntil) {
         m_waitsUntil = now() + placementWait(m_route.kind, timeLeft(), m_route.objective);
     }
-    const WaitingStream stream{
-        .number = m_number, .service = m_service, .isBegun = urgency() == Urgency::Begun, .onTimeUntil = onTimeUntil()};
+    const WaitingStream stream{.number = m_number,
+                               .service = m_service,
+                               .isBegun = urgency() == Urgency::InProgress,
+                               .onTimeUntil = onTimeUntil()};
     // Asked when it joins and when it falls behind the timely ones: at other times it has moved up.
     const bool isLate = stream.onTimeUntil < now();
     const bool isBehind = !stream.isBegun && m_isQueuedAsLate != isLate;
@@ -386,7 +388,7 @@
 {
     if (isSuspect()) {
         m_suspectAt = target;
-        m_traffic.m_crashGuard.places().put(target);
+        m_traffic.m_crashGuard.places().add(target);
     }
 }
 
@@ -463,14 +465,16 @@
 
 void GatewayCall::attemptEnded(AttemptOutcome end, std::string_view reason)
 {
-    leaveTarget(end == AttemptOutcome::Answered || end == AttemptOutcome::FailedAtTarget || end == AttemptOutcome::RefusedAtTarget);
+    leaveTarget(end == AttemptOutcome::Answered || end == AttemptOutcome::FailedAtTarget
+                || end == AttemptOutcome::RefusedAtTarget);
     if (end == AttemptOutcome::RefusedAtTarget) {
         m_traffic.m_targets.refused(m_target, now());
     }
     if (end == AttemptOutcome::Answered) {
         m_traffic.m_targets.record(m_target, Attempt::Succeeded, now());
     } else if (end != AttemptOutcome::RefusedAtTarget) {
-        m_traffic.m_targets.record(m_target, end == AttemptOutcome::TimedOut ? Attempt::TimedOut : Attempt::Failed, now());
+        m_traffic.m_targets.record(m_target, end == AttemptOutcome::TimedOut ? Attempt::TimedOut : Attempt::Failed,
+                                   now());
     }
     const bool hasRunToAnEnd = end == AttemptOutcome::Answered || end == AttemptOutcome::FailedAtTarget;
     if (hasRunToAnEnd && isSuspect()) {
@@ -507,7 +511,7 @@
 
 void GatewayCall::repeat(AttemptOutcome end, std::string_view reason)
 {
-    if (end == AttemptOutcome::FailedAtTarget && m_traffic.budgetOf(m_service).left(now()) < 1) {
+    if (end == AttemptOutcome::FailedAtTarget && m_traffic.budgetOf(m_service).remaining(now()) < 1) {
         deliver(); // the target's own answer says more than one of this process's
         return;
     }
@@ -638,7 +642,7 @@
 {
     // A group that stands still mostly goes on, and all its streams fall silent at once: one that finds no repeat in
     // the budget or no other engine is better left where it is.
-    return m_traffic.budgetOf(m_service).left(now()) >= 1
+    return m_traffic.budgetOf(m_service).remaining(now()) >= 1
         && m_traffic.m_targets.choose(m_service, m_tried, urgency(), now(), m_traffic.m_random).target != nullptr;
 }
 
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -124,10 +124,10 @@
     const bool isOut = isStalled(target, now) || now < target.refusedUntil;
     return {.load = target.load.total(now, usualOthers),
             .slots = target.entry.slots,
-            .isNear = target.entry.zone == m_zone,
+            .isInOwnZone = target.entry.zone == m_zone,
             .isCold = target.entry.coldFor.count() > 0,
             .wasTried = tried.contains(target.entry.id),
-            .isHeldBack = target.limit.wait(m_limitPart, now).count() > 0,
+            .isAtLimit = target.limit.wait(m_limitPart, now).count() > 0,
             .health = isOut ? Health::Ejected : health.healthOf(target.entry.id, now)};
 }
 
@@ -138,7 +138,7 @@
 {
     std::vector<EngineCandidate> engines;
     std::vector<GroupName> names;
-    std::vector<GroupWork> work;
+    std::vector<GroupLoad> work;
     std::map<GroupName, std::size_t> indices;
     for (std::size_t index = 0; index < targets.size(); ++index) {
         const auto &view = *targets[index]->engine;
@@ -151,12 +151,12 @@
         engines.push_back({.target = candidates[index],
                            .group = group,
                            .isOpen = view.isOpen,
-                           .refusesNow = now < targets[index]->refusedUntil || hasUsedItsRoom(*targets[index]),
-                           .pace = view.pace});
+                           .isRefusing = now < targets[index]->refusedUntil || hasUsedItsRoom(*targets[index]),
+                           .slowdown = view.pace});
     }
     std::vector<EngineGroup> groups;
     for (std::size_t group = 0; group < work.size(); ++group) {
-        groups.push_back(m_groups[names[group]].view(work[group], rules, m_part, now));
+        groups.push_back(m_groups[names[group]].evaluate(work[group], rules, m_part, now));
     }
     const auto choice = placeStream(engines, groups, {.urgency = urgency, .share = m_part}, random);
     if (choice.index) {
@@ -165,21 +165,21 @@
     return {.isFull = choice.isFull};
 }
 
-void GatewayTargets::addTo(GroupWork &work, const GatewayTarget &target, double load, SteadyTime now)
+void GatewayTargets::addTo(GroupLoad &work, const GatewayTarget &target, double load, SteadyTime now)
 {
     ++work.engines;
     work.requests += load;
-    work.own += target.load.own();
-    work.ownReported += target.load.ownReported();
+    work.ownRequests += target.load.own();
+    work.ownRequestsAtReport += target.load.ownReported();
     work.slots += target.entry.slots;
-    work.hasSlowRank = work.hasSlowRank || target.engine->pace >= SlowPace;
+    work.hasSlowRank = work.hasSlowRank || target.engine->pace >= SlowEngineFactor;
     work.isStalled = work.isStalled || isStalled(target, now);
 }
 
 void GatewayTargets::sentTo(const GroupName &group, SteadyTime now)
 {
     if (!group.isEmpty()) {
-        m_groups[group].sent(now);
+        m_groups[group].recordSent(now);
     }
 }
 
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -97,7 +97,7 @@
 
 private:
     bool hasUsedItsRoom(const GatewayTarget &target) const;
-    static void addTo(GroupWork &work, const GatewayTarget &target, double load, SteadyTime now);
+    static void addTo(GroupLoad &work, const GatewayTarget &target, double load, SteadyTime now);
     bool isUsable(const GatewayTarget &target, const ServiceName &service) const;
     DirectCandidate candidateOf(const GatewayTarget &target, double usualOthers, const HealthTracker &health,
                                 const std::set<TargetName> &tried, SteadyTime now) const;
--- a/modules/heatherridge_transport/direct/gatewaytraffic.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.cpp
@@ -66,7 +66,7 @@
 
 void GatewayTraffic::setRetryBudget(FleetRetryBudgetOptions options)
 {
-    options.part = m_options.retryBudget.part;
+    options.slackShare = m_options.retryBudget.slackShare;
     m_options.retryBudget = options;
     for (auto &[service, budget] : m_budgets) {
         budget.setOptions(options);
@@ -75,10 +75,10 @@
 
 void GatewayTraffic::setParts(double budgetPart, double evenPart)
 {
-    m_options.retryBudget.part = budgetPart;
+    m_options.retryBudget.slackShare = budgetPart;
     m_targets.setParts(budgetPart, evenPart);
     for (auto &[service, budget] : m_budgets) {
-        budget.setPart(budgetPart);
+        budget.setSlackShare(budgetPart);
     }
 }
 
--- a/modules/heatherridge_transport/target/targettraffic.cpp
+++ b/modules/heatherridge_transport/target/targettraffic.cpp
@@ -108,9 +108,10 @@
         followConfig(m_drain, *view, m_options.target, std::chrono::steady_clock::now());
         const auto *target = self();
         if (target != nullptr && target->concurrency != hadConcurrency && target->concurrency > 0) {
-            m_limit = std::make_unique<ConcurrencyLimit>(ConcurrencyOptions{
-                .maxLimit = static_cast<std::size_t>(target->concurrency),
-                .initialLimit = std::min(ConcurrencyOptions{}.initialLimit, static_cast<std::size_t>(target->concurrency))});
+            m_limit = std::make_unique<ConcurrencyLimit>(
+                ConcurrencyOptions{.maxLimit = static_cast<std::size_t>(target->concurrency),
+                                   .initialLimit = std::min(ConcurrencyOptions{}.initialLimit,
+                                                            static_cast<std::size_t>(target->concurrency))});
             m_queue.setLimit(m_limit->limit());
         }
         if (target == nullptr || !m_view->takesWork(*target)) {
--- a/tests/decisions/answertimeout_test.cpp
+++ b/tests/decisions/answertimeout_test.cpp
@@ -10,16 +10,16 @@
 namespace
 {
 
-struct TimeoutRow
+struct AnswerTimeoutCase
 {
     const char *name;
-    std::vector<std::chrono::milliseconds> answers; ///< the last twenty round trips, in turn
-    int recordTimeout; ///< answers that did not come since
+    std::vector<std::chrono::milliseconds> roundTrips; ///< the last twenty round trips, in turn
+    int timeouts; ///< answers that did not come since
     std::chrono::milliseconds atLeast;
     std::chrono::milliseconds atMost;
 };
 
-const TimeoutRow TimeoutRows[] = {
+const AnswerTimeoutCase AnswerTimeoutCases[] = {
     {"nothing measured", {}, 0, 80ms, 80ms},
     {"near engines", {4ms}, 0, 25ms, 25ms},
     {"engines a zone away", {20ms}, 0, 25ms, 40ms},
@@ -29,29 +29,29 @@
     {"many answers lost", {20ms}, 20, 80ms, 80ms},
 };
 
-class AnswerTimeouts : public testing::TestWithParam<TimeoutRow>
+class AnswerTimeouts : public testing::TestWithParam<AnswerTimeoutCase>
 {
 };
 
 // Guards against switches of maps that wait many round trips for each lost answer, and against orders that are given
 // again before slow engines can have answered.
-TEST_P(AnswerTimeouts, FollowRoundTripsAndBackOff)
+TEST_P(AnswerTimeouts, FollowRoundTripsAndBackOffAfterTimeouts)
 {
     const auto &row = GetParam();
     AnswerTimeout timeout({.minimum = 25ms, .maximum = 80ms});
-    for (int round = 0; round < 20 && !row.answers.empty(); ++round) {
-        timeout.recordAnswer(row.answers[static_cast<std::size_t>(round) % row.answers.size()]);
+    for (int round = 0; round < 20 && !row.roundTrips.empty(); ++round) {
+        timeout.recordAnswer(row.roundTrips[static_cast<std::size_t>(round) % row.roundTrips.size()]);
     }
-    for (int lost = 0; lost < row.recordTimeout; ++lost) {
+    for (int missed = 0; missed < row.timeouts; ++missed) {
         timeout.recordTimeout();
     }
     EXPECT_GE(timeout.current(), row.atLeast) << row.name;
     EXPECT_LE(timeout.current(), row.atMost) << row.name;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, AnswerTimeouts, testing::ValuesIn(TimeoutRows));
+INSTANTIATE_TEST_SUITE_P(Table, AnswerTimeouts, testing::ValuesIn(AnswerTimeoutCases));
 
-TEST(AnswerTimeout, FallsAgainWithTheNextAnswer)
+TEST(AnswerTimeout, ResetsBackoffOnNextAnswer)
 {
     AnswerTimeout timeout({.minimum = 25ms, .maximum = 80ms});
     timeout.recordAnswer(20ms);
--- a/tests/decisions/direct_test.cpp
+++ b/tests/decisions/direct_test.cpp
@@ -18,9 +18,9 @@
 
 const SteadyTime Start{};
 
-struct StepRow
+struct NextStepCase
 {
-    const char *story;
+    const char *description;
     AttemptOutcome end;
     AttemptContext context;
     NextStep step;
@@ -30,7 +30,7 @@
 constexpr auto NonIdempotent = RequestKind::NonIdempotent;
 constexpr auto EventStream = RequestKind::EventStream;
 
-const StepRow StepRows[] = {
+const NextStepCase NextStepCases[] = {
     {"a whole answer", AttemptOutcome::Answered, {.kind = NonIdempotent, .possibleRuns = 1}, NextStep::Deliver},
     // A booking whose connection was reset may have been made. Sent again it is made twice.
     {"a booking after a reset",
@@ -84,18 +84,18 @@
      NextStep::Fail},
 };
 
-class Steps : public testing::TestWithParam<StepRow>
+class NextSteps : public testing::TestWithParam<NextStepCase>
 {
 };
 
-TEST_P(Steps, FollowFromWhatIsProved)
+TEST_P(NextSteps, FollowFromKnownOutcome)
 {
-    EXPECT_EQ(nextStep(GetParam().end, GetParam().context), GetParam().step) << GetParam().story;
+    EXPECT_EQ(nextStep(GetParam().end, GetParam().context), GetParam().step) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Steps, testing::ValuesIn(StepRows));
+INSTANTIATE_TEST_SUITE_P(All, NextSteps, testing::ValuesIn(NextStepCases));
 
-RC_GTEST_PROP(Steps, NeverRepeatWhatMayHaveRunAndMayNotRunTwice,
+RC_GTEST_PROP(NextSteps, NeverRetryNonIdempotentRequestThatMayHaveRun,
               (std::uint8_t endNumber, std::uint8_t ran, std::uint8_t tries))
 {
     const auto end = static_cast<AttemptOutcome>(endNumber % 7);
@@ -105,7 +105,7 @@
 
 // A fault makes half of all requests fail at once at every entry. The bound on repeats is one for all entries together,
 // and none sees what the others do.
-RC_GTEST_PROP(FleetRetryBudget, KeepsTheCommonBoundInEveryWindow, (std::uint32_t seed))
+RC_GTEST_PROP(FleetRetryBudget, KeepsCommonBoundInEveryWindow, (std::uint32_t seed))
 {
     constexpr int entries = 4;
     constexpr double share = 0.2;
@@ -123,8 +123,8 @@
             ++dealt[static_cast<std::size_t>(part) % living];
         }
         for (int entry = 0; entry < entries; ++entry) {
-            budgets[static_cast<std::size_t>(entry)].setPart(static_cast<double>(dealt[static_cast<std::size_t>(entry)])
-                                                             / parts);
+            budgets[static_cast<std::size_t>(entry)].setSlackShare(
+                static_cast<double>(dealt[static_cast<std::size_t>(entry)]) / parts);
         }
     };
     std::deque<SteadyTime> requests;
@@ -155,22 +155,22 @@
 
 // A rank of a group of eight dies, and 96 streams break off at once at two entries. Each used an eighth of the slack,
 // whatever the number of entries, and callers were refused although the bound was far away.
-TEST(FleetRetryBudget, UsesTheWholeSlackWhenThePartsAreKnown)
+TEST(FleetRetryBudget, UsesWholeSlackWhenSharesAreKnown)
 {
     constexpr double slack = 88;
     int taken = 0;
     for (int entry = 0; entry < 2; ++entry) {
         FleetRetryBudget budget({.slack = slack});
-        budget.setPart(0.5);
+        budget.setSlackShare(0.5);
         while (budget.tryTake(Start)) {
             ++taken;
         }
     }
-    EXPECT_GE(taken, slack * FleetRetryBudget::UsedPart - 2);
+    EXPECT_GE(taken, slack * FleetRetryBudget::SafetyFactor - 2);
     EXPECT_LE(taken, slack);
 }
 
-TEST(LoadEstimate, CountsItsOwnAndForgetsTheOthers)
+TEST(LoadEstimate, CountsOwnRequestsAndDecaysReportedLoad)
 {
     LoadEstimate load;
     load.sent();
@@ -186,7 +186,7 @@
 
 // Entries of a large site send nearly all streams to the few targets whose word is oldest: it had faded into "nothing
 // there", while others had three requests at each.
-TEST(LoadEstimate, TakesOthersToHaveTheUsualWhereItsWordIsOld)
+TEST(LoadEstimate, AssumesUsualLoadOfOthersWhenReportIsOld)
 {
     LoadEstimate load;
     EXPECT_NEAR(load.total(Start, 3), 3, 1e-9);
@@ -197,17 +197,19 @@
     EXPECT_NEAR(load.total(Start + LoadEstimate::HalfLife * 20, 3), 1 + 3, 1e-4);
 }
 
-struct PlaceRow
+struct PlacementCase
 {
-    const char *story;
+    const char *description;
     std::vector<DirectCandidate> candidates;
     std::optional<std::size_t> chosen;
 };
 
-const PlaceRow PlaceRows[] = {
+const PlacementCase PlacementCases[] = {
     {"the least loaded", {{.load = 3}, {.load = 1}, {.load = 2}}, 1},
-    {"one in the own zone before one that is slightly less loaded", {{.load = 1.2, .isNear = true}, {.load = 1}}, 0},
-    {"but not before one that is much less loaded", {{.load = 3, .isNear = true}, {.load = 1}}, 1},
+    {"one in the own zone before one that is slightly less loaded",
+     {{.load = 1.2, .isInOwnZone = true}, {.load = 1}},
+     0},
+    {"but not before one that is much less loaded", {{.load = 3, .isInOwnZone = true}, {.load = 1}}, 1},
     {"loads count by slots", {{.load = 3, .slots = 12}, {.load = 2, .slots = 4}}, 0},
     {"a cold one last among near-equals", {{.load = 1, .slots = 6, .isCold = true}, {.load = 2, .slots = 6}}, 1},
     {"an ejected one only when there is no other", {{.load = 0, .health = Health::Ejected}, {.load = 9}}, 1},
@@ -216,29 +218,29 @@
     {"nowhere", {{.load = 0, .wasTried = true}}, std::nullopt},
 };
 
-class Places : public testing::TestWithParam<PlaceRow>
+class DirectPlacement : public testing::TestWithParam<PlacementCase>
 {
 };
 
-TEST_P(Places, AreTheLeastLoadedUsableOnes)
+TEST_P(DirectPlacement, ChoosesLeastLoadedUsableTarget)
 {
     SeededRandom random(3);
     for (int i = 0; i < 20; ++i) {
-        EXPECT_EQ(placeDirectly(GetParam().candidates, random), GetParam().chosen) << GetParam().story;
+        EXPECT_EQ(placeDirectly(GetParam().candidates, random), GetParam().chosen) << GetParam().description;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Places, testing::ValuesIn(PlaceRows));
+INSTANTIATE_TEST_SUITE_P(All, DirectPlacement, testing::ValuesIn(PlacementCases));
 
-struct WaitRow
+struct PlacementWaitCase
 {
-    const char *story;
+    const char *description;
     RequestKind kind;
     std::chrono::milliseconds timeLeft;
     std::chrono::milliseconds wait;
 };
 
-const WaitRow WaitRows[] = {
+const PlacementWaitCase PlacementWaitCases[] = {
     {"a stream with all its time", EventStream, 8s, LongestStreamWait},
     {"a stream with little time", EventStream, 1s, 500ms},
     {"a booking", NonIdempotent, 1500ms, 150ms},
@@ -246,15 +248,15 @@
     {"no time", Idempotent, 0ms, 0ms},
 };
 
-class Waits : public testing::TestWithParam<WaitRow>
+class PlacementWait : public testing::TestWithParam<PlacementWaitCase>
 {
 };
 
-TEST_P(Waits, LeaveTimeForTheAnswer)
+TEST_P(PlacementWait, LeavesTimeForTheAnswer)
 {
-    EXPECT_EQ(placementWait(GetParam().kind, GetParam().timeLeft, 300ms), GetParam().wait) << GetParam().story;
+    EXPECT_EQ(placementWait(GetParam().kind, GetParam().timeLeft, 300ms), GetParam().wait) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Waits, testing::ValuesIn(WaitRows));
+INSTANTIATE_TEST_SUITE_P(All, PlacementWait, testing::ValuesIn(PlacementWaitCases));
 
 } // namespace
--- a/tests/decisions/entryside_test.cpp
+++ b/tests/decisions/entryside_test.cpp
@@ -165,12 +165,12 @@
 // and come back slowly.
 TEST(ConcurrencyLimit, FallsOnceForOneExcessAndRisesSlowly)
 {
-    ConcurrencyLimit limit({.initial = 16});
+    ConcurrencyLimit limit({.initialLimit = 16});
     auto now = Start;
     const auto play = [&](std::chrono::microseconds gap, int windows) {
         for (int i = 0; i < windows * 10; ++i) {
             now += 50ms;
-            limit.recordBetween(gap, std::min<std::size_t>(limit.limit(), 60), now);
+            limit.recordTokenGap(gap, std::min<std::size_t>(limit.limit(), 60), now);
         }
     };
     play(20ms, 30);
--- a/tests/decisions/groupadmission_test.cpp
+++ b/tests/decisions/groupadmission_test.cpp
@@ -16,14 +16,14 @@
 const PassBudgetRules Rules{
     .base = 18.2ms, .perRequest = 3.62ms, .promptTime = 13.6ms, .passesPerStream = 24, .longestPass = 108ms};
 
-GroupWork workOf(double requestsPerEngine)
+GroupLoad loadOf(double requestsPerEngine)
 {
     const double requests = requestsPerEngine * Engines;
     const int own = static_cast<int>(requests * Share);
     return {.reportedPass = 40ms,
             .requests = requests,
-            .own = own,
-            .ownReported = own,
+            .ownRequests = own,
+            .ownRequestsAtReport = own,
             .engines = Engines,
             .slots = 12 * Engines};
 }
@@ -33,20 +33,20 @@
 {
     GroupAdmission group;
     group.setOpen(true, Start - 1h);
-    group.view(workOf(1), Rules, Share, Start - 1min);
+    group.evaluate(loadOf(1), Rules, Share, Start - 1min);
     return group;
 }
 
-struct ViewRow
+struct GroupViewCase
 {
-    const char *story;
+    const char *description;
     std::chrono::milliseconds pause; ///< of all passes of the last seconds, with four requests an engine
     double requestsPerEngine; ///< now
-    bool hasRoom;
+    bool hasHeadroom;
     bool cannotBeOnTime;
 };
 
-const ViewRow ViewRows[] = {
+const GroupViewCase GroupViewCases[] = {
     {"short passes, some requests", 45ms, 6, true, false},
     {"short passes, as many as are on time", 45ms, 15, false, false},
     {"long passes, some requests", 90ms, 6, false, false},
@@ -54,80 +54,80 @@
     {"passes that keep no promise with a single request", 290ms, 1, false, true},
 };
 
-class Views : public testing::TestWithParam<ViewRow>
+class GroupView : public testing::TestWithParam<GroupViewCase>
 {
 };
 
-TEST_P(Views, FollowFromPauses)
+TEST_P(GroupView, FollowsFromPauses)
 {
     const auto &row = GetParam();
     auto group = established();
     auto now = Start;
     for (int pass = 0; pass < 20; ++pass) {
-        group.view(workOf(4), Rules, Share, now);
+        group.evaluate(loadOf(4), Rules, Share, now);
         now += row.pause;
         group.recordPause(row.pause, now);
     }
-    const auto view = group.view(workOf(row.requestsPerEngine), Rules, Share, now);
-    EXPECT_EQ(view.hasRoom, row.hasRoom) << row.story;
-    EXPECT_EQ(view.cannotBeOnTime, row.cannotBeOnTime) << row.story;
+    const auto view = group.evaluate(loadOf(row.requestsPerEngine), Rules, Share, now);
+    EXPECT_EQ(view.hasHeadroom, row.hasHeadroom) << row.description;
+    EXPECT_EQ(view.cannotBeOnTime, row.cannotBeOnTime) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Views, testing::ValuesIn(ViewRows));
+INSTANTIATE_TEST_SUITE_P(All, GroupView, testing::ValuesIn(GroupViewCases));
 
-struct LateRow
+struct LateHeadroomCase
 {
-    const char *story;
+    const char *description;
     std::chrono::milliseconds badPause; ///< of some passes, two seconds ago
     double requestsPerEngine;
-    bool hasRoom;
-    bool hasRoomForLate;
+    bool hasHeadroom;
+    bool hasHeadroomForLate;
 };
 
 // Groups stay full of late streams between two jumps of demand, so that each jump makes timely ones late as well; or
 // they are kept so empty for the next jump that timely ones wait before engines with room.
-const LateRow LateRows[] = {
+const LateHeadroomCase LateHeadroomCases[] = {
     {"no bad moments", 45ms, 8, true, true},
     {"bad moments that fewer requests would have met", 110ms, 8, true, false},
     {"room even for those", 110ms, 2, true, true},
     {"no room at all", 110ms, 15, false, false},
 };
 
-class RoomForLate : public testing::TestWithParam<LateRow>
+class HeadroomForLate : public testing::TestWithParam<LateHeadroomCase>
 {
 };
 
-TEST_P(RoomForLate, IsWhatBadMomentsCarry)
+TEST_P(HeadroomForLate, IsLimitedByRecentBadMoments)
 {
     const auto &row = GetParam();
     auto group = established();
     auto now = Start;
     const auto passes = [&](int count, std::chrono::milliseconds pause) {
         for (int pass = 0; pass < count; ++pass) {
-            group.view(workOf(4), Rules, Share, now);
+            group.evaluate(loadOf(4), Rules, Share, now);
             now += pause;
             group.recordPause(pause, now);
         }
     };
     passes(10, row.badPause);
     passes(40, 45ms);
-    const auto view = group.view(workOf(row.requestsPerEngine), Rules, Share, now);
-    EXPECT_EQ(view.hasRoom, row.hasRoom) << row.story;
-    EXPECT_EQ(view.hasRoomForLate, row.hasRoomForLate) << row.story;
+    const auto view = group.evaluate(loadOf(row.requestsPerEngine), Rules, Share, now);
+    EXPECT_EQ(view.hasHeadroom, row.hasHeadroom) << row.description;
+    EXPECT_EQ(view.hasHeadroomForLate, row.hasHeadroomForLate) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, RoomForLate, testing::ValuesIn(LateRows));
+INSTANTIATE_TEST_SUITE_P(All, HeadroomForLate, testing::ValuesIn(LateHeadroomCases));
 
-struct GrowthRow
+struct OthersGrowthCase
 {
     const char *name;
     int own; ///< requests of the entry
     int ownReported; ///< when engines last told their load
     double othersReported; ///< requests of other entries then
-    bool hasRoom; ///< for which there is room while the group has less than 18 an engine
+    bool hasHeadroom; ///< for which there is room while the group has less than 18 an engine
 };
 
-const GrowthRow GrowthRows[] = {
+const OthersGrowthCase OthersGrowthCases[] = {
     {"as it was told", 20, 20, 60, true},
     {"the entry has sent twice as much since", 40, 20, 60, false},
     {"much has ended since, where there was no room", 10, 36, 108, true},
@@ -135,95 +135,95 @@
     {"nothing was told yet", 36, 0, 0, false},
 };
 
-class OthersGrowth : public testing::TestWithParam<GrowthRow>
+class OthersGrowth : public testing::TestWithParam<OthersGrowthCase>
 {
 };
 
 // Guards against entries that all send to one sound group until its passes break the promise, because each counts only
 // its own streams since the engines last told their load.
-TEST_P(OthersGrowth, IsTakenToBeAsThatOfTheEntry)
+TEST_P(OthersGrowth, IsAssumedToMatchOwnGrowth)
 {
     const auto &row = GetParam();
     auto group = established();
     auto now = Start;
     for (int pass = 0; pass < 20; ++pass) {
-        group.view(workOf(4), Rules, Share, now);
+        group.evaluate(loadOf(4), Rules, Share, now);
         now += 45ms;
         group.recordPause(45ms, now);
     }
-    const auto view = group.view({.reportedPass = 45ms,
-                                  .requests = row.othersReported + row.own,
-                                  .own = row.own,
-                                  .ownReported = row.ownReported,
-                                  .engines = Engines,
-                                  .slots = 12 * Engines},
-                                 Rules, Share, now);
-    EXPECT_EQ(view.hasRoom, row.hasRoom) << row.name;
+    const auto view = group.evaluate({.reportedPass = 45ms,
+                                      .requests = row.othersReported + row.own,
+                                      .ownRequests = row.own,
+                                      .ownRequestsAtReport = row.ownReported,
+                                      .engines = Engines,
+                                      .slots = 12 * Engines},
+                                     Rules, Share, now);
+    EXPECT_EQ(view.hasHeadroom, row.hasHeadroom) << row.name;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, OthersGrowth, testing::ValuesIn(GrowthRows));
+INSTANTIATE_TEST_SUITE_P(Table, OthersGrowth, testing::ValuesIn(OthersGrowthCases));
 
 // Guards against four entries that each fill a group which has just opened by themselves, since no status shows yet
 // what the others have sent.
-TEST(GroupAdmission, OfFourEntriesFillsAStartingGroupOnce)
+TEST(GroupAdmission, FourEntriesTogetherFillStartingGroupOnce)
 {
     GroupAdmission group;
     group.setOpen(true, Start);
     int sent = 0;
     auto passEnds = Start + 50ms;
     for (auto now = Start; now < Start + 500ms; now += 10ms) {
-        auto work = workOf(0);
-        work.requests = sent;
-        work.own = sent;
-        while (group.view(work, Rules, Share, now).hasRoom) {
-            group.sent(now);
-            work.own = ++sent;
-            work.requests = sent;
+        auto load = loadOf(0);
+        load.requests = sent;
+        load.ownRequests = sent;
+        while (group.evaluate(load, Rules, Share, now).hasHeadroom) {
+            group.recordSent(now);
+            load.ownRequests = ++sent;
+            load.requests = sent;
         }
         if (now >= passEnds) {
             group.recordPause(50ms, now);
             passEnds += 50ms;
         }
     }
-    const double most = requestsOnTime(1, Engines, Rules);
+    const double maxRequests = requestsOnTime(1, Engines, Rules);
     EXPECT_TRUE(group.isStarting());
-    EXPECT_LE(sent, most * Share);
-    EXPECT_GT(sent, most * Share / 4);
+    EXPECT_LE(sent, maxRequests * Share);
+    EXPECT_GT(sent, maxRequests * Share / 4);
 }
 
 // All engines lose power. When they are back they read all that has waited with a map that fits nothing, in passes of
 // 150 ms; half a second later passes are short. The group was kept half empty for five seconds for these first passes.
-TEST(GroupAdmission, ForgetsHowTheGroupStarted)
+TEST(GroupAdmission, IgnoresStartupPassesOnceEstablished)
 {
     GroupAdmission group;
     group.setOpen(true, Start);
     auto now = Start;
     for (int pass = 0; pass < 5; ++pass) {
-        group.view(workOf(4), Rules, Share, now);
+        group.evaluate(loadOf(4), Rules, Share, now);
         now += 150ms;
         group.recordPause(150ms, now);
     }
-    EXPECT_FALSE(group.view(workOf(4), Rules, Share, now).hasRoom);
+    EXPECT_FALSE(group.evaluate(loadOf(4), Rules, Share, now).hasHeadroom);
     while (now < Start + SlowStart + 500ms) {
         now += 45ms;
         group.recordPause(45ms, now);
-        group.view(workOf(4), Rules, Share, now);
+        group.evaluate(loadOf(4), Rules, Share, now);
     }
     EXPECT_FALSE(group.isStarting());
-    EXPECT_TRUE(group.view(workOf(8), Rules, Share, now).hasRoom);
+    EXPECT_TRUE(group.evaluate(loadOf(8), Rules, Share, now).hasHeadroom);
 }
 
-TEST(GroupAdmission, SendsNoMoreThanItsShareWithinAPass)
+TEST(GroupAdmission, SendsAtMostItsShareWithinAPass)
 {
     auto group = established();
     int sent = 0;
-    while (group.view(workOf(1), Rules, Share, Start).hasRoom) {
-        group.sent(Start);
+    while (group.evaluate(loadOf(1), Rules, Share, Start).hasHeadroom) {
+        group.recordSent(Start);
         ++sent;
         ASSERT_LT(sent, 100);
     }
     EXPECT_GE(sent, 1);
-    EXPECT_TRUE(group.view(workOf(1), Rules, Share, Start + GroupAdmission::LongestPass).hasRoom);
+    EXPECT_TRUE(group.evaluate(loadOf(1), Rules, Share, Start + GroupAdmission::MaxPass).hasHeadroom);
 }
 
 } // namespace
--- a/tests/decisions/startreplay_test.cpp
+++ b/tests/decisions/startreplay_test.cpp
@@ -42,7 +42,7 @@
     {
         for (const auto end = m_now + time; m_now < end; m_now += Step) {
             for (auto &entry : m_entries) {
-                sendWhatIsAdmitted(entry);
+                sendAdmitted(entry);
             }
             if (m_now >= m_passEnds) {
                 endPass();
@@ -72,16 +72,18 @@
         int prompts = 0; ///< streams whose prompt is not read yet
     };
 
-    void sendWhatIsAdmitted(Entry &entry)
+    void sendAdmitted(Entry &entry)
     {
         const auto own = [&] { return static_cast<int>(entry.passesLeft.size()) + entry.prompts; };
         const auto view = [&] {
-            const GroupWork work{
-                .requests = static_cast<double>(own()), .own = own(), .engines = Engines, .slots = Engines * Slots};
-            return entry.admission.view(work, Rules, 1.0 / static_cast<double>(m_entries.size()), m_now);
+            const GroupLoad work{.requests = static_cast<double>(own()),
+                                 .ownRequests = own(),
+                                 .engines = Engines,
+                                 .slots = Engines * Slots};
+            return entry.admission.evaluate(work, Rules, 1.0 / static_cast<double>(m_entries.size()), m_now);
         };
-        while (requests() < static_cast<int>(Engines) * Slots && view().hasRoom) {
-            entry.admission.sent(m_now);
+        while (requests() < static_cast<int>(Engines) * Slots && view().hasHeadroom) {
+            entry.admission.recordSent(m_now);
             ++entry.prompts;
         }
     }
@@ -115,38 +117,38 @@
     std::vector<Milliseconds> m_passes;
 };
 
-struct StartRow
+struct GroupStartCase
 {
     const char *name;
     std::size_t entries;
     double stretch; ///< of the work for tokens, by the first map
-    int fewest; ///< requests that are there a second later
+    int minRequests; ///< requests that are there a second later
 };
 
-const StartRow StartRows[] = {
+const GroupStartCase GroupStartCases[] = {
     {"one entry, an even map", 1, 1.2, 160},
     {"nine entries, an even map", 9, 1.2, 160},
     {"nine entries, a map that triples the work of a pass", 9, 2.9, 70},
     {"six entries, a map that triples the work of a pass", 6, 2.9, 70},
 };
 
-class StartReplay : public testing::TestWithParam<StartRow>
+class StartReplay : public testing::TestWithParam<GroupStartCase>
 {
 };
 
 // Guards against entries that together fill a group which has just opened, before any of them has seen one of its
 // passes.
-TEST_P(StartReplay, FillsTheGroupWithoutPassesThatBreakThePromise)
+TEST_P(StartReplay, FillsGroupWithoutPassesThatBreakThePromise)
 {
     const auto &row = GetParam();
     OpeningGroup group(row.entries, row.stretch);
     group.run(1s);
-    const auto broken = std::count_if(group.passes().begin(), group.passes().end(),
-                                      [](auto pass) { return pass > Rules.longestPass / 0.9; });
-    EXPECT_LE(broken, 1) << row.name;
-    EXPECT_GE(group.requests(), row.fewest) << row.name;
+    const auto latePasses = std::count_if(group.passes().begin(), group.passes().end(),
+                                          [](auto pass) { return pass > Rules.longestPass / 0.9; });
+    EXPECT_LE(latePasses, 1) << row.name;
+    EXPECT_GE(group.requests(), row.minRequests) << row.name;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, StartReplay, testing::ValuesIn(StartRows));
+INSTANTIATE_TEST_SUITE_P(Table, StartReplay, testing::ValuesIn(GroupStartCases));
 
 } // namespace
