--- a/modules/heatherridge_state/decisions/admissionqueue.cpp
+++ b/modules/heatherridge_state/decisions/admissionqueue.cpp
@@ -10,17 +10,19 @@
 namespace
 {
 
-/** Shortest and longest time a refused caller is told to wait: below, it costs more than it saves; above, nobody can
- * foresee the load. */
+/**
+ * Minimum and maximum retry delay sent with a refusal. A shorter delay costs more than it saves; further ahead the load
+ * cannot be predicted.
+ */
 constexpr std::chrono::milliseconds MinRetryAfter{100};
 constexpr std::chrono::milliseconds MaxRetryAfter{30'000};
-/** How long after the last short request slots are kept free for the next. */
+/** How long slots stay reserved for short requests after the last short request. */
 constexpr std::chrono::seconds ShortRequestMemory{10};
-/** Long enough for tens of requests at a target, short enough to follow a burst. */
+/** Long enough to cover tens of requests at a target, short enough to follow a burst. */
 constexpr std::chrono::milliseconds PressureHalfLife{2000};
-/** Shortest time between two looks at a lane that waits. */
+/** Minimum time between two sweeps of a lane with waiting requests. */
 constexpr std::chrono::milliseconds MinSweepInterval{100};
-/** Share of the newest request in the average cost. */
+/** Weight of the newest request in the moving average of the cost. */
 constexpr double CostSmoothing = 0.02;
 
 } // namespace
@@ -211,7 +213,7 @@
     return share;
 }
 
-/** The part of the slots that falls to @p share while it competes with the other lanes that wait. */
+/** Returns the fair share of slots for @p share while it competes with the other lanes that have waiting requests. */
 double AdmissionQueue::fairSlots(const Share &share) const
 {
     const double otherWeight = m_activeWeight - (share.lane.isEmpty() ? 0 : share.weight);
@@ -219,9 +221,9 @@
 }
 
 /**
- * Whether @p share has waited too long on its own account. A lane in credit has received less than its share even when
- * all that waits is added; it stands before those beyond theirs, so its waits are short, and giving up its requests
- * would hand its share to them.
+ * Returns whether @p share is overloaded by its own traffic. A lane whose tag stays behind virtual time even with its
+ * backlog added has received less than its share. It is served before lanes that exceed theirs, so its waits are short,
+ * and abandoning its requests would give its share to those lanes.
  */
 bool AdmissionQueue::isOverloaded(const Share &share, SteadyTime now) const
 {
@@ -247,8 +249,8 @@
 }
 
 /**
- * When a refused request should come back: after what waits and what was sent back before it has been worked off.
- * Counting the latter spreads the returns; without it all refused callers would come back at one moment.
+ * Returns the retry delay for a refused request: the time needed to work off the backlog and the requests refused
+ * before. Counting the latter spreads the retries; without it all refused callers would return at the same time.
  */
 std::chrono::milliseconds AdmissionQueue::retryDelay(Share &share, double cost, SteadyTime now)
 {
@@ -261,7 +263,7 @@
     share.deferredAt = now;
     share.deferredCost += cost;
     const auto delay = m_rate.drainTime(share.lane.backlog() + share.deferredCost, slots);
-    // What has been promised is bounded as well, so that the time is right again soon after the load has gone.
+    // The deferred cost is bounded too, so that the delay becomes accurate again soon after the load has dropped.
     if (delay > MaxRetryAfter) {
         share.deferredCost -= cost;
     }
@@ -274,8 +276,8 @@
 }
 
 /**
- * Over its limit is a workspace that has received more for its weight than those it competes with; else the target has
- * too little for all, and another target may have more.
+ * A workspace is over its limit if it has received more for its weight than the workspaces it competes with. Otherwise
+ * the target lacks capacity for all of them, and another target may have more.
  */
 ErrorKind AdmissionQueue::overloadKind(const Share &share) const
 {
@@ -298,8 +300,9 @@
 }
 
 /**
- * Gives up what has waited too long in an overloaded lane, while newer requests come to take its place. When none do,
- * as after the loss of a neighbour whose work came here at once, giving up would leave slots idle later.
+ * Abandons requests that have waited too long in an overloaded lane, as long as newer requests arrive to replace them.
+ * If none arrive, for example after a neighbouring target failed and its work arrived here all at once, abandoning
+ * requests would leave slots idle later.
  */
 void AdmissionQueue::abandonStale(Share &share, SteadyTime now)
 {
@@ -314,15 +317,17 @@
     if (share.lane.isEmpty()) {
         return;
     }
-    // A lane whose oldest has waited that long already is looked at again to see whether it has become overloaded.
+    // If the oldest request has already waited that long, the lane is checked again to see whether it has become
+    // overloaded.
     const auto staleAt = std::max(*share.lane.oldestArrival() + m_options.maxOverloadWait, now + MinSweepInterval);
     const auto next = std::min(staleAt, *share.lane.earliestLatestStart());
     m_nextSweep = m_nextSweep ? std::min(*m_nextSweep, next) : next;
 }
 
 /**
- * Makes a place for a request of @p share when all are taken: the lane that holds most for its weight loses its oldest.
- * Without it a workspace that fills the queue would lock the others out before shares come into play.
+ * Makes room for a request of @p share when the queue is full: the lane with the largest backlog for its weight loses
+ * its oldest request. Without this a workspace that fills the queue would lock out the others before shares take
+ * effect.
  */
 bool AdmissionQueue::makeRoom(Share &share, SteadyTime now)
 {
@@ -342,7 +347,7 @@
     return true;
 }
 
-/** Lets what was offered and started fade alike, so that their ratio is that of the last seconds. */
+/** Decays the offered and the started cost at the same rate, so that their ratio reflects the last seconds. */
 void AdmissionQueue::decayPressure(SteadyTime now)
 {
     const std::chrono::duration<double> elapsed = now - m_decayedAt;
--- a/modules/heatherridge_state/decisions/admissionqueue.h
+++ b/modules/heatherridge_state/decisions/admissionqueue.h
@@ -11,37 +11,46 @@
 namespace Heatherridge
 {
 
-/** Bounds of an AdmissionQueue. */
+/** Limits of an AdmissionQueue. */
 struct AdmissionOptions
 {
-    /** Waiting requests in all. At 16 slots and half a second a request, 256 are 8 s of work: beyond it callers are
-     * better served by an answer at once. */
+    /**
+     * Maximum number of waiting requests. At 16 slots and half a second per request, 256 requests are 8 s of work;
+     * beyond that an immediate refusal serves callers better.
+     */
     std::size_t queueCapacity = 256;
-    /** Cost that a workspace may receive ahead of its share after a pause: about 16 calls of 500 tokens, the burst of
-     * one page that asks several questions. */
+    /**
+     * Cost that a workspace may receive ahead of its share after an idle period: about 16 calls of 500 tokens, the
+     * burst of one page that asks several questions.
+     */
     double burst = 8'000;
-    /** A lane is overloaded when for so long none of its requests started promptly (WorkspaceLane::PromptWait): a burst
-     * that fits the target ends sooner. */
+    /**
+     * A lane is overloaded when none of its requests has started promptly (WorkspaceLane::PromptWait) for this long. A
+     * burst that fits the target ends sooner.
+     */
     std::chrono::milliseconds overloadDelay{1000};
-    /** Longest wait in an overloaded lane: bridges the gap between two arrivals, and a refused caller knows soon. */
+    /**
+     * Maximum wait in an overloaded lane. Long enough to bridge the gap between two arrivals, short enough that a
+     * refused caller learns it soon.
+     */
     std::chrono::milliseconds maxOverloadWait{500};
-    /** A request is long from this multiple of the average cost on. */
+    /** A request counts as long when its cost exceeds this multiple of the average cost. */
     double longRequestFactor = 4;
-    /** Slots that long requests may hold while short ones have been asking. */
+    /** Share of the slots that long requests may hold while short requests keep arriving. */
     double longRequestShare = 0.5;
 };
 
-/** A request that was started at once. */
+/** The request was started at once. */
 struct Started
 {
 };
 
-/** A request that waits; take() hands it out, or collectGivenUp() says why not. */
+/** The request waits. Either startNext() returns it, or collectAbandoned() reports why it does not run. */
 struct Queued
 {
 };
 
-/** What becomes of an offered request; an error always means that it did not run. */
+/** Result of offering a request; an error always means that the request did not run. */
 using OfferResult = std::variant<Started, Queued, Error>;
 
 /** A request that waited and will not be started. */
@@ -51,92 +60,103 @@
     Error error{};
 };
 
-/** What a target is busy with, as it reports it to entries. */
+/** Current load of a target, as it reports it to entries. */
 struct AdmissionLoad
 {
     std::size_t running = 0;
     std::size_t waiting = 0;
-    std::size_t limit = 0; ///< how many may run at a time
+    std::size_t limit = 0; ///< maximum number of running requests
     double waitingCost = 0;
     double runningCost = 0;
-    double pressure = 1; ///< cost offered over cost started in the last seconds; 1 while nothing is refused
-    double capacity = 0; ///< cost that runs when all slots are taken by average requests; 0 before the first request
+    double pressure = 1; ///< cost offered divided by cost started over the last seconds; 1 while nothing is refused
+    double capacity = 0; ///< cost that runs when average requests occupy all slots; 0 before the first request
 };
 
 /**
  * Decides at a target which requests start, which wait and which are refused.
  *
- * Load pattern: many entries, each of which sees only its own part, send more than the target can do, most of it from
- * few workspaces. Without one queue at the one place that sees all, limits do not hold in sum; with a second queue at
- * the entries each would think it is the only one, and work would expire in the other. Hence entries never queue.
+ * Load pattern: many entries, each of which sees only its own traffic, send more than the target can process, most of
+ * it from a few workspaces. Limits hold in total only if a single queue sees all requests. With a second queue at the
+ * entries, each queue would act as if it were the only one, and requests would expire in the other. Entries therefore
+ * never queue.
  *
- * - Shares: start-time fair queueing over cost. Each lane has a tag that advances by cost / weight of what was
- *   started; the lowest tag goes next. Without it the workspace that sends most receives most.
- * - Priority brings a lane forward by a bounded lead of its tag (one average request a step), so that urgent work
- *   starts sooner but its workspace's share stays the same; within a lane see WorkspaceLane.
- * - Deadlines: what cannot finish in time by the measured rate is refused at once as not run, on arrival or as soon as
- *   it becomes so while it waits (see nextSweep()).
- * - Overload of a lane: the newest viable request is served first, and what has waited overloadedWait is given up, so
- *   that callers get their answer or refusal within about a second. A lane is judged by its waits, not by being
- *   occupied: one that is served promptly whenever its turn comes is within its share, however often it fills.
- * - Long requests leave half of the slots to short ones while there are any.
+ * - Shares: start-time fair queueing by cost. Each lane has a tag that advances by cost / weight of the requests
+ *   started; the lane with the lowest tag is served next. Without it the workspace that sends most receives most.
+ * - Priority moves a lane ahead by a bounded offset of its tag (one average request per priority step), so that urgent
+ *   requests start sooner while the share of their workspace stays the same. For the order within a lane see
+ *   WorkspaceLane.
+ * - Deadlines: a request that cannot finish in time at the measured service rate is refused as not run, either on
+ *   arrival or as soon as this becomes true while it waits (see nextSweep()).
+ * - Overload of a lane: the newest viable request is served first, and requests that have waited for maxOverloadWait
+ *   are abandoned, so that callers get an answer or a refusal within about a second. Overload is judged by waiting
+ *   times, not by whether the lane is occupied: a lane that is served promptly on each of its turns is within its
+ *   share, however often it fills.
+ * - Long requests leave half of the slots to short requests while there are any.
  *
- * After every call that may free a slot (offer, finish, setLimit, cancel) the owner calls take() until it returns
- * nothing and then collectGivenUp(). One thread; no clock of its own.
+ * After every call that may free a slot (offer, finish, setLimit, cancel) the owner calls startNext() until it returns
+ * nothing, then collectAbandoned(). Single-threaded; has no clock of its own.
  */
 class AdmissionQueue
 {
 public:
-    /** An empty queue that lets one request run at a time until setLimit(). */
+    /** Creates an empty queue that lets one request run at a time until setLimit() is called. */
     explicit AdmissionQueue(AdmissionOptions options = {});
 
-    /** Asks for a place for @p request at @p now. A refusal says when asking again can help. */
+    /** Offers @p request at @p now. A refusal says when a retry can succeed. */
     OfferResult offer(const WorkRequest &request, SteadyTime now);
 
-    /** The request to start next, or nothing when none waits or all slots are taken. It holds a slot until finish(). */
+    /**
+     * Starts the next request and returns its id; nothing if none waits or all slots are taken. The request holds its
+     * slot until finish().
+     */
     std::optional<RequestId> startNext(SteadyTime now);
 
     /**
-     * The started request @p id has ended.
-     * @param actualCost tokens it really took; corrects what its workspace was charged
+     * Records that the started request @p id has ended.
+     * @param actualCost tokens that it actually used; corrects the cost charged to its workspace
      */
     void finish(const RequestId &id, double actualCost, SteadyTime now);
 
-    /** The caller of @p id has gone. Returns whether it was waiting, and then it never runs; false leaves it running.
+    /**
+     * Cancels the request @p id because its caller has disconnected. Returns true if it was waiting, in which case it
+     * never runs. Returns false for a running request, which continues.
      */
     bool cancel(const RequestId &id);
 
-    /** Sets how many requests may run at a time; at least 1. Running ones are never stopped. */
+    /** Sets how many requests may run at a time, at least 1. Never stops running requests. */
     void setLimit(std::size_t limit);
 
-    /** Gives up all waiting requests as not run and refuses new ones from now on. Running ones go on. */
+    /** Abandons all waiting requests as not run and refuses new ones from now on. Running requests continue. */
     void drain();
 
-    /** Requests given up since the last call, each reported exactly once. */
+    /** Returns the requests abandoned since the last call, each exactly once. */
     std::vector<AbandonedRequest> collectAbandoned();
 
-    /** Gives up what cannot finish any more. Called by take() too; the owner sets a timer for nextSweep(). */
+    /**
+     * Abandons requests that can no longer finish in time. startNext() calls it too; the owner sets a timer for
+     * nextSweep().
+     */
     void sweep(SteadyTime now);
 
-    /** When sweep() has something to do at the earliest, or nothing. */
+    /** Returns the earliest time at which sweep() has work to do, or nothing. */
     std::optional<SteadyTime> nextSweep() const;
 
-    /** What runs and waits now. */
+    /** Returns the current load. */
     AdmissionLoad load() const;
 
-    /** How many run now. */
+    /** Returns the number of running requests. */
     std::size_t running() const;
 
-    /** How many wait now. */
+    /** Returns the number of waiting requests. */
     std::size_t waiting() const;
 
 private:
     struct Share
     {
         WorkspaceLane lane{};
-        double tag = 0; ///< cost / weight started so far, on the common virtual time line
+        double tag = 0; ///< cost / weight started so far, in virtual time common to all lanes
         double weight = 1;
-        double deferredCost = 0; ///< cost refused with a time to come back, worked off since
+        double deferredCost = 0; ///< cost refused with a retry delay and not yet worked off
         SteadyTime deferredAt{};
     };
 
@@ -170,13 +190,13 @@
     std::vector<AbandonedRequest> m_abandoned;
     ServiceRate m_rate;
     std::optional<SteadyTime> m_nextSweep;
-    std::optional<SteadyTime> m_lastShortArrival; ///< when a short request last came
+    std::optional<SteadyTime> m_lastShortArrival; ///< when the last short request arrived
     double m_virtualTime = 0;
     double m_activeWeight = 0; ///< sum of the weights of lanes with waiting requests
-    double m_offeredCost = 0; ///< cost offered lately, fading
-    double m_startedCost = 0; ///< cost started lately, fading alike
+    double m_offeredCost = 0; ///< cost offered recently, decaying exponentially
+    double m_startedCost = 0; ///< cost started recently, decaying at the same rate
     SteadyTime m_decayedAt{};
-    double m_averageCost = 0; ///< of all offered requests
+    double m_averageCost = 0; ///< over all offered requests
     std::size_t m_limit = 1;
     std::size_t m_longRunning = 0;
     bool m_draining = false;
--- a/modules/heatherridge_state/decisions/answertimeout.cpp
+++ b/modules/heatherridge_state/decisions/answertimeout.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr RunningEstimateOptions RoundTripGains{.meanGain = 0.125, .deviationGain = 0.25};
-/** Deviations beyond the mean that an answer is waited for. */
+/** Number of deviations above the mean round trip. */
 constexpr double DeviationFactor = 4;
 constexpr double BackoffFactor = 2;
 constexpr double MaxBackoffFactor = 64;
--- a/modules/heatherridge_state/decisions/answertimeout.h
+++ b/modules/heatherridge_state/decisions/answertimeout.h
@@ -8,30 +8,30 @@
 {
 
 /**
- * How long an answer is waited for before its request, which may be repeated, is sent again.
+ * Computes how long to wait for an answer before the request, which may be repeated, is sent again.
  *
- * Follows the round trips that were measured, with their deviation, as TCP does: a fixed time is many round trips where
- * engines are near, and each lost answer holds up whatever waits for all of them. Doubled with each answer that does
- * not come, until one does. One thread.
+ * Follows the measured round trips and their deviation, as TCP does: a fixed timeout amounts to many round trips where
+ * engines are near, and each lost answer delays any work that waits for all answers. The timeout doubles with each
+ * missing answer until one arrives. Single-threaded.
  */
 class AnswerTimeout
 {
 public:
     struct Options
     {
-        std::chrono::milliseconds minimum{25}; ///< a process that gets a part of a core answers within this
-        std::chrono::milliseconds maximum{80}; ///< also the first, before anything was measured
+        std::chrono::milliseconds minimum{25}; ///< a process that gets only a share of a core answers within this time
+        std::chrono::milliseconds maximum{80}; ///< also the initial timeout, before any measurement
     };
 
     explicit AnswerTimeout(Options options);
 
-    /** For a request that is sent now. */
+    /** Returns the timeout for a request that is sent now. */
     std::chrono::milliseconds current() const;
 
-    /** An answer came @p roundTrip its request was sent. */
+    /** Records that an answer arrived @p roundTrip after its request was sent. */
     void recordAnswer(RunningEstimate::Milliseconds roundTrip);
 
-    /** No answer came in time. */
+    /** Records that no answer arrived in time. */
     void recordTimeout();
 
 private:
--- a/modules/heatherridge_state/decisions/backoff.cpp
+++ b/modules/heatherridge_state/decisions/backoff.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr int MaxDoublings = 20; // keeps the shift defined
+constexpr int MaxDoublings = 20; // keeps the shift well defined
 
 } // namespace
 
--- a/modules/heatherridge_state/decisions/backoff.h
+++ b/modules/heatherridge_state/decisions/backoff.h
@@ -8,18 +8,19 @@
 namespace Heatherridge
 {
 
-/** Bounds of a Backoff. */
+/** Limits of a Backoff. */
 struct BackoffOptions
 {
     std::chrono::milliseconds baseDelay{20}; ///< about ten round trips between zones
-    std::chrono::milliseconds maxDelay{2000}; ///< beyond it a retry seldom meets the deadline
+    std::chrono::milliseconds maxDelay{2000}; ///< after a longer delay a retry seldom meets the deadline
 };
 
 /**
- * How long to wait before a retry: drawn evenly between nothing and base * 2^attempt ("full jitter").
+ * Computes the delay before a retry: uniformly distributed between zero and baseDelay * 2^attempt, at most maxDelay
+ * ("full jitter").
  *
- * Load pattern: many requests that fail at one moment. Without jitter they all return at one moment and fail again;
- * without growth they return faster than the fault can pass. Keeps no state.
+ * Load pattern: many requests that fail at the same time. Without jitter they all return at the same time and fail
+ * again; without exponential growth they return before the fault has passed. Stateless.
  */
 class Backoff
 {
@@ -27,8 +28,8 @@
     explicit Backoff(BackoffOptions options = {});
 
     /**
-     * The wait before retry number @p retry (the first is 0).
-     * @param retryAfter the refusing side's wish; the wait is never shorter, and jitter is added on top
+     * Returns the delay before retry number @p retry (the first is 0).
+     * @param retryAfter delay requested by the refusing side; the result is never shorter, and jitter is added on top
      */
     std::chrono::milliseconds delay(int retry, std::optional<std::chrono::milliseconds> retryAfter,
                                     RandomSource &random) const;
--- a/modules/heatherridge_state/decisions/concurrencylimit.cpp
+++ b/modules/heatherridge_state/decisions/concurrencylimit.cpp
@@ -11,15 +11,18 @@
 constexpr double DecreasePerExcess = 0.1;
 constexpr double MinDecreaseFactor = 0.5;
 constexpr double GrowthPerWindow = 1.0 / 16;
-/** From here on the limit that was late last time is approached by a hundredth a window. */
+/** From this fraction of the limit that was last late, the limit grows by only a hundredth per window. */
 constexpr double NearCeiling = 0.9;
 constexpr double GrowthNearCeiling = 0.01;
-/** No growth this near to late: else the limit would cross the line every few windows and be cut each time. */
+/**
+ * The limit does not grow above this fraction of the acceptable latency; otherwise it would cross the bound every few
+ * windows and be cut each time.
+ */
 constexpr double MaxExcessForGrowth = 0.9;
 constexpr double SlowStartFactor = 2;
-/** Share of the limit that must have been in use before it may grow. */
+/** Fraction of the limit that must have been in use before the limit may grow. */
 constexpr double MinUtilization = 0.75;
-/** Share of the limit below which the latency counts as that of an idle target. */
+/** Fraction of the limit below which the latency counts as that of an idle target. */
 constexpr double LightLoadUtilization = 0.25;
 /** Multiple of the initial limit at which a target counts as warm even if it was never late. */
 constexpr double WarmFactor = 4;
--- a/modules/heatherridge_state/decisions/costplacement.cpp
+++ b/modules/heatherridge_state/decisions/costplacement.cpp
@@ -9,18 +9,24 @@
 namespace
 {
 
-/** Below this warmth a target would be shut out altogether. */
+/** A target with less warmth would receive no requests at all. */
 constexpr double MinWarmth = 0.05;
-/** Part of the prompt that its home is assumed to hold when nothing is known: a beginning shared with others. */
+/**
+ * Fraction of the prompt that the hashed target is assumed to have cached if nothing is known: a prefix shared with
+ * other prompts.
+ */
 constexpr double HashedPrefixShare = 0.25;
 
-/** Which of @p targets the prompt's beginning hashes to (rendezvous hashing): others keep theirs when one leaves. */
+/**
+ * Returns the index in @p targets that the prompt prefix hashes to (rendezvous hashing), so that the other prompts keep
+ * their targets when one leaves.
+ */
 std::optional<std::size_t> hashedTarget(std::span<const TargetView> targets, std::uint64_t affinityKey)
 {
     std::optional<std::size_t> hashed;
     std::uint64_t highest = 0;
     for (std::size_t index = 0; index < targets.size(); ++index) {
-        // A multiplication in place of a full hash: this runs over all targets for each request.
+        // A multiplication instead of a full hash, because this runs over all targets for each request.
         const std::uint64_t product = (targets[index].key ^ affinityKey) * 0x9E3779B97F4A7C15ULL;
         const std::uint64_t mixed = product ^ (product >> 32U);
         if (targets[index].usable && (!hashed || mixed > highest)) {
--- a/modules/heatherridge_state/decisions/costplacement.h
+++ b/modules/heatherridge_state/decisions/costplacement.h
@@ -11,59 +11,70 @@
 {
 
 /**
- * Places a request where it is expected to finish first, in microseconds of expected time.
+ * Places a request on the target where it is expected to finish first, measured in microseconds.
  *
- * Load pattern: many entries with lagging reports, prompts that share prefixes, zones apart, targets of unequal speed.
+ * Load pattern: many entries with lagging reports, prompts that share prefixes, remote zones, targets of unequal speed.
  *
- * - Load: own in-flight work at once, that of others by the target's report. A report's weight fades with its age
- *   towards the mean of all, with a half-life of ReportHalfLife; without it a target that was idle once stays
- *   attractive until its next report.
- * - Overload: a full target counts as loaded like the mean full one, and only ExcessShare of what it has beyond. What
- *   waits there is refused within a second anyway; counted in full it would outweigh all prefixes, and the caches
- *   would be lost just when there is least capacity.
- *   Instead the share that a target refuses counts, by its logarithm at PressurePrice: requests then go where they are
- *   taken. Without it a workspace whose prefixes lie on few targets is refused there, while one that sends more than
- * its share is served at the others.
- * - Herding: only a random sample is compared, other entries draw other samples. Without it all entries send
- *   to the same target that looks idle until its next report.
- * - Prefix: each token of a cached prefix counts PrefixTokenValue, and only while the holder's load is below
- * PrefixBound times the mean; a hot prefix so spreads, and the next target that serves it holds it too. A prompt
- * without a known holder goes to the place its beginning hashes to, so that all entries agree without exchange.
- * - Zones: the delay counts at zonePrice; work so stays in its zone until its targets are that much busier.
- * - Speed: a straggler's slowness multiplies its load and the request's own time, slow start divides by warmth.
+ * - Load: the entry's own in-flight requests count immediately, those of other entries according to the target's
+ *   report. The weight of a report decays with its age towards the mean of all targets, with a half-life of
+ *   ReportHalfLife. Without this a target that was idle once stays attractive until its next report.
+ * - Overload: a full target counts as loaded as the average full target plus only ExcessWeight of its excess. Requests
+ *   that wait there are refused within a second anyway; counted in full, the excess would outweigh all prefixes, and
+ *   caches would be lost just when capacity is scarcest.
+ *   Instead the share of requests that a target refuses counts, by its logarithm weighted with PressureWeight, so that
+ *   requests go where they are accepted. Without this a workspace whose prefixes are cached on few targets is refused
+ *   there, while a workspace that exceeds its share is served at the other targets.
+ * - Herding: only a random sample is compared, and other entries draw other samples. Without this all entries send to
+ *   the same target that looks idle until its next report.
+ * - Prefix: each token of a cached prefix counts PrefixTokenValue, but only while the load of the target that holds it
+ *   is below PrefixLoadBound times the mean. This spreads a hot prefix, because the next target that serves it caches
+ *   it too. A prompt without a known holder goes to the target that its prefix hashes to, so that all entries agree
+ *   without communicating.
+ * - Zones: the zone delay counts at zonePrice, so that requests stay in their zone until its targets are busier by that
+ *   much.
+ * - Speed: the slowness of a straggler multiplies its load and the request's own time; slow start divides by warmth.
  *
- * One thread; keeps no state between calls.
+ * Single-threaded; keeps no state between calls.
  */
 class CostPlacement
 {
 public:
-    /** About one mean request: what a report says about others is half gone by then. */
+    /**
+     * About the duration of one average request: after it, half of what a report says about other entries is outdated.
+     */
     static constexpr std::chrono::milliseconds ReportHalfLife{1000};
     /**
-     * Units of cost that a cached prompt token is worth. Far above its own cost (PromptTokenCost): while a prompt is
-     * computed every sequence of the batch waits, so the target as a whole loses the token's time once a sequence.
+     * Cost units that a cached prompt token is worth. Far more than its own cost (PromptTokenCost): every sequence of
+     * the batch waits while a prompt is processed, so the target as a whole loses the time of the token once per
+     * sequence.
      */
     static constexpr double PrefixTokenValue = 1;
-    /** Just enough to spread the work over full targets: a hundredth lets single ones fill their queues, a fifth loses
-     * the caches. */
+    /**
+     * Just enough to spread requests over full targets: with a hundredth single targets fill their queues, with a fifth
+     * the caches are lost.
+     */
     static constexpr double ExcessWeight = 0.05;
-    /** Part of the capacity that a doubling of the refused share weighs, times ln 2: 0.1 leaves a workspace beside a
-     * hog with 0.92 of its share, 1 loses a tenth of the goodput with the caches. */
+    /**
+     * Fraction of the capacity that one doubling of the refused share counts, times ln 2. At 0.1 a workspace next to a
+     * hog gets 0.92 of its share; at 1 a tenth of the goodput is lost along with the caches.
+     */
     static constexpr double PressureWeight = 0.3;
-    /** Consistent hashing with bounded loads loses little affinity at twice the mean, and no target exceeds it. */
+    /**
+     * Consistent hashing with bounded loads loses little affinity at twice the mean load, and no target exceeds that.
+     */
     static constexpr double PrefixLoadBound = 2;
 
     explicit CostPlacement(CostPlacementOptions options = {});
 
-    /** The index in @p targets to send to, or nothing when none is usable. */
+    /** Returns the index in @p targets of the chosen target, or nothing if none is usable. */
     std::optional<std::size_t> choose(std::span<const TargetView> targets, const RequestTraits &traits,
                                       RandomSource &random) const;
 
 private:
     struct Means
     {
-        double load = 0; ///< of own and others
-        double otherLoad = 0; ///< of others alone
+        double load = 0; ///< of this entry and all others
+        double otherLoad = 0; ///< of the other entries alone
         double capacity = 0; ///< load at which targets are full
         std::size_t usable = 0;
     };
--- a/modules/heatherridge_state/decisions/crashsuspects.h
+++ b/modules/heatherridge_state/decisions/crashsuspects.h
@@ -13,11 +13,11 @@
 namespace Heatherridge
 {
 
-/** What an entry has seen of a request that may end the targets that run it. */
+/** Observation by an entry about a request that may crash the targets that run it. */
 struct CrashReport
 {
     enum class Kind {
-        TargetDied, ///< a target ended while it had the request and had not answered a byte of it
+        TargetDied, ///< a target died while it had the request and before it sent any byte of the answer
         Answered, ///< a target ran it to an answer
     };
 
@@ -29,24 +29,27 @@
 };
 
 /**
- * Which requests are not sent to targets any more, since those that ran them have ended.
+ * Tracks requests that are no longer sent to targets because the targets that ran them died.
  *
- * Load pattern: one request ends each target that begins to run it, and its caller sends it again and again, through
- * any entry. Each death stops a whole expert group for seconds, so that a single caller takes most of the capacity.
+ * Load pattern: one request crashes every target that starts to run it, and its caller sends it again and again through
+ * any entry. Each crash stops a whole expert group for seconds, so a single caller can take down most of the capacity.
  *
- * Every entry takes the same reports, its own and those of others, and so comes to the same verdict. Requests that were
- * at the target by chance are suspects too; an answer from any target clears them. One thread.
+ * Every entry records the same reports, its own and those of other entries, and therefore reaches the same verdict.
+ * Requests that were at the target by chance become suspects too; an answer from any target clears them.
+ * Single-threaded.
  */
 class CrashSuspects
 {
 public:
     struct Options
     {
-        /** Targets that died under a request before it is blocked. With one, all requests at a target that dies for
-         * another reason would be blocked. */
+        /**
+         * Number of targets that must die while running a request before it is blocked. With one, all requests at a
+         * target that dies for another reason would be blocked.
+         */
         std::size_t deathsToBlock = 2;
         std::chrono::milliseconds retention{300'000}; ///< since the last report or refusal
-        std::size_t maxRequests = 10'000; ///< beyond it the one that was heard of least recently is dropped
+        std::size_t maxRequests = 10'000; ///< beyond it the least recently active request is evicted
     };
 
     CrashSuspects()
@@ -55,25 +58,28 @@
     }
     explicit CrashSuspects(Options options);
 
-    /** Takes @p report. @returns whether a request is blocked that was not before */
+    /**
+     * Records @p report.
+     * @returns whether it causes a request to be blocked that was not blocked before
+     */
     bool record(const CrashReport &report, SteadyTime now);
 
-    /** Whether a target has died under @p request, and none has answered it since. */
+    /** Returns whether a target has died while it ran @p request and no target has answered it since. */
     bool isSuspect(const RequestFingerprint &request) const;
 
-    /** Whether @p request must not be sent to a target. */
+    /** Returns whether @p request must not be sent to any target. */
     bool isBlocked(const RequestFingerprint &request) const;
 
-    /** Whether there is no suspect. */
+    /** Returns whether there are no suspects. */
     bool isEmpty() const;
 
     /**
-     * The blocked @p request came again and was refused; it stays blocked while it goes on coming.
-     * @returns a report to tell again when the last one is about to be forgotten by the others
+     * Records that the blocked @p request was received again and refused. It stays blocked as long as it keeps coming.
+     * @returns a report to send again if the last one is about to expire at the other entries
      */
     std::optional<CrashReport> recordRefusal(const RequestFingerprint &request, SteadyTime now);
 
-    /** Forgets what has not been heard of for long. */
+    /** Evicts suspects without activity within the retention time. */
     void evictExpired(SteadyTime now);
 
 private:
@@ -92,22 +98,24 @@
 };
 
 /**
- * The targets that have a suspect of this entry and have not answered a byte of it.
+ * Targets that hold a suspect request of this entry and have not sent any byte of its answer.
  *
- * Load pattern: a target dies with several requests that had just come to it. Sent on together, they would be at the
- * next target together, and all of them blocked when the one among them that ends targets ends that one too. One
- * thread.
+ * Load pattern: a target dies with several requests that had just arrived. If they were all forwarded to the same next
+ * target and the culprit crashed that one too, all of them would be blocked. Single-threaded.
  */
 class SuspectTargets
 {
 public:
-    /** @p target was sent a suspect. */
+    /** Records that a suspect was sent to @p target. */
     void add(const TargetName &target);
 
-    /** It has begun to answer it, or has it no longer. */
+    /** Records that @p target has started to answer its suspect, or no longer has it. */
     void remove(const TargetName &target);
 
-    /** Targets to send the next suspect to only when there are no others: @p tried and those that have a suspect. */
+    /**
+     * Returns the targets to which the next suspect is sent only if there are no others: @p tried and those that hold a
+     * suspect.
+     */
     std::set<TargetName> targetsToAvoid(std::set<TargetName> tried) const;
 
 private:
--- a/modules/heatherridge_state/decisions/directplacement.cpp
+++ b/modules/heatherridge_state/decisions/directplacement.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-/** Width of the random draw among near-equals, in requests. */
+/** Range of the random jitter that decides among near-equals, in requests. */
 constexpr double JitterWidth = 0.3;
-/** Set above all loads: a target that was tried or is on probation is the last choice, but better than none. */
+/** Higher than any load: an ejected target is chosen only if there is no other, which is better than none. */
 constexpr double LastResortPenalty = 1e6;
 
 double scoreOf(const DirectCandidate &candidate, double meanSlots, RandomSource &random)
--- a/modules/heatherridge_state/decisions/directplacement.h
+++ b/modules/heatherridge_state/decisions/directplacement.h
@@ -10,31 +10,34 @@
 namespace Heatherridge
 {
 
-/** What is known of one target when a request is placed. */
+/** State of one target when a request is placed. */
 struct DirectCandidate
 {
     double load = 0; ///< requests of all entries, @see LoadEstimate
-    int slots = 1; ///< requests that it runs at once
-    bool isInOwnZone = false; ///< in the entry's own availability zone
-    bool isCold = false; ///< slow after its start
+    int slots = 1; ///< number of requests that it runs concurrently
+    bool isInOwnZone = false; ///< in the same availability zone as the entry
+    bool isCold = false; ///< slow because it has just started
     bool wasTried = false; ///< the request has failed or been refused there
-    bool isAtLimit = false; ///< gets nothing now, by the limit that it names
+    bool isAtLimit = false; ///< receives nothing at present because of the rate limit that it announced
     Health health = Health::Healthy;
 };
 
 /**
- * The least loaded target, with a random draw among near-equals. A target in another zone has to be less loaded by
- * FarPenalty.
+ * Returns the least loaded target, with a random choice among near-equals. A target in another zone must be less loaded
+ * by OtherZonePenalty.
  *
- * Load pattern: steady requests of similar cost over equal targets, from entries that don't see each other's.
+ * Load pattern: steady requests of similar cost over equal targets, from entries that do not see each other's requests.
  *
- * @returns the index of the target, or nothing when there is no usable one
+ * @returns the index of the target, or nothing if no target is usable
  */
 std::optional<std::size_t> placeDirectly(std::span<const DirectCandidate> candidates, RandomSource &random);
 
-/** Requests by which a far target must be less loaded: under one, so that a queue never forms for the zone's sake. */
+/**
+ * Number of requests by which a target in another zone must be less loaded. Less than one, so that no queue builds up
+ * only to stay in the zone.
+ */
 constexpr double OtherZonePenalty = 0.6;
-/** Parts of its slots that a cold target counts as taken. */
+/** Fraction of its slots that a cold target counts as occupied. */
 constexpr double ColdSlotShare = 0.5;
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/drawusable.h
+++ b/modules/heatherridge_state/decisions/drawusable.h
@@ -9,7 +9,10 @@
 namespace Heatherridge
 {
 
-/** One usable target of @p targets drawn at random, or nothing: a random start, and the first usable one from there. */
+/**
+ * Returns the index of a usable target in @p targets, or nothing: starts at a random index and takes the first usable
+ * target from there.
+ */
 std::optional<std::size_t> drawUsable(std::span<const TargetView> targets, RandomSource &random);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/decisions/engineplacement.cpp
+++ b/modules/heatherridge_state/decisions/engineplacement.cpp
@@ -14,8 +14,10 @@
 namespace
 {
 
-/** What @p engine has with @p added requests, as requests of an engine that is not slow: each takes its time at its own
- * engine, and the whole group waits for it. */
+/**
+ * Load of @p engine with @p added more requests, in requests of an engine that is not slow: each request takes its time
+ * at its own engine, and the whole group waits for it.
+ */
 double loadWithAdded(const EngineCandidate &engine, int added)
 {
     return (engine.target.load + added) * std::max(1.0, engine.slowdown);
@@ -27,23 +29,26 @@
         && !engine.target.isAtLimit && loadWithAdded(engine, 1) <= engine.target.slots;
 }
 
-/** What kind of place a stream finds at an engine. */
+/** How suitable an engine is for a stream. */
 enum class Suitability {
-    Suitable, ///< on time
-    NoHeadroom, ///< its passes are too long with one stream more
-    AlwaysLate, ///< no stream is on time there
-    Unhealthy, ///< it has failed of late
-    SlowInLateGroup, ///< its whole group waits for it already
-    SlowInTimelyGroup, ///< its whole group would wait for it
+    Suitable, ///< the stream would be on time
+    NoHeadroom, ///< its passes are too long with one more stream
+    AlwaysLate, ///< no stream of its group is on time
+    Unhealthy, ///< it has failed recently
+    SlowInLateGroup, ///< slow, but no stream of its group is on time anyway
+    SlowInTimelyGroup, ///< slow, and would delay its whole group
 };
 
 constexpr std::size_t SuitabilityCount = 6;
 
-/** Engines that one stream is compared for: so many times this entry's part of them, and two at the least. */
+/**
+ * Size of the sample that is compared for one stream: this fraction of this entry's share of the engines, and at least
+ * two.
+ */
 constexpr double ComparedShare = 0.5;
 constexpr std::size_t MinCompared = 2;
 
-/** The pace of each group's quickest engine. */
+/** Returns the slowdown of the fastest engine of each group. */
 std::vector<double> computeMinSlowdowns(std::span<const EngineCandidate> engines, std::size_t groups)
 {
     std::vector<double> minSlowdowns(groups, std::numeric_limits<double>::max());
@@ -69,7 +74,7 @@
     return hasHeadroom ? Suitability::Suitable : Suitability::NoHeadroom;
 }
 
-/** The places that a stream may take, the best first. */
+/** Returns the suitabilities that a stream accepts, best first. */
 std::vector<Suitability> acceptableSuitabilities(Urgency urgency)
 {
     switch (urgency) {
@@ -84,7 +89,7 @@
     return {Suitability::Suitable, Suitability::AlwaysLate, Suitability::Unhealthy, Suitability::SlowInLateGroup};
 }
 
-/** The least loaded of the engines @p candidates, by the rules for any target. */
+/** Returns the least loaded engine of @p candidates, by the rules for any target. */
 std::optional<std::size_t> leastLoaded(std::span<const EngineCandidate> engines,
                                        const std::vector<std::size_t> &candidates, RandomSource &random)
 {
@@ -92,15 +97,14 @@
     targets.reserve(candidates.size());
     for (const auto index : candidates) {
         auto target = engines[index].target;
-        target.load =
-            loadWithAdded(engines[index], 1) - 1; // a slow engine is not to be taken for idle without a request
+        target.load = loadWithAdded(engines[index], 1) - 1; // a slow engine without requests must not count as idle
         targets.push_back(target);
     }
     const auto chosen = placeDirectly(targets, random);
     return chosen ? std::optional(candidates[*chosen]) : std::nullopt;
 }
 
-/** Some of @p candidates, drawn at random: @p sampledShare of them, and LeastCompared at the least. */
+/** Draws a random sample of @p candidates: the fraction @p sampledShare of them, and at least MinCompared. */
 std::vector<std::size_t> drawSample(std::vector<std::size_t> candidates, double sampledShare, RandomSource &random)
 {
     const auto sampleSize = static_cast<std::size_t>(std::ceil(static_cast<double>(candidates.size()) * sampledShare));
@@ -112,8 +116,10 @@
     return candidates;
 }
 
-/** Some near and some far ones of @p candidates. Near ones are a small part of many zones' engines, and hardly any
- * would be drawn beside the others. */
+/**
+ * Draws a sample of the engines in the entry's own zone and one of the others from @p candidates. Engines in the own
+ * zone are a small fraction when there are many zones, and a common sample would contain hardly any of them.
+ */
 std::vector<std::size_t> sampleByZone(std::span<const EngineCandidate> engines, std::vector<std::size_t> candidates,
                                       double share, RandomSource &random)
 {
@@ -126,7 +132,7 @@
     return sample;
 }
 
-/** Those of @p candidates that are in one group, drawn by the room that groups have left. */
+/** Draws a group, weighted by its headroom, and returns those of @p candidates that belong to it. */
 std::vector<std::size_t> drawGroup(std::span<const EngineCandidate> engines, const std::vector<std::size_t> &candidates,
                                    std::span<const EngineGroup> groups, RandomSource &random)
 {
--- a/modules/heatherridge_state/decisions/fleetretrybudget.h
+++ b/modules/heatherridge_state/decisions/fleetretrybudget.h
@@ -9,43 +9,47 @@
 namespace Heatherridge
 {
 
-/** Bounds of a FleetRetryBudget. */
+/** Limits of a FleetRetryBudget. */
 struct FleetRetryBudgetOptions
 {
-    double share = 0.2; ///< repeats for each request, over all entries; from the deployment's bounds
-    double slack = 0; ///< repeats that all entries together may make beyond it in one window
+    double share = 0.2; ///< retries per request over all entries; from the limits of the deployment
+    double slack = 0; ///< retries beyond that share which all entries together may make in one window
     std::chrono::seconds window{10};
-    double slackShare = 0.125; ///< of the slack, for this entry while it does not know its share of the work
+    double slackShare = 0.125; ///< fraction of the slack for this entry while its share of the work is unknown
 };
 
 /**
- * Bounds repeats over all entries without any exchange between them.
+ * Limits retries over all entries without communication between them.
  *
- * Load pattern: a fault makes many requests fail at once, and each is sent again. Each entry repeats at most the share
- * of its own requests and its part of the slack, as the log divides work, so the sum keeps the bound. Requests are
- * counted over the window that ends now, repeats over a window as long. One thread.
+ * Load pattern: a fault makes many requests fail at once, and each is retried. Each entry retries at most the given
+ * share of its own requests plus its share of the slack, according to how the log distributes work, so that the total
+ * stays within the limit. Requests are counted over the window that ends now, retries over a window of the same length.
+ * Single-threaded.
  */
 class FleetRetryBudget
 {
 public:
-    /** Part of the bound that is used: windows of entries and of whoever checks don't line up. */
+    /**
+     * Fraction of the limit that is used, because the windows of the entries and of whoever checks the limit do not
+     * align.
+     */
     static constexpr double SafetyFactor = 0.75;
 
     explicit FleetRetryBudget(FleetRetryBudgetOptions options);
 
-    /** A request for the service has come. */
+    /** Records that a request for the service has arrived. */
     void recordRequest(SteadyTime now);
 
-    /** Other bounds hold from now on; what was counted stays. */
+    /** Replaces the limits and keeps the counts. */
     void setOptions(FleetRetryBudgetOptions options);
 
-    /** This entry's part of the slack. All entries' parts together are at most 1. */
+    /** Sets this entry's share of the slack. The shares of all entries add up to at most 1. */
     void setSlackShare(double slackShare);
 
-    /** Takes one repeat out of the budget; false when none is left. */
+    /** Takes one retry out of the budget; returns false if none is left. */
     bool tryTake(SteadyTime now);
 
-    /** How many repeats are left at @p now. */
+    /** Returns the number of retries left at @p now. */
     double remaining(SteadyTime now);
 
 private:
--- a/modules/heatherridge_state/decisions/groupadmission.cpp
+++ b/modules/heatherridge_state/decisions/groupadmission.cpp
@@ -11,17 +11,22 @@
 namespace
 {
 
-/** Streams that were sent are remembered for so long: two of the longest passes. */
+/** How long sent streams are remembered: twice the longest pass. */
 constexpr std::chrono::milliseconds SendHistory = GroupAdmission::MaxPass * 2;
-/** Weight, in own requests, of the assumption that all entries send alike, against what was seen of the others. */
+/**
+ * Weight, in own requests, of the assumption that all entries send alike, compared with what was observed of the
+ * others.
+ */
 constexpr double PriorOwnRequests = 4;
-/** Growth of a starting group from one pass to the next. */
+/** Maximum growth of a starting group from one pass to the next. */
 constexpr double MaxGrowth = 2;
-/** Of the work in the first passes of a group, by its first map. */
+/** Assumed stretch of the work in the first passes of a group, because of its initial map. */
 constexpr double InitialStretch = 2;
 
-/** What the other entries' part of a group has grown by since its engines last told their load, if it has grown as this
- * entry's has. */
+/**
+ * Estimates by how much the requests of the other entries have grown since the engines last reported their load,
+ * assuming that they have grown like those of this entry.
+ */
 double estimateOthersGrowth(const GroupLoad &load, double share)
 {
     const double others = load.requests - load.ownRequests;
@@ -31,15 +36,17 @@
     return std::max(growth * othersPerOwn, -others);
 }
 
-/** By how much the requests of a group that has just opened may grow after a pass of @p pass. */
+/** Returns the factor by which the requests of a newly opened group may grow after a pass of @p pass. */
 double growthFactor(std::chrono::milliseconds pass, const PassBudgetRules &rules)
 {
     const auto workTime = std::max(pass - rules.base, PassBudgetRules::Milliseconds(1));
     return std::clamp((rules.longestPass - rules.base) / workTime, 0.5, MaxGrowth);
 }
 
-/** Requests an engine that a group is given before it has shown a pass: their prompts are all read in its first pass,
- * with a map that is expected to double the work of it. */
+/**
+ * Returns the requests per engine that a group gets before its first measured pass. All their prompts are read in that
+ * first pass, with a map that is expected to double the work.
+ */
 double initialRequests(const PassBudgetRules &rules)
 {
     const auto perStream = rules.perRequest + rules.promptTime;
@@ -56,7 +63,7 @@
 void GroupAdmission::setOpen(bool isOpen, SteadyTime now)
 {
     if (isOpen && !m_isOpen) {
-        m_stretch = {}; // its passes are others than before
+        m_stretch = {}; // passes before the closure are not comparable
         m_openedAt = now;
         m_isStarting = true;
         m_provenRequests.reset();
@@ -81,11 +88,11 @@
 
 void GroupAdmission::recordPause(std::chrono::milliseconds pause, SteadyTime now)
 {
-    // All streams of a group have an event in each pass; one sample a pass is enough.
+    // All streams of a group have an event in each pass, so one sample per pass is enough.
     if (now - m_stretch.recordedAt() < pause / 2) {
         return;
     }
-    // What was sent during the pass before was read in this one; the other entries send as this one does.
+    // Streams sent during the previous pass were read in this one; the other entries are assumed to send alike.
     const double prompts = countSentWithin(now - pause * 2, now - pause) / m_share;
     m_stretch.record(std::min(pause, MaxPass), {.requests = m_requestsAtPass, .prompts = perEngine(prompts, m_load)},
                      m_rules, !m_load.hasSlowRank, now);
@@ -125,7 +132,7 @@
     const double provenRequests =
         m_provenRequests.value_or(initialRequests(m_rules)) * static_cast<double>(m_load.engines);
     const double headroom = std::min(onTime, provenRequests) - m_load.requests;
-    // An entry without a stream of its own in the group sees none of its passes.
+    // An entry without a stream of its own in the group cannot observe any of its passes.
     const bool maySend = headroom >= 1 || m_load.ownRequests == 0;
     const auto share = static_cast<int>(std::lround(std::max(headroom, 0.0) * m_share));
     return {.headroom = headroom,
--- a/modules/heatherridge_state/decisions/groupadmission.h
+++ b/modules/heatherridge_state/decisions/groupadmission.h
@@ -11,62 +11,64 @@
 namespace Heatherridge
 {
 
-/** What is believed of a group's engines when a stream is placed. */
+/** Estimated load of a group's engines when a stream is placed. */
 struct GroupLoad
 {
-    std::chrono::milliseconds reportedPass{}; ///< as the engines' statuses say
-    double requests = 0; ///< of all entries, at all its engines
-    int ownRequests = 0; ///< of them, requests of this entry
-    int ownRequestsAtReport = 0; ///< what `own` was when each engine last told its load
+    std::chrono::milliseconds reportedPass{}; ///< as reported by the engines' statuses
+    double requests = 0; ///< of all entries, at all engines of the group
+    int ownRequests = 0; ///< number of these that belong to this entry
+    int ownRequestsAtReport = 0; ///< value of `ownRequests` when each engine last reported its load
     std::size_t engines = 0;
-    double slots = 0; ///< of all its engines
-    bool isStalled = false; ///< one of its engines has open streams and says nothing
+    double slots = 0; ///< of all engines of the group
+    bool isStalled = false; ///< one of its engines has open streams but is silent
     bool hasSlowRank = false;
 };
 
 /**
- * How much of one expert group's room one entry may use.
+ * Determines how much of the headroom of one expert group one entry may use.
  *
- * Puts together PassStretch, requestsOnTime() and streamsPerPass() with what only the entry knows: the pauses of its
- * own streams, which are the passes of the group, and what it has sent since engines last told their load.
+ * Combines PassStretch, requestsOnTime() and streamsPerPass() with what only the entry knows: the pauses of its own
+ * streams, which equal the passes of the group, and the streams that it has sent since the engines last reported their
+ * load.
  *
- * Load pattern: a group that has just opened has a map that fits no demand and no load that any entry could see, while
- * all entries hold waiting streams. It starts with what its first pass can read. Each pass then allows at most twice as
- * many requests, and no more than would keep the promised pauses if passes grew in proportion. One thread.
+ * Load pattern: a group that has just opened has an expert map that fits no particular demand and no load that an entry
+ * could see, while all entries hold waiting streams. It starts with as many requests as its first pass can read. After
+ * each pass the number may at most double, and may not exceed what would keep the promised pauses if passes grew in
+ * proportion. Single-threaded.
  */
 class GroupAdmission
 {
 public:
-    /** Pauses tell of passes for so long; without one, statuses do. */
+    /** How long a recorded pause represents the current pass time; after that the statuses of the engines do. */
     static constexpr std::chrono::milliseconds PauseLifetime{400};
-    /** A longer pause is a group that stands still, not one of its passes. */
+    /** A longer pause means that the group has stalled; it is not a single pass. */
     static constexpr std::chrono::milliseconds MaxPass{300};
 
-    /** The group works, or does not. */
+    /** Sets whether the group accepts work. */
     void setOpen(bool isOpen, SteadyTime now);
 
-    /** Whether the group has just opened. */
+    /** Returns whether the group has just opened. */
     bool isStarting() const;
 
-    /** This entry sends the group a stream. */
+    /** Records that this entry sends a stream to the group. */
     void recordSent(SteadyTime now);
 
-    /** A stream of this entry had @p pause between two events. */
+    /** Records that @p pause has passed between two events of a stream of this entry. */
     void recordPause(std::chrono::milliseconds pause, SteadyTime now);
 
     /**
-     * The group as it is when a stream is placed.
-     * @param share of this entry in all work, over 0 up to 1
+     * Returns the state of the group for placing a stream.
+     * @param share this entry's share of all work, above 0 and up to 1
      */
     EngineGroup evaluate(const GroupLoad &load, const PassBudgetRules &rules, double share, SteadyTime now);
 
 private:
-    /** What bounds this entry's sending to the group. */
+    /** Limits on what this entry sends to the group. */
     struct SendLimit
     {
-        double headroom = 0; ///< requests that the group can take on time beyond those that it has
-        double headroomForLate = 0; ///< the same in bad moments
-        int maxStreams = 0; ///< that this entry may send within `span`
+        double headroom = 0; ///< requests that the group can take on time beyond its current ones
+        double headroomForLate = 0; ///< the same for bad moments
+        int maxStreams = 0; ///< streams that this entry may send within `interval`
         SteadyTime::duration interval{};
     };
 
@@ -77,14 +79,16 @@
     PassStretch m_stretch;
     PassBudgetRules m_rules;
     GroupLoad m_load; ///< when a stream was last placed
-    double m_share = 1; ///< then
-    std::deque<SteadyTime> m_sendTimes; ///< when streams were sent, of late
+    double m_share = 1; ///< when a stream was last placed
+    std::deque<SteadyTime> m_sendTimes; ///< when the most recent streams were sent, oldest first
     SteadyTime m_openedAt{};
     bool m_isStarting = false;
-    /** Requests an engine that a group which has just opened may have, by its last pass; nothing before one. */
+    /**
+     * Requests per engine that a newly opened group may have according to its last pass; nothing before its first pass.
+     */
     std::optional<double> m_provenRequests{};
-    double m_requestsAtPass = 0; ///< requests an engine when the pass under way began
-    std::optional<std::chrono::milliseconds> m_lastPass{}; ///< since the group has opened
+    double m_requestsAtPass = 0; ///< requests per engine when the current pass began
+    std::optional<std::chrono::milliseconds> m_lastPass{}; ///< since the group opened
     bool m_isOpen = false;
 };
 
