--- a/tests/decisions/admission_test.cpp
+++ b/tests/decisions/admission_test.cpp
@@ -27,7 +27,7 @@
     return std::get_if<Error>(&offer);
 }
 
-/** Teaches @p queue that a request of @p cost takes @p duration. */
+/** Lets @p queue measure that a request of @p cost takes @p duration. */
 void recordServiceTime(AdmissionQueue &queue, double cost, std::chrono::microseconds duration)
 {
     auto sample = request(-1, "teacher", Start + 1h, cost);
@@ -35,8 +35,8 @@
     queue.finish(sample.id, cost, Start);
 }
 
-// A caller asks with a deadline that the target cannot meet, at first because the call itself takes longer, then
-// because of the work before it. Starting or holding it would end in a late answer or a late refusal.
+// Guards against starting or queueing a request whose deadline the target cannot meet, either because the request
+// itself takes longer or because of the requests ahead of it. The result would be a late answer or a late refusal.
 TEST(AdmissionQueue, RefusesUnreachableDeadlineWithRetryAfter)
 {
     AdmissionQueue queue;
@@ -52,8 +52,8 @@
     EXPECT_GE(refusalOf(queuedBehind)->retryAfter, 100ms);
 }
 
-// A request waits and the target stalls. Once its deadline cannot be met any more it gets its answer at that moment,
-// not when the deadline passes.
+// Guards against holding a request until its deadline passes: when the target stalls, a waiting request is refused as
+// soon as its deadline cannot be met any more.
 TEST(AdmissionQueue, AbandonsWaitingRequestOnceDeadlineIsUnreachable)
 {
     AdmissionQueue queue;
@@ -84,9 +84,9 @@
 }
 
 const ServiceOrderCase ServiceOrderCases[] = {
-    {"same class: first come, first served", {request(1, "a"), request(2, "a")}, {"1", "2"}},
+    {"first come, first served within a class", {request(1, "a"), request(2, "a")}, {"1", "2"}},
     {"higher priority first", {request(1, "a"), withPriorityAndCost(request(2, "a"), 5)}, {"2", "1"}},
-    {"a workspace that sent more does not go first twice",
+    {"a workspace that sent more is not served first twice",
      {request(1, "a"), request(2, "a"), request(3, "b")},
      {"1", "3", "2"}},
     {"short before long", {withPriorityAndCost(request(1, "a"), 0, 5000), request(2, "a")}, {"2", "1"}},
@@ -115,7 +115,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, ServiceOrder, testing::ValuesIn(ServiceOrderCases));
 
-// A workspace fills every place of the queue; then another one asks. It must not be locked out by the first.
+// Guards against a workspace that locks out others by filling the whole queue.
 TEST(AdmissionQueue, FullQueueEvictsOldestRequestOfLargestWorkspace)
 {
     AdmissionQueue queue({.queueCapacity = 4});
@@ -129,7 +129,7 @@
     EXPECT_EQ(abandoned[0].id, RequestId("1"));
 }
 
-// A target is told to stop while work waits. Each waiting caller is told "not run" once, and nothing starts afterwards.
+// Drains a target while requests wait: each waiting caller gets "not run" exactly once, and nothing starts afterwards.
 TEST(AdmissionQueue, DrainAbandonsWaitingRequestsAndStartsNone)
 {
     AdmissionQueue queue;
@@ -143,8 +143,8 @@
     EXPECT_TRUE(queue.collectAbandoned().empty());
 }
 
-// Whatever is offered, cancelled and finished in whatever order: a request that was given up or cancelled never starts,
-// each request has one outcome, and no more than the limit run.
+// For any order of offer, cancel and finish: an abandoned or cancelled request never starts, each request has exactly
+// one outcome, and no more requests run than the limit allows.
 RC_GTEST_PROP(AdmissionQueue, EveryRequestHasOneOutcome, ())
 {
     AdmissionQueue queue({.queueCapacity = 6, .overloadDelay = 20ms, .maxOverloadWait = 10ms});
@@ -181,14 +181,14 @@
             running.push_back(*started);
         }
         for (const auto &abandoned : queue.collectAbandoned()) {
-            recordOutcome(abandoned.id, "given up");
+            recordOutcome(abandoned.id, "abandoned");
         }
         RC_ASSERT(running.size() <= 3U);
         RC_ASSERT(queue.load().waiting <= 6U);
     }
     queue.drain();
     for (const auto &abandoned : queue.collectAbandoned()) {
-        recordOutcome(abandoned.id, "given up");
+        recordOutcome(abandoned.id, "abandoned");
     }
     RC_ASSERT(outcomes.size() == static_cast<std::size_t>(number));
 }
--- a/tests/decisions/answertimeout_test.cpp
+++ b/tests/decisions/answertimeout_test.cpp
@@ -13,8 +13,8 @@
 struct AnswerTimeoutCase
 {
     const char *name;
-    std::vector<std::chrono::milliseconds> roundTrips; ///< the last twenty round trips, in turn
-    int timeouts; ///< answers that did not come since
+    std::vector<std::chrono::milliseconds> roundTrips; ///< the last twenty round trips, in rotation
+    int timeouts; ///< answers missing since then
     std::chrono::milliseconds atLeast;
     std::chrono::milliseconds atMost;
 };
@@ -33,8 +33,8 @@
 {
 };
 
-// Guards against switches of maps that wait many round trips for each lost answer, and against orders that are given
-// again before slow engines can have answered.
+// Guards against map switches that wait many round trips for each lost answer, and against orders that are repeated
+// before slow engines can have answered.
 TEST_P(AnswerTimeouts, FollowRoundTripsAndBackOffAfterTimeouts)
 {
     const auto &row = GetParam();
--- a/tests/decisions/crashsuspects_test.cpp
+++ b/tests/decisions/crashsuspects_test.cpp
@@ -35,16 +35,16 @@
 
 const CrashReportCase CrashReportCases[] = {
     {"NothingReported", {}, false},
-    // Guards against blocking all that ran at a target which died for a reason of its own.
+    // Guards against blocking every request at a target that died for an unrelated reason.
     {"OneDeath", {deathReport("a")}, false},
-    // Guards against counting one death twice, as when two gateways had the request there, or a report is told again.
-    {"OneDeathToldTwice", {deathReport("a"), deathReport("a")}, false},
+    // Guards against counting one death twice, because two gateways had the request there or a report is repeated.
+    {"OneDeathReportedTwice", {deathReport("a"), deathReport("a")}, false},
     {"TwoDeaths", {deathReport("a"), deathReport("b")}, true},
     {"TwoDeathsOfTwoRequests", {deathReport("a"), deathReport("b", {.high = 1, .low = 3})}, false},
-    // Guards against blocking a common look-up that was at two targets when these died, and is answered all the time.
-    {"AnAnswerBetweenTwoDeaths", {deathReport("a"), answerReport(), deathReport("b")}, false},
-    {"AnAnswerAfterTwoDeaths", {deathReport("a"), deathReport("b"), answerReport()}, false},
-    // Guards against a gateway that reads the reports of all again from the beginning and comes to another verdict.
+    // Guards against blocking a common look-up that was at two targets when they died but is answered all the time.
+    {"AnswerBetweenTwoDeaths", {deathReport("a"), answerReport(), deathReport("b")}, false},
+    {"AnswerAfterTwoDeaths", {deathReport("a"), deathReport("b"), answerReport()}, false},
+    // Guards against a different verdict at a gateway that reads all reports again from the beginning.
     {"AllReportsTwice",
      {deathReport("a"), answerReport(), deathReport("b"), deathReport("a"), answerReport(), deathReport("b")},
      false},
@@ -66,7 +66,7 @@
 INSTANTIATE_TEST_SUITE_P(All, CrashReports, testing::ValuesIn(CrashReportCases),
                          [](const auto &row) { return row.param.name; });
 
-// Guards against a request that is let through again after some minutes though it never stopped coming.
+// Guards against letting a request through again after some minutes although it never stopped arriving.
 TEST(BlockedRequests, StayBlockedWhileRetriedAndExpireAfterwards)
 {
     CrashSuspects suspects({.retention = 300s});
@@ -80,14 +80,14 @@
         ASSERT_TRUE(suspects.isBlocked(Request)) << minute;
         repeatedReports += suspects.recordRefusal(Request, now) ? 1 : 0;
     }
-    // The log forgets too; a gateway that starts must find a report there.
+    // The log expires reports too; a gateway that starts must find a report there.
     EXPECT_GE(repeatedReports, 20 * 60 / 300);
     suspects.evictExpired(now + 301s);
     EXPECT_FALSE(suspects.isBlocked(Request));
     EXPECT_TRUE(suspects.isEmpty());
 }
 
-// Guards against memory that grows without bound while targets die by the hundred.
+// Guards against unbounded memory while hundreds of targets die.
 TEST(BlockedRequests, AreBoundedInNumber)
 {
     CrashSuspects suspects({.maxRequests = 3});
@@ -98,14 +98,14 @@
     EXPECT_TRUE(suspects.isSuspect({.low = 7}));
 }
 
-/** What became of requests, one of which ends each target that it reaches. */
+/** Outcome of forwarding requests, one of which crashes each target that it reaches. */
 struct ForwardingResult
 {
     int deaths = 0;
     int innocentsBlocked = 0;
 };
 
-/** Sends @p suspects, of which the first ends targets, on from a target that died with all of them. */
+/** Forwards @p suspects, the first of which crashes targets, from a target that died with all of them. */
 ForwardingResult forwardAfterTargetDeath(std::size_t suspects, std::size_t targets, bool avoidSuspectTargets,
                                          RandomSource &random)
 {
@@ -139,7 +139,7 @@
     return result;
 }
 
-// Guards against blocking requests that were by chance at the targets that one of them ended.
+// Guards against blocking requests that were by chance at the targets that one of them crashed.
 TEST(SuspectsOfOneTargetDeath, AreForwardedToSeparateTargetsSoOnlyTheCulpritIsBlocked)
 {
     SeededRandom random(7);
--- a/tests/decisions/direct_test.cpp
+++ b/tests/decisions/direct_test.cpp
@@ -31,21 +31,21 @@
 constexpr auto EventStream = RequestKind::EventStream;
 
 const NextStepCase NextStepCases[] = {
-    {"a whole answer", AttemptOutcome::Answered, {.kind = NonIdempotent, .possibleRuns = 1}, NextStep::Deliver},
-    // A booking whose connection was reset may have been made. Sent again it is made twice.
+    {"a complete answer", AttemptOutcome::Answered, {.kind = NonIdempotent, .possibleRuns = 1}, NextStep::Deliver},
+    // A booking whose connection was reset may have been executed. Sending it again would execute it twice.
     {"a booking after a reset",
      AttemptOutcome::Interrupted,
      {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
-    {"a booking after silence",
+    {"a booking after a timeout",
      AttemptOutcome::TimedOut,
      {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
-    {"a booking after bytes that are no answer",
+    {"a booking after an invalid answer",
      AttemptOutcome::InvalidAnswer,
      {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
-    {"a booking that its target failed",
+    {"a booking that failed at its target",
      AttemptOutcome::FailedAtTarget,
      {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Deliver},
@@ -53,24 +53,27 @@
      AttemptOutcome::RefusedAtTarget,
      {.kind = NonIdempotent, .maxRuns = 1},
      NextStep::Retry},
-    {"a booking that never left", AttemptOutcome::NeverSent, {.kind = NonIdempotent, .maxRuns = 1}, NextStep::Retry},
+    {"a booking that was never sent",
+     AttemptOutcome::NeverSent,
+     {.kind = NonIdempotent, .maxRuns = 1},
+     NextStep::Retry},
     {"a look-up after a reset",
      AttemptOutcome::Interrupted,
      {.kind = Idempotent, .possibleRuns = 1, .maxRuns = 2},
      NextStep::Retry},
-    {"a look-up that has run on as many targets as it may",
+    {"a look-up that has run on the maximum number of targets",
      AttemptOutcome::Interrupted,
      {.kind = Idempotent, .possibleRuns = 2, .maxRuns = 2, .attempts = 2},
      NextStep::Fail},
-    {"a look-up failed by the last target it may run on",
+    {"a look-up that failed at the last target it may run on",
      AttemptOutcome::FailedAtTarget,
      {.kind = Idempotent, .possibleRuns = 2, .maxRuns = 2, .attempts = 2},
      NextStep::Deliver},
-    {"a stream that may go on elsewhere",
+    {"a stream that can be resumed",
      AttemptOutcome::Interrupted,
      {.kind = EventStream, .isResumable = true, .possibleRuns = 1, .maxRuns = 2},
      NextStep::Retry},
-    {"a stream that may not",
+    {"a stream that cannot be resumed",
      AttemptOutcome::Interrupted,
      {.kind = EventStream, .possibleRuns = 1, .maxRuns = 2},
      NextStep::Fail},
@@ -103,8 +106,8 @@
     RC_ASSERT(!(mayHaveRun(end) && step == NextStep::Retry));
 }
 
-// A fault makes half of all requests fail at once at every entry. The bound on repeats is one for all entries together,
-// and none sees what the others do.
+// A fault makes half of all requests fail at once at every entry. The limit on retries applies to all entries together,
+// and none of them sees what the others do.
 RC_GTEST_PROP(FleetRetryBudget, KeepsCommonBoundInEveryWindow, (std::uint32_t seed))
 {
     constexpr int entries = 4;
@@ -114,7 +117,8 @@
     SeededRandom random(seed);
     std::vector<FleetRetryBudget> budgets(entries,
                                           FleetRetryBudget({.share = share, .slack = slack, .window = window}));
-    // The platform's log deals the work out to entries, all of it, and so their parts of the slack; now and then anew.
+    // The platform's log distributes all of the work over the entries, and with it their shares of the slack; it
+    // redistributes them from time to time.
     const auto dealParts = [&] {
         constexpr int parts = 12;
         std::vector<int> dealt(entries);
@@ -153,8 +157,8 @@
     }
 }
 
-// A rank of a group of eight dies, and 96 streams break off at once at two entries. Each used an eighth of the slack,
-// whatever the number of entries, and callers were refused although the bound was far away.
+// A rank of a group of eight dies, and 96 streams break at once at two entries. Guards against each entry using only an
+// eighth of the slack whatever the number of entries, so that callers are refused far below the limit.
 TEST(FleetRetryBudget, UsesWholeSlackWhenSharesAreKnown)
 {
     constexpr double slack = 88;
@@ -184,8 +188,8 @@
     EXPECT_NEAR(load.total(Start + 1s, 0), 1, 1e-9);
 }
 
-// Entries of a large site send nearly all streams to the few targets whose word is oldest: it had faded into "nothing
-// there", while others had three requests at each.
+// Guards against herding at a large site: entries sent nearly all streams to the few targets with the oldest reports,
+// because those had decayed to "idle", while other targets had three requests each.
 TEST(LoadEstimate, AssumesUsualLoadOfOthersWhenReportIsOld)
 {
     LoadEstimate load;
@@ -205,17 +209,17 @@
 };
 
 const PlacementCase PlacementCases[] = {
-    {"the least loaded", {{.load = 3}, {.load = 1}, {.load = 2}}, 1},
-    {"one in the own zone before one that is slightly less loaded",
+    {"the least loaded target", {{.load = 3}, {.load = 1}, {.load = 2}}, 1},
+    {"a target in the own zone before a slightly less loaded one",
      {{.load = 1.2, .isInOwnZone = true}, {.load = 1}},
      0},
-    {"but not before one that is much less loaded", {{.load = 3, .isInOwnZone = true}, {.load = 1}}, 1},
-    {"loads count by slots", {{.load = 3, .slots = 12}, {.load = 2, .slots = 4}}, 0},
-    {"a cold one last among near-equals", {{.load = 1, .slots = 6, .isCold = true}, {.load = 2, .slots = 6}}, 1},
-    {"an ejected one only when there is no other", {{.load = 0, .health = Health::Ejected}, {.load = 9}}, 1},
-    {"an ejected one is better than none", {{.load = 0, .health = Health::Ejected}}, 0},
-    {"not where it was tried", {{.load = 0, .wasTried = true}, {.load = 9}}, 1},
-    {"nowhere", {{.load = 0, .wasTried = true}}, std::nullopt},
+    {"a much less loaded target before one in the own zone", {{.load = 3, .isInOwnZone = true}, {.load = 1}}, 1},
+    {"load relative to the number of slots", {{.load = 3, .slots = 12}, {.load = 2, .slots = 4}}, 0},
+    {"a cold target last among near-equals", {{.load = 1, .slots = 6, .isCold = true}, {.load = 2, .slots = 6}}, 1},
+    {"an ejected target only if there is no other", {{.load = 0, .health = Health::Ejected}, {.load = 9}}, 1},
+    {"an ejected target rather than none", {{.load = 0, .health = Health::Ejected}}, 0},
+    {"not a target that was tried", {{.load = 0, .wasTried = true}, {.load = 9}}, 1},
+    {"none if all were tried", {{.load = 0, .wasTried = true}}, std::nullopt},
 };
 
 class DirectPlacement : public testing::TestWithParam<PlacementCase>
@@ -241,11 +245,11 @@
 };
 
 const PlacementWaitCase PlacementWaitCases[] = {
-    {"a stream with all its time", EventStream, 8s, LongestStreamWait},
+    {"a stream with plenty of time", EventStream, 8s, LongestStreamWait},
     {"a stream with little time", EventStream, 1s, 500ms},
     {"a booking", NonIdempotent, 1500ms, 150ms},
     {"a booking with little time", NonIdempotent, 200ms, 100ms},
-    {"no time", Idempotent, 0ms, 0ms},
+    {"no time left", Idempotent, 0ms, 0ms},
 };
 
 class PlacementWait : public testing::TestWithParam<PlacementWaitCase>
--- a/tests/decisions/engineplacement_test.cpp
+++ b/tests/decisions/engineplacement_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr int Batch = 12;
 
-/** Two groups of eight engines with even loads; the engines of each stand in turn. */
+/** Two groups of eight engines with even loads; the engines of the two groups alternate. */
 struct EngineFleet
 {
     std::vector<EngineCandidate> engines{};
@@ -47,9 +47,9 @@
     const char *description;
     EngineFleet fleet;
     Urgency urgency;
-    std::optional<std::size_t> group; ///< that takes the stream
+    std::optional<std::size_t> group; ///< expected group of the chosen engine
     bool isFull = false;
-    std::optional<std::size_t> excludedEngine{}; ///< an engine that must not take it
+    std::optional<std::size_t> excludedEngine{}; ///< an engine that must not be chosen
 };
 
 void closeFirstGroup(EngineFleet &fleet)
@@ -66,7 +66,7 @@
     }
 }
 
-/** An engine of the first group takes so many times as long, and has no request. */
+/** Makes the first engine of the first group slower by the given factor and removes its requests. */
 template<int Slowdown>
 void slowFirstEngine(EngineFleet &fleet)
 {
@@ -75,46 +75,49 @@
 }
 
 const PlacementCase PlacementCases[] = {
-    {"a group with room", makeFleet(4, WithoutHeadroom, 6, WithHeadroom), Urgency::OnTime, 1},
-    {"not to a busy engine of it",
+    {"chooses the group with headroom", makeFleet(4, WithoutHeadroom, 6, WithHeadroom), Urgency::OnTime, 1},
+    {"avoids a busy engine of the chosen group",
      withChange(makeFleet(4, WithHeadroom, 4, WithoutHeadroom), [](auto &fleet) { fleet.engines[0].target.load = 6; }),
      Urgency::OnTime, 0, false, 0},
-    // One rank of a group takes four times as long, so all its streams are late. Spread by load alone, more and more
-    // streams go to the other group until its streams are late as well.
-    {"not to a group with slow passes while the other is on time", makeFleet(4, WithHeadroom, 1, AlwaysLate),
+    // One rank of a group takes four times as long, so all streams of the group are late. If streams are spread by load
+    // alone, more and more of them go to the other group until its streams are late as well.
+    {"avoids a group with slow passes while the other group is on time", makeFleet(4, WithHeadroom, 1, AlwaysLate),
      Urgency::OnTime, 0},
-    // Late streams were kept in the slow group whatever room the other had, and made its passes longer still.
-    {"nor one that is late", makeFleet(4, WithHeadroom, 1, AlwaysLate), Urgency::Late, 0},
-    {"what is late goes to the slow group when the other is crowded", makeFleet(4, WithoutHeadroom, 8, AlwaysLate),
-     Urgency::Late, 1},
-    {"until that is full", makeFleet(4, WithoutHeadroom, Batch, AlwaysLate), Urgency::Late, std::nullopt, true},
-    // A group holds all that it can serve within the promised pauses. One stream more makes each of them late, and they
-    // stay late: the group is hardly faster then than streams come.
-    {"none into a crowded group", makeFleet(4, WithoutHeadroom, 4, WithoutHeadroom), Urgency::OnTime, std::nullopt,
-     true},
-    {"nor a late one", makeFleet(4, WithoutHeadroom, 4, WithoutHeadroom), Urgency::Late, std::nullopt, true},
-    {"a stream that its caller has a part of goes on at once", makeFleet(4, WithoutHeadroom, 3, WithoutHeadroom),
-     Urgency::InProgress, 1},
-    {"but not behind full batches", makeFleet(Batch, WithoutHeadroom, Batch, WithoutHeadroom), Urgency::InProgress,
-     std::nullopt, true},
-    {"a timely stream waits rather than be late in a lost group", makeFleet(4, WithoutHeadroom, 1, AlwaysLate),
+    // Late streams stayed in the slow group whatever headroom the other group had, and made its passes even longer.
+    {"sends a late stream to the group that is on time as well", makeFleet(4, WithHeadroom, 1, AlwaysLate),
+     Urgency::Late, 0},
+    {"sends a late stream to the slow group when the other has no headroom",
+     makeFleet(4, WithoutHeadroom, 8, AlwaysLate), Urgency::Late, 1},
+    {"refuses a late stream when the slow group is full too", makeFleet(4, WithoutHeadroom, Batch, AlwaysLate),
+     Urgency::Late, std::nullopt, true},
+    // A group holds all the streams that it can serve within the promised pauses. One more stream makes each of them
+    // late, and they stay late: the group then serves streams hardly faster than they arrive.
+    {"refuses a timely stream when no group has headroom", makeFleet(4, WithoutHeadroom, 4, WithoutHeadroom),
      Urgency::OnTime, std::nullopt, true},
-    // A group whose rank has died refuses at once and so looks idle: every stream went there first.
-    {"not to a group that is closed", withChange(makeFleet(0, WithHeadroom, 5, WithHeadroom), closeFirstGroup),
-     Urgency::OnTime, 1},
-    {"not to a group that stands still",
+    {"refuses a late stream when no group has headroom", makeFleet(4, WithoutHeadroom, 4, WithoutHeadroom),
+     Urgency::Late, std::nullopt, true},
+    {"resumes a stream of which the caller has a part without headroom",
+     makeFleet(4, WithoutHeadroom, 3, WithoutHeadroom), Urgency::InProgress, 1},
+    {"does not resume a stream when all batches are full", makeFleet(Batch, WithoutHeadroom, Batch, WithoutHeadroom),
+     Urgency::InProgress, std::nullopt, true},
+    {"refuses a timely stream that would be late in the slow group", makeFleet(4, WithoutHeadroom, 1, AlwaysLate),
+     Urgency::OnTime, std::nullopt, true},
+    // A group with a dead rank refuses at once and therefore looks idle: every stream went there first.
+    {"avoids a closed group", withChange(makeFleet(0, WithHeadroom, 5, WithHeadroom), closeFirstGroup), Urgency::OnTime,
+     1},
+    {"avoids a stalled group",
      withChange(makeFleet(0, WithHeadroom, 5, WithHeadroom), [](auto &fleet) { fleet.groups[0].isStalled = true; }),
      Urgency::OnTime, 1},
     // One rank takes twelve times as long as it should. Without a request it looks idle, so each new stream went there
-    // first, and while it read the prompt its whole group stood still for 170 ms: every stream of the group was late.
-    {"not to a slow engine for being idle",
+    // first, and while it read the prompt its whole group stalled for 170 ms: every stream of the group was late.
+    {"avoids a slow engine although it is idle",
      withChange(makeFleet(4, WithHeadroom, 9, WithoutHeadroom), slowFirstEngine<12>), Urgency::OnTime, 0, false, 0},
-    {"nor a late one, while its group is on time",
+    {"refuses a late stream at a slow engine while its group is on time",
      withChange(makeFleet(4, WithoutHeadroom, 9, WithoutHeadroom), slowFirstEngine<4>), Urgency::Late, std::nullopt,
      true, 0},
-    {"a late one when its group waits for it anyway and the others are full",
+    {"places a late stream on a slow engine of a late group when the others are full",
      withChange(makeFleet(Batch, AlwaysLate, 9, WithoutHeadroom), slowFirstEngine<4>), Urgency::Late, 0},
-    {"engines that are all slow are alike",
+    {"treats engines alike when all of them are slow",
      withChange(makeFleet(4, WithHeadroom, 9, WithoutHeadroom),
                 [](auto &fleet) {
                     for (auto &engine : fleet.engines) {
@@ -122,12 +125,12 @@
                     }
                 }),
      Urgency::OnTime, 0},
-    {"what is late takes no room that a jump of demand would need",
+    {"keeps headroom for a jump of demand from late streams",
      makeFleet(4, {.hasHeadroomForLate = false, .headroom = 20}, 9, {.hasHeadroomForLate = false, .headroom = 1}),
      Urgency::Late, std::nullopt, true},
-    {"a timely one takes it", makeFleet(4, {.hasHeadroomForLate = false, .headroom = 20}, 9, WithoutHeadroom),
-     Urgency::OnTime, 0},
-    {"an engine that fails is left to streams that are late",
+    {"lets a timely stream use headroom kept from late ones",
+     makeFleet(4, {.hasHeadroomForLate = false, .headroom = 20}, 9, WithoutHeadroom), Urgency::OnTime, 0},
+    {"refuses a timely stream when all engines of the group fail",
      withChange(makeFleet(4, WithHeadroom, 9, WithoutHeadroom),
                 [](auto &fleet) {
                     for (auto &engine : fleet.engines) {
@@ -135,7 +138,7 @@
                     }
                 }),
      Urgency::OnTime, std::nullopt, true},
-    {"nowhere when all groups are closed", withChange(makeFleet(0, WithHeadroom, 0, WithHeadroom), closeAll),
+    {"chooses none when all groups are closed", withChange(makeFleet(0, WithHeadroom, 0, WithHeadroom), closeAll),
      Urgency::Late, std::nullopt},
 };
 
@@ -160,8 +163,8 @@
 
 INSTANTIATE_TEST_SUITE_P(All, StreamPlacement, testing::ValuesIn(PlacementCases));
 
-// A rank of one group is slow, and the group is on time with a few streams only. Placed by load alone it looks idle,
-// gets as many as the other, and all of them have pauses that are just too long.
+// A rank of one group is slow, and the group is on time only with a few streams. Placement by load alone takes it for
+// idle and sends it as many streams as the other group, so that all of them have pauses slightly too long.
 TEST(StreamPlacement, IsProportionalToGroupHeadroom)
 {
     const auto fleet = makeFleet(1, {.headroom = 4}, 6, {.headroom = 36});
@@ -176,16 +179,18 @@
     EXPECT_NEAR(firstGroupStreams, 0.1 * draws, 0.03 * draws);
 }
 
-/** One group of engines, to which entries send streams that last for a while, each knowing what it has sent itself and
- * what all engines said a moment ago. */
+/**
+ * One group of engines, to which entries send streams that last for a while. Each entry knows only what it has sent
+ * itself and the last reported status of all engines.
+ */
 class ManyEntries
 {
 public:
     static constexpr int Engines = 96;
     static constexpr int Entries = 14;
-    static constexpr int Slots = 24; ///< more than ever needed: what is looked at is who gets too much
+    static constexpr int Slots = 24; ///< more than ever needed: the test looks at the most loaded engine
 
-    /** Lets @p rounds pass between two statuses with @p perRound streams from each entry. */
+    /** Simulates @p rounds intervals between two statuses with @p perRound streams from each entry. */
     void run(int rounds, int perRound)
     {
         for (int round = 0; round < rounds; ++round) {
@@ -203,7 +208,7 @@
         }
     }
 
-    /** The most streams that an engine had at a time. */
+    /** Returns the highest number of concurrent streams at any engine. */
     int maxStreamsPerEngine() const
     {
         return m_maxStreams;
@@ -242,14 +247,15 @@
     int m_maxStreams = 0;
 };
 
-// Callers' streams stand in line at some engines while others are idle, and each pass of the group takes as long as the
-// fullest needs: all entries send what comes between two statuses to the engines that said last that they were idle.
+// Guards against herding: all entries send the streams that arrive between two statuses to the engines last reported
+// idle. Streams then queue at some engines while others are idle, and each pass of the group takes as long as the
+// fullest engine needs.
 TEST(StreamPlacement, AvoidsHerdingToIdleEngines)
 {
     constexpr int perRound = 7; // of 14 entries: one for each engine
     ManyEntries entries;
     entries.run(40, perRound);
-    // Four rounds' streams are open at a time, four an engine; six is a batch of such engines.
+    // The streams of four rounds are open at a time, four per engine; the batch size of such engines is six.
     EXPECT_LE(entries.maxStreamsPerEngine(), 10);
 }
 
--- a/tests/decisions/groupadmission_test.cpp
+++ b/tests/decisions/groupadmission_test.cpp
@@ -28,7 +28,7 @@
             .slots = 12 * Engines};
 }
 
-/** A group that has been open for long. */
+/** Returns a group that has been open for a long time. */
 GroupAdmission established()
 {
     GroupAdmission group;
@@ -40,18 +40,18 @@
 struct GroupViewCase
 {
     const char *description;
-    std::chrono::milliseconds pause; ///< of all passes of the last seconds, with four requests an engine
-    double requestsPerEngine; ///< now
+    std::chrono::milliseconds pause; ///< of all passes in the last seconds, with four requests per engine
+    double requestsPerEngine; ///< at present
     bool hasHeadroom;
     bool cannotBeOnTime;
 };
 
 const GroupViewCase GroupViewCases[] = {
     {"short passes, some requests", 45ms, 6, true, false},
-    {"short passes, as many as are on time", 45ms, 15, false, false},
+    {"short passes, as many requests as can be on time", 45ms, 15, false, false},
     {"long passes, some requests", 90ms, 6, false, false},
     {"long passes, few requests", 90ms, 3, true, false},
-    {"passes that keep no promise with a single request", 290ms, 1, false, true},
+    {"passes too long even for a single request", 290ms, 1, false, true},
 };
 
 class GroupView : public testing::TestWithParam<GroupViewCase>
@@ -78,19 +78,20 @@
 struct LateHeadroomCase
 {
     const char *description;
-    std::chrono::milliseconds badPause; ///< of some passes, two seconds ago
+    std::chrono::milliseconds badPause; ///< of some passes two seconds ago
     double requestsPerEngine;
     bool hasHeadroom;
     bool hasHeadroomForLate;
 };
 
-// Groups stay full of late streams between two jumps of demand, so that each jump makes timely ones late as well; or
-// they are kept so empty for the next jump that timely ones wait before engines with room.
+// Guards against groups that stay full of late streams between two jumps of demand, so that each jump delays timely
+// streams as well, and against groups kept so empty for the next jump that timely streams wait although engines have
+// headroom.
 const LateHeadroomCase LateHeadroomCases[] = {
     {"no bad moments", 45ms, 8, true, true},
-    {"bad moments that fewer requests would have met", 110ms, 8, true, false},
-    {"room even for those", 110ms, 2, true, true},
-    {"no room at all", 110ms, 15, false, false},
+    {"bad moments that only fewer requests would have passed on time", 110ms, 8, true, false},
+    {"headroom even for bad moments", 110ms, 2, true, true},
+    {"no headroom at all", 110ms, 15, false, false},
 };
 
 class HeadroomForLate : public testing::TestWithParam<LateHeadroomCase>
@@ -121,26 +122,26 @@
 struct OthersGrowthCase
 {
     const char *name;
-    int own; ///< requests of the entry
-    int ownReported; ///< when engines last told their load
-    double othersReported; ///< requests of other entries then
-    bool hasHeadroom; ///< for which there is room while the group has less than 18 an engine
+    int own; ///< requests of this entry
+    int ownReported; ///< when the engines last reported their load
+    double othersReported; ///< requests of the other entries at that time
+    bool hasHeadroom; ///< there is headroom while the group has less than 18 requests per engine
 };
 
 const OthersGrowthCase OthersGrowthCases[] = {
-    {"as it was told", 20, 20, 60, true},
+    {"unchanged since the report", 20, 20, 60, true},
     {"the entry has sent twice as much since", 40, 20, 60, false},
-    {"much has ended since, where there was no room", 10, 36, 108, true},
-    {"no room, and nothing has changed", 36, 36, 108, false},
-    {"nothing was told yet", 36, 0, 0, false},
+    {"many requests have ended since, without headroom before", 10, 36, 108, true},
+    {"no headroom and unchanged since the report", 36, 36, 108, false},
+    {"nothing reported yet", 36, 0, 0, false},
 };
 
 class OthersGrowth : public testing::TestWithParam<OthersGrowthCase>
 {
 };
 
-// Guards against entries that all send to one sound group until its passes break the promise, because each counts only
-// its own streams since the engines last told their load.
+// Guards against entries that all send to one healthy group until its passes break the promise, because each entry
+// counts only its own streams since the engines last reported their load.
 TEST_P(OthersGrowth, IsAssumedToMatchOwnGrowth)
 {
     const auto &row = GetParam();
@@ -163,8 +164,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, OthersGrowth, testing::ValuesIn(OthersGrowthCases));
 
-// Guards against four entries that each fill a group which has just opened by themselves, since no status shows yet
-// what the others have sent.
+// Guards against four entries that each fill a newly opened group on their own, because no status shows yet what the
+// others have sent.
 TEST(GroupAdmission, FourEntriesTogetherFillStartingGroupOnce)
 {
     GroupAdmission group;
@@ -191,8 +192,9 @@
     EXPECT_GT(sent, maxRequests * Share / 4);
 }
 
-// All engines lose power. When they are back they read all that has waited with a map that fits nothing, in passes of
-// 150 ms; half a second later passes are short. The group was kept half empty for five seconds for these first passes.
+// All engines lose power. After the restart they read all waiting prompts with a map that fits nothing, in passes of
+// 150 ms; half a second later passes are short. Guards against keeping the group half empty for five seconds because of
+// these first passes.
 TEST(GroupAdmission, IgnoresStartupPassesOnceEstablished)
 {
     GroupAdmission group;
--- a/tests/decisions/startreplay_test.cpp
+++ b/tests/decisions/startreplay_test.cpp
@@ -25,7 +25,7 @@
                             .passesPerStream = PassesPerStream,
                             .longestPass = Milliseconds(135)};
 
-/** A group without load that has just opened, and entries that each hold more streams than it takes. */
+/** A newly opened group without load, and entries that each hold more streams than the group can take. */
 class OpeningGroup
 {
 public:
@@ -68,8 +68,8 @@
     struct Entry
     {
         GroupAdmission admission{};
-        std::vector<int> passesLeft{}; ///< of streams whose prompt is read
-        int prompts = 0; ///< streams whose prompt is not read yet
+        std::vector<int> passesLeft{}; ///< of streams whose prompt has been read
+        int prompts = 0; ///< streams whose prompt has not been read yet
     };
 
     void sendAdmitted(Entry &entry)
@@ -121,8 +121,8 @@
 {
     const char *name;
     std::size_t entries;
-    double stretch; ///< of the work for tokens, by the first map
-    int minRequests; ///< requests that are there a second later
+    double stretch; ///< of the work per token, caused by the initial map
+    int minRequests; ///< minimum number of requests in the group one second later
 };
 
 const GroupStartCase GroupStartCases[] = {
@@ -136,8 +136,7 @@
 {
 };
 
-// Guards against entries that together fill a group which has just opened, before any of them has seen one of its
-// passes.
+// Guards against entries that together overfill a newly opened group before any of them has observed one of its passes.
 TEST_P(StartReplay, FillsGroupWithoutPassesThatBreakThePromise)
 {
     const auto &row = GetParam();
