--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -297,19 +297,19 @@
     attemptEnded(plainEnd(), {});
 }
 
-AttemptOutcome GatewayCall::plainEnd() const
+AttemptResult GatewayCall::plainEnd() const
 {
     if (m_answer.isNotRun && m_answer.id == m_fields.id) {
-        return AttemptOutcome::RefusedAtTarget;
+        return AttemptResult::RefusedAtTarget;
     }
     if (m_isUnusable) {
-        return AttemptOutcome::InvalidAnswer;
+        return AttemptResult::InvalidAnswer;
     }
     const bool isPromise = m_status == 408 || m_status == 421 || m_status == 429 || m_status == 503;
     if (isPromise) {
-        return AttemptOutcome::InvalidAnswer; // the status says that it has not run, and the target does not
+        return AttemptResult::InvalidAnswer; // the status says that it has not run, and the target does not
     }
-    return m_status >= 500 ? AttemptOutcome::FailedAtTarget : AttemptOutcome::Answered;
+    return m_status >= 500 ? AttemptResult::FailedAtTarget : AttemptResult::Answered;
 }
 
 void GatewayCall::exchangeFailed(const ExchangeFailure &failure)
@@ -321,7 +321,7 @@
         brokeUnanswered(failure.reason);
         return;
     }
-    attemptEnded(failure.isSent ? AttemptOutcome::Interrupted : AttemptOutcome::NeverSent, failure.reason);
+    attemptEnded(failure.isSent ? AttemptResult::Interrupted : AttemptResult::NeverSent, failure.reason);
 }
 
 void GatewayCall::brokeUnanswered(const std::string &reason)
@@ -329,7 +329,7 @@
     leaveTarget(false);
     const auto *target = m_traffic.m_targets.find(m_target);
     if (target == nullptr) {
-        attemptEnded(AttemptOutcome::Interrupted, reason);
+        attemptEnded(AttemptResult::Interrupted, reason);
         return;
     }
     m_isExamined = true;
@@ -342,7 +342,7 @@
         if (presence == Presence::Gone) {
             self->m_traffic.m_crashGuard.targetDied(self->m_fields.id, self->fingerprint(), self->m_target);
         }
-        self->attemptEnded(AttemptOutcome::Interrupted, reason);
+        self->attemptEnded(AttemptResult::Interrupted, reason);
     });
 }
 
@@ -448,7 +448,7 @@
 void GatewayCall::streamEnded()
 {
     if (m_stream.isBroken()) {
-        attemptEnded(AttemptOutcome::Interrupted, "the stream ended within an event");
+        attemptEnded(AttemptResult::Interrupted, "the stream ended within an event");
         return;
     }
     leaveTarget(true);
@@ -463,25 +463,25 @@
     finish("delivered", m_status);
 }
 
-void GatewayCall::attemptEnded(AttemptOutcome end, std::string_view reason)
+void GatewayCall::attemptEnded(AttemptResult end, std::string_view reason)
 {
-    leaveTarget(end == AttemptOutcome::Answered || end == AttemptOutcome::FailedAtTarget
-                || end == AttemptOutcome::RefusedAtTarget);
-    if (end == AttemptOutcome::RefusedAtTarget) {
+    leaveTarget(end == AttemptResult::Answered || end == AttemptResult::FailedAtTarget
+                || end == AttemptResult::RefusedAtTarget);
+    if (end == AttemptResult::RefusedAtTarget) {
         m_traffic.m_targets.refused(m_target, now());
     }
-    if (end == AttemptOutcome::Answered) {
+    if (end == AttemptResult::Answered) {
         m_traffic.m_targets.record(m_target, Attempt::Succeeded, now());
-    } else if (end != AttemptOutcome::RefusedAtTarget) {
-        m_traffic.m_targets.record(m_target, end == AttemptOutcome::TimedOut ? Attempt::TimedOut : Attempt::Failed,
+    } else if (end != AttemptResult::RefusedAtTarget) {
+        m_traffic.m_targets.record(m_target, end == AttemptResult::TimedOut ? Attempt::TimedOut : Attempt::Failed,
                                    now());
     }
-    const bool hasRunToAnEnd = end == AttemptOutcome::Answered || end == AttemptOutcome::FailedAtTarget;
+    const bool hasRunToAnEnd = end == AttemptResult::Answered || end == AttemptResult::FailedAtTarget;
     if (hasRunToAnEnd && isSuspect()) {
         m_traffic.m_crashGuard.answered(fingerprint());
     }
     m_mayHaveRun += mayHaveRun(end) ? 1 : 0;
-    m_arrivals += end != AttemptOutcome::NeverSent ? 1 : 0;
+    m_arrivals += end != AttemptResult::NeverSent ? 1 : 0;
     const auto step = nextStep(end,
                                {.kind = m_route.kind,
                                 .isResumable = m_route.isResumable,
@@ -509,9 +509,9 @@
     }
 }
 
-void GatewayCall::repeat(AttemptOutcome end, std::string_view reason)
+void GatewayCall::repeat(AttemptResult end, std::string_view reason)
 {
-    if (end == AttemptOutcome::FailedAtTarget && m_traffic.budgetOf(m_service).remaining(now()) < 1) {
+    if (end == AttemptResult::FailedAtTarget && m_traffic.budgetOf(m_service).remaining(now()) < 1) {
         deliver(); // the target's own answer says more than one of this process's
         return;
     }
@@ -634,7 +634,7 @@
         m_route.kind == RequestKind::Idempotent && m_status == 0 && now() - m_sentAt > m_route.objective;
     const bool mayRepeat = m_mayHaveRun + 1 < m_route.maxAttempts && timeLeft() > LeastTime * 2;
     if ((isSilentStream || isSilentCall) && mayRepeat && couldGoOnElsewhere()) {
-        attemptEnded(AttemptOutcome::TimedOut, "no sign of life");
+        attemptEnded(AttemptResult::TimedOut, "no sign of life");
     }
 }
 
--- a/modules/heatherridge_transport/direct/gatewaycall.h
+++ b/modules/heatherridge_transport/direct/gatewaycall.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "heatherridge_state/decisions/attemptoutcome.h"
+#include "heatherridge_state/decisions/attemptresult.h"
 #include "heatherridge_state/keys/requestfingerprint.h"
 #include "heatherridge_transport/direct/gatewaytraffic.h"
 #include "heatherridge_transport/direct/streamprogress.h"
@@ -64,12 +64,12 @@
     void bodyCame(std::string_view bytes);
     void answerEnded();
     void exchangeFailed(const ExchangeFailure &failure);
-    AttemptOutcome plainEnd() const;
+    AttemptResult plainEnd() const;
     void streamEvents(std::string_view bytes);
     void passOn(const StreamEvent &event);
     void write(const std::string &text);
     void streamEnded();
-    void attemptEnded(AttemptOutcome end, std::string_view reason);
+    void attemptEnded(AttemptResult end, std::string_view reason);
     void brokeUnanswered(const std::string &reason);
     const RequestFingerprint &fingerprint();
     bool isSuspect();
@@ -78,7 +78,7 @@
     void markSuspectAt(const TargetName &target);
     void unmarkSuspect();
     void leaveTarget(bool keepConnection);
-    void repeat(AttemptOutcome end, std::string_view reason);
+    void repeat(AttemptResult end, std::string_view reason);
     void deliver();
     void fail(Error error);
     void finish(std::string_view outcome, int status);
--- a/tests/decisions/direct_test.cpp
+++ b/tests/decisions/direct_test.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_state/decisions/attemptoutcome.h"
+#include "heatherridge_state/decisions/attemptresult.h"
 #include "heatherridge_state/decisions/directplacement.h"
 #include "heatherridge_state/decisions/fleetretrybudget.h"
 #include "heatherridge_state/decisions/loadestimate.h"
@@ -21,7 +21,7 @@
 struct NextStepCase
 {
     const char *description;
-    AttemptOutcome end;
+    AttemptResult end;
     AttemptContext context;
     NextStep step;
 };
@@ -31,58 +31,58 @@
 constexpr auto EventStream = RequestKind::EventStream;
 
 const NextStepCase NextStepCases[] = {
-    {"a complete answer", AttemptOutcome::Answered, {.kind = NonIdempotent, .possibleRuns = 1}, NextStep::Deliver},
+    {"a complete answer", AttemptResult::Answered, {.kind = NonIdempotent, .possibleRuns = 1}, NextStep::Deliver},
     // A booking whose connection was reset may have been executed. Sending it again would execute it twice.
     {"a booking after a reset",
-     AttemptOutcome::Interrupted,
+     AttemptResult::Interrupted,
      {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
     {"a booking after a timeout",
-     AttemptOutcome::TimedOut,
+     AttemptResult::TimedOut,
      {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
     {"a booking after an invalid answer",
-     AttemptOutcome::InvalidAnswer,
+     AttemptResult::InvalidAnswer,
      {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
     {"a booking that failed at its target",
-     AttemptOutcome::FailedAtTarget,
+     AttemptResult::FailedAtTarget,
      {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Deliver},
     {"a booking that its target refused",
-     AttemptOutcome::RefusedAtTarget,
+     AttemptResult::RefusedAtTarget,
      {.kind = NonIdempotent, .maxRuns = 1},
      NextStep::Retry},
     {"a booking that was never sent",
-     AttemptOutcome::NeverSent,
+     AttemptResult::NeverSent,
      {.kind = NonIdempotent, .maxRuns = 1},
      NextStep::Retry},
     {"a look-up after a reset",
-     AttemptOutcome::Interrupted,
+     AttemptResult::Interrupted,
      {.kind = Idempotent, .possibleRuns = 1, .maxRuns = 2},
      NextStep::Retry},
     {"a look-up that has run on the maximum number of targets",
-     AttemptOutcome::Interrupted,
+     AttemptResult::Interrupted,
      {.kind = Idempotent, .possibleRuns = 2, .maxRuns = 2, .attempts = 2},
      NextStep::Fail},
     {"a look-up that failed at the last target it may run on",
-     AttemptOutcome::FailedAtTarget,
+     AttemptResult::FailedAtTarget,
      {.kind = Idempotent, .possibleRuns = 2, .maxRuns = 2, .attempts = 2},
      NextStep::Deliver},
     {"a stream that can be resumed",
-     AttemptOutcome::Interrupted,
+     AttemptResult::Interrupted,
      {.kind = EventStream, .isResumable = true, .possibleRuns = 1, .maxRuns = 2},
      NextStep::Retry},
     {"a stream that cannot be resumed",
-     AttemptOutcome::Interrupted,
+     AttemptResult::Interrupted,
      {.kind = EventStream, .possibleRuns = 1, .maxRuns = 2},
      NextStep::Fail},
     {"refused everywhere",
-     AttemptOutcome::RefusedAtTarget,
+     AttemptResult::RefusedAtTarget,
      {.kind = Idempotent, .maxRuns = 2, .attempts = MaxAttempts},
      NextStep::Fail},
     {"no time for another attempt",
-     AttemptOutcome::Interrupted,
+     AttemptResult::Interrupted,
      {.kind = Idempotent, .possibleRuns = 1, .maxRuns = 2, .hasTimeLeft = false},
      NextStep::Fail},
 };
@@ -101,7 +101,7 @@
 RC_GTEST_PROP(NextSteps, NeverRetryNonIdempotentRequestThatMayHaveRun,
               (std::uint8_t endNumber, std::uint8_t ran, std::uint8_t tries))
 {
-    const auto end = static_cast<AttemptOutcome>(endNumber % 7);
+    const auto end = static_cast<AttemptResult>(endNumber % 7);
     const auto step = nextStep(end, {.kind = NonIdempotent, .possibleRuns = ran, .maxRuns = 5, .attempts = tries});
     RC_ASSERT(!(mayHaveRun(end) && step == NextStep::Retry));
 }
