--- a/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
+++ b/modules/heatherridge_coordination/groups/rebalancertakeover.cpp
@@ -9,14 +9,17 @@
 namespace
 {
 
-/** How long ago a keeper last asked any rank for counts; nothing when no rank has told of late. */
+/**
+ * Returns how long ago a rebalancer last requested counts from any rank; nothing when no rank has reported recently.
+ */
 std::optional<std::chrono::milliseconds> timeSinceLastCountsRequest(const std::map<GroupName, MonitoredGroup> &groups,
                                                                     SteadyTime now)
 {
     std::optional<std::chrono::milliseconds> shortest;
-    for (const auto &[name, seen] : groups) {
-        if (seen.countsRequestedAgo && now - seen.countsRequestReportedAt <= RebalancerTakeover::MaxReportAge) {
-            shortest = shortest ? std::min(*shortest, *seen.countsRequestedAgo) : *seen.countsRequestedAgo;
+    for (const auto &[name, monitored] : groups) {
+        if (monitored.countsRequestedAgo
+            && now - monitored.countsRequestReportedAt <= RebalancerTakeover::MaxReportAge) {
+            shortest = shortest ? std::min(*shortest, *monitored.countsRequestedAgo) : *monitored.countsRequestedAgo;
         }
     }
     return shortest;
--- a/modules/heatherridge_state/decisions/admissionqueue.cpp
+++ b/modules/heatherridge_state/decisions/admissionqueue.cpp
@@ -20,7 +20,7 @@
 constexpr std::chrono::seconds ShortRequestMemory{10};
 /** Long enough to cover tens of requests at a target, short enough to follow a burst. */
 constexpr std::chrono::milliseconds PressureHalfLife{2000};
-/** Minimum time between two sweeps of a lane with waiting requests. */
+/** Minimum time between two sweeps of a workspace with waiting requests. */
 constexpr std::chrono::milliseconds MinSweepInterval{100};
 /** Weight of the newest request in the moving average of the cost. */
 constexpr double CostSmoothing = 0.02;
@@ -61,11 +61,11 @@
     if (!makeRoom(share, now)) {
         return makeRefusal(ErrorKind::QueueFull, share, request.cost, now);
     }
-    if (share.lane.isEmpty()) {
+    if (share.queue.isEmpty()) {
         m_activeWeight += share.weight;
         share.tag = std::max(share.tag, m_virtualTime - m_options.burst / share.weight);
     }
-    share.lane.add({.request = request, .arrived = now, .latestStart = latestStart, .isLong = isLong}, now);
+    share.queue.add({.request = request, .arrived = now, .latestStart = latestStart, .isLong = isLong}, now);
     m_waiting.emplace(request.id, request.workspace);
     scheduleSweep(share, now);
     return Queued{};
@@ -81,10 +81,10 @@
     Share *next = nullptr;
     double lowestTag = 0;
     for (auto &[name, share] : m_shares) {
-        if (share.lane.isEmpty(allowLong)) {
+        if (share.queue.isEmpty(allowLong)) {
             continue;
         }
-        const double tag = share.tag - share.lane.highestPriority() * m_averageCost / share.weight;
+        const double tag = share.tag - share.queue.highestPriority() * m_averageCost / share.weight;
         if (next == nullptr || tag < lowestTag) {
             next = &share;
             lowestTag = tag;
@@ -93,9 +93,9 @@
     if (next == nullptr) {
         return std::nullopt;
     }
-    const auto waiting = next->lane.pop(now, allowLong, isOverloaded(*next, now));
+    const auto waiting = next->queue.pop(now, allowLong, isOverloaded(*next, now));
     m_waiting.erase(waiting->request.id);
-    if (next->lane.isEmpty()) {
+    if (next->queue.isEmpty()) {
         m_activeWeight -= next->weight;
     }
     start(*next, waiting->request, waiting->isLong, now);
@@ -124,8 +124,8 @@
         return false;
     }
     auto &share = m_shares.at(entry->second);
-    share.lane.remove(id);
-    if (share.lane.isEmpty()) {
+    share.queue.remove(id);
+    if (share.queue.isEmpty()) {
         m_activeWeight -= share.weight;
     }
     m_waiting.erase(entry);
@@ -141,7 +141,7 @@
 {
     m_draining = true;
     for (auto &[name, share] : m_shares) {
-        while (const auto waiting = share.lane.popOldest()) {
+        while (const auto waiting = share.queue.popOldest()) {
             m_abandoned.push_back(
                 {.id = waiting->request.id,
                  .error = {.kind = ErrorKind::Draining, .ran = Ran::No, .retryAfter = MinRetryAfter}});
@@ -164,7 +164,7 @@
     }
     m_nextSweep.reset();
     for (auto &[name, share] : m_shares) {
-        while (auto waiting = share.lane.popLate(now)) {
+        while (auto waiting = share.queue.popExpired(now)) {
             abandon(share, std::move(waiting), ErrorKind::DeadlineUnreachable, now);
         }
         abandonStale(share, now);
@@ -185,7 +185,7 @@
                        .pressure = m_startedCost > 0 ? std::max(1.0, m_offeredCost / m_startedCost) : 1,
                        .capacity = static_cast<double>(m_limit) * m_averageCost};
     for (const auto &[name, share] : m_shares) {
-        load.waitingCost += share.lane.backlog();
+        load.waitingCost += share.queue.backlog();
     }
     for (const auto &[id, running] : m_running) {
         load.runningCost += running.cost;
@@ -206,32 +206,32 @@
 AdmissionQueue::Share &AdmissionQueue::shareFor(const WorkRequest &request)
 {
     Share &share = m_shares[request.workspace];
-    if (!share.lane.isEmpty()) {
+    if (!share.queue.isEmpty()) {
         m_activeWeight += request.weight - share.weight;
     }
     share.weight = request.weight;
     return share;
 }
 
-/** Returns the fair share of slots for @p share while it competes with the other lanes that have waiting requests. */
+/** Returns the fair share of slots for @p share while it competes with other workspaces that have waiting requests. */
 double AdmissionQueue::fairSlots(const Share &share) const
 {
-    const double otherWeight = m_activeWeight - (share.lane.isEmpty() ? 0 : share.weight);
+    const double otherWeight = m_activeWeight - (share.queue.isEmpty() ? 0 : share.weight);
     return static_cast<double>(m_limit) * share.weight / (share.weight + std::max(otherWeight, 0.0));
 }
 
 /**
- * Returns whether @p share is overloaded by its own traffic. A lane whose tag stays behind virtual time even with its
- * backlog added has received less than its share. It is served before lanes that exceed theirs, so its waits are short,
- * and abandoning its requests would give its share to those lanes.
+ * Returns whether @p share is overloaded by its own traffic. A workspace whose tag stays behind virtual time even with
+ * its backlog added has received less than its share. It is served before workspaces that exceed theirs, so its waits
+ * are short, and abandoning its requests would give its share to those workspaces.
  */
 bool AdmissionQueue::isOverloaded(const Share &share, SteadyTime now) const
 {
-    if (share.tag + share.lane.backlog() / share.weight < m_virtualTime) {
+    if (share.tag + share.queue.backlog() / share.weight < m_virtualTime) {
         return false;
     }
-    const auto prompt = share.lane.lastPrompt();
-    return prompt && now - *prompt > m_options.overloadDelay;
+    const auto lastShortWait = share.queue.lastShortWait();
+    return lastShortWait && now - *lastShortWait > m_options.overloadDelay;
 }
 
 bool AdmissionQueue::mayStartLong(SteadyTime now) const
@@ -245,7 +245,7 @@
 
 std::chrono::microseconds AdmissionQueue::expectedWait(const Share &share, SteadyTime /*now*/) const
 {
-    return m_rate.drainTime(share.lane.backlog(), fairSlots(share));
+    return m_rate.drainTime(share.queue.backlog(), fairSlots(share));
 }
 
 /**
@@ -262,7 +262,7 @@
     }
     share.deferredAt = now;
     share.deferredCost += cost;
-    const auto delay = m_rate.drainTime(share.lane.backlog() + share.deferredCost, slots);
+    const auto delay = m_rate.drainTime(share.queue.backlog() + share.deferredCost, slots);
     // The deferred cost is bounded too, so that the delay becomes accurate again soon after the load has dropped.
     if (delay > MaxRetryAfter) {
         share.deferredCost -= cost;
@@ -286,7 +286,7 @@
     return isOverShare && !isAlone ? ErrorKind::WorkspaceOverLimit : ErrorKind::Overloaded;
 }
 
-void AdmissionQueue::abandon(Share &share, std::optional<WorkspaceLane::Waiting> waiting, ErrorKind kind,
+void AdmissionQueue::abandon(Share &share, std::optional<WorkspaceQueue::QueuedRequest> waiting, ErrorKind kind,
                              SteadyTime now)
 {
     if (!waiting) {
@@ -294,39 +294,39 @@
     }
     m_waiting.erase(waiting->request.id);
     m_abandoned.push_back({.id = waiting->request.id, .error = makeRefusal(kind, share, waiting->request.cost, now)});
-    if (share.lane.isEmpty()) {
+    if (share.queue.isEmpty()) {
         m_activeWeight -= share.weight;
     }
 }
 
 /**
- * Abandons requests that have waited too long in an overloaded lane, as long as newer requests arrive to replace them.
+ * Abandons requests that have waited too long in an overloaded queue, as long as newer requests arrive to replace them.
  * If none arrive, for example after a neighbouring target failed and its work arrived here all at once, abandoning
  * requests would leave slots idle later.
  */
 void AdmissionQueue::abandonStale(Share &share, SteadyTime now)
 {
-    while (isOverloaded(share, now) && now - *share.lane.lastArrival() < m_options.maxOverloadWait
-           && now - *share.lane.oldestArrival() >= m_options.maxOverloadWait) {
-        abandon(share, share.lane.popOldest(), overloadKind(share), now);
+    while (isOverloaded(share, now) && now - *share.queue.lastArrival() < m_options.maxOverloadWait
+           && now - *share.queue.oldestArrival() >= m_options.maxOverloadWait) {
+        abandon(share, share.queue.popOldest(), overloadKind(share), now);
     }
 }
 
 void AdmissionQueue::scheduleSweep(const Share &share, SteadyTime now)
 {
-    if (share.lane.isEmpty()) {
+    if (share.queue.isEmpty()) {
         return;
     }
-    // If the oldest request has already waited that long, the lane is checked again to see whether it has become
+    // If the oldest request has already waited that long, the queue is checked again to see whether it has become
     // overloaded.
-    const auto staleAt = std::max(*share.lane.oldestArrival() + m_options.maxOverloadWait, now + MinSweepInterval);
-    const auto next = std::min(staleAt, *share.lane.earliestLatestStart());
+    const auto staleAt = std::max(*share.queue.oldestArrival() + m_options.maxOverloadWait, now + MinSweepInterval);
+    const auto next = std::min(staleAt, *share.queue.earliestLatestStart());
     m_nextSweep = m_nextSweep ? std::min(*m_nextSweep, next) : next;
 }
 
 /**
- * Makes room for a request of @p share when the queue is full: the lane with the largest backlog for its weight loses
- * its oldest request. Without this a workspace that fills the queue would lock out the others before shares take
+ * Makes room for a request of @p share when the queue is full: the workspace with the largest backlog for its weight
+ * loses its oldest request. Without this a workspace that fills the queue would lock out the others before shares take
  * effect.
  */
 bool AdmissionQueue::makeRoom(Share &share, SteadyTime now)
@@ -336,14 +336,14 @@
     }
     Share *largest = &share;
     for (auto &[name, other] : m_shares) {
-        if (other.lane.backlog() / other.weight > largest->lane.backlog() / largest->weight) {
+        if (other.queue.backlog() / other.weight > largest->queue.backlog() / largest->weight) {
             largest = &other;
         }
     }
     if (largest == &share && !isOverloaded(share, now)) {
         return false;
     }
-    abandon(*largest, largest->lane.popOldest(), ErrorKind::QueueFull, now);
+    abandon(*largest, largest->queue.popOldest(), ErrorKind::QueueFull, now);
     return true;
 }
 
--- a/modules/heatherridge_state/decisions/admissionqueue.h
+++ b/modules/heatherridge_state/decisions/admissionqueue.h
@@ -2,7 +2,7 @@
 
 #include "heatherridge_state/base/result.h"
 #include "heatherridge_state/decisions/servicerate.h"
-#include "heatherridge_state/decisions/workspacelane.h"
+#include "heatherridge_state/decisions/workspacequeue.h"
 
 #include <unordered_map>
 #include <variant>
@@ -25,12 +25,12 @@
      */
     double burst = 8'000;
     /**
-     * A lane is overloaded when none of its requests has started promptly (WorkspaceLane::PromptWait) for this long. A
-     * burst that fits the target ends sooner.
+     * A workspace's queue is overloaded when none of its requests has started promptly (WorkspaceQueue::MaxShortWait)
+     * for this long. A burst that fits the target ends sooner.
      */
     std::chrono::milliseconds overloadDelay{1000};
     /**
-     * Maximum wait in an overloaded lane. Long enough to bridge the gap between two arrivals, short enough that a
+     * Maximum wait in an overloaded queue. Long enough to bridge the gap between two arrivals, short enough that a
      * refused caller learns it soon.
      */
     std::chrono::milliseconds maxOverloadWait{500};
@@ -80,17 +80,17 @@
  * entries, each queue would act as if it were the only one, and requests would expire in the other. Entries therefore
  * never queue.
  *
- * - Shares: start-time fair queueing by cost. Each lane has a tag that advances by cost / weight of the requests
- *   started; the lane with the lowest tag is served next. Without it the workspace that sends most receives most.
- * - Priority moves a lane ahead by a bounded offset of its tag (one average request per priority step), so that urgent
- *   requests start sooner while the share of their workspace stays the same. For the order within a lane see
- *   WorkspaceLane.
+ * - Shares: start-time fair queueing by cost. Each workspace has a tag that advances by cost / weight of the requests
+ *   started; the workspace with the lowest tag is served next. Without it the workspace that sends most receives most.
+ * - Priority moves a workspace ahead by a bounded offset of its tag (one average request per priority step), so that
+ *   urgent requests start sooner while the share of their workspace stays the same. For the order of the requests of
+ *   one workspace see WorkspaceQueue.
  * - Deadlines: a request that cannot finish in time at the measured service rate is refused as not run, either on
  *   arrival or as soon as this becomes true while it waits (see nextSweep()).
- * - Overload of a lane: the newest viable request is served first, and requests that have waited for maxOverloadWait
- *   are abandoned, so that callers get an answer or a refusal within about a second. Overload is judged by waiting
- *   times, not by whether the lane is occupied: a lane that is served promptly on each of its turns is within its
- *   share, however often it fills.
+ * - Overload of a workspace's queue: the newest viable request is served first, and requests that have waited for
+ *   maxOverloadWait are abandoned, so that callers get an answer or a refusal within about a second. Overload is judged
+ *   by waiting times, not by whether the queue is occupied: a queue that is served promptly on each of its turns is
+ *   within its share, however often it fills.
  * - Long requests leave half of the slots to short requests while there are any.
  *
  * After every call that may free a slot (offer, finish, setLimit, cancel) the owner calls startNext() until it returns
@@ -153,8 +153,8 @@
 private:
     struct Share
     {
-        WorkspaceLane lane{};
-        double tag = 0; ///< cost / weight started so far, in virtual time common to all lanes
+        WorkspaceQueue queue{};
+        double tag = 0; ///< cost / weight started so far, in virtual time common to all workspaces
         double weight = 1;
         double deferredCost = 0; ///< cost refused with a retry delay and not yet worked off
         SteadyTime deferredAt{};
@@ -176,7 +176,7 @@
     std::chrono::milliseconds retryDelay(Share &share, double cost, SteadyTime now);
     Error makeRefusal(ErrorKind kind, Share &share, double cost, SteadyTime now);
     ErrorKind overloadKind(const Share &share) const;
-    void abandon(Share &share, std::optional<WorkspaceLane::Waiting> waiting, ErrorKind kind, SteadyTime now);
+    void abandon(Share &share, std::optional<WorkspaceQueue::QueuedRequest> waiting, ErrorKind kind, SteadyTime now);
     void abandonStale(Share &share, SteadyTime now);
     void scheduleSweep(const Share &share, SteadyTime now);
     bool makeRoom(Share &share, SteadyTime now);
@@ -192,7 +192,7 @@
     std::optional<SteadyTime> m_nextSweep;
     std::optional<SteadyTime> m_lastShortArrival; ///< when the last short request arrived
     double m_virtualTime = 0;
-    double m_activeWeight = 0; ///< sum of the weights of lanes with waiting requests
+    double m_activeWeight = 0; ///< sum of the weights of workspaces with waiting requests
     double m_offeredCost = 0; ///< cost offered recently, decaying exponentially
     double m_startedCost = 0; ///< cost started recently, decaying at the same rate
     SteadyTime m_decayedAt{};
--- a/modules/heatherridge_state/decisions/concurrencylimit.cpp
+++ b/modules/heatherridge_state/decisions/concurrencylimit.cpp
@@ -92,8 +92,8 @@
         return; // too few samples: the window stays open
     }
     m_peakRunning = m_lastRunning;
-    const double excess = std::max(firstToken == LatencyVerdict::Unknown ? 0 : m_firstToken.lastExcess(),
-                                   tokenGap == LatencyVerdict::Unknown ? 0 : m_tokenGap.lastExcess());
+    const double excess = std::max(firstToken == LatencyVerdict::Unknown ? 0 : m_firstToken.lastLatencyRatio(),
+                                   tokenGap == LatencyVerdict::Unknown ? 0 : m_tokenGap.lastLatencyRatio());
     if (excess > 1) {
         m_ceiling = m_limit;
         m_limit *= std::max(MinDecreaseFactor, 1 - DecreasePerExcess * excess);
--- a/modules/heatherridge_state/decisions/costplacement.cpp
+++ b/modules/heatherridge_state/decisions/costplacement.cpp
@@ -131,7 +131,7 @@
     }
     const double refusalCost = PressureWeight * means.capacity * std::log(std::max(1.0, target.reportedPressure));
     const double work = refusalCost + load / std::max(target.warmth, MinWarmth) + traits.cost
-        + (target.pendingPrompt - cachedTokens) * PrefixTokenValue;
+        + (target.pendingPromptTokens - cachedTokens) * PrefixTokenValue;
     const double delay = 2 * m_options.zonePrice * static_cast<double>(target.zoneDelay.count());
     return work * target.slowness * traits.timePerUnit.count() + delay;
 }
--- a/modules/heatherridge_state/decisions/engineplacement.h
+++ b/modules/heatherridge_state/decisions/engineplacement.h
@@ -25,7 +25,7 @@
 struct EngineGroup
 {
     bool isStalled = false; ///< one of its engines has open streams but is silent, so all of its engines are stalled
-    bool hasHeadroom = true; ///< whether its passes stay short enough with one more stream, @see streamsPerPass()
+    bool hasHeadroom = true; ///< whether its passes stay short enough with one more stream, @see maxStreamsPerPass()
     bool hasHeadroomForLate = true; ///< whether they would stay short enough even if demand jumped now; late streams
                                     ///< may use only this headroom
     double headroom = 1; ///< requests that it can take on time beyond its current ones; weight of the group among
--- a/modules/heatherridge_state/decisions/groupadmission.cpp
+++ b/modules/heatherridge_state/decisions/groupadmission.cpp
@@ -20,8 +20,8 @@
 constexpr double PriorOwnRequests = 4;
 /** Maximum growth of a starting group from one pass to the next. */
 constexpr double MaxGrowth = 2;
-/** Assumed stretch of the work in the first passes of a group, because of its initial map. */
-constexpr double InitialStretch = 2;
+/** Assumed slowdown of the work in the first passes of a group, because of its initial map. */
+constexpr double InitialSlowdown = 2;
 
 /**
  * Estimates by how much the requests of the other entries have grown since the engines last reported their load,
@@ -37,20 +37,22 @@
 }
 
 /** Returns the factor by which the requests of a newly opened group may grow after a pass of @p pass. */
-double growthFactor(std::chrono::milliseconds pass, const PassBudgetRules &rules)
+double growthFactor(std::chrono::milliseconds pass, const PassTimeModel &passTimes)
 {
-    const auto workTime = std::max(pass - rules.base, PassBudgetRules::Milliseconds(1));
-    return std::clamp((rules.longestPass - rules.base) / workTime, 0.5, MaxGrowth);
+    const auto workTime = std::max(pass - passTimes.baseTime, PassTimeModel::Milliseconds(1));
+    return std::clamp((passTimes.maxPassTime - passTimes.baseTime) / workTime, 0.5, MaxGrowth);
 }
 
 /**
  * Returns the requests per engine that a group gets before its first measured pass. All their prompts are read in that
  * first pass, with a map that is expected to double the work.
  */
-double initialRequests(const PassBudgetRules &rules)
+double initialRequests(const PassTimeModel &passTimes)
 {
-    const auto perStream = rules.perRequest + rules.promptTime;
-    return perStream.count() > 0 ? std::max(1.0, (rules.longestPass - rules.base) / (perStream * InitialStretch)) : 1;
+    const auto perStream = passTimes.timePerRequest + passTimes.promptTime;
+    return perStream.count() > 0
+        ? std::max(1.0, (passTimes.maxPassTime - passTimes.baseTime) / (perStream * InitialSlowdown))
+        : 1;
 }
 
 double perEngine(double all, const GroupLoad &load)
@@ -63,7 +65,7 @@
 void GroupAdmission::setOpen(bool isOpen, SteadyTime now)
 {
     if (isOpen && !m_isOpen) {
-        m_stretch = {}; // passes before the closure are not comparable
+        m_slowdown = {}; // passes before the closure are not comparable
         m_openedAt = now;
         m_isStarting = true;
         m_provenRequests.reset();
@@ -89,48 +91,49 @@
 void GroupAdmission::recordPause(std::chrono::milliseconds pause, SteadyTime now)
 {
     // All streams of a group have an event in each pass, so one sample per pass is enough.
-    if (now - m_stretch.recordedAt() < pause / 2) {
+    if (now - m_slowdown.lastRecordedAt() < pause / 2) {
         return;
     }
     // Streams sent during the previous pass were read in this one; the other entries are assumed to send alike.
     const double prompts = countSentWithin(now - pause * 2, now - pause) / m_share;
-    m_stretch.record(std::min(pause, MaxPass), {.requests = m_requestsAtPass, .prompts = perEngine(prompts, m_load)},
-                     m_rules, !m_load.hasSlowRank, now);
+    m_slowdown.record(std::min(pause, MaxPass), {.requests = m_requestsAtPass, .prompts = perEngine(prompts, m_load)},
+                      m_passTimes, !m_load.hasSlowRank, now);
     if (m_requestsAtPass > 0) {
-        m_provenRequests = m_requestsAtPass * growthFactor(pause, m_rules);
+        m_provenRequests = m_requestsAtPass * growthFactor(pause, m_passTimes);
     }
     m_requestsAtPass = perEngine(m_load.requests, m_load);
     m_lastPass = pause;
 }
 
-EngineGroup GroupAdmission::evaluate(const GroupLoad &load, const PassBudgetRules &rules, double share, SteadyTime now)
+EngineGroup GroupAdmission::evaluate(const GroupLoad &load, const PassTimeModel &passTimes, double share,
+                                     SteadyTime now)
 {
     m_load = load;
     m_load.requests += estimateOthersGrowth(load, share);
-    m_rules = rules;
+    m_passTimes = passTimes;
     m_share = share;
-    if (m_isStarting && now - m_openedAt >= SlowStart) {
+    if (m_isStarting && now - m_openedAt >= SlowStartDuration) {
         m_isStarting = false;
-        m_stretch.forgetOld();
+        m_slowdown.discardOldSamples();
     }
-    if (!m_isStarting && now - m_stretch.recordedAt() > PauseLifetime) {
-        m_stretch.record(load.reportedPass, {.requests = perEngine(m_load.requests, m_load)}, rules, !load.hasSlowRank,
-                         now);
+    if (!m_isStarting && now - m_slowdown.lastRecordedAt() > PauseLifetime) {
+        m_slowdown.record(load.reportedPass, {.requests = perEngine(m_load.requests, m_load)}, passTimes,
+                          !load.hasSlowRank, now);
     }
-    const double stretch = m_stretch.present();
-    const auto limit = m_isStarting ? startingLimit(stretch) : establishedLimit(stretch);
+    const double slowdown = m_slowdown.current();
+    const auto limit = m_isStarting ? startingLimit(slowdown) : establishedLimit(slowdown);
     return {.isStalled = load.isStalled,
             .hasHeadroom = countSentWithin(now - limit.interval, now) < limit.maxStreams,
             .hasHeadroomForLate = limit.headroomForLate >= 1,
             .headroom = std::min(limit.headroom, load.slots - m_load.requests),
-            .cannotBeOnTime = !m_isStarting && Heatherridge::cannotBeOnTime(stretch, rules)};
+            .cannotBeOnTime = !m_isStarting && Heatherridge::cannotBeOnTime(slowdown, passTimes)};
 }
 
-GroupAdmission::SendLimit GroupAdmission::startingLimit(double stretch) const
+GroupAdmission::SendLimit GroupAdmission::startingLimit(double slowdown) const
 {
-    const double onTime = requestsOnTime(stretch, m_load.engines, m_rules);
+    const double onTime = maxRequestsOnTime(slowdown, m_load.engines, m_passTimes);
     const double provenRequests =
-        m_provenRequests.value_or(initialRequests(m_rules)) * static_cast<double>(m_load.engines);
+        m_provenRequests.value_or(initialRequests(m_passTimes)) * static_cast<double>(m_load.engines);
     const double headroom = std::min(onTime, provenRequests) - m_load.requests;
     // An entry without a stream of its own in the group cannot observe any of its passes.
     const bool maySend = headroom >= 1 || m_load.ownRequests == 0;
@@ -139,16 +142,17 @@
             .headroomForLate = headroom,
             .maxStreams = maySend ? std::max(share, 1) : 0,
             .interval = m_lastPass ? SteadyTime::duration(*m_lastPass)
-                                   : std::chrono::duration_cast<SteadyTime::duration>(m_rules.longestPass)};
+                                   : std::chrono::duration_cast<SteadyTime::duration>(m_passTimes.maxPassTime)};
 }
 
-GroupAdmission::SendLimit GroupAdmission::establishedLimit(double stretch) const
+GroupAdmission::SendLimit GroupAdmission::establishedLimit(double slowdown) const
 {
-    const double headroom = requestsOnTime(stretch, m_load.engines, m_rules) - m_load.requests;
-    const auto pass = m_rules.bestPass(perEngine(m_load.requests, m_load), 0) * stretch;
+    const double headroom = maxRequestsOnTime(slowdown, m_load.engines, m_passTimes) - m_load.requests;
+    const auto pass = m_passTimes.idealPassTime(perEngine(m_load.requests, m_load), 0) * slowdown;
     return {.headroom = headroom,
-            .headroomForLate = requestsOnTime(m_stretch.usual(), m_load.engines, m_rules) - m_load.requests,
-            .maxStreams = streamsPerPass(headroom, m_rules, m_share),
+            .headroomForLate =
+                maxRequestsOnTime(m_slowdown.highPercentile(), m_load.engines, m_passTimes) - m_load.requests,
+            .maxStreams = maxStreamsPerPass(headroom, m_passTimes, m_share),
             .interval = std::chrono::duration_cast<SteadyTime::duration>(pass)};
 }
 
--- a/modules/heatherridge_state/decisions/groupadmission.h
+++ b/modules/heatherridge_state/decisions/groupadmission.h
@@ -27,9 +27,9 @@
 /**
  * Determines how much of the headroom of one expert group one entry may use.
  *
- * Combines PassStretch, requestsOnTime() and streamsPerPass() with what only the entry knows: the pauses of its own
- * streams, which equal the passes of the group, and the streams that it has sent since the engines last reported their
- * load.
+ * Combines PassSlowdown, maxRequestsOnTime() and maxStreamsPerPass() with what only the entry knows: the pauses of its
+ * own streams, which equal the passes of the group, and the streams that it has sent since the engines last reported
+ * their load.
  *
  * Load pattern: a group that has just opened has an expert map that fits no particular demand and no load that an entry
  * could see, while all entries hold waiting streams. It starts with as many requests as its first pass can read. After
@@ -60,24 +60,24 @@
      * Returns the state of the group for placing a stream.
      * @param share this entry's share of all work, above 0 and up to 1
      */
-    EngineGroup evaluate(const GroupLoad &load, const PassBudgetRules &rules, double share, SteadyTime now);
+    EngineGroup evaluate(const GroupLoad &load, const PassTimeModel &passTimes, double share, SteadyTime now);
 
 private:
     /** Limits on what this entry sends to the group. */
     struct SendLimit
     {
         double headroom = 0; ///< requests that the group can take on time beyond its current ones
-        double headroomForLate = 0; ///< the same for bad moments
+        double headroomForLate = 0; ///< the same at the high percentile of the slowdown
         int maxStreams = 0; ///< streams that this entry may send within `interval`
         SteadyTime::duration interval{};
     };
 
-    SendLimit startingLimit(double stretch) const;
-    SendLimit establishedLimit(double stretch) const;
+    SendLimit startingLimit(double slowdown) const;
+    SendLimit establishedLimit(double slowdown) const;
     int countSentWithin(SteadyTime after, SteadyTime until) const;
 
-    PassStretch m_stretch;
-    PassBudgetRules m_rules;
+    PassSlowdown m_slowdown;
+    PassTimeModel m_passTimes;
     GroupLoad m_load; ///< when a stream was last placed
     double m_share = 1; ///< when a stream was last placed
     std::deque<SteadyTime> m_sendTimes; ///< when the most recent streams were sent, oldest first
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -24,7 +24,7 @@
     double weight = 0;
     for (const auto *target : targets) {
         const double fresh = target->load.freshness(now);
-        sum += target->load.others() * fresh;
+        sum += target->load.otherRequests() * fresh;
         weight += fresh;
     }
     return weight > 0 ? sum / weight : 0;
@@ -54,7 +54,7 @@
         }
         gone.push_back(it->first);
         m_health[it->second.entry.service].remove(it->first);
-        if (it->second.load.own() > 0) {
+        if (it->second.load.ownRequests() > 0) {
             m_gone.insert(it->first);
             ++it;
         } else {
@@ -109,7 +109,7 @@
 {
     std::optional<std::chrono::milliseconds> shortest;
     for (const auto *target : targets) {
-        const auto wait = target->limit.wait(m_limitPart, now);
+        const auto wait = target->limit.timeUntilAllowed(m_limitPart, now);
         if (wait.count() > 0) {
             shortest = std::min(shortest.value_or(wait), wait);
         }
@@ -127,13 +127,13 @@
             .isInOwnZone = target.entry.zone == m_zone,
             .isCold = target.entry.coldFor.count() > 0,
             .wasTried = tried.contains(target.entry.id),
-            .isAtLimit = target.limit.wait(m_limitPart, now).count() > 0,
+            .isAtLimit = target.limit.timeUntilAllowed(m_limitPart, now).count() > 0,
             .health = isOut ? Health::Ejected : health.healthOf(target.entry.id, now)};
 }
 
 GatewayTargets::Choice GatewayTargets::chooseEngine(const std::vector<GatewayTarget *> &targets,
                                                     const std::vector<DirectCandidate> &candidates,
-                                                    const PassBudgetRules &rules, Urgency urgency, SteadyTime now,
+                                                    const PassTimeModel &rules, Urgency urgency, SteadyTime now,
                                                     RandomSource &random)
 {
     std::vector<EngineCandidate> engines;
@@ -169,8 +169,8 @@
 {
     ++work.engines;
     work.requests += load;
-    work.ownRequests += target.load.own();
-    work.ownRequestsAtReport += target.load.ownReported();
+    work.ownRequests += target.load.ownRequests();
+    work.ownRequestsAtReport += target.load.ownRequestsAtReport();
     work.slots += target.entry.slots;
     work.hasSlowRank = work.hasSlowRank || target.engine->pace >= SlowEngineFactor;
     work.isStalled = work.isStalled || isStalled(target, now);
@@ -195,7 +195,7 @@
     const auto found = m_groups.find(target.engine->group);
     const int reported = target.engine->running + target.engine->waiting;
     return found != m_groups.end() && found->second.isStarting()
-        && target.sentSinceReport >= startRoom(target.entry.slots, reported, m_part);
+        && target.sentSinceReport >= slowStartAllowance(target.entry.slots, reported, m_part);
 }
 
 void GatewayTargets::setParts(double limitPart, double roomPart)
@@ -209,7 +209,7 @@
                                RandomSource &random) const
 {
     const bool isOther = target.limit.requestsPerSecond() != requestsPerSecond;
-    target.limit.named(requestsPerSecond, m_limitPart, now, random);
+    target.limit.update(requestsPerSecond, m_limitPart, now, random);
     return isOther;
 }
 
@@ -229,11 +229,11 @@
         }
         const auto &engine = *service.engine;
         m_engineRules.emplace(service.name,
-                              PassBudgetRules{.base = engine.step * engine.stepsPerPass,
-                                              .perRequest = engine.stepPerRequest * engine.stepsPerPass,
-                                              .promptTime = engine.promptTime,
-                                              .passesPerStream = engine.usualAnswer / std::max(engine.stepsPerPass, 1),
-                                              .longestPass = longestPauseOf(config, service.name) * UsedPartOfPause});
+                              PassTimeModel{.baseTime = engine.step * engine.stepsPerPass,
+                                            .timePerRequest = engine.stepPerRequest * engine.stepsPerPass,
+                                            .promptTime = engine.promptTime,
+                                            .passesPerStream = engine.usualAnswer / std::max(engine.stepsPerPass, 1),
+                                            .maxPassTime = longestPauseOf(config, service.name) * UsedPartOfPause});
     }
 }
 
@@ -246,14 +246,14 @@
             continue;
         }
         if (!target->engine || target->engine->requestedAt != engine.requestedAt) {
-            target->load.reported(engine.running + engine.waiting, engine.requestedAt);
+            target->load.recordReport(engine.running + engine.waiting, engine.requestedAt);
             target->sentSinceReport = 0;
         }
         target->engine = engine;
     }
 }
 
-void GatewayTargets::record(const TargetName &id, Attempt attempt, SteadyTime now)
+void GatewayTargets::record(const TargetName &id, AttemptOutcome attempt, SteadyTime now)
 {
     const auto *target = find(id);
     if (target != nullptr && !m_gone.contains(id)) {
@@ -263,7 +263,7 @@
 
 bool GatewayTargets::isStalled(const GatewayTarget &target, SteadyTime now)
 {
-    return target.load.own() > 0 && now - target.lastHeard > StallTime;
+    return target.load.ownRequests() > 0 && now - target.lastHeard > StallTime;
 }
 
 bool GatewayTargets::isUsable(const GatewayTarget &target, const ServiceName &service) const
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -4,7 +4,7 @@
 #include "heatherridge_state/decisions/engineplacement.h"
 #include "heatherridge_state/decisions/groupadmission.h"
 #include "heatherridge_state/decisions/loadestimate.h"
-#include "heatherridge_state/decisions/targetlimit.h"
+#include "heatherridge_state/decisions/targetratelimit.h"
 #include "heatherridge_state/routing/targetentry.h"
 #include "heatherridge_transport/direct/trafficcodec.h"
 
@@ -25,7 +25,7 @@
     std::optional<EngineView> engine{}; ///< of an engine in an expert group, its own last word
     int sentSinceReport = 0; ///< requests of this gateway since the engine's last word
     SteadyTime refusedUntil{}; ///< it has refused a request; nothing is sent before
-    TargetLimit limit{}; ///< of the requests that it takes from all entries together
+    TargetRateLimit limit{}; ///< of the requests that it takes from all entries together
 };
 
 /**
@@ -90,7 +90,7 @@
     void refused(const TargetName &id, SteadyTime now);
 
     /** An attempt at @p id ended; tells of its health. */
-    void record(const TargetName &id, Attempt attempt, SteadyTime now);
+    void record(const TargetName &id, AttemptOutcome attempt, SteadyTime now);
 
     /** Whether @p target has open requests and has said nothing for StallTime. */
     static bool isStalled(const GatewayTarget &target, SteadyTime now);
@@ -104,7 +104,7 @@
     std::optional<std::chrono::milliseconds> shortestHold(const std::vector<GatewayTarget *> &targets,
                                                           SteadyTime now) const;
     Choice chooseEngine(const std::vector<GatewayTarget *> &targets, const std::vector<DirectCandidate> &candidates,
-                        const PassBudgetRules &rules, Urgency urgency, SteadyTime now, RandomSource &random);
+                        const PassTimeModel &rules, Urgency urgency, SteadyTime now, RandomSource &random);
 
     ZoneName m_zone;
     double m_limitPart = 0;
@@ -113,7 +113,7 @@
     std::map<TargetName, GatewayTarget> m_targets;
     std::set<TargetName> m_gone; ///< left the register, with requests open
     std::map<ServiceName, HealthTracker> m_health;
-    std::map<ServiceName, PassBudgetRules> m_engineRules; ///< of services with expert groups
+    std::map<ServiceName, PassTimeModel> m_engineRules; ///< of services with expert groups
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -216,7 +216,7 @@
     }
     ++call->redirects;
     m_journal.note(call->id, "redirected", askAt);
-    leaveTarget(*call, Attempt::Succeeded);
+    leaveTarget(*call, AttemptOutcome::Succeeded);
     call->askAt = askAt;
     attempt(call);
     return true;
@@ -283,7 +283,7 @@
         const bool reachable = isUsable(*targets[index], call);
         views[index].zoneDelay = m_view->inventory->delayBetween(m_options.zone, targets[index]->zone);
         views[index].usable = views[index].usable && reachable;
-        views[index].probe = views[index].probe && reachable;
+        views[index].awaitsProbe = views[index].awaitsProbe && reachable;
     }
     return views;
 }
@@ -423,7 +423,7 @@
     call->stream->write({reinterpret_cast<const char *>(bytes.data()), bytes.size()});
 }
 
-void EntryTraffic::leaveTarget(EntryCall &call, Attempt attempt)
+void EntryTraffic::leaveTarget(EntryCall &call, AttemptOutcome attempt)
 {
     if (call.target.isEmpty()) {
         return;
@@ -446,17 +446,17 @@
     const bool refused = error.ranOrDefault() == Ran::No;
     const auto now = std::chrono::steady_clock::now();
     const bool unreachable = error.kind == ErrorKind::TargetUnreachable;
-    leaveTarget(*call, refused && !unreachable ? Attempt::Succeeded : Attempt::Failed);
+    leaveTarget(*call, refused && !unreachable ? AttemptOutcome::Succeeded : AttemptOutcome::Failed);
     const auto others = candidates(*call);
     const FailedAttempt failed{
         .error = error,
         .idempotent = call->request.submit.mayRepeat || call->key.has_value(),
-        .answerBegun = call->answerBegun,
+        .answerStarted = call->answerBegun,
         .targetLost = targetLost,
-        .resumes = call->resume.has_value(),
-        .otherTargets =
+        .canResume = call->resume.has_value(),
+        .hasOtherTargets =
             std::any_of(others.begin(), others.end(), [&](const Target *target) { return isUsable(*target, *call); }),
-        .attempt = call->attempts - 1,
+        .previousAttempts = call->attempts - 1,
         .deadline = call->deadline,
         .expectedDuration = ShortestAttempt};
     const auto decision = m_retries.decide(failed, now, m_random);
@@ -471,7 +471,7 @@
         m_metrics.counter("heatherridge_streams_resumed_total").add();
         call->beginResume();
     }
-    if (!failed.otherTargets) {
+    if (!failed.hasOtherTargets) {
         call->tried.clear();
     }
     call->timer = std::make_unique<asio::steady_timer>(m_loop.context(), decision.delay);
@@ -485,7 +485,7 @@
 
 void EntryTraffic::finish(const Call &call, const std::string &outcome)
 {
-    leaveTarget(*call, Attempt::Succeeded);
+    leaveTarget(*call, AttemptOutcome::Succeeded);
     m_retries.recordSuccess();
     call->stream->end();
     m_answers.add();
@@ -501,7 +501,7 @@
     if (call->mayHaveRun && error.ranOrDefault() == Ran::No) {
         error.ran = Ran::Unknown;
     }
-    leaveTarget(*call, Attempt::TimedOut);
+    leaveTarget(*call, AttemptOutcome::TimedOut);
     m_metrics.errors(error.kind).add();
     const std::string kind(answerFor(error.kind).name);
     logEvent(Severity::Info, "request-failed",
@@ -537,7 +537,7 @@
     }
     const auto call = entry->second;
     cancelAtTarget(call);
-    leaveTarget(*call, Attempt::Succeeded);
+    leaveTarget(*call, AttemptOutcome::Succeeded);
     m_metrics.errors(ErrorKind::CallerGone).add();
     m_journal.finish(id, std::string(answerFor(ErrorKind::CallerGone).name));
     m_calls.erase(id);
--- a/tests/decisions/groupadmission_test.cpp
+++ b/tests/decisions/groupadmission_test.cpp
@@ -13,8 +13,8 @@
 constexpr double Share = 0.25;
 constexpr std::size_t Engines = 8;
 
-const PassBudgetRules Rules{
-    .base = 18.2ms, .perRequest = 3.62ms, .promptTime = 13.6ms, .passesPerStream = 24, .longestPass = 108ms};
+const PassTimeModel PassTimes{
+    .baseTime = 18.2ms, .timePerRequest = 3.62ms, .promptTime = 13.6ms, .passesPerStream = 24, .maxPassTime = 108ms};
 
 GroupLoad loadOf(double requestsPerEngine)
 {
@@ -33,7 +33,7 @@
 {
     GroupAdmission group;
     group.setOpen(true, Start - 1h);
-    group.evaluate(loadOf(1), Rules, Share, Start - 1min);
+    group.evaluate(loadOf(1), PassTimes, Share, Start - 1min);
     return group;
 }
 
@@ -64,11 +64,11 @@
     auto group = established();
     auto now = Start;
     for (int pass = 0; pass < 20; ++pass) {
-        group.evaluate(loadOf(4), Rules, Share, now);
+        group.evaluate(loadOf(4), PassTimes, Share, now);
         now += row.pause;
         group.recordPause(row.pause, now);
     }
-    const auto view = group.evaluate(loadOf(row.requestsPerEngine), Rules, Share, now);
+    const auto view = group.evaluate(loadOf(row.requestsPerEngine), PassTimes, Share, now);
     EXPECT_EQ(view.hasHeadroom, row.hasHeadroom) << row.description;
     EXPECT_EQ(view.cannotBeOnTime, row.cannotBeOnTime) << row.description;
 }
@@ -105,14 +105,14 @@
     auto now = Start;
     const auto passes = [&](int count, std::chrono::milliseconds pause) {
         for (int pass = 0; pass < count; ++pass) {
-            group.evaluate(loadOf(4), Rules, Share, now);
+            group.evaluate(loadOf(4), PassTimes, Share, now);
             now += pause;
             group.recordPause(pause, now);
         }
     };
     passes(10, row.badPause);
     passes(40, 45ms);
-    const auto view = group.evaluate(loadOf(row.requestsPerEngine), Rules, Share, now);
+    const auto view = group.evaluate(loadOf(row.requestsPerEngine), PassTimes, Share, now);
     EXPECT_EQ(view.hasHeadroom, row.hasHeadroom) << row.description;
     EXPECT_EQ(view.hasHeadroomForLate, row.hasHeadroomForLate) << row.description;
 }
@@ -123,7 +123,7 @@
 {
     const char *name;
     int own; ///< requests of this entry
-    int ownReported; ///< when the engines last reported their load
+    int ownRequestsAtReport; ///< when the engines last reported their load
     double othersReported; ///< requests of the other entries at that time
     bool hasHeadroom; ///< there is headroom while the group has less than 18 requests per engine
 };
@@ -148,17 +148,17 @@
     auto group = established();
     auto now = Start;
     for (int pass = 0; pass < 20; ++pass) {
-        group.evaluate(loadOf(4), Rules, Share, now);
+        group.evaluate(loadOf(4), PassTimes, Share, now);
         now += 45ms;
         group.recordPause(45ms, now);
     }
     const auto view = group.evaluate({.reportedPass = 45ms,
                                       .requests = row.othersReported + row.own,
                                       .ownRequests = row.own,
-                                      .ownRequestsAtReport = row.ownReported,
+                                      .ownRequestsAtReport = row.ownRequestsAtReport,
                                       .engines = Engines,
                                       .slots = 12 * Engines},
-                                     Rules, Share, now);
+                                     PassTimes, Share, now);
     EXPECT_EQ(view.hasHeadroom, row.hasHeadroom) << row.name;
 }
 
@@ -176,7 +176,7 @@
         auto load = loadOf(0);
         load.requests = sent;
         load.ownRequests = sent;
-        while (group.evaluate(load, Rules, Share, now).hasHeadroom) {
+        while (group.evaluate(load, PassTimes, Share, now).hasHeadroom) {
             group.recordSent(now);
             load.ownRequests = ++sent;
             load.requests = sent;
@@ -186,7 +186,7 @@
             passEnds += 50ms;
         }
     }
-    const double maxRequests = requestsOnTime(1, Engines, Rules);
+    const double maxRequests = maxRequestsOnTime(1, Engines, PassTimes);
     EXPECT_TRUE(group.isStarting());
     EXPECT_LE(sent, maxRequests * Share);
     EXPECT_GT(sent, maxRequests * Share / 4);
@@ -201,31 +201,31 @@
     group.setOpen(true, Start);
     auto now = Start;
     for (int pass = 0; pass < 5; ++pass) {
-        group.evaluate(loadOf(4), Rules, Share, now);
+        group.evaluate(loadOf(4), PassTimes, Share, now);
         now += 150ms;
         group.recordPause(150ms, now);
     }
-    EXPECT_FALSE(group.evaluate(loadOf(4), Rules, Share, now).hasHeadroom);
-    while (now < Start + SlowStart + 500ms) {
+    EXPECT_FALSE(group.evaluate(loadOf(4), PassTimes, Share, now).hasHeadroom);
+    while (now < Start + SlowStartDuration + 500ms) {
         now += 45ms;
         group.recordPause(45ms, now);
-        group.evaluate(loadOf(4), Rules, Share, now);
+        group.evaluate(loadOf(4), PassTimes, Share, now);
     }
     EXPECT_FALSE(group.isStarting());
-    EXPECT_TRUE(group.evaluate(loadOf(8), Rules, Share, now).hasHeadroom);
+    EXPECT_TRUE(group.evaluate(loadOf(8), PassTimes, Share, now).hasHeadroom);
 }
 
 TEST(GroupAdmission, SendsAtMostItsShareWithinAPass)
 {
     auto group = established();
     int sent = 0;
-    while (group.evaluate(loadOf(1), Rules, Share, Start).hasHeadroom) {
+    while (group.evaluate(loadOf(1), PassTimes, Share, Start).hasHeadroom) {
         group.recordSent(Start);
         ++sent;
         ASSERT_LT(sent, 100);
     }
     EXPECT_GE(sent, 1);
-    EXPECT_TRUE(group.evaluate(loadOf(1), Rules, Share, Start + GroupAdmission::MaxPass).hasHeadroom);
+    EXPECT_TRUE(group.evaluate(loadOf(1), PassTimes, Share, Start + GroupAdmission::MaxPass).hasHeadroom);
 }
 
 } // namespace
--- a/tests/decisions/passbudget_test.cpp
+++ b/tests/decisions/passbudget_test.cpp
@@ -14,157 +14,159 @@
 namespace
 {
 
-using Milliseconds = PassBudgetRules::Milliseconds;
+using Milliseconds = PassTimeModel::Milliseconds;
 
 const SteadyTime Start(1h);
 
-/** Engines whose batch of 12 has passes of 62 ms at their best. */
-const PassBudgetRules Large{.base = Milliseconds(18.2),
-                            .perRequest = Milliseconds(3.62),
-                            .promptTime = Milliseconds(13.6),
-                            .passesPerStream = 24,
-                            .longestPass = Milliseconds(108)};
-/** Engines whose batch of 12 has passes of 51 ms. */
-const PassBudgetRules Quick{.base = Milliseconds(29.3),
-                            .perRequest = Milliseconds(1.78),
-                            .promptTime = Milliseconds(13.6),
-                            .passesPerStream = 24,
-                            .longestPass = Milliseconds(108)};
-
-struct BudgetRow
-{
-    const char *story;
-    PassBudgetRules rules;
-    double stretch;
-    int fewest; ///< requests an engine
+/** Engines whose passes with a batch of 12 take 62 ms ideally. */
+const PassTimeModel Large{.baseTime = Milliseconds(18.2),
+                          .timePerRequest = Milliseconds(3.62),
+                          .promptTime = Milliseconds(13.6),
+                          .passesPerStream = 24,
+                          .maxPassTime = Milliseconds(108)};
+/** Engines whose passes with a batch of 12 take 51 ms ideally. */
+const PassTimeModel Fast{.baseTime = Milliseconds(29.3),
+                         .timePerRequest = Milliseconds(1.78),
+                         .promptTime = Milliseconds(13.6),
+                         .passesPerStream = 24,
+                         .maxPassTime = Milliseconds(108)};
+
+struct CapacityRow
+{
+    const char *description;
+    PassTimeModel passTimes;
+    double slowdown;
+    int minRequests; ///< requests per engine
     int most;
     bool cannotBeOnTime;
 };
 
-const BudgetRow BudgetRows[] = {
-    {"whole batches with an even map", Large, 1.2, 12, 100, false},
-    {"half of a batch with a map that does not fit", Large, 2.3, 6, 7, false},
-    {"quick engines take more with the same map", Quick, 2.3, 7, 12, false},
-    {"a rank that is many times as slow", Large, 6, 0, 0, true},
-    {"a pass that is too long by itself, and figures that say nothing of requests",
-     {.base = Milliseconds(200), .longestPass = Milliseconds(108)},
+const CapacityRow CapacityRows[] = {
+    {"full batches with an even expert map", Large, 1.2, 12, 100, false},
+    {"half a batch with an unsuitable map", Large, 2.3, 6, 7, false},
+    {"fast engines take more with the same map", Fast, 2.3, 7, 12, false},
+    {"a rank that is several times slower", Large, 6, 0, 0, true},
+    {"an empty pass that is too long, without a time per request",
+     {.baseTime = Milliseconds(200), .maxPassTime = Milliseconds(108)},
      1,
      0,
      0,
      true},
 };
 
-class PassBudgets : public testing::TestWithParam<BudgetRow>
+class PassCapacities : public testing::TestWithParam<CapacityRow>
 {
 };
 
-TEST_P(PassBudgets, FollowFromFiguresAndStretch)
+TEST_P(PassCapacities, FollowFromPassTimesAndSlowdown)
 {
     const auto &row = GetParam();
-    const auto requests = requestsOnTime(row.stretch, 1, row.rules);
-    EXPECT_GE(requests, row.fewest) << row.story;
-    EXPECT_LE(requests, row.most) << row.story;
-    EXPECT_EQ(cannotBeOnTime(row.stretch, row.rules), row.cannotBeOnTime) << row.story;
+    const auto requests = maxRequestsOnTime(row.slowdown, 1, row.passTimes);
+    EXPECT_GE(requests, row.minRequests) << row.description;
+    EXPECT_LE(requests, row.most) << row.description;
+    EXPECT_EQ(cannotBeOnTime(row.slowdown, row.passTimes), row.cannotBeOnTime) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, PassBudgets, testing::ValuesIn(BudgetRows));
+INSTANTIATE_TEST_SUITE_P(All, PassCapacities, testing::ValuesIn(CapacityRows));
 
-struct PassRoomRow
+struct StreamsPerPassRow
 {
-    const char *story;
-    double room;
+    const char *description;
+    double spareRequests;
     double share;
     int streams;
 };
 
-const PassRoomRow PassRoomRows[] = {
-    {"no room", 0.5, 0.25, 0},
-    {"room for one: whoever comes first takes it", 1, 0.25, 1},
+const StreamsPerPassRow StreamsPerPassRows[] = {
+    {"no capacity", 0.5, 0.25, 0},
+    {"capacity for one: the first entry takes it", 1, 0.25, 1},
     {"an idle group, one of four entries", 90, 0.25, 6},
     {"the only entry", 90, 1, 27},
-    {"one of hundreds", 90, 0.005, 1},
+    {"one of hundreds of entries", 90, 0.005, 1},
 };
 
-class PassRooms : public testing::TestWithParam<PassRoomRow>
+class StreamsPerPass : public testing::TestWithParam<StreamsPerPassRow>
 {
 };
 
-TEST_P(PassRooms, AreSharedAmongEntries)
+TEST_P(StreamsPerPass, AreSharedAmongEntries)
 {
-    EXPECT_EQ(streamsPerPass(GetParam().room, Large, GetParam().share), GetParam().streams) << GetParam().story;
+    EXPECT_EQ(maxStreamsPerPass(GetParam().spareRequests, Large, GetParam().share), GetParam().streams)
+        << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, PassRooms, testing::ValuesIn(PassRoomRows));
+INSTANTIATE_TEST_SUITE_P(All, StreamsPerPass, testing::ValuesIn(StreamsPerPassRows));
 
-/** A group of 6 requests an engine over some passes. @returns when the last one ended */
-SteadyTime pass(PassStretch &stretch, int passes, double longer, SteadyTime now, bool isTypical = true)
+/** Records some passes of a group with 6 requests per engine. @returns when the last one ended */
+SteadyTime pass(PassSlowdown &slowdown, int passes, double slowdownFactor, SteadyTime now, bool isTypical = true)
 {
     for (int index = 0; index < passes; ++index) {
         now += 60ms;
-        stretch.record(Large.bestPass(6, 0) * longer, {.requests = 6}, Large, isTypical, now);
+        slowdown.record(Large.idealPassTime(6, 0) * slowdownFactor, {.requests = 6}, Large, isTypical, now);
     }
     return now;
 }
 
-TEST(PassStretch, RemembersBadMomentsAndForgetsThem)
-{
-    PassStretch stretch;
-    EXPECT_EQ(stretch.present(), 1);
-    EXPECT_EQ(stretch.usual(), 1);
-    auto now = pass(stretch, 10, 2.4, Start);
-    now = pass(stretch, 20, 1.2, now);
-    EXPECT_NEAR(stretch.present(), 1.2, 1e-9);
-    EXPECT_NEAR(stretch.usual(), 2.4, 1e-9);
-    EXPECT_EQ(stretch.recordedAt(), now);
-    pass(stretch, 1 + static_cast<int>(PassStretch::Memory / 60ms), 1.2, now);
-    EXPECT_NEAR(stretch.usual(), 1.2, 1e-9);
+TEST(PassSlowdown, KeepsSlowPassesForItsHistoryLength)
+{
+    PassSlowdown slowdown;
+    EXPECT_EQ(slowdown.current(), 1);
+    EXPECT_EQ(slowdown.highPercentile(), 1);
+    auto now = pass(slowdown, 10, 2.4, Start);
+    now = pass(slowdown, 20, 1.2, now);
+    EXPECT_NEAR(slowdown.current(), 1.2, 1e-9);
+    EXPECT_NEAR(slowdown.highPercentile(), 2.4, 1e-9);
+    EXPECT_EQ(slowdown.lastRecordedAt(), now);
+    pass(slowdown, 1 + static_cast<int>(PassSlowdown::HistoryLength / 60ms), 1.2, now);
+    EXPECT_NEAR(slowdown.highPercentile(), 1.2, 1e-9);
 }
 
-// A rank is twelve times as slow until its experts have moved elsewhere. Its group is empty and sound then, but was
-// kept so for seconds more for the passes that it had, while the other group was too full for its streams to be on
-// time.
-TEST(PassStretch, DoesNotRememberASlowRank)
+// Guards against remembering a slow rank: a rank is twelve times as slow until its experts have moved elsewhere. Its
+// group is empty and healthy then, but the recorded passes kept it empty for further seconds, while the other group was
+// too full for its streams to be on time.
+TEST(PassSlowdown, DiscardsPassesOfASlowRank)
 {
-    PassStretch stretch;
-    auto now = pass(stretch, 20, 4.7, Start, false);
-    EXPECT_NEAR(stretch.usual(), 4.7, 1e-9);
-    pass(stretch, static_cast<int>(PassStretch::Window), 1.1, now);
-    EXPECT_NEAR(stretch.usual(), 1.1, 1e-9);
+    PassSlowdown slowdown;
+    auto now = pass(slowdown, 20, 4.7, Start, false);
+    EXPECT_NEAR(slowdown.highPercentile(), 4.7, 1e-9);
+    pass(slowdown, static_cast<int>(PassSlowdown::CurrentPasses), 1.1, now);
+    EXPECT_NEAR(slowdown.highPercentile(), 1.1, 1e-9);
 }
 
-TEST(PassStretch, IsNotThatOfOnePassThatReadALongPrompt)
+TEST(PassSlowdown, IgnoresASinglePassWithALongPrompt)
 {
-    PassStretch stretch;
-    auto now = pass(stretch, 5, 1.1, Start);
-    now = pass(stretch, 1, 4, now);
-    pass(stretch, 4, 1.1, now);
-    EXPECT_NEAR(stretch.present(), 1.1, 1e-9);
+    PassSlowdown slowdown;
+    auto now = pass(slowdown, 5, 1.1, Start);
+    now = pass(slowdown, 1, 4, now);
+    pass(slowdown, 4, 1.1, now);
+    EXPECT_NEAR(slowdown.current(), 1.1, 1e-9);
 }
 
-/** What became of the streams of a replayed load. */
+/** Outcome of the streams of a replayed load. */
 struct Outcome
 {
     int onTime = 0;
     int late = 0;
 };
 
-/** How many streams are let in. All but the first let in timely streams before late ones. */
-enum class Bound {
-    Batches, ///< whole batches, by arrival
-    BadMoments, ///< what the bad moments of late carry
-    LateByBadMoments, ///< late streams that; timely ones what present passes carry
+/** Limit on the streams that are admitted. All but the first admit timely streams before late ones. */
+enum class AdmissionLimit {
+    BatchCapacity, ///< full batches, in order of arrival
+    HighPercentile, ///< capacity at the high percentile of recent slowdowns
+    LateByHighPercentile, ///< late streams by the high percentile; timely ones by the current slowdown
 };
 
 /**
- * One group of eight engines for 30 s. For the first two seconds it stands still; then demand jumps each 3.3 s, and
- * passes are 2.4 times as long for @p jump. Streams come a little faster than engines serve on average.
+ * Simulates one group of eight engines for 30 s. For the first two seconds it is stopped; then demand shifts every 3.3
+ * s, and passes take 2.4 times as long for @p slowPhase. Streams arrive slightly faster than the engines serve on
+ * average.
  */
-Outcome replay(Bound bound, std::chrono::milliseconds jump = 500ms)
+Outcome replay(AdmissionLimit limit, std::chrono::milliseconds slowPhase = 500ms)
 {
     constexpr int engines = 8;
     constexpr int batch = 12;
-    constexpr int shortest = 4; // passes of a stream
-    constexpr int longest = 44;
+    constexpr int minPasses = 4; // passes per stream
+    constexpr int maxPasses = 44;
     constexpr double streamsPerSecond = 46;
     constexpr auto objective = 400ms;
     struct Running
@@ -176,18 +178,18 @@
         return Start + std::chrono::duration_cast<SteadyTime::duration>(time);
     };
     std::vector<Running> running;
-    StreamQueue line;
-    PassStretch stretch;
+    StreamQueue queue;
+    PassSlowdown slowdown;
     SeededRandom random(3);
     Outcome outcome;
     std::uint64_t number = 0;
-    double due = streamsPerSecond * 2;
+    double pendingArrivals = streamsPerSecond * 2;
     for (Milliseconds now = 2s; now < 30s;) {
-        const bool isJumped = std::fmod(now.count(), 3'300.0) < static_cast<double>(jump.count());
+        const bool isSlowPhase = std::fmod(now.count(), 3'300.0) < static_cast<double>(slowPhase.count());
         const double perEngine = static_cast<double>(running.size()) / engines;
-        const auto pass = Large.bestPass(perEngine, 0) * (isJumped ? 2.4 : 1.2);
+        const auto pass = Large.idealPassTime(perEngine, 0) * (isSlowPhase ? 2.4 : 1.2);
         now += pass;
-        stretch.record(pass, {.requests = perEngine}, Large, true, steady(now));
+        slowdown.record(pass, {.requests = perEngine}, Large, true, steady(now));
         for (auto &stream : running) {
             stream.isLate = stream.isLate || pass > 120ms;
             if (--stream.passesLeft == 0) {
@@ -195,58 +197,63 @@
             }
         }
         std::erase_if(running, [](const auto &stream) { return stream.passesLeft == 0; });
-        for (due += pass.count() / 1'000 * streamsPerSecond; due >= 1; --due) {
-            line.put({.number = ++number, .onTimeUntil = steady(now) + objective}, steady(now));
+        for (pendingArrivals += pass.count() / 1'000 * streamsPerSecond; pendingArrivals >= 1; --pendingArrivals) {
+            queue.enqueue({.number = ++number, .onTimeUntil = steady(now) + objective}, steady(now));
         }
-        const double inBadMoments = requestsOnTime(stretch.usual(), engines, Large);
-        const double atPresent = requestsOnTime(stretch.present(), engines, Large);
-        while (!line.isEmpty()) {
-            const auto order = line.order(steady(now));
-            const auto first = bound != Bound::Batches
+        const double atHighPercentile = maxRequestsOnTime(slowdown.highPercentile(), engines, Large);
+        const double atCurrent = maxRequestsOnTime(slowdown.current(), engines, Large);
+        while (!queue.isEmpty()) {
+            const auto order = queue.inAdmissionOrder(steady(now));
+            const auto first = limit != AdmissionLimit::BatchCapacity
                 ? order.front()
                 : *std::min_element(order.begin(), order.end(),
                                     [](const auto &a, const auto &b) { return a.number < b.number; });
             const bool isTimely = first.onTimeUntil >= steady(now);
-            const double onTime = bound == Bound::LateByBadMoments && isTimely ? atPresent : inBadMoments;
-            const double most = bound == Bound::Batches ? engines * batch : std::min<double>(engines * batch, onTime);
+            const double onTime =
+                limit == AdmissionLimit::LateByHighPercentile && isTimely ? atCurrent : atHighPercentile;
+            const double most =
+                limit == AdmissionLimit::BatchCapacity ? engines * batch : std::min<double>(engines * batch, onTime);
             if (static_cast<double>(running.size()) + 1 > most) {
                 break;
             }
-            line.remove(first.number);
-            const auto passes = shortest + static_cast<int>(random.below(longest - shortest + 1));
+            queue.remove(first.number);
+            const auto passes = minPasses + static_cast<int>(random.below(maxPasses - minPasses + 1));
             running.push_back({.passesLeft = passes, .isLate = first.onTimeUntil < steady(now)});
         }
     }
     return outcome;
 }
 
-// A group stands still for two seconds, and what has waited fills its batches. Demand for experts jumps every few
-// seconds, so passes of full batches are longer than promised again and again; nothing drains, and callers see late
-// answers and pauses for the rest of the day. Filled to what the bad moments of late carry, and with new streams before
-// late ones, most streams pass through the jumps on time.
-TEST(PassBudgets, KeepStreamsOnTimeThroughJumps)
+// Guards against a permanently overloaded group: a group is stopped for two seconds, and the accumulated streams fill
+// its batches. Demand for experts shifts every few seconds, so passes of full batches repeatedly take longer than
+// promised, the backlog never drains, and all answers are late from then on. When the group is filled only to its
+// capacity at the high percentile of recent slowdowns, and new streams are admitted before late ones, most streams stay
+// on time through the shifts.
+TEST(PassCapacities, KeepStreamsOnTimeThroughDemandShifts)
 {
-    const auto unbounded = replay(Bound::Batches);
-    const auto bounded = replay(Bound::BadMoments);
-    EXPECT_GT(bounded.onTime, unbounded.onTime * 3 / 2);
-    EXPECT_GT(bounded.onTime, (bounded.onTime + bounded.late) * 7 / 10);
+    const auto unlimited = replay(AdmissionLimit::BatchCapacity);
+    const auto limited = replay(AdmissionLimit::HighPercentile);
+    EXPECT_GT(limited.onTime, unlimited.onTime * 3 / 2);
+    EXPECT_GT(limited.onTime, (limited.onTime + limited.late) * 7 / 10);
 }
 
-class JumpLengths : public testing::TestWithParam<std::chrono::milliseconds>
+class SlowPhaseLengths : public testing::TestWithParam<std::chrono::milliseconds>
 {
 };
 
-// Maps follow demand in a quarter of a second here and in most of a second there. Where they are quick, groups that are
-// kept to what their bad moments carry leave callers waiting before engines with room, late for the whole day; where
-// they are slow, groups that are filled by present passes have all their streams in the next bad moment. Late streams
-// kept to the one and timely ones to the other are near the better of both for any length of jump.
-TEST_P(JumpLengths, MakeTimelyStreamsLateInNeitherWay)
+// Expert maps follow demand within a quarter of a second on some sites and within most of a second on others. Where
+// they are quick, a limit by the high percentile leaves callers waiting for engines that have capacity, so they stay
+// late; where they are slow, a limit by the current slowdown leaves a group's streams exposed to the next slow phase.
+// Limiting late streams by the high percentile and timely ones by the current slowdown is close to the better of both
+// for any length of the slow phase.
+TEST_P(SlowPhaseLengths, KeepTimelyStreamsOnTime)
 {
-    const auto jump = GetParam();
-    const auto best = std::max(replay(Bound::Batches, jump).onTime, replay(Bound::BadMoments, jump).onTime);
-    EXPECT_GE(replay(Bound::LateByBadMoments, jump).onTime, best * 7 / 10);
+    const auto slowPhase = GetParam();
+    const auto best = std::max(replay(AdmissionLimit::BatchCapacity, slowPhase).onTime,
+                               replay(AdmissionLimit::HighPercentile, slowPhase).onTime);
+    EXPECT_GE(replay(AdmissionLimit::LateByHighPercentile, slowPhase).onTime, best * 7 / 10);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, JumpLengths, testing::Values(250ms, 350ms, 500ms, 800ms));
+INSTANTIATE_TEST_SUITE_P(All, SlowPhaseLengths, testing::Values(250ms, 350ms, 500ms, 800ms));
 
 } // namespace
--- a/tests/decisions/startreplay_test.cpp
+++ b/tests/decisions/startreplay_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-using Milliseconds = PassBudgetRules::Milliseconds;
+using Milliseconds = PassTimeModel::Milliseconds;
 
 const SteadyTime Start(1h);
 constexpr std::size_t Engines = 24;
@@ -19,19 +19,19 @@
 constexpr auto Step = 5ms;
 constexpr int PassesPerStream = 19;
 
-const PassBudgetRules Rules{.base = Milliseconds(22.75),
-                            .perRequest = Milliseconds(5.45),
-                            .promptTime = Milliseconds(13.3),
-                            .passesPerStream = PassesPerStream,
-                            .longestPass = Milliseconds(135)};
+const PassTimeModel PassTimes{.baseTime = Milliseconds(22.75),
+                              .timePerRequest = Milliseconds(5.45),
+                              .promptTime = Milliseconds(13.3),
+                              .passesPerStream = PassesPerStream,
+                              .maxPassTime = Milliseconds(135)};
 
 /** A newly opened group without load, and entries that each hold more streams than the group can take. */
 class OpeningGroup
 {
 public:
-    OpeningGroup(std::size_t entries, double stretch)
+    OpeningGroup(std::size_t entries, double slowdown)
         : m_entries(entries)
-        , m_stretch(stretch)
+        , m_slowdown(slowdown)
     {
         for (auto &entry : m_entries) {
             entry.admission.setOpen(true, Start);
@@ -80,7 +80,7 @@
                                  .ownRequests = own(),
                                  .engines = Engines,
                                  .slots = Engines * Slots};
-            return entry.admission.evaluate(work, Rules, 1.0 / static_cast<double>(m_entries.size()), m_now);
+            return entry.admission.evaluate(work, PassTimes, 1.0 / static_cast<double>(m_entries.size()), m_now);
         };
         while (requests() < static_cast<int>(Engines) * Slots && view().hasHeadroom) {
             entry.admission.recordSent(m_now);
@@ -103,14 +103,15 @@
             prompts += std::exchange(entry.prompts, 0);
         }
         const auto perEngine = 1.0 / static_cast<double>(Engines);
-        const auto work = Rules.perRequest * (requests() * perEngine) + Rules.promptTime * (prompts * perEngine);
-        m_pass = Rules.base + work * m_stretch;
+        const auto work =
+            PassTimes.timePerRequest * (requests() * perEngine) + PassTimes.promptTime * (prompts * perEngine);
+        m_pass = PassTimes.baseTime + work * m_slowdown;
         m_passes.push_back(m_pass);
         m_passEnds = m_now + std::chrono::duration_cast<SteadyTime::duration>(m_pass);
     }
 
     std::vector<Entry> m_entries;
-    double m_stretch;
+    double m_slowdown;
     SteadyTime m_now = Start;
     SteadyTime m_passEnds = Start;
     Milliseconds m_pass{};
@@ -121,7 +122,7 @@
 {
     const char *name;
     std::size_t entries;
-    double stretch; ///< of the work per token, caused by the initial map
+    double slowdown; ///< of the work per token, caused by the initial map
     int minRequests; ///< minimum number of requests in the group one second later
 };
 
@@ -140,10 +141,10 @@
 TEST_P(StartReplay, FillsGroupWithoutPassesThatBreakThePromise)
 {
     const auto &row = GetParam();
-    OpeningGroup group(row.entries, row.stretch);
+    OpeningGroup group(row.entries, row.slowdown);
     group.run(1s);
     const auto latePasses = std::count_if(group.passes().begin(), group.passes().end(),
-                                          [](auto pass) { return pass > Rules.longestPass / 0.9; });
+                                          [](auto pass) { return pass > PassTimes.maxPassTime / 0.9; });
     EXPECT_LE(latePasses, 1) << row.name;
     EXPECT_GE(group.requests(), row.minRequests) << row.name;
 }
--- a/tests/decisions/streamqueue_test.cpp
+++ b/tests/decisions/streamqueue_test.cpp
@@ -15,67 +15,67 @@
 
 struct OrderRow
 {
-    const char *story;
+    const char *description;
     std::vector<WaitingStream> streams;
-    std::vector<std::uint64_t> order; ///< numbers, a second after Start
+    std::vector<std::uint64_t> order; ///< stream numbers, one second after Start
 };
 
 const OrderRow OrderRows[] = {
     {"none", {}, {}},
-    {"timely ones by urgency, not by arrival",
+    {"timely streams by urgency, not by arrival",
      {{.number = 1, .onTimeUntil = Start + 1'400ms}, {.number = 2, .onTimeUntil = Start + 1'200ms}},
      {2, 1}},
-    {"late ones behind timely ones, the oldest first",
+    {"late streams behind timely ones, the oldest first",
      {{.number = 1, .onTimeUntil = Start + 500ms},
       {.number = 2, .onTimeUntil = Start + 400ms},
       {.number = 3, .onTimeUntil = Start + 1'400ms}},
      {3, 1, 2}},
-    {"one that was broken off before all others",
-     {{.number = 1, .onTimeUntil = Start + 1'200ms}, {.number = 2, .isBegun = true, .onTimeUntil = Start}},
+    {"an interrupted stream before all others",
+     {{.number = 1, .onTimeUntil = Start + 1'200ms}, {.number = 2, .hasStarted = true, .onTimeUntil = Start}},
      {2, 1}},
 };
 
-class Lines : public testing::TestWithParam<OrderRow>
+class StreamQueues : public testing::TestWithParam<OrderRow>
 {
 };
 
-TEST_P(Lines, LetTimelyStreamsGoFirst)
+TEST_P(StreamQueues, OrderOnTimeStreamsFirst)
 {
-    StreamQueue line;
+    StreamQueue queue;
     for (const auto &stream : GetParam().streams) {
-        line.put(stream, Start);
+        queue.enqueue(stream, Start);
     }
     std::vector<std::uint64_t> order;
-    for (const auto &stream : line.order(Start + 1s)) {
+    for (const auto &stream : queue.inAdmissionOrder(Start + 1s)) {
         order.push_back(stream.number);
     }
-    EXPECT_EQ(order, GetParam().order) << GetParam().story;
+    EXPECT_EQ(order, GetParam().order) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Lines, testing::ValuesIn(OrderRows));
+INSTANTIATE_TEST_SUITE_P(All, StreamQueues, testing::ValuesIn(OrderRows));
 
-TEST(Lines, KnowWhetherATimelyStreamOfAServiceWaits)
+TEST(StreamQueues, ReportOnTimeStreamsOfAService)
 {
-    StreamQueue line;
-    line.put({.number = 1, .service = Service, .onTimeUntil = Start}, Start);
-    EXPECT_TRUE(line.hasTimely(Service, Start));
-    EXPECT_FALSE(line.hasTimely(ServiceName("other"), Start));
-    EXPECT_FALSE(line.hasTimely(Service, Start + 1ms));
-    line.remove(1);
-    EXPECT_TRUE(line.isEmpty());
-    EXPECT_FALSE(line.hasTimely(Service, Start));
+    StreamQueue queue;
+    queue.enqueue({.number = 1, .service = Service, .onTimeUntil = Start}, Start);
+    EXPECT_TRUE(queue.hasOnTimeStream(Service, Start));
+    EXPECT_FALSE(queue.hasOnTimeStream(ServiceName("other"), Start));
+    EXPECT_FALSE(queue.hasOnTimeStream(Service, Start + 1ms));
+    queue.remove(1);
+    EXPECT_TRUE(queue.isEmpty());
+    EXPECT_FALSE(queue.hasOnTimeStream(Service, Start));
 }
 
 struct WaitRow
 {
-    const char *story;
+    const char *description;
     int waiting;
-    std::chrono::milliseconds interval; ///< at which they get room
+    std::chrono::milliseconds interval; ///< between admissions
     std::chrono::milliseconds expected;
 };
 
 const WaitRow ExpectedWaits[] = {
-    {"nobody waits", 0, 50ms, 0ms},
+    {"no stream waits", 0, 50ms, 0ms},
     {"some wait, and the queue moves", 4, 50ms, 200ms},
     {"many wait", 40, 50ms, 2s},
     {"few wait, and the queue hardly moves", 3, 600ms, 1'800ms},
@@ -85,55 +85,57 @@
 {
 };
 
-// For seconds engines carry less than comes, and late streams get no room beside new ones. Each waited for its whole
-// patience and was refused then; a caller that is told at once has its second try while there is still time for it.
-TEST_P(ExpectedWait, FollowsFromThoseThatHaveLeft)
+// Guards against late refusals: for seconds engines have less capacity than arrives, and late streams are not admitted
+// beside new ones. Each used to wait for its whole patience and was refused only then; a caller that is refused at once
+// still has time for its second attempt.
+TEST_P(ExpectedWait, FollowsFromPastAdmissions)
 {
     const auto &row = GetParam();
-    constexpr int before = 12;
-    StreamQueue line;
+    constexpr int admitted = 12;
+    StreamQueue queue;
     auto now = Start;
-    for (int number = 1; number <= before + row.waiting; ++number) {
-        line.put({.number = static_cast<std::uint64_t>(number), .service = Service}, now);
+    for (int number = 1; number <= admitted + row.waiting; ++number) {
+        queue.enqueue({.number = static_cast<std::uint64_t>(number), .service = Service}, now);
     }
-    for (std::uint64_t number = 1; number <= before; ++number) {
+    for (std::uint64_t number = 1; number <= admitted; ++number) {
         now += row.interval;
-        line.admit(number, now);
+        queue.admit(number, now);
     }
-    EXPECT_EQ(line.expectedWait({.service = Service}, now), row.expected) << row.story;
-    EXPECT_EQ(line.expectedWait({.service = Service, .onTimeUntil = now + 1s}, now), 0ms) << row.story;
+    EXPECT_EQ(queue.expectedWait({.service = Service}, now), row.expected) << row.description;
+    EXPECT_EQ(queue.expectedWait({.service = Service, .onTimeUntil = now + 1s}, now), 0ms) << row.description;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, ExpectedWait, testing::ValuesIn(ExpectedWaits));
 
-// Engines stand still for a second after a loss of power, while streams go on coming at nine tenths of what engines
-// serve. Served in the order of arrival, the streams that waited are late, and so is all that comes behind them for
-// ten seconds. Callers see every answer late though engines have long been sound.
-TEST(Lines, KeepWhatComesAfterAHaltOnTime)
+// Guards against a backlog that makes all later streams late: engines are stopped for a second after a power loss,
+// while streams keep arriving at nine tenths of the service rate. Served in order of arrival, the streams that waited
+// are late, and so are all that arrive behind them for ten seconds, long after the engines have recovered.
+TEST(StreamQueues, KeepStreamsAfterAnOutageOnTime)
 {
     constexpr auto objective = 300ms;
-    constexpr auto halt = 1s;
-    constexpr auto served = 10ms; // one each
-    constexpr auto comes = 11ms;
-    constexpr auto day = 8s;
-    StreamQueue line;
+    constexpr auto outage = 1s;
+    constexpr auto serviceInterval = 10ms; // one stream per interval
+    constexpr auto arrivalInterval = 11ms;
+    constexpr auto testTime = 8s;
+    StreamQueue queue;
     std::uint64_t number = 0;
     int onTime = 0;
-    int all = 0;
-    for (auto now = 0ms; now < day; now += 1ms) {
-        if (now % comes == 0ms) {
-            line.put({.number = ++number, .service = Service, .onTimeUntil = Start + now + objective}, Start + now);
-            ++all;
+    int arrivals = 0;
+    for (auto now = 0ms; now < testTime; now += 1ms) {
+        if (now % arrivalInterval == 0ms) {
+            queue.enqueue({.number = ++number, .service = Service, .onTimeUntil = Start + now + objective},
+                          Start + now);
+            ++arrivals;
         }
-        if (now < halt || now % served != 0ms || line.isEmpty()) {
+        if (now < outage || now % serviceInterval != 0ms || queue.isEmpty()) {
             continue;
         }
-        const auto first = line.order(Start + now).front();
+        const auto first = queue.inAdmissionOrder(Start + now).front();
         onTime += first.onTimeUntil >= Start + now ? 1 : 0;
-        line.remove(first.number);
+        queue.remove(first.number);
     }
-    // Of what came in the halt all but the last 300 ms is late; of what comes after it nearly nothing.
-    EXPECT_GT(onTime, all * 8 / 10);
+    // Of the arrivals during the outage all but those of the last 300 ms are late; of those after it almost none.
+    EXPECT_GT(onTime, arrivals * 8 / 10);
 }
 
 } // namespace
