--- a/extras/heatherridge-policies/model/fakegate.cpp
+++ b/extras/heatherridge-policies/model/fakegate.cpp
@@ -17,13 +17,13 @@
     updateLimit();
     m_engine.setWatcher({.stepped =
                              [this](microseconds duration) {
-                                 m_limit.recordBetween(duration, m_running, m_loop.now());
+                                 m_limit.recordTokenGap(duration, m_running, m_loop.now());
                                  updateLimit();
                              },
                          .firstToken =
                              [this](const Job &job, SteadyTime started) {
                                  m_pendingPrompt -= job.expectedFresh;
-                                 m_limit.recordFirst(started, m_running, m_loop.now());
+                                 m_limit.recordFirstToken(started, m_running, m_loop.now());
                              }});
 }
 
@@ -122,10 +122,10 @@
 
 void FakeGate::pump()
 {
-    while (const auto next = m_queue.take(m_loop.now())) {
+    while (const auto next = m_queue.startNext(m_loop.now())) {
         start(*next);
     }
-    for (const auto &givenUp : m_queue.collectGivenUp()) {
+    for (const auto &givenUp : m_queue.collectAbandoned()) {
         end(givenUp.id, {.error = givenUp.error});
     }
     watchSweep();
--- a/modules/heatherridge_state/decisions/admissionqueue.cpp
+++ b/modules/heatherridge_state/decisions/admissionqueue.cpp
@@ -10,18 +10,20 @@
 namespace
 {
 
-/** Shortest and longest time a refused caller is told to wait: below, it costs more than it saves; above, nobody can
- * foresee the load. */
-constexpr std::chrono::milliseconds ShortestReturn{100};
-constexpr std::chrono::milliseconds LongestReturn{30'000};
-/** How long after the last short request slots are kept free for the next. */
-constexpr std::chrono::seconds ShortMemory{10};
-/** Long enough for tens of requests at a target, short enough to follow a burst. */
+/**
+ * Minimum and maximum retry delay sent with a refusal. A shorter delay costs more than it saves; further ahead the load
+ * cannot be predicted.
+ */
+constexpr std::chrono::milliseconds MinRetryAfter{100};
+constexpr std::chrono::milliseconds MaxRetryAfter{30'000};
+/** How long slots stay reserved for short requests after the last short request. */
+constexpr std::chrono::seconds ShortRequestMemory{10};
+/** Long enough to cover tens of requests at a target, short enough to follow a burst. */
 constexpr std::chrono::milliseconds PressureHalfLife{2000};
-/** Shortest time between two looks at a lane that waits. */
-constexpr std::chrono::milliseconds SweepStep{100};
-/** Share of the newest request in the average cost. */
-constexpr double NewestShare = 0.02;
+/** Minimum time between two sweeps of a workspace with waiting requests. */
+constexpr std::chrono::milliseconds MinSweepInterval{100};
+/** Weight of the newest request in the moving average of the cost. */
+constexpr double CostSmoothing = 0.02;
 
 } // namespace
 
@@ -30,69 +32,70 @@
 {
 }
 
-Offer AdmissionQueue::offer(const WorkRequest &request, SteadyTime now)
+OfferResult AdmissionQueue::offer(const WorkRequest &request, SteadyTime now)
 {
-    Share &share = shareOf(request);
+    Share &share = shareFor(request);
     if (m_draining) {
-        return Error{.kind = ErrorKind::Draining, .ran = Ran::No, .retryAfter = ShortestReturn};
+        return Error{.kind = ErrorKind::Draining, .ran = Ran::No, .retryAfter = MinRetryAfter};
     }
-    fade(now);
-    m_offered += request.cost;
-    m_averageCost = m_averageCost == 0 ? request.cost : m_averageCost * (1 - NewestShare) + request.cost * NewestShare;
-    const bool isLong = request.cost > m_options.longFactor * m_averageCost;
+    decayPressure(now);
+    m_offeredCost += request.cost;
+    m_averageCost =
+        m_averageCost == 0 ? request.cost : m_averageCost * (1 - CostSmoothing) + request.cost * CostSmoothing;
+    const bool isLong = request.cost > m_options.longRequestFactor * m_averageCost;
     if (!isLong) {
-        m_lastShort = now;
+        m_lastShortArrival = now;
     }
     const auto latestStart = request.deadline - m_rate.durationOf(request.cost);
     if (latestStart < now) {
-        return refusal(ErrorKind::DeadlineUnreachable, share, request.cost, now);
+        return makeRefusal(ErrorKind::DeadlineUnreachable, share, request.cost, now);
     }
-    const bool slotFree = m_running.size() < m_limit && (!isLong || longAllowed(now));
+    const bool slotFree = m_running.size() < m_limit && (!isLong || mayStartLong(now));
     if (slotFree && m_waiting.empty()) {
         start(share, request, isLong, now);
         return Started{};
     }
     if (!isOverloaded(share, now) && now + expectedWait(share, now) > latestStart) {
-        return refusal(ErrorKind::DeadlineUnreachable, share, request.cost, now);
+        return makeRefusal(ErrorKind::DeadlineUnreachable, share, request.cost, now);
     }
-    if (!makePlace(share, now)) {
-        return refusal(ErrorKind::QueueFull, share, request.cost, now);
+    if (!makeRoom(share, now)) {
+        return makeRefusal(ErrorKind::QueueFull, share, request.cost, now);
     }
-    if (share.lane.isEmpty()) {
+    if (share.queue.isEmpty()) {
         m_activeWeight += share.weight;
         share.tag = std::max(share.tag, m_virtualTime - m_options.burst / share.weight);
     }
-    share.lane.add({.request = request, .arrived = now, .latestStart = latestStart, .isLong = isLong}, now);
+    share.queue.add({.request = request, .arrived = now, .latestStart = latestStart, .isLong = isLong}, now);
     m_waiting.emplace(request.id, request.workspace);
     scheduleSweep(share, now);
     return Queued{};
 }
 
-std::optional<RequestId> AdmissionQueue::take(SteadyTime now)
+std::optional<RequestId> AdmissionQueue::startNext(SteadyTime now)
 {
     sweep(now);
     if (m_running.size() >= m_limit || m_waiting.empty()) {
         return std::nullopt;
     }
-    const bool allowLong = longAllowed(now);
+    const bool allowLong = mayStartLong(now);
     Share *next = nullptr;
-    double lowest = 0;
+    double lowestTag = 0;
     for (auto &[name, share] : m_shares) {
-        if (share.lane.isEmpty(allowLong)) {
+        if (share.queue.isEmpty(allowLong)) {
             continue;
         }
-        const double tag = share.tag - share.lane.highestPriority() * m_averageCost / share.weight;
-        if (next == nullptr || tag < lowest) {
+        const double tag = share.tag - share.queue.highestPriority() * m_averageCost / share.weight;
+        if (next == nullptr || tag < lowestTag) {
             next = &share;
-            lowest = tag;
+            lowestTag = tag;
         }
     }
     if (next == nullptr) {
         return std::nullopt;
     }
-    const auto waiting = next->lane.pop(now, allowLong, isOverloaded(*next, now));
+    const auto waiting = next->queue.pop(now, allowLong, isOverloaded(*next, now));
     m_waiting.erase(waiting->request.id);
-    if (next->lane.isEmpty()) {
+    if (next->queue.isEmpty()) {
         m_activeWeight -= next->weight;
     }
     start(*next, waiting->request, waiting->isLong, now);
@@ -121,8 +124,8 @@
         return false;
     }
     auto &share = m_shares.at(entry->second);
-    share.lane.remove(id);
-    if (share.lane.isEmpty()) {
+    share.queue.remove(id);
+    if (share.queue.isEmpty()) {
         m_activeWeight -= share.weight;
     }
     m_waiting.erase(entry);
@@ -138,9 +141,10 @@
 {
     m_draining = true;
     for (auto &[name, share] : m_shares) {
-        while (const auto waiting = share.lane.popOldest()) {
-            m_givenUp.push_back({.id = waiting->request.id,
-                                 .error = {.kind = ErrorKind::Draining, .ran = Ran::No, .retryAfter = ShortestReturn}});
+        while (const auto waiting = share.queue.popOldest()) {
+            m_abandoned.push_back(
+                {.id = waiting->request.id,
+                 .error = {.kind = ErrorKind::Draining, .ran = Ran::No, .retryAfter = MinRetryAfter}});
         }
     }
     m_waiting.clear();
@@ -148,9 +152,9 @@
     m_nextSweep.reset();
 }
 
-std::vector<GivenUp> AdmissionQueue::collectGivenUp()
+std::vector<AbandonedRequest> AdmissionQueue::collectAbandoned()
 {
-    return std::exchange(m_givenUp, {});
+    return std::exchange(m_abandoned, {});
 }
 
 void AdmissionQueue::sweep(SteadyTime now)
@@ -160,10 +164,10 @@
     }
     m_nextSweep.reset();
     for (auto &[name, share] : m_shares) {
-        while (auto waiting = share.lane.popExpired(now)) {
-            giveUp(share, std::move(waiting), ErrorKind::DeadlineUnreachable, now);
+        while (auto waiting = share.queue.popExpired(now)) {
+            abandon(share, std::move(waiting), ErrorKind::DeadlineUnreachable, now);
         }
-        giveUpStale(share, now);
+        abandonStale(share, now);
         scheduleSweep(share, now);
     }
 }
@@ -178,10 +182,10 @@
     AdmissionLoad load{.running = m_running.size(),
                        .waiting = m_waiting.size(),
                        .limit = m_limit,
-                       .pressure = m_started > 0 ? std::max(1.0, m_offered / m_started) : 1,
+                       .pressure = m_startedCost > 0 ? std::max(1.0, m_offeredCost / m_startedCost) : 1,
                        .capacity = static_cast<double>(m_limit) * m_averageCost};
     for (const auto &[name, share] : m_shares) {
-        load.waitingCost += share.lane.backlog();
+        load.waitingCost += share.queue.backlog();
     }
     for (const auto &[id, running] : m_running) {
         load.runningCost += running.cost;
@@ -199,155 +203,158 @@
     return m_waiting.size();
 }
 
-AdmissionQueue::Share &AdmissionQueue::shareOf(const WorkRequest &request)
+AdmissionQueue::Share &AdmissionQueue::shareFor(const WorkRequest &request)
 {
     Share &share = m_shares[request.workspace];
-    if (!share.lane.isEmpty()) {
+    if (!share.queue.isEmpty()) {
         m_activeWeight += request.weight - share.weight;
     }
     share.weight = request.weight;
     return share;
 }
 
-/** The part of the slots that falls to @p share while it competes with the other lanes that wait. */
-double AdmissionQueue::slotsOf(const Share &share) const
+/** Returns the fair share of slots for @p share while it competes with other workspaces that have waiting requests. */
+double AdmissionQueue::fairSlots(const Share &share) const
 {
-    const double others = m_activeWeight - (share.lane.isEmpty() ? 0 : share.weight);
-    return static_cast<double>(m_limit) * share.weight / (share.weight + std::max(others, 0.0));
+    const double otherWeight = m_activeWeight - (share.queue.isEmpty() ? 0 : share.weight);
+    return static_cast<double>(m_limit) * share.weight / (share.weight + std::max(otherWeight, 0.0));
 }
 
 /**
- * Whether @p share has waited too long on its own account. A lane in credit has received less than its share even when
- * all that waits is added; it stands before those beyond theirs, so its waits are short, and giving up its requests
- * would hand its share to them.
+ * Returns whether @p share is overloaded by its own traffic. A workspace whose tag stays behind virtual time even with
+ * its backlog added has received less than its share. It is served before workspaces that exceed theirs, so its waits
+ * are short, and abandoning its requests would give its share to those workspaces.
  */
 bool AdmissionQueue::isOverloaded(const Share &share, SteadyTime now) const
 {
-    if (share.tag + share.lane.backlog() / share.weight < m_virtualTime) {
+    if (share.tag + share.queue.backlog() / share.weight < m_virtualTime) {
         return false;
     }
-    const auto prompt = share.lane.lastShortWait();
-    return prompt && now - *prompt > m_options.overloadedAfter;
+    const auto lastShortWait = share.queue.lastShortWait();
+    return lastShortWait && now - *lastShortWait > m_options.overloadDelay;
 }
 
-bool AdmissionQueue::longAllowed(SteadyTime now) const
+bool AdmissionQueue::mayStartLong(SteadyTime now) const
 {
-    if (!m_lastShort || now - *m_lastShort > ShortMemory) {
+    if (!m_lastShortArrival || now - *m_lastShortArrival > ShortRequestMemory) {
         return true;
     }
-    const double most = std::max(1.0, m_options.longShare * static_cast<double>(m_limit));
-    return static_cast<double>(m_longRunning) < most;
+    const double maxLong = std::max(1.0, m_options.longRequestShare * static_cast<double>(m_limit));
+    return static_cast<double>(m_longRunning) < maxLong;
 }
 
 std::chrono::microseconds AdmissionQueue::expectedWait(const Share &share, SteadyTime /*now*/) const
 {
-    return m_rate.drainTime(share.lane.backlog(), slotsOf(share));
+    return m_rate.drainTime(share.queue.backlog(), fairSlots(share));
 }
 
 /**
- * When a refused request should come back: after what waits and what was sent back before it has been worked off.
- * Counting the latter spreads the returns; without it all refused callers would come back at one moment.
+ * Returns the retry delay for a refused request: the time needed to work off the backlog and the requests refused
+ * before. Counting the latter spreads the retries; without it all refused callers would return at the same time.
  */
-std::chrono::milliseconds AdmissionQueue::comeBackAfter(Share &share, double cost, SteadyTime now)
+std::chrono::milliseconds AdmissionQueue::retryDelay(Share &share, double cost, SteadyTime now)
 {
-    const double slots = slotsOf(share);
+    const double slots = fairSlots(share);
     if (m_rate.isKnown()) {
-        const std::chrono::duration<double, std::micro> passed = now - share.promisedAt;
-        const double unit = static_cast<double>(m_rate.drainTime(1'000, slots).count()) / 1'000;
-        share.promised = std::max(0.0, share.promised - passed.count() / std::max(unit, 1e-3));
-    }
-    share.promisedAt = now;
-    share.promised += cost;
-    const auto wait = m_rate.drainTime(share.lane.backlog() + share.promised, slots);
-    // What has been promised is bounded as well, so that the time is right again soon after the load has gone.
-    if (wait > LongestReturn) {
-        share.promised -= cost;
-    }
-    return std::clamp(std::chrono::duration_cast<std::chrono::milliseconds>(wait), ShortestReturn, LongestReturn);
+        const std::chrono::duration<double, std::micro> elapsed = now - share.deferredAt;
+        const double timePerUnit = static_cast<double>(m_rate.drainTime(1'000, slots).count()) / 1'000;
+        share.deferredCost = std::max(0.0, share.deferredCost - elapsed.count() / std::max(timePerUnit, 1e-3));
+    }
+    share.deferredAt = now;
+    share.deferredCost += cost;
+    const auto delay = m_rate.drainTime(share.queue.backlog() + share.deferredCost, slots);
+    // The deferred cost is bounded too, so that the delay becomes accurate again soon after the load has dropped.
+    if (delay > MaxRetryAfter) {
+        share.deferredCost -= cost;
+    }
+    return std::clamp(std::chrono::duration_cast<std::chrono::milliseconds>(delay), MinRetryAfter, MaxRetryAfter);
 }
 
-Error AdmissionQueue::refusal(ErrorKind kind, Share &share, double cost, SteadyTime now)
+Error AdmissionQueue::makeRefusal(ErrorKind kind, Share &share, double cost, SteadyTime now)
 {
-    return Error{.kind = kind, .ran = Ran::No, .retryAfter = comeBackAfter(share, cost, now)};
+    return Error{.kind = kind, .ran = Ran::No, .retryAfter = retryDelay(share, cost, now)};
 }
 
 /**
- * Over its limit is a workspace that has received more for its weight than those it competes with; else the target has
- * too little for all, and another target may have more.
+ * A workspace is over its limit if it has received more for its weight than the workspaces it competes with. Otherwise
+ * the target lacks capacity for all of them, and another target may have more.
  */
 ErrorKind AdmissionQueue::overloadKind(const Share &share) const
 {
-    const bool ahead = share.tag - m_virtualTime > m_averageCost / share.weight;
-    const bool alone = m_activeWeight <= share.weight * 1.001;
-    return ahead && !alone ? ErrorKind::WorkspaceOverLimit : ErrorKind::Overloaded;
+    const bool isOverShare = share.tag - m_virtualTime > m_averageCost / share.weight;
+    const bool isAlone = m_activeWeight <= share.weight * 1.001;
+    return isOverShare && !isAlone ? ErrorKind::WorkspaceOverLimit : ErrorKind::Overloaded;
 }
 
-void AdmissionQueue::giveUp(Share &share, std::optional<WorkspaceQueue::QueuedRequest> waiting, ErrorKind kind,
-                            SteadyTime now)
+void AdmissionQueue::abandon(Share &share, std::optional<WorkspaceQueue::QueuedRequest> waiting, ErrorKind kind,
+                             SteadyTime now)
 {
     if (!waiting) {
         return;
     }
     m_waiting.erase(waiting->request.id);
-    m_givenUp.push_back({.id = waiting->request.id, .error = refusal(kind, share, waiting->request.cost, now)});
-    if (share.lane.isEmpty()) {
+    m_abandoned.push_back({.id = waiting->request.id, .error = makeRefusal(kind, share, waiting->request.cost, now)});
+    if (share.queue.isEmpty()) {
         m_activeWeight -= share.weight;
     }
 }
 
 /**
- * Gives up what has waited too long in an overloaded lane, while newer requests come to take its place. When none do,
- * as after the loss of a neighbour whose work came here at once, giving up would leave slots idle later.
+ * Abandons requests that have waited too long in an overloaded queue, as long as newer requests arrive to replace them.
+ * If none arrive, for example after a neighbouring target failed and its work arrived here all at once, abandoning
+ * requests would leave slots idle later.
  */
-void AdmissionQueue::giveUpStale(Share &share, SteadyTime now)
+void AdmissionQueue::abandonStale(Share &share, SteadyTime now)
 {
-    while (isOverloaded(share, now) && now - *share.lane.lastArrival() < m_options.overloadedWait
-           && now - *share.lane.oldestArrival() >= m_options.overloadedWait) {
-        giveUp(share, share.lane.popOldest(), overloadKind(share), now);
+    while (isOverloaded(share, now) && now - *share.queue.lastArrival() < m_options.maxOverloadWait
+           && now - *share.queue.oldestArrival() >= m_options.maxOverloadWait) {
+        abandon(share, share.queue.popOldest(), overloadKind(share), now);
     }
 }
 
 void AdmissionQueue::scheduleSweep(const Share &share, SteadyTime now)
 {
-    if (share.lane.isEmpty()) {
+    if (share.queue.isEmpty()) {
         return;
     }
-    // A lane whose oldest has waited that long already is looked at again to see whether it has become overloaded.
-    const auto stale = std::max(*share.lane.oldestArrival() + m_options.overloadedWait, now + SweepStep);
-    const auto next = std::min(stale, *share.lane.earliestLatestStart());
+    // If the oldest request has already waited that long, the queue is checked again to see whether it has become
+    // overloaded.
+    const auto staleAt = std::max(*share.queue.oldestArrival() + m_options.maxOverloadWait, now + MinSweepInterval);
+    const auto next = std::min(staleAt, *share.queue.earliestLatestStart());
     m_nextSweep = m_nextSweep ? std::min(*m_nextSweep, next) : next;
 }
 
 /**
- * Makes a place for a request of @p share when all are taken: the lane that holds most for its weight loses its oldest.
- * Without it a workspace that fills the queue would lock the others out before shares come into play.
+ * Makes room for a request of @p share when the queue is full: the workspace with the largest backlog for its weight
+ * loses its oldest request. Without this a workspace that fills the queue would lock out the others before shares take
+ * effect.
  */
-bool AdmissionQueue::makePlace(Share &share, SteadyTime now)
+bool AdmissionQueue::makeRoom(Share &share, SteadyTime now)
 {
-    if (m_waiting.size() < m_options.places) {
+    if (m_waiting.size() < m_options.queueCapacity) {
         return true;
     }
-    Share *fullest = &share;
+    Share *largest = &share;
     for (auto &[name, other] : m_shares) {
-        if (other.lane.backlog() / other.weight > fullest->lane.backlog() / fullest->weight) {
-            fullest = &other;
+        if (other.queue.backlog() / other.weight > largest->queue.backlog() / largest->weight) {
+            largest = &other;
         }
     }
-    if (fullest == &share && !isOverloaded(share, now)) {
+    if (largest == &share && !isOverloaded(share, now)) {
         return false;
     }
-    giveUp(*fullest, fullest->lane.popOldest(), ErrorKind::QueueFull, now);
+    abandon(*largest, largest->queue.popOldest(), ErrorKind::QueueFull, now);
     return true;
 }
 
-/** Lets what was offered and started fade alike, so that their ratio is that of the last seconds. */
-void AdmissionQueue::fade(SteadyTime now)
+/** Decays the offered and the started cost at the same rate, so that their ratio reflects the last seconds. */
+void AdmissionQueue::decayPressure(SteadyTime now)
 {
-    const std::chrono::duration<double> passed = now - m_fadedAt;
-    m_fadedAt = now;
-    const double kept = std::exp2(-(passed / PressureHalfLife));
-    m_offered *= kept;
-    m_started *= kept;
+    const std::chrono::duration<double> elapsed = now - m_decayedAt;
+    m_decayedAt = now;
+    const double factor = std::exp2(-(elapsed / PressureHalfLife));
+    m_offeredCost *= factor;
+    m_startedCost *= factor;
 }
 
 void AdmissionQueue::start(Share &share, const WorkRequest &request, bool isLong, SteadyTime now)
@@ -355,8 +362,8 @@
     share.tag = std::max(share.tag, m_virtualTime - m_options.burst / share.weight);
     m_virtualTime = std::max(m_virtualTime, share.tag);
     share.tag += request.cost / share.weight;
-    fade(now);
-    m_started += request.cost;
+    decayPressure(now);
+    m_startedCost += request.cost;
     m_longRunning += isLong ? 1 : 0;
     m_running.emplace(request.id,
                       Running{.workspace = request.workspace, .cost = request.cost, .started = now, .isLong = isLong});
--- a/modules/heatherridge_state/decisions/groupadmission.cpp
+++ b/modules/heatherridge_state/decisions/groupadmission.cpp
@@ -11,43 +11,53 @@
 namespace
 {
 
-/** Streams that were sent are remembered for so long: two of the longest passes. */
-constexpr std::chrono::milliseconds SendMemory = GroupAdmission::LongestPass * 2;
-/** Weight, in own requests, of the assumption that all entries send alike, against what was seen of the others. */
-constexpr double PriorOwn = 4;
-/** Growth of a starting group from one pass to the next. */
-constexpr double MostGrowth = 2;
-/** Of the work in the first passes of a group, by its first map. */
-constexpr double FirstStretch = 2;
-
-/** What the other entries' part of a group has grown by since its engines last told their load, if it has grown as this
- * entry's has. */
-double othersGrowth(const GroupWork &work, double share)
+/** How long sent streams are remembered: twice the longest pass. */
+constexpr std::chrono::milliseconds SendHistory = GroupAdmission::MaxPass * 2;
+/**
+ * Weight, in own requests, of the assumption that all entries send alike, compared with what was observed of the
+ * others.
+ */
+constexpr double PriorOwnRequests = 4;
+/** Maximum growth of a starting group from one pass to the next. */
+constexpr double MaxGrowth = 2;
+/** Assumed slowdown of the work in the first passes of a group, because of its initial map. */
+constexpr double InitialSlowdown = 2;
+
+/**
+ * Estimates by how much the requests of the other entries have grown since the engines last reported their load,
+ * assuming that they have grown like those of this entry.
+ */
+double estimateOthersGrowth(const GroupLoad &load, double share)
 {
-    const double others = work.requests - work.own;
-    const double othersForEach = (others + PriorOwn * (1 / share - 1)) / (work.ownReported + PriorOwn);
-    const double growth = work.own - work.ownReported;
-    return std::max(growth * othersForEach, -others);
+    const double others = load.requests - load.ownRequests;
+    const double othersPerOwn =
+        (others + PriorOwnRequests * (1 / share - 1)) / (load.ownRequestsAtReport + PriorOwnRequests);
+    const double growth = load.ownRequests - load.ownRequestsAtReport;
+    return std::max(growth * othersPerOwn, -others);
 }
 
-/** By how much the requests of a group that has just opened may grow after a pass of @p pass. */
-double growthAfter(std::chrono::milliseconds pass, const PassTimeModel &rules)
+/** Returns the factor by which the requests of a newly opened group may grow after a pass of @p pass. */
+double growthFactor(std::chrono::milliseconds pass, const PassTimeModel &passTimes)
 {
-    const auto ofWork = std::max(pass - rules.baseTime, PassTimeModel::Milliseconds(1));
-    return std::clamp((rules.maxPassTime - rules.baseTime) / ofWork, 0.5, MostGrowth);
+    const auto workTime = std::max(pass - passTimes.baseTime, PassTimeModel::Milliseconds(1));
+    return std::clamp((passTimes.maxPassTime - passTimes.baseTime) / workTime, 0.5, MaxGrowth);
 }
 
-/** Requests an engine that a group is given before it has shown a pass: their prompts are all read in its first pass,
- * with a map that is expected to double the work of it. */
-double firstRequests(const PassTimeModel &rules)
+/**
+ * Returns the requests per engine that a group gets before its first measured pass. All their prompts are read in that
+ * first pass, with a map that is expected to double the work.
+ */
+double initialRequests(const PassTimeModel &passTimes)
 {
-    const auto each = rules.timePerRequest + rules.promptTime;
-    return each.count() > 0 ? std::max(1.0, (rules.maxPassTime - rules.baseTime) / (each * FirstStretch)) : 1;
+    const auto perStream = passTimes.timePerRequest + passTimes.promptTime;
+    return perStream.count() > 0
+        ? std::max(1.0, (passTimes.maxPassTime - passTimes.baseTime) / (perStream * InitialSlowdown))
+        : 1;
 }
 
-double perEngine(double all, const GroupWork &work)
+double perEngine(double all, const GroupLoad &load)
 {
-    return all / static_cast<double>(std::max<std::size_t>(work.engines, 1));
+    return all / static_cast<double>(std::max<std::size_t>(load.engines, 1));
 }
 
 } // namespace
@@ -55,10 +65,10 @@
 void GroupAdmission::setOpen(bool isOpen, SteadyTime now)
 {
     if (isOpen && !m_isOpen) {
-        m_stretch = {}; // its passes are others than before
-        m_openSince = now;
+        m_slowdown = {}; // passes before the closure are not comparable
+        m_openedAt = now;
         m_isStarting = true;
-        m_proven.reset();
+        m_provenRequests.reset();
         m_requestsAtPass = 0;
         m_lastPass.reset();
     }
@@ -70,84 +80,86 @@
     return m_isOpen && m_isStarting;
 }
 
-void GroupAdmission::sent(SteadyTime now)
+void GroupAdmission::recordSent(SteadyTime now)
 {
-    m_sent.push_back(now);
-    while (now - m_sent.front() > SendMemory) {
-        m_sent.pop_front();
+    m_sendTimes.push_back(now);
+    while (now - m_sendTimes.front() > SendHistory) {
+        m_sendTimes.pop_front();
     }
 }
 
 void GroupAdmission::recordPause(std::chrono::milliseconds pause, SteadyTime now)
 {
-    // All streams of a group have an event in each pass; one sample a pass is enough.
-    if (now - m_stretch.lastRecordedAt() < pause / 2) {
+    // All streams of a group have an event in each pass, so one sample per pass is enough.
+    if (now - m_slowdown.lastRecordedAt() < pause / 2) {
         return;
     }
-    // What was sent during the pass before was read in this one; the other entries send as this one does.
-    const double prompts = sentWithin(now - pause * 2, now - pause) / m_share;
-    m_stretch.record(std::min(pause, LongestPass),
-                     {.requests = m_requestsAtPass, .prompts = perEngine(prompts, m_work)}, m_rules,
-                     !m_work.hasSlowRank, now);
+    // Streams sent during the previous pass were read in this one; the other entries are assumed to send alike.
+    const double prompts = countSentWithin(now - pause * 2, now - pause) / m_share;
+    m_slowdown.record(std::min(pause, MaxPass), {.requests = m_requestsAtPass, .prompts = perEngine(prompts, m_load)},
+                      m_passTimes, !m_load.hasSlowRank, now);
     if (m_requestsAtPass > 0) {
-        m_proven = m_requestsAtPass * growthAfter(pause, m_rules);
+        m_provenRequests = m_requestsAtPass * growthFactor(pause, m_passTimes);
     }
-    m_requestsAtPass = perEngine(m_work.requests, m_work);
+    m_requestsAtPass = perEngine(m_load.requests, m_load);
     m_lastPass = pause;
 }
 
-EngineGroup GroupAdmission::view(const GroupWork &work, const PassTimeModel &rules, double share, SteadyTime now)
+EngineGroup GroupAdmission::evaluate(const GroupLoad &load, const PassTimeModel &passTimes, double share,
+                                     SteadyTime now)
 {
-    m_work = work;
-    m_work.requests += othersGrowth(work, share);
-    m_rules = rules;
+    m_load = load;
+    m_load.requests += estimateOthersGrowth(load, share);
+    m_passTimes = passTimes;
     m_share = share;
-    if (m_isStarting && now - m_openSince >= SlowStartDuration) {
+    if (m_isStarting && now - m_openedAt >= SlowStartDuration) {
         m_isStarting = false;
-        m_stretch.discardOldSamples();
+        m_slowdown.discardOldSamples();
     }
-    if (!m_isStarting && now - m_stretch.lastRecordedAt() > PauseMemory) {
-        m_stretch.record(work.reportedPass, {.requests = perEngine(m_work.requests, m_work)}, rules, !work.hasSlowRank,
-                         now);
+    if (!m_isStarting && now - m_slowdown.lastRecordedAt() > PauseLifetime) {
+        m_slowdown.record(load.reportedPass, {.requests = perEngine(m_load.requests, m_load)}, passTimes,
+                          !load.hasSlowRank, now);
     }
-    const double stretch = m_stretch.current();
-    const auto bound = m_isStarting ? startingBound(stretch) : establishedBound(stretch);
-    return {.isStalled = work.isStalled,
-            .hasRoom = sentWithin(now - bound.span, now) < bound.streams,
-            .hasRoomForLate = bound.roomForLate >= 1,
-            .room = std::min(bound.room, work.slots - m_work.requests),
-            .cannotBeOnTime = !m_isStarting && Heatherridge::cannotBeOnTime(stretch, rules)};
+    const double slowdown = m_slowdown.current();
+    const auto limit = m_isStarting ? startingLimit(slowdown) : establishedLimit(slowdown);
+    return {.isStalled = load.isStalled,
+            .hasHeadroom = countSentWithin(now - limit.interval, now) < limit.maxStreams,
+            .hasHeadroomForLate = limit.headroomForLate >= 1,
+            .headroom = std::min(limit.headroom, load.slots - m_load.requests),
+            .cannotBeOnTime = !m_isStarting && Heatherridge::cannotBeOnTime(slowdown, passTimes)};
 }
 
-GroupAdmission::Bound GroupAdmission::startingBound(double stretch) const
+GroupAdmission::SendLimit GroupAdmission::startingLimit(double slowdown) const
 {
-    const double onTime = maxRequestsOnTime(stretch, m_work.engines, m_rules);
-    const double proven = m_proven.value_or(firstRequests(m_rules)) * static_cast<double>(m_work.engines);
-    const double room = std::min(onTime, proven) - m_work.requests;
-    // An entry without a stream of its own in the group sees none of its passes.
-    const bool maySend = room >= 1 || m_work.own == 0;
-    const auto share = static_cast<int>(std::lround(std::max(room, 0.0) * m_share));
-    return {.room = room,
-            .roomForLate = room,
-            .streams = maySend ? std::max(share, 1) : 0,
-            .span = m_lastPass ? SteadyTime::duration(*m_lastPass)
-                               : std::chrono::duration_cast<SteadyTime::duration>(m_rules.maxPassTime)};
+    const double onTime = maxRequestsOnTime(slowdown, m_load.engines, m_passTimes);
+    const double provenRequests =
+        m_provenRequests.value_or(initialRequests(m_passTimes)) * static_cast<double>(m_load.engines);
+    const double headroom = std::min(onTime, provenRequests) - m_load.requests;
+    // An entry without a stream of its own in the group cannot observe any of its passes.
+    const bool maySend = headroom >= 1 || m_load.ownRequests == 0;
+    const auto share = static_cast<int>(std::lround(std::max(headroom, 0.0) * m_share));
+    return {.headroom = headroom,
+            .headroomForLate = headroom,
+            .maxStreams = maySend ? std::max(share, 1) : 0,
+            .interval = m_lastPass ? SteadyTime::duration(*m_lastPass)
+                                   : std::chrono::duration_cast<SteadyTime::duration>(m_passTimes.maxPassTime)};
 }
 
-GroupAdmission::Bound GroupAdmission::establishedBound(double stretch) const
+GroupAdmission::SendLimit GroupAdmission::establishedLimit(double slowdown) const
 {
-    const double room = maxRequestsOnTime(stretch, m_work.engines, m_rules) - m_work.requests;
-    const auto pass = m_rules.idealPassTime(perEngine(m_work.requests, m_work), 0) * stretch;
-    return {.room = room,
-            .roomForLate = maxRequestsOnTime(m_stretch.highPercentile(), m_work.engines, m_rules) - m_work.requests,
-            .streams = maxStreamsPerPass(room, m_rules, m_share),
-            .span = std::chrono::duration_cast<SteadyTime::duration>(pass)};
+    const double headroom = maxRequestsOnTime(slowdown, m_load.engines, m_passTimes) - m_load.requests;
+    const auto pass = m_passTimes.idealPassTime(perEngine(m_load.requests, m_load), 0) * slowdown;
+    return {.headroom = headroom,
+            .headroomForLate =
+                maxRequestsOnTime(m_slowdown.highPercentile(), m_load.engines, m_passTimes) - m_load.requests,
+            .maxStreams = maxStreamsPerPass(headroom, m_passTimes, m_share),
+            .interval = std::chrono::duration_cast<SteadyTime::duration>(pass)};
 }
 
-int GroupAdmission::sentWithin(SteadyTime after, SteadyTime until) const
+int GroupAdmission::countSentWithin(SteadyTime after, SteadyTime until) const
 {
-    return static_cast<int>(
-        std::count_if(m_sent.begin(), m_sent.end(), [&](auto sentAt) { return sentAt > after && sentAt <= until; }));
+    return static_cast<int>(std::count_if(m_sendTimes.begin(), m_sendTimes.end(),
+                                          [&](auto sentAt) { return sentAt > after && sentAt <= until; }));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/crashguard.cpp
+++ b/modules/heatherridge_transport/direct/crashguard.cpp
@@ -56,7 +56,7 @@
 
 void CrashGuard::recordRefusal(const RequestFingerprint &request)
 {
-    if (const auto repeatedReport = m_suspects.refused(request, now())) {
+    if (const auto repeatedReport = m_suspects.recordRefusal(request, now())) {
         publish(*repeatedReport);
     }
 }
@@ -68,19 +68,19 @@
     }
 }
 
-SuspectPlaces &CrashGuard::suspectPlaces()
+SuspectTargets &CrashGuard::suspectPlaces()
 {
     return m_suspectPlaces;
 }
 
 void CrashGuard::tick(SteadyTime now)
 {
-    m_suspects.tick(now);
+    m_suspects.evictExpired(now);
 }
 
 void CrashGuard::apply(const CrashReport &report)
 {
-    if (!m_suspects.take(report, now())) {
+    if (!m_suspects.record(report, now())) {
         return;
     }
     m_blockedRequests.add();
--- a/modules/heatherridge_transport/direct/crashguard.h
+++ b/modules/heatherridge_transport/direct/crashguard.h
@@ -50,7 +50,7 @@
     void applyReports(const std::vector<CrashReport> &reports);
 
     /** Targets that have suspects of this gateway. */
-    SuspectPlaces &suspectPlaces();
+    SuspectTargets &suspectPlaces();
 
     /** Forgets what is old. Called about once a second. */
     void tick(SteadyTime now);
@@ -63,7 +63,7 @@
     Counter &m_targetDeaths;
     Counter &m_blockedRequests;
     CrashSuspects m_suspects;
-    SuspectPlaces m_suspectPlaces;
+    SuspectTargets m_suspectPlaces;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -122,7 +122,7 @@
 {
     auto &targets = m_traffic.m_targets;
     if (isSuspect()) {
-        const auto avoided = m_traffic.m_crashGuard.suspectPlaces().avoided(m_tried);
+        const auto avoided = m_traffic.m_crashGuard.suspectPlaces().targetsToAvoid(m_tried);
         const auto unsuspectedChoice = targets.choose(m_service, avoided, urgency(), now(), m_traffic.m_random);
         if (unsuspectedChoice.target != nullptr) {
             return unsuspectedChoice;
@@ -136,9 +136,9 @@
     // What an engine has worked on goes on: its caller may have the beginning. What was refused unread has lost
     // nothing.
     if (m_possibleExecutions > 0 || m_stream.hasBegun()) {
-        return Urgency::Begun;
+        return Urgency::InProgress;
     }
-    return now() <= timelyUntil() ? Urgency::Timely : Urgency::Late;
+    return now() <= timelyUntil() ? Urgency::OnTime : Urgency::Late;
 }
 
 SteadyTime GatewayCall::timelyUntil() const
@@ -157,7 +157,7 @@
     }
     const WaitingStream stream{.number = m_number,
                                .service = m_service,
-                               .hasStarted = urgency() == Urgency::Begun,
+                               .hasStarted = urgency() == Urgency::InProgress,
                                .onTimeUntil = timelyUntil()};
     // Asked when it joins and when it falls behind the timely ones: at other times it has moved up.
     const bool isLate = stream.onTimeUntil < now();
@@ -301,20 +301,20 @@
     finishAttempt(plainAttemptEnd(), {});
 }
 
-AttemptEnd GatewayCall::plainAttemptEnd() const
+AttemptResult GatewayCall::plainAttemptEnd() const
 {
     if (m_responseFields.isNotRun && m_responseFields.id == m_callerFields.id) {
-        return AttemptEnd::RefusedAtTarget;
+        return AttemptResult::RefusedAtTarget;
     }
     if (m_isResponseUnusable) {
-        return AttemptEnd::Unusable;
+        return AttemptResult::InvalidAnswer;
     }
     const bool impliesNotExecuted =
         m_responseStatus == 408 || m_responseStatus == 421 || m_responseStatus == 429 || m_responseStatus == 503;
     if (impliesNotExecuted) {
-        return AttemptEnd::Unusable; // the status says that it has not run, and the target does not
+        return AttemptResult::InvalidAnswer; // the status says that it has not run, and the target does not
     }
-    return m_responseStatus >= 500 ? AttemptEnd::FailedAtTarget : AttemptEnd::Answered;
+    return m_responseStatus >= 500 ? AttemptResult::FailedAtTarget : AttemptResult::Answered;
 }
 
 void GatewayCall::onExchangeFailed(const ExchangeFailure &failure)
@@ -326,7 +326,7 @@
         probeTargetAfterFailure(failure.reason);
         return;
     }
-    finishAttempt(failure.isSent ? AttemptEnd::Broken : AttemptEnd::NeverSent, failure.reason);
+    finishAttempt(failure.isSent ? AttemptResult::Interrupted : AttemptResult::NeverSent, failure.reason);
 }
 
 void GatewayCall::probeTargetAfterFailure(const std::string &reason)
@@ -334,7 +334,7 @@
     releaseTarget(false);
     const auto *target = m_traffic.m_targets.find(m_target);
     if (target == nullptr) {
-        finishAttempt(AttemptEnd::Broken, reason);
+        finishAttempt(AttemptResult::Interrupted, reason);
         return;
     }
     m_isProbingTarget = true;
@@ -348,7 +348,7 @@
             self->m_traffic.m_crashGuard.recordTargetDeath(self->m_callerFields.id, self->fingerprint(),
                                                            self->m_target);
         }
-        self->finishAttempt(AttemptEnd::Broken, reason);
+        self->finishAttempt(AttemptResult::Interrupted, reason);
     });
 }
 
@@ -394,7 +394,7 @@
 {
     if (isSuspect()) {
         m_suspectTarget = target;
-        m_traffic.m_crashGuard.suspectPlaces().put(target);
+        m_traffic.m_crashGuard.suspectPlaces().add(target);
     }
 }
 
@@ -454,7 +454,7 @@
 void GatewayCall::onStreamComplete()
 {
     if (m_stream.isBroken()) {
-        finishAttempt(AttemptEnd::Broken, "the stream ended within an event");
+        finishAttempt(AttemptResult::Interrupted, "the stream ended within an event");
         return;
     }
     releaseTarget(true);
@@ -469,37 +469,37 @@
     finish("delivered", m_responseStatus);
 }
 
-void GatewayCall::finishAttempt(AttemptEnd end, std::string_view reason)
+void GatewayCall::finishAttempt(AttemptResult end, std::string_view reason)
 {
-    releaseTarget(end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget
-                  || end == AttemptEnd::RefusedAtTarget);
-    if (end == AttemptEnd::RefusedAtTarget) {
+    releaseTarget(end == AttemptResult::Answered || end == AttemptResult::FailedAtTarget
+                  || end == AttemptResult::RefusedAtTarget);
+    if (end == AttemptResult::RefusedAtTarget) {
         m_traffic.m_targets.recordRefusal(m_target, now());
     }
-    if (end == AttemptEnd::Answered) {
+    if (end == AttemptResult::Answered) {
         m_traffic.m_targets.recordAttempt(m_target, AttemptOutcome::Succeeded, now());
-    } else if (end != AttemptEnd::RefusedAtTarget) {
+    } else if (end != AttemptResult::RefusedAtTarget) {
         m_traffic.m_targets.recordAttempt(
-            m_target, end == AttemptEnd::Silent ? AttemptOutcome::TimedOut : AttemptOutcome::Failed, now());
+            m_target, end == AttemptResult::TimedOut ? AttemptOutcome::TimedOut : AttemptOutcome::Failed, now());
     }
-    const bool hasCompleted = end == AttemptEnd::Answered || end == AttemptEnd::FailedAtTarget;
+    const bool hasCompleted = end == AttemptResult::Answered || end == AttemptResult::FailedAtTarget;
     if (hasCompleted && isSuspect()) {
         m_traffic.m_crashGuard.recordAnswer(fingerprint());
     }
     m_possibleExecutions += mayHaveRun(end) ? 1 : 0;
-    m_possibleArrivals += end != AttemptEnd::NeverSent ? 1 : 0;
+    m_possibleArrivals += end != AttemptResult::NeverSent ? 1 : 0;
     const auto step = nextStep(end,
                                {.kind = m_route.kind,
                                 .isResumable = m_route.isResumable,
-                                .mayHaveRun = m_possibleExecutions,
-                                .maxAttempts = m_route.maxAttempts,
-                                .tries = m_attempts,
-                                .isTimeLeft = timeLeft() >= MinAttemptTime});
+                                .possibleRuns = m_possibleExecutions,
+                                .maxRuns = m_route.maxAttempts,
+                                .attempts = m_attempts,
+                                .hasTimeLeft = timeLeft() >= MinAttemptTime});
     switch (step) {
     case NextStep::Deliver:
         deliver();
         return;
-    case NextStep::Repeat:
+    case NextStep::Retry:
         retry(end, reason);
         return;
     case NextStep::Fail:
@@ -515,9 +515,9 @@
     }
 }
 
-void GatewayCall::retry(AttemptEnd end, std::string_view reason)
+void GatewayCall::retry(AttemptResult end, std::string_view reason)
 {
-    if (end == AttemptEnd::FailedAtTarget && m_traffic.retryBudgetFor(m_service).left(now()) < 1) {
+    if (end == AttemptResult::FailedAtTarget && m_traffic.retryBudgetFor(m_service).remaining(now()) < 1) {
         deliver(); // the target's own answer says more than one of this process's
         return;
     }
@@ -640,7 +640,7 @@
         m_route.kind == RequestKind::Idempotent && m_responseStatus == 0 && now() - m_sentAt > m_route.objective;
     const bool mayRetry = m_possibleExecutions + 1 < m_route.maxAttempts && timeLeft() > MinAttemptTime * 2;
     if ((isSilentStream || isSilentCall) && mayRetry && canContinueElsewhere()) {
-        finishAttempt(AttemptEnd::Silent, "no sign of life");
+        finishAttempt(AttemptResult::TimedOut, "no sign of life");
     }
 }
 
@@ -648,7 +648,7 @@
 {
     // A group that stands still mostly goes on, and all its streams fall silent at once: one that finds no repeat in
     // the budget or no other engine is better left where it is.
-    return m_traffic.retryBudgetFor(m_service).left(now()) >= 1
+    return m_traffic.retryBudgetFor(m_service).remaining(now()) >= 1
         && m_traffic.m_targets.choose(m_service, m_tried, urgency(), now(), m_traffic.m_random).target != nullptr;
 }
 
--- a/modules/heatherridge_transport/direct/gatewaycall.h
+++ b/modules/heatherridge_transport/direct/gatewaycall.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "heatherridge_state/decisions/attemptend.h"
+#include "heatherridge_state/decisions/attemptresult.h"
 #include "heatherridge_state/keys/requestfingerprint.h"
 #include "heatherridge_transport/direct/gatewaytraffic.h"
 #include "heatherridge_transport/direct/streamprogress.h"
@@ -64,12 +64,12 @@
     void onResponseBody(std::string_view bytes);
     void onResponseComplete();
     void onExchangeFailed(const ExchangeFailure &failure);
-    AttemptEnd plainAttemptEnd() const;
+    AttemptResult plainAttemptEnd() const;
     void forwardEvents(std::string_view bytes);
     void forwardEvent(const StreamEvent &event);
     void write(const std::string &text);
     void onStreamComplete();
-    void finishAttempt(AttemptEnd end, std::string_view reason);
+    void finishAttempt(AttemptResult end, std::string_view reason);
     void probeTargetAfterFailure(const std::string &reason);
     const RequestFingerprint &fingerprint();
     bool isSuspect();
@@ -78,7 +78,7 @@
     void markSuspectAt(const TargetName &target);
     void unmarkSuspect();
     void releaseTarget(bool keepConnection);
-    void retry(AttemptEnd end, std::string_view reason);
+    void retry(AttemptResult end, std::string_view reason);
     void deliver();
     void fail(Error error);
     void finish(std::string_view outcome, int status);
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -124,10 +124,10 @@
     const bool isExcluded = isStalled(target, now) || now < target.refusedUntil;
     return {.load = target.load.total(now, averageOthers),
             .slots = target.entry.slots,
-            .isNear = target.entry.zone == m_zone,
+            .isInOwnZone = target.entry.zone == m_zone,
             .isCold = target.entry.coldFor.count() > 0,
             .wasTried = tried.contains(target.entry.id),
-            .isHeldBack = target.limit.timeUntilAllowed(m_limitShare, now).count() > 0,
+            .isAtLimit = target.limit.timeUntilAllowed(m_limitShare, now).count() > 0,
             .health = isExcluded ? Health::Ejected : health.healthOf(target.entry.id, now)};
 }
 
@@ -138,7 +138,7 @@
 {
     std::vector<EngineCandidate> engines;
     std::vector<GroupName> groupNames;
-    std::vector<GroupWork> groupWork;
+    std::vector<GroupLoad> groupWork;
     std::map<GroupName, std::size_t> groupIndices;
     for (std::size_t index = 0; index < targets.size(); ++index) {
         const auto &view = *targets[index]->engine;
@@ -151,12 +151,12 @@
         engines.push_back({.target = candidates[index],
                            .group = group,
                            .isOpen = view.isOpen,
-                           .refusesNow = now < targets[index]->refusedUntil || hasUsedCapacityShare(*targets[index]),
-                           .pace = view.pace});
+                           .isRefusing = now < targets[index]->refusedUntil || hasUsedCapacityShare(*targets[index]),
+                           .slowdown = view.pace});
     }
     std::vector<EngineGroup> groups;
     for (std::size_t group = 0; group < groupWork.size(); ++group) {
-        groups.push_back(m_groups[groupNames[group]].view(groupWork[group], rules, m_capacityShare, now));
+        groups.push_back(m_groups[groupNames[group]].evaluate(groupWork[group], rules, m_capacityShare, now));
     }
     const auto choice = placeStream(engines, groups, {.urgency = urgency, .share = m_capacityShare}, random);
     if (choice.index) {
@@ -165,21 +165,21 @@
     return {.isFull = choice.isFull};
 }
 
-void GatewayTargets::addToGroup(GroupWork &work, const GatewayTarget &target, double load, SteadyTime now)
+void GatewayTargets::addToGroup(GroupLoad &work, const GatewayTarget &target, double load, SteadyTime now)
 {
     ++work.engines;
     work.requests += load;
-    work.own += target.load.ownRequests();
-    work.ownReported += target.load.ownRequestsAtReport();
+    work.ownRequests += target.load.ownRequests();
+    work.ownRequestsAtReport += target.load.ownRequestsAtReport();
     work.slots += target.entry.slots;
-    work.hasSlowRank = work.hasSlowRank || target.engine->pace >= SlowPace;
+    work.hasSlowRank = work.hasSlowRank || target.engine->pace >= SlowEngineFactor;
     work.isStalled = work.isStalled || isStalled(target, now);
 }
 
 void GatewayTargets::recordSend(const GroupName &group, SteadyTime now)
 {
     if (!group.isEmpty()) {
-        m_groups[group].sent(now);
+        m_groups[group].recordSent(now);
     }
 }
 
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -98,7 +98,7 @@
 
 private:
     bool hasUsedCapacityShare(const GatewayTarget &target) const;
-    static void addToGroup(GroupWork &work, const GatewayTarget &target, double load, SteadyTime now);
+    static void addToGroup(GroupLoad &work, const GatewayTarget &target, double load, SteadyTime now);
     bool isUsable(const GatewayTarget &target, const ServiceName &service) const;
     DirectCandidate makeCandidate(const GatewayTarget &target, double averageOthers, const HealthTracker &health,
                                   const std::set<TargetName> &tried, SteadyTime now) const;
--- a/modules/heatherridge_transport/direct/gatewaytraffic.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.cpp
@@ -67,7 +67,7 @@
 
 void GatewayTraffic::setRetryBudget(FleetRetryBudgetOptions options)
 {
-    options.part = m_options.retryBudget.part;
+    options.slackShare = m_options.retryBudget.slackShare;
     m_options.retryBudget = options;
     for (auto &[service, budget] : m_retryBudgets) {
         budget.setOptions(options);
@@ -76,10 +76,10 @@
 
 void GatewayTraffic::setShares(double budgetShare, double evenShare)
 {
-    m_options.retryBudget.part = budgetShare;
+    m_options.retryBudget.slackShare = budgetShare;
     m_targets.setShares(budgetShare, evenShare);
     for (auto &[service, budget] : m_retryBudgets) {
-        budget.setPart(budgetShare);
+        budget.setSlackShare(budgetShare);
     }
 }
 
--- a/tests/decisions/direct_test.cpp
+++ b/tests/decisions/direct_test.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_state/decisions/attemptend.h"
+#include "heatherridge_state/decisions/attemptresult.h"
 #include "heatherridge_state/decisions/directplacement.h"
 #include "heatherridge_state/decisions/fleetretrybudget.h"
 #include "heatherridge_state/decisions/loadestimate.h"
@@ -18,10 +18,10 @@
 
 const SteadyTime Start{};
 
-struct StepRow
+struct NextStepCase
 {
-    const char *story;
-    AttemptEnd end;
+    const char *description;
+    AttemptResult end;
     AttemptContext context;
     NextStep step;
 };
@@ -30,82 +30,82 @@
 constexpr auto NonIdempotent = RequestKind::NonIdempotent;
 constexpr auto EventStream = RequestKind::EventStream;
 
-const StepRow StepRows[] = {
-    {"a whole answer", AttemptEnd::Answered, {.kind = NonIdempotent, .mayHaveRun = 1}, NextStep::Deliver},
-    // A booking whose connection was reset may have been made. Sent again it is made twice.
+const NextStepCase NextStepCases[] = {
+    {"a complete answer", AttemptResult::Answered, {.kind = NonIdempotent, .possibleRuns = 1}, NextStep::Deliver},
+    // A booking whose connection was reset may have been executed. Sending it again would execute it twice.
     {"a booking after a reset",
-     AttemptEnd::Broken,
-     {.kind = NonIdempotent, .mayHaveRun = 1, .maxAttempts = 3},
+     AttemptResult::Interrupted,
+     {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
-    {"a booking after silence",
-     AttemptEnd::Silent,
-     {.kind = NonIdempotent, .mayHaveRun = 1, .maxAttempts = 3},
+    {"a booking after a timeout",
+     AttemptResult::TimedOut,
+     {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
-    {"a booking after bytes that are no answer",
-     AttemptEnd::Unusable,
-     {.kind = NonIdempotent, .mayHaveRun = 1, .maxAttempts = 3},
+    {"a booking after an invalid answer",
+     AttemptResult::InvalidAnswer,
+     {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Fail},
-    {"a booking that its target failed",
-     AttemptEnd::FailedAtTarget,
-     {.kind = NonIdempotent, .mayHaveRun = 1, .maxAttempts = 3},
+    {"a booking that failed at its target",
+     AttemptResult::FailedAtTarget,
+     {.kind = NonIdempotent, .possibleRuns = 1, .maxRuns = 3},
      NextStep::Deliver},
     {"a booking that its target refused",
-     AttemptEnd::RefusedAtTarget,
-     {.kind = NonIdempotent, .maxAttempts = 1},
-     NextStep::Repeat},
-    {"a booking that never left", AttemptEnd::NeverSent, {.kind = NonIdempotent, .maxAttempts = 1}, NextStep::Repeat},
+     AttemptResult::RefusedAtTarget,
+     {.kind = NonIdempotent, .maxRuns = 1},
+     NextStep::Retry},
+    {"a booking that was never sent", AttemptResult::NeverSent, {.kind = NonIdempotent, .maxRuns = 1}, NextStep::Retry},
     {"a look-up after a reset",
-     AttemptEnd::Broken,
-     {.kind = Idempotent, .mayHaveRun = 1, .maxAttempts = 2},
-     NextStep::Repeat},
-    {"a look-up that has run on as many targets as it may",
-     AttemptEnd::Broken,
-     {.kind = Idempotent, .mayHaveRun = 2, .maxAttempts = 2, .tries = 2},
+     AttemptResult::Interrupted,
+     {.kind = Idempotent, .possibleRuns = 1, .maxRuns = 2},
+     NextStep::Retry},
+    {"a look-up that has run on the maximum number of targets",
+     AttemptResult::Interrupted,
+     {.kind = Idempotent, .possibleRuns = 2, .maxRuns = 2, .attempts = 2},
      NextStep::Fail},
-    {"a look-up failed by the last target it may run on",
-     AttemptEnd::FailedAtTarget,
-     {.kind = Idempotent, .mayHaveRun = 2, .maxAttempts = 2, .tries = 2},
+    {"a look-up that failed at the last target it may run on",
+     AttemptResult::FailedAtTarget,
+     {.kind = Idempotent, .possibleRuns = 2, .maxRuns = 2, .attempts = 2},
      NextStep::Deliver},
-    {"a stream that may go on elsewhere",
-     AttemptEnd::Broken,
-     {.kind = EventStream, .isResumable = true, .mayHaveRun = 1, .maxAttempts = 2},
-     NextStep::Repeat},
-    {"a stream that may not",
-     AttemptEnd::Broken,
-     {.kind = EventStream, .mayHaveRun = 1, .maxAttempts = 2},
+    {"a stream that can be resumed",
+     AttemptResult::Interrupted,
+     {.kind = EventStream, .isResumable = true, .possibleRuns = 1, .maxRuns = 2},
+     NextStep::Retry},
+    {"a stream that cannot be resumed",
+     AttemptResult::Interrupted,
+     {.kind = EventStream, .possibleRuns = 1, .maxRuns = 2},
      NextStep::Fail},
     {"refused everywhere",
-     AttemptEnd::RefusedAtTarget,
-     {.kind = Idempotent, .maxAttempts = 2, .tries = MostTries},
+     AttemptResult::RefusedAtTarget,
+     {.kind = Idempotent, .maxRuns = 2, .attempts = MaxAttempts},
      NextStep::Fail},
     {"no time for another attempt",
-     AttemptEnd::Broken,
-     {.kind = Idempotent, .mayHaveRun = 1, .maxAttempts = 2, .isTimeLeft = false},
+     AttemptResult::Interrupted,
+     {.kind = Idempotent, .possibleRuns = 1, .maxRuns = 2, .hasTimeLeft = false},
      NextStep::Fail},
 };
 
-class Steps : public testing::TestWithParam<StepRow>
+class NextSteps : public testing::TestWithParam<NextStepCase>
 {
 };
 
-TEST_P(Steps, FollowFromWhatIsProved)
+TEST_P(NextSteps, FollowFromKnownOutcome)
 {
-    EXPECT_EQ(nextStep(GetParam().end, GetParam().context), GetParam().step) << GetParam().story;
+    EXPECT_EQ(nextStep(GetParam().end, GetParam().context), GetParam().step) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Steps, testing::ValuesIn(StepRows));
+INSTANTIATE_TEST_SUITE_P(All, NextSteps, testing::ValuesIn(NextStepCases));
 
-RC_GTEST_PROP(Steps, NeverRepeatWhatMayHaveRunAndMayNotRunTwice,
+RC_GTEST_PROP(NextSteps, NeverRetryNonIdempotentRequestThatMayHaveRun,
               (std::uint8_t endNumber, std::uint8_t ran, std::uint8_t tries))
 {
-    const auto end = static_cast<AttemptEnd>(endNumber % 7);
-    const auto step = nextStep(end, {.kind = NonIdempotent, .mayHaveRun = ran, .maxAttempts = 5, .tries = tries});
-    RC_ASSERT(!(mayHaveRun(end) && step == NextStep::Repeat));
+    const auto end = static_cast<AttemptResult>(endNumber % 7);
+    const auto step = nextStep(end, {.kind = NonIdempotent, .possibleRuns = ran, .maxRuns = 5, .attempts = tries});
+    RC_ASSERT(!(mayHaveRun(end) && step == NextStep::Retry));
 }
 
-// A fault makes half of all requests fail at once at every entry. The bound on repeats is one for all entries together,
-// and none sees what the others do.
-RC_GTEST_PROP(FleetRetryBudget, KeepsTheCommonBoundInEveryWindow, (std::uint32_t seed))
+// A fault makes half of all requests fail at once at every entry. The limit on retries applies to all entries together,
+// and none of them sees what the others do.
+RC_GTEST_PROP(FleetRetryBudget, KeepsCommonBoundInEveryWindow, (std::uint32_t seed))
 {
     constexpr int entries = 4;
     constexpr double share = 0.2;
@@ -114,7 +114,8 @@
     SeededRandom random(seed);
     std::vector<FleetRetryBudget> budgets(entries,
                                           FleetRetryBudget({.share = share, .slack = slack, .window = window}));
-    // The platform's log deals the work out to entries, all of it, and so their parts of the slack; now and then anew.
+    // The platform's log distributes all of the work over the entries, and with it their shares of the slack; it
+    // redistributes them from time to time.
     const auto dealParts = [&] {
         constexpr int parts = 12;
         std::vector<int> dealt(entries);
@@ -123,8 +124,8 @@
             ++dealt[static_cast<std::size_t>(part) % living];
         }
         for (int entry = 0; entry < entries; ++entry) {
-            budgets[static_cast<std::size_t>(entry)].setPart(static_cast<double>(dealt[static_cast<std::size_t>(entry)])
-                                                             / parts);
+            budgets[static_cast<std::size_t>(entry)].setSlackShare(
+                static_cast<double>(dealt[static_cast<std::size_t>(entry)]) / parts);
         }
     };
     std::deque<SteadyTime> requests;
@@ -153,24 +154,24 @@
     }
 }
 
-// A rank of a group of eight dies, and 96 streams break off at once at two entries. Each used an eighth of the slack,
-// whatever the number of entries, and callers were refused although the bound was far away.
-TEST(FleetRetryBudget, UsesTheWholeSlackWhenThePartsAreKnown)
+// A rank of a group of eight dies, and 96 streams break at once at two entries. Guards against each entry using only an
+// eighth of the slack whatever the number of entries, so that callers are refused far below the limit.
+TEST(FleetRetryBudget, UsesWholeSlackWhenSharesAreKnown)
 {
     constexpr double slack = 88;
     int taken = 0;
     for (int entry = 0; entry < 2; ++entry) {
         FleetRetryBudget budget({.slack = slack});
-        budget.setPart(0.5);
+        budget.setSlackShare(0.5);
         while (budget.tryTake(Start)) {
             ++taken;
         }
     }
-    EXPECT_GE(taken, slack * FleetRetryBudget::UsedPart - 2);
+    EXPECT_GE(taken, slack * FleetRetryBudget::SafetyFactor - 2);
     EXPECT_LE(taken, slack);
 }
 
-TEST(LoadEstimate, CountsItsOwnAndForgetsTheOthers)
+TEST(LoadEstimate, CountsOwnRequestsAndDecaysReportedLoad)
 {
     LoadEstimate load;
     load.recordSent();
@@ -184,9 +185,9 @@
     EXPECT_NEAR(load.total(Start + 1s, 0), 1, 1e-9);
 }
 
-// Entries of a large site send nearly all streams to the few targets whose word is oldest: it had faded into "nothing
-// there", while others had three requests at each.
-TEST(LoadEstimate, TakesOthersToHaveTheUsualWhereItsWordIsOld)
+// Guards against herding at a large site: entries sent nearly all streams to the few targets with the oldest reports,
+// because those had decayed to "idle", while other targets had three requests each.
+TEST(LoadEstimate, AssumesUsualLoadOfOthersWhenReportIsOld)
 {
     LoadEstimate load;
     EXPECT_NEAR(load.total(Start, 3), 3, 1e-9);
@@ -197,64 +198,66 @@
     EXPECT_NEAR(load.total(Start + LoadEstimate::HalfLife * 20, 3), 1 + 3, 1e-4);
 }
 
-struct PlaceRow
+struct PlacementCase
 {
-    const char *story;
+    const char *description;
     std::vector<DirectCandidate> candidates;
     std::optional<std::size_t> chosen;
 };
 
-const PlaceRow PlaceRows[] = {
-    {"the least loaded", {{.load = 3}, {.load = 1}, {.load = 2}}, 1},
-    {"one in the own zone before one that is slightly less loaded", {{.load = 1.2, .isNear = true}, {.load = 1}}, 0},
-    {"but not before one that is much less loaded", {{.load = 3, .isNear = true}, {.load = 1}}, 1},
-    {"loads count by slots", {{.load = 3, .slots = 12}, {.load = 2, .slots = 4}}, 0},
-    {"a cold one last among near-equals", {{.load = 1, .slots = 6, .isCold = true}, {.load = 2, .slots = 6}}, 1},
-    {"an ejected one only when there is no other", {{.load = 0, .health = Health::Ejected}, {.load = 9}}, 1},
-    {"an ejected one is better than none", {{.load = 0, .health = Health::Ejected}}, 0},
-    {"not where it was tried", {{.load = 0, .wasTried = true}, {.load = 9}}, 1},
-    {"nowhere", {{.load = 0, .wasTried = true}}, std::nullopt},
+const PlacementCase PlacementCases[] = {
+    {"the least loaded target", {{.load = 3}, {.load = 1}, {.load = 2}}, 1},
+    {"a target in the own zone before a slightly less loaded one",
+     {{.load = 1.2, .isInOwnZone = true}, {.load = 1}},
+     0},
+    {"a much less loaded target before one in the own zone", {{.load = 3, .isInOwnZone = true}, {.load = 1}}, 1},
+    {"load relative to the number of slots", {{.load = 3, .slots = 12}, {.load = 2, .slots = 4}}, 0},
+    {"a cold target last among near-equals", {{.load = 1, .slots = 6, .isCold = true}, {.load = 2, .slots = 6}}, 1},
+    {"an ejected target only if there is no other", {{.load = 0, .health = Health::Ejected}, {.load = 9}}, 1},
+    {"an ejected target rather than none", {{.load = 0, .health = Health::Ejected}}, 0},
+    {"not a target that was tried", {{.load = 0, .wasTried = true}, {.load = 9}}, 1},
+    {"none if all were tried", {{.load = 0, .wasTried = true}}, std::nullopt},
 };
 
-class Places : public testing::TestWithParam<PlaceRow>
+class DirectPlacement : public testing::TestWithParam<PlacementCase>
 {
 };
 
-TEST_P(Places, AreTheLeastLoadedUsableOnes)
+TEST_P(DirectPlacement, ChoosesLeastLoadedUsableTarget)
 {
     SeededRandom random(3);
     for (int i = 0; i < 20; ++i) {
-        EXPECT_EQ(placeDirectly(GetParam().candidates, random), GetParam().chosen) << GetParam().story;
+        EXPECT_EQ(placeDirectly(GetParam().candidates, random), GetParam().chosen) << GetParam().description;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Places, testing::ValuesIn(PlaceRows));
+INSTANTIATE_TEST_SUITE_P(All, DirectPlacement, testing::ValuesIn(PlacementCases));
 
-struct WaitRow
+struct PlacementWaitCase
 {
-    const char *story;
+    const char *description;
     RequestKind kind;
     std::chrono::milliseconds timeLeft;
     std::chrono::milliseconds wait;
 };
 
-const WaitRow WaitRows[] = {
-    {"a stream with all its time", EventStream, 8s, MaxStreamWait},
+const PlacementWaitCase PlacementWaitCases[] = {
+    {"a stream with plenty of time", EventStream, 8s, MaxStreamWait},
     {"a stream with little time", EventStream, 1s, 500ms},
     {"a booking", NonIdempotent, 1500ms, 150ms},
     {"a booking with little time", NonIdempotent, 200ms, 100ms},
-    {"no time", Idempotent, 0ms, 0ms},
+    {"no time left", Idempotent, 0ms, 0ms},
 };
 
-class Waits : public testing::TestWithParam<WaitRow>
+class PlacementWait : public testing::TestWithParam<PlacementWaitCase>
 {
 };
 
-TEST_P(Waits, LeaveTimeForTheAnswer)
+TEST_P(PlacementWait, LeavesTimeForTheAnswer)
 {
-    EXPECT_EQ(placementWait(GetParam().kind, GetParam().timeLeft, 300ms), GetParam().wait) << GetParam().story;
+    EXPECT_EQ(placementWait(GetParam().kind, GetParam().timeLeft, 300ms), GetParam().wait) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Waits, testing::ValuesIn(WaitRows));
+INSTANTIATE_TEST_SUITE_P(All, PlacementWait, testing::ValuesIn(PlacementWaitCases));
 
 } // namespace
--- a/tests/decisions/entryside_test.cpp
+++ b/tests/decisions/entryside_test.cpp
@@ -165,12 +165,12 @@
 // that began before, and must recover slowly.
 TEST(ConcurrencyLimit, DecreasesOnceForOneExcessAndIncreasesSlowly)
 {
-    ConcurrencyLimit limit({.initial = 16});
+    ConcurrencyLimit limit({.initialLimit = 16});
     auto now = Start;
     const auto runWindows = [&](std::chrono::microseconds gap, int windows) {
         for (int i = 0; i < windows * 10; ++i) {
             now += 50ms;
-            limit.recordBetween(gap, std::min<std::size_t>(limit.limit(), 60), now);
+            limit.recordTokenGap(gap, std::min<std::size_t>(limit.limit(), 60), now);
         }
     };
     runWindows(20ms, 30);
@@ -225,8 +225,8 @@
 TEST_P(PlacementSection, IsReadAndChecked)
 {
     const auto result = RuleSet::fromDocument(IniDocument::parse(GetParam().text));
-    if (const auto *faultCount = std::get_if<std::vector<ConfigFault>>(&result)) {
-        EXPECT_EQ(faultCount->size(), GetParam().faultCount);
+    if (const auto *faults = std::get_if<std::vector<ConfigFault>>(&result)) {
+        EXPECT_EQ(faults->size(), GetParam().faultCount);
         return;
     }
     EXPECT_EQ(GetParam().faultCount, 0U);
