--- a/modules/heatherridge_coordination/keys/claimmanager.cpp
+++ b/modules/heatherridge_coordination/keys/claimmanager.cpp
@@ -208,7 +208,7 @@
 }
 
 /** The claim under which this process acts: its own, or the one it was handed; nothing when it doesn't act. */
-std::optional<PlacedClaim> ClaimManager::activeClaim(const KeyLedger &ledger) const
+std::optional<LoggedClaim> ClaimManager::activeClaim(const KeyLedger &ledger) const
 {
     if (canAnnounce(ledger)) {
         return ledger.claim();
@@ -243,7 +243,7 @@
 }
 
 /** The floor with which @p current may be replaced; nothing while its holder may still run keys without the log. */
-std::optional<WallTime> ClaimManager::takeOverFloor(const PlacedClaim &current, WallTime now) const
+std::optional<WallTime> ClaimManager::takeOverFloor(const LoggedClaim &current, WallTime now) const
 {
     const auto &claim = current.claim;
     const bool isHandedOver = m_acceptedHandOvers.contains(claim.id) && !isReleased(claim.id);
--- a/modules/heatherridge_coordination/keys/claimmanager.h
+++ b/modules/heatherridge_coordination/keys/claimmanager.h
@@ -101,11 +101,11 @@
         std::optional<WallTime> floor{};
     };
 
-    std::optional<PlacedClaim> activeClaim(const KeyLedger &ledger) const;
+    std::optional<LoggedClaim> activeClaim(const KeyLedger &ledger) const;
     bool isReleased(const ClaimId &claim) const;
     bool isPromised(const KeyClaim &claim, WallTime time) const;
     bool isRenewalDue(const KeyClaim &current, WallTime now) const;
-    std::optional<WallTime> takeOverFloor(const PlacedClaim &current, WallTime now) const;
+    std::optional<WallTime> takeOverFloor(const LoggedClaim &current, WallTime now) const;
     void addActivateRequests(std::vector<OutgoingKeyMessage> &messages, const KeyClaim &claim, WallTime now) const;
     KeyClaim makeClaim(LogOffset basedOn, WallTime floor, WallTime now);
 
@@ -116,7 +116,7 @@
     std::map<ClaimId, std::map<GateId, WallTime>> m_promises; ///< by claim and witness
     std::map<ClaimId, GateId> m_releasedTo;
     std::set<ClaimId> m_acceptedHandOvers;
-    std::optional<PlacedClaim> m_handedOverClaim; ///< another's claim whose right was handed over
+    std::optional<LoggedClaim> m_handedOverClaim; ///< another's claim whose right was handed over
     WallTime m_handedOverFloor{};
     std::optional<Revocation> m_bestRevocation; ///< the best word of a witness on the claim to be replaced
     std::uint64_t m_serial = 0;
--- a/modules/heatherridge_coordination/keys/keygate.cpp
+++ b/modules/heatherridge_coordination/keys/keygate.cpp
@@ -45,7 +45,7 @@
         decide(call, now);
         flush();
     } else {
-        ++m_counters.late;
+        ++m_counters.duplicateAttempts;
     }
     return takeActions();
 }
--- a/modules/heatherridge_coordination/keys/keygate.h
+++ b/modules/heatherridge_coordination/keys/keygate.h
@@ -26,7 +26,7 @@
     std::uint64_t notDecidable = 0; ///< KeyNotDecidable
     std::uint64_t redirected = 0; ///< sent to another gate
     std::uint64_t full = 0; ///< QueueFull
-    std::uint64_t late = 0; ///< tries that came doubled or out of order, dropped
+    std::uint64_t duplicateAttempts = 0; ///< tries that came doubled or out of order, dropped
     std::uint64_t handedOver = 0; ///< hand-overs given
     std::uint64_t inherited = 0; ///< hand-overs taken
 };
--- a/modules/heatherridge_protocol/keymessage.h
+++ b/modules/heatherridge_protocol/keymessage.h
@@ -56,7 +56,7 @@
 /** The holder runs no more keys under the claim; the receiver may. */
 struct ReleaseReply
 {
-    PlacedClaim claim{};
+    LoggedClaim claim{};
     bool withRight = false; ///< whether the right to run keys without the log passes too
     WallTime until{}; ///< with the right: what every witness had promised at least
     WallTime floor{}; ///< lowest creation time that the sender could decide
--- a/modules/heatherridge_protocol/keyrecordcodec.cpp
+++ b/modules/heatherridge_protocol/keyrecordcodec.cpp
@@ -45,7 +45,7 @@
             {"u", toJson(claim.until)},        {"f", toJson(claim.floor)},     {"l", claim.afterLoss}};
 }
 
-json toJson(const PlacedClaim &placed)
+json toJson(const LoggedClaim &placed)
 {
     return {{"o", toNumber(placed.offset)}, {"c", toJson(placed.claim)}};
 }
@@ -166,7 +166,7 @@
     return claim;
 }
 
-PlacedClaim readPlacedClaimFields(CborReader &reader)
+LoggedClaim readPlacedClaimFields(CborReader &reader)
 {
     return {.offset = static_cast<LogOffset>(reader.number("o")), .claim = nested(reader, "c", readClaim)};
 }
@@ -217,12 +217,12 @@
     return Heatherridge::toJson(time);
 }
 
-json toJson(const PlacedClaim &claim)
+json toJson(const LoggedClaim &claim)
 {
     return Heatherridge::toJson(claim);
 }
 
-PlacedClaim readPlacedClaim(CborReader &reader, std::string_view key)
+LoggedClaim readPlacedClaim(CborReader &reader, std::string_view key)
 {
     return nested(reader, key, readPlacedClaimFields);
 }
--- a/modules/heatherridge_protocol/keyrecordcodec.h
+++ b/modules/heatherridge_protocol/keyrecordcodec.h
@@ -26,7 +26,7 @@
 nlohmann::json toJson(const GateId &gate);
 nlohmann::json toJson(const ClaimId &claim);
 nlohmann::json toJson(WallTime time);
-nlohmann::json toJson(const PlacedClaim &claim);
+nlohmann::json toJson(const LoggedClaim &claim);
 nlohmann::json toJson(const KeyRecord &record);
 
 /** Reads a gate from @p map; marks @p reader as failed when it can't. */
@@ -36,7 +36,7 @@
 ClaimId readClaimId(CborReader &reader, std::string_view key);
 
 /** Reads a claim with its place in the log. */
-PlacedClaim readPlacedClaim(CborReader &reader, std::string_view key);
+LoggedClaim readPlacedClaim(CborReader &reader, std::string_view key);
 
 /** Reads a point of calendar time in milliseconds. */
 WallTime readTime(CborReader &reader, std::string_view key);
--- a/modules/heatherridge_state/keys/keyledger.cpp
+++ b/modules/heatherridge_state/keys/keyledger.cpp
@@ -78,7 +78,7 @@
     return m_appliedOffset;
 }
 
-const std::optional<PlacedClaim> &KeyLedger::claim() const
+const std::optional<LoggedClaim> &KeyLedger::claim() const
 {
     return m_claim;
 }
@@ -160,7 +160,7 @@
         ++m_counters.staleClaims;
         return;
     }
-    m_claim = PlacedClaim{.offset = offset, .claim = claim};
+    m_claim = LoggedClaim{.offset = offset, .claim = claim};
     m_floor = std::max(m_floor, claim.floor);
 }
 
--- a/modules/heatherridge_state/keys/keyledger.h
+++ b/modules/heatherridge_state/keys/keyledger.h
@@ -72,7 +72,7 @@
     LogOffset appliedOffset() const;
 
     /** The claim in force, if any. */
-    const std::optional<PlacedClaim> &claim() const;
+    const std::optional<LoggedClaim> &claim() const;
 
     /** Whether @p gate holds the shard. */
     bool isHolder(const GateId &gate) const;
@@ -123,7 +123,7 @@
     std::map<Uuid7, KeyEntry> m_entries;
     std::map<GateId, std::uint64_t> m_lastSerials;
     std::vector<Pending> m_pending;
-    std::optional<PlacedClaim> m_claim;
+    std::optional<LoggedClaim> m_claim;
     std::optional<LogOffset> m_lostThrough;
     LogOffset m_appliedOffset{};
     WallTime m_floor{};
--- a/modules/heatherridge_state/keys/keyrecord.h
+++ b/modules/heatherridge_state/keys/keyrecord.h
@@ -100,12 +100,12 @@
 using KeyRecord = std::variant<KeyIntent, KeyOutcome, KeyClaim>;
 
 /** A claim at its place in the log. */
-struct PlacedClaim
+struct LoggedClaim
 {
     LogOffset offset{};
     KeyClaim claim{};
 
-    bool operator==(const PlacedClaim &) const = default;
+    bool operator==(const LoggedClaim &) const = default;
 };
 
 /**
@@ -114,7 +114,7 @@
 struct LedgerView
 {
     LogOffset covers{}; ///< folded up to here
-    std::optional<PlacedClaim> claim{}; ///< the claim in force there
+    std::optional<LoggedClaim> claim{}; ///< the claim in force there
     WallTime floor{}; ///< lowest creation time that can be decided
     WallTime newestKeyTime{}; ///< highest creation time of any key recorded up to there
 
--- a/tests/keys/keygate_test.cpp
+++ b/tests/keys/keygate_test.cpp
@@ -208,7 +208,7 @@
 
 TEST(KeyFrame, RoundTripsAndRejectsTruncation)
 {
-    const PlacedClaim placed{.offset = LogOffset{4}, .claim = {.id = {Self, 2}, .witnesses = {Witness}, .until = Now}};
+    const LoggedClaim placed{.offset = LogOffset{4}, .claim = {.id = {Self, 2}, .witnesses = {Witness}, .until = Now}};
     const KeyIntent intent{.key = GateFixture::keyFor(1), .runner = Self};
     const KeyMessage messages[] = {
         ActivateRequest{.claim = {Self, 1}, .until = Now},
--- a/tests/keys/keyledger_test.cpp
+++ b/tests/keys/keyledger_test.cpp
@@ -214,7 +214,7 @@
     outcome.answer = {.status = 201, .contentType = "application/json", .body = std::string("\x00\xff", 2)};
     const auto batch =
         batchOf(GateA, 3, {intentOf(3, GateA), outcome, claim},
-                {.covers = LogOffset{2}, .claim = PlacedClaim{LogOffset{1}, claim}, .floor = keyAt(1).time()});
+                {.covers = LogOffset{2}, .claim = LoggedClaim{LogOffset{1}, claim}, .floor = keyAt(1).time()});
     const auto bytes = encode(batch);
     const auto decoded = decodeKeyBatch(bytes);
     ASSERT_EQ(errorIn(decoded), nullptr);
