--- a/modules/heatherridge_state/keys/keyledger.cpp
+++ b/modules/heatherridge_state/keys/keyledger.cpp
@@ -12,11 +12,11 @@
 namespace
 {
 
-/** Batches kept while the ledger is not whole; older ones are given up as lost. */
+/** Batches held back while the ledger is incomplete. Above this, all of them are treated as lost. */
 constexpr std::size_t MaxPendingBatches = 4096;
-/** Writers whose last batch number is kept. A batch that comes doubled does so within seconds. */
+/** Writers whose last batch serial is kept. The duplicate of a batch arrives within seconds of the original. */
 constexpr std::size_t MaxWriters = 1024;
-/** Share of the entries that is forgotten in one go when there are too many. */
+/** Eviction frees 1/EvictionDivisor of the limit beyond the excess, so that it frees many entries at once. */
 constexpr std::size_t EvictionDivisor = 16;
 
 } // namespace
@@ -186,8 +186,8 @@
     if (closeOpenEntry(batch, outcome)) {
         return;
     }
-    // A run made while the log was out has no intent before its outcome; only the holder may make such runs. Of a key
-    // below the floor that nobody can run any more, the outcome is taken from whoever still knows it.
+    // A run made while the log was unavailable has no intent before its outcome; only the holder may make such runs. A
+    // key below the floor can no longer be run, so its answer is accepted from any gate that still has it.
     const auto found = m_entries.find(outcome.key);
     const bool isNewRun = found == m_entries.end() || found->second.runState == RunState::NotRun;
     const bool isLate = outcome.key.time() < m_floor && outcome.runState == RunState::Answered;
@@ -201,14 +201,14 @@
     updateNewestKeyTime(outcome.key);
 }
 
-/** Whether the writer of @p batch holds the shard, or has it from the holder by hand-over. */
+/** Returns whether the writer of @p batch holds the shard, or got it from the holder by hand-over. */
 bool KeyLedger::isAuthorizedWriter(const KeyBatch &batch) const
 {
     const bool isHandedOver = m_claim && batch.onBehalfOf && *batch.onBehalfOf == m_claim->claim.id;
     return isHolder(batch.writer) || isHandedOver || !m_options.safeguards.onlyHolderAnnounces;
 }
 
-/** Ends the open entry of @p outcome's key. False when there is none that this outcome may end. */
+/** Closes the open entry for the key of @p outcome. Returns false if there is none that this outcome may close. */
 bool KeyLedger::closeOpenEntry(const KeyBatch &batch, const KeyOutcome &outcome)
 {
     const auto found = m_entries.find(outcome.key);
@@ -231,8 +231,8 @@
 {
     m_lostThrough.reset();
     m_claim = view.claim;
-    // Whatever has expired unread concerned keys created no later than `newest`: they can't be told from keys that
-    // were never used, so none of them may be run again.
+    // The records that expired unread concern keys created no later than `newestKeyTime`. These keys can't be
+    // distinguished from keys that were never used, so none of them may be run.
     const auto lowestDecidable =
         view.newestKeyTime == WallTime{} ? WallTime{} : view.newestKeyTime + std::chrono::milliseconds(1);
     m_floor = std::max({m_floor, view.floor, lowestDecidable});
@@ -247,7 +247,10 @@
     }
 }
 
-/** Takes the keys of @p batch over though its writer can't be checked: knowing a key too much only refuses it. */
+/**
+ * Adds the keys of @p batch although it can't be checked whether its writer held the shard. An entry too many is safe:
+ * it only causes its key to be refused.
+ */
 void KeyLedger::addUnverified(const KeyBatch &batch)
 {
     for (const auto &record : batch.records) {
@@ -291,7 +294,7 @@
         const auto oldestKept = std::next(m_entries.begin(), static_cast<std::ptrdiff_t>(excess));
         evictBefore = std::max(evictBefore, oldestKept->first.time());
     }
-    // The floor rises before anything is forgotten: a forgotten key is below it for ever and is never run again.
+    // The floor is raised before entries are evicted: an evicted key stays below it and is never run again.
     m_floor = std::max(m_floor, evictBefore);
     while (!m_entries.empty() && m_entries.begin()->first.time() < evictBefore) {
         m_answerBytes -= m_entries.begin()->second.answer.body.size();
@@ -320,8 +323,9 @@
 }
 
 /**
- * Whether @p batch has been folded before. An append whose reply was lost is made again and may land twice, the second
- * time after the key was released and announced anew; folding it twice would release a key that is running.
+ * Returns whether @p batch has been applied before, and records its serial. An append whose reply was lost is repeated
+ * and may be logged twice, the second time after its key was released and announced again. Applying the batch twice
+ * would release a key that is running.
  */
 bool KeyLedger::isDuplicate(const KeyBatch &batch)
 {
--- a/modules/heatherridge_state/keys/keyledger.h
+++ b/modules/heatherridge_state/keys/keyledger.h
@@ -11,91 +11,92 @@
 namespace Heatherridge
 {
 
-/** What the ledger knows of one key. */
+/** The ledger's entry for a key. */
 struct KeyEntry
 {
     RequestFingerprint fingerprint{};
-    GateId runner{}; ///< who announced the run that counts
+    GateId runner{}; ///< the gate that announced the valid run
     RunState runState = RunState::Open;
-    StoredAnswer answer{}; ///< set when the fate is Answered
+    StoredAnswer answer{}; ///< set if the run state is Answered
 
     bool operator==(const KeyEntry &) const = default;
 };
 
-/** What was skipped while folding, for counters. */
+/** Counts of the records skipped and the answers dropped while applying batches. */
 struct LedgerCounters
 {
-    std::uint64_t damaged = 0; ///< records that no codec could read
+    std::uint64_t damaged = 0; ///< records that could not be decoded
     std::uint64_t duplicates = 0; ///< batches appended again after a lost reply
-    std::uint64_t notFromHolder = 0; ///< intents and outcomes of a gate that did not hold the shard
-    std::uint64_t staleClaims = 0; ///< claims that lost against an earlier one
-    std::uint64_t refusedIntents = 0; ///< intents for keys already recorded, or below the floor
-    std::uint64_t answersDropped = 0; ///< stored answers given up to save memory
+    std::uint64_t notFromHolder = 0; ///< intents and outcomes by a gate that did not hold the shard
+    std::uint64_t staleClaims = 0; ///< claims that lost to an earlier one
+    std::uint64_t refusedIntents = 0; ///< intents for keys that are already recorded or below the floor
+    std::uint64_t answersDropped = 0; ///< bodies of stored answers dropped to save memory
 };
 
 /**
- * The fold of one key stream: the same records in the same order give every reader the same ledger.
+ * State of one key stream, built by applying its records in order. Every reader that applies the same records gets the
+ * same ledger.
  *
- * Memory is bounded: keys older than the window are forgotten, and what is forgotten can never be run again, because
- * the floor rises with it and a key carries its own creation time. No I/O, no clock. One thread.
+ * Memory is bounded: keys older than the window are evicted. An evicted key can never be run again, because eviction
+ * raises the floor and every key carries its own creation time. Does no I/O and reads no clock. Not thread-safe.
  */
 class KeyLedger
 {
 public:
     struct Options
     {
-        std::chrono::milliseconds window = std::chrono::hours(24); ///< how long a key is remembered
-        std::size_t maxEntries = 100'000; ///< above this the oldest keys are forgotten early
-        std::size_t maxAnswerBytes = 32UL << 20U; ///< above this the oldest answers lose their bodies
+        std::chrono::milliseconds window = std::chrono::hours(24); ///< how long a key is kept
+        std::size_t maxEntries = 100'000; ///< above this, the oldest keys are evicted early
+        std::size_t maxAnswerBytes = 32UL << 20U; ///< above this, the bodies of the oldest answers are dropped
         KeySafeguards safeguards{};
     };
 
-    /** An empty ledger that has folded nothing. */
+    /** Creates an empty ledger. */
     explicit KeyLedger(Options options);
 
     /**
-     * Folds the record at @p offset, which must be above appliedOffset(). @p batch is nothing when the record is
-     * damaged.
+     * Applies the record at @p offset, which must be above appliedOffset(). @p batch is empty if the record could not
+     * be decoded.
      */
     void apply(LogOffset offset, std::optional<KeyBatch> batch);
 
     /**
-     * Says that the records up to @p through have expired unread. Until a batch whose writer had seen them arrives,
-     * or a claim that was made after the loss, the ledger is not whole.
+     * Records that the records up to @p through have expired unread. The ledger is incomplete until it reads a batch
+     * whose writer had applied them, or a claim made after the loss.
      */
     void recordsExpired(LogOffset through);
 
-    /** Whether nothing is missing: only then the absence of a key means anything. */
+    /** Returns whether no records are missing. Only then does the absence of a key mean that it was not recorded. */
     bool isComplete() const;
 
-    /** The offset up to which all is folded or known as lost. */
+    /** Returns the offset up to which all records have been applied or are known to be lost. */
     LogOffset appliedOffset() const;
 
-    /** The claim in force, if any. */
+    /** Returns the claim in force, if any. */
     const std::optional<LoggedClaim> &claim() const;
 
-    /** Whether @p gate holds the shard. */
+    /** Returns whether @p gate holds the shard. */
     bool isHolder(const GateId &gate) const;
 
-    /** The entry of @p key, or nullptr. The ledger keeps ownership, until the next change. */
+    /** Returns the entry of @p key, or nullptr. Owned by the ledger and valid until its next change. */
     const KeyEntry *find(const Uuid7 &key) const;
 
-    /** Whether a key created at @p time that is not in the ledger is certain not to have been recorded before. */
+    /** Returns whether a key created at @p time that is not in the ledger is certain never to have been recorded. */
     bool canDecide(WallTime time) const;
 
-    /** Lowest creation time that can be decided. */
+    /** Returns the lowest creation time at which an unrecorded key can be decided. */
     WallTime floor() const;
 
-    /** Highest end of any claim among the records that wait for a reader that is whole again. */
+    /** Returns the latest end of any claim among the batches held back while the ledger is incomplete. */
     WallTime latestPendingClaimEnd() const;
 
-    /** What to write into the next batch; empty while not whole. */
+    /** Returns the view to write into the next batch. Empty while the ledger is incomplete. */
     LedgerView view() const;
 
-    /** All entries in order of creation time. */
+    /** Returns all entries in order of creation time. */
     const std::map<Uuid7, KeyEntry> &entries() const;
 
-    /** What was skipped so far. */
+    /** Returns the counts so far. */
     const LedgerCounters &counters() const;
 
 private:
--- a/modules/heatherridge_state/keys/keyrecord.h
+++ b/modules/heatherridge_state/keys/keyrecord.h
@@ -12,7 +12,7 @@
 namespace Heatherridge
 {
 
-/** One run of one target's process. A restarted process is another one: it remembers nothing. */
+/** Identifies one run of a target's process. A restarted process has a new id, because it has lost its memory. */
 struct GateId
 {
     ProcessName process{};
@@ -22,29 +22,32 @@
     bool operator==(const GateId &) const = default;
 };
 
-/** A service's answer as it is kept for repeats of the key. */
+/** A service's answer, stored to answer repeated requests with the same key. */
 struct StoredAnswer
 {
-    /** Longest body that is kept, in bytes. Of a longer one only the status is, and a repeat is told that it ran. */
+    /**
+     * Maximum size of a stored body, in bytes. Of an answer with a longer body only the status is stored, and a
+     * repeated request gets an error that says that the call ran.
+     */
     static constexpr std::size_t MaxBodyBytes = 4096;
 
-    int status = 0; ///< HTTP status of the service
+    int status = 0; ///< HTTP status from the service
     std::string contentType{};
     std::string body{};
-    bool bodyDropped = false; ///< the body was above the bound, or was given up to save memory
+    bool bodyDropped = false; ///< the body exceeded MaxBodyBytes, or was dropped to save memory
 
     bool operator==(const StoredAnswer &) const = default;
 };
 
-/** How the execution of one key ended. */
+/** What is known of the run of a key. */
 enum class RunState {
-    Open, ///< it may run now, or its process died: nothing is known yet
+    Open, ///< announced, no outcome yet: it may be running, or its process may have died
     Answered, ///< the service answered
-    NotRun, ///< the one process that could have run it did not, and will not run that try
-    Unknown, ///< it may have run; nobody will ever know from here
+    NotRun, ///< the only process allowed to run it did not, and will not run that attempt
+    Unknown, ///< it may have run; this can no longer be determined
 };
 
-/** Announces that @p runner is about to run @p key. Counts only when read back as the first of its key. */
+/** Announces that `runner` is about to run `key`. Valid only if it is read back as the first intent for its key. */
 struct KeyIntent
 {
     Uuid7 key{};
@@ -54,7 +57,7 @@
     bool operator==(const KeyIntent &) const = default;
 };
 
-/** What came of a run. Stands for its intent as well, for runs that were made while the log was out. */
+/** The outcome of a run. Replaces the intent as well, for runs made while the log was unavailable. */
 struct KeyOutcome
 {
     Uuid7 key{};
@@ -66,7 +69,7 @@
     bool operator==(const KeyOutcome &) const = default;
 };
 
-/** Names one claim before its place in the log is known. */
+/** Identifies a claim before its offset in the log is known. */
 struct ClaimId
 {
     GateId holder{};
@@ -77,29 +80,31 @@
 };
 
 /**
- * Makes its writer the holder of the shard, if no other claim came between @p basedOn and this one.
+ * Makes its writer the holder of the shard, unless another claim was logged between `basedOn` and this one.
  *
- * The holder alone may run keys of the shard. The witnesses decide whether it may do so while the log is out: it needs
- * the promise of every one of them, while a successor needs the refusal of any single one.
+ * Only the holder may run keys of the shard. Its witnesses decide whether it may do so while the log is unavailable:
+ * the holder needs a promise from every witness, while a successor needs only one witness to refuse further promises.
  */
 struct KeyClaim
 {
     ClaimId id{};
-    LogOffset basedOn{}; ///< offset of the claim that it replaces; 0 for the first
-    std::vector<GateId> witnesses{}; ///< empty: never runs a key without the log
-    WallTime until{}; ///< without the log, only keys created before this may run
-    WallTime floor{}; ///< keys created before this and not in the ledger can't be decided any more
-    /** The claim before it has expired from the log: basedOn is the last offset in the stream, and the claim counts
-     * only when it lands at the very next one. */
+    LogOffset basedOn{}; ///< offset of the claim that it replaces; 0 for the first claim
+    std::vector<GateId> witnesses{}; ///< if empty, the holder never runs a key without the log
+    WallTime until{}; ///< without the log, only keys created before this time may run
+    WallTime floor{}; ///< keys created before this time that are not in the ledger can no longer be decided
+    /**
+     * Set if the previous claim has expired from the log. basedOn is then the last offset in the stream, and the claim
+     * is valid only if it is logged at the next offset.
+     */
     bool afterLoss = false;
 
     bool operator==(const KeyClaim &) const = default;
 };
 
-/** One entry of a batch. */
+/** A record in a batch. */
 using KeyRecord = std::variant<KeyIntent, KeyOutcome, KeyClaim>;
 
-/** A claim at its place in the log. */
+/** A claim and its offset in the log. */
 struct LoggedClaim
 {
     LogOffset offset{};
@@ -109,44 +114,46 @@
 };
 
 /**
- * What a writer had folded when it wrote a batch, so that a reader for whom the older records have expired can go on.
+ * Summary of the records that a writer had applied when it wrote a batch. Lets a reader resume if the older records
+ * have expired before it read them.
  */
 struct LedgerView
 {
-    LogOffset covers{}; ///< folded up to here
-    std::optional<LoggedClaim> claim{}; ///< the claim in force there
-    WallTime floor{}; ///< lowest creation time that can be decided
-    WallTime newestKeyTime{}; ///< highest creation time of any key recorded up to there
+    LogOffset covers{}; ///< last offset applied
+    std::optional<LoggedClaim> claim{}; ///< the claim in force at that offset
+    WallTime floor{}; ///< lowest creation time at which an unrecorded key can be decided
+    WallTime newestKeyTime{}; ///< highest creation time of any key recorded up to that offset
 
     bool operator==(const LedgerView &) const = default;
 };
 
 /**
- * Switches off single safeguards, so that tests can show that each of them is needed. All are on in the programs.
+ * Switches for the individual safeguards against running a key twice. Tests switch off one at a time to show that each
+ * is needed; the programs keep all of them on.
  */
 struct KeySafeguards
 {
-    bool claimsCompareOffset = true; ///< a claim counts only when it names the claim before it
-    bool onlyHolderAnnounces = true; ///< intents of anybody but the holder are void
-    bool duplicateBatchesSkipped = true; ///< a batch counts once, however often it lands
-    bool intentsReadBack = true; ///< a call runs when its intent is read back, not when it was appended
-    bool witnessesAsked = true; ///< without the log, a call runs only when all witnesses have promised
-    bool witnessesFrozen = true; ///< a witness that has answered a successor promises no more to the holder
-    bool claimsInFlightCount = true; ///< claims that may have landed need promises too
+    bool claimsCompareOffset = true; ///< a claim is valid only if it names the claim before it
+    bool onlyHolderAnnounces = true; ///< intents by any gate but the holder are ignored
+    bool duplicateBatchesSkipped = true; ///< a batch is applied once, however often it is logged
+    bool intentsReadBack = true; ///< a call runs once its intent is read back, not once it is appended
+    bool witnessesAsked = true; ///< without the log, a call runs only if all witnesses have promised
+    bool witnessesFrozen = true; ///< a witness that answered a successor makes no more promises to the holder
+    bool claimsInFlightCount = true; ///< claims that may have been logged need promises too
     bool floorRaised = true; ///< a successor treats keys that may have run without the log as undecidable
-    bool deadRunsUnknown = true; ///< what a dead process announced is never run again
-    bool releaseStops = true; ///< who has handed a shard over runs no more keys of it
-    bool releaseCarriesRuns = true; ///< a hand-over names the keys that were run without the log
-    bool attemptsOnce = true; ///< a request that comes doubled or late is dropped
+    bool deadRunsUnknown = true; ///< a key announced by a process that died is never run again
+    bool releaseStops = true; ///< a gate that has handed a shard over runs no more keys of it
+    bool releaseCarriesRuns = true; ///< a hand-over lists the keys that were run without the log
+    bool attemptsOnce = true; ///< a request that arrives twice or out of order is dropped
 };
 
-/** One append to a key stream: many records at the price of one. */
+/** One append to a key stream: many records at the cost of one. */
 struct KeyBatch
 {
     GateId writer{};
-    std::uint64_t serial = 0; ///< counted by the writer, from 1; a batch that is appended again keeps its number
+    std::uint64_t serial = 0; ///< counted by the writer, from 1; a batch that is appended again keeps its serial
     LedgerView view{};
-    std::optional<ClaimId> onBehalfOf{}; ///< the claim whose holder has handed the shard over to the writer
+    std::optional<ClaimId> onBehalfOf{}; ///< the claim whose holder handed the shard over to the writer
     std::vector<KeyRecord> records{};
 
     bool operator==(const KeyBatch &) const = default;
--- a/modules/heatherridge_state/keys/keyshards.h
+++ b/modules/heatherridge_state/keys/keyshards.h
@@ -8,25 +8,26 @@
 namespace Heatherridge
 {
 
-/** One part of a service's idempotency keys; each part has one stream of the log and one holder at a time. */
+/** A shard of a service's idempotency keys. Each shard has its own log stream and one holder at a time. */
 enum class KeyShard : std::uint32_t {};
 
-/** Into how many parts the keys of each service are cut. Fixed: a change would send a key to two streams. */
+/** Number of key shards of each service. Must not change: a change would map the same key to two streams. */
 inline constexpr std::uint32_t KeyShardCount = 4;
 
-/** The number as such. */
+/** Returns the number of @p shard. */
 constexpr std::uint32_t toNumber(KeyShard shard)
 {
     return static_cast<std::uint32_t>(shard);
 }
 
-/** The part to which @p key belongs. Depends on the key alone, never on the inventory or the workspace. */
+/** Returns the shard of @p key. Depends on the key only, never on the inventory or the workspace. */
 KeyShard shardOf(const Uuid7 &key);
 
 /**
- * The targets of @p service in the order in which they are to hold @p shard, by rendezvous hashing: the first is the
- * holder, the next ones are its witnesses and successors. A target that leaves moves only the shards that it held.
- * Withdrawn and stopping targets are for the caller to leave out; the inventory keeps ownership.
+ * Returns the targets of @p service in order of preference as holders of @p shard, by rendezvous hashing. The first is
+ * the holder, the next ones are its witnesses and successors. Removing a target moves only the shards that it held.
+ *
+ * The caller must skip withdrawn and stopping targets. The inventory keeps ownership of the targets.
  */
 std::vector<const Target *> holdersOf(const Inventory &inventory, const ServiceName &service, KeyShard shard);
 
--- a/modules/heatherridge_state/keys/requestfingerprint.h
+++ b/modules/heatherridge_state/keys/requestfingerprint.h
@@ -10,7 +10,7 @@
 namespace Heatherridge
 {
 
-/** 128-bit hash over what makes two calls the same: caller, method, path and body. */
+/** 128-bit hash of the parts that identify a call: workspace, method, path and body. */
 struct RequestFingerprint
 {
     std::uint64_t high = 0;
@@ -21,13 +21,13 @@
 };
 
 /**
- * The fingerprint of a call. Each part is hashed with its length, so that no shift of bytes between parts goes
- * unnoticed.
+ * Computes the fingerprint of a call. Each part is hashed with its length, so that moving bytes from one part to the
+ * next changes the fingerprint.
  */
 RequestFingerprint fingerprintOf(const WorkspaceName &workspace, std::string_view method, std::string_view path,
                                  std::string_view body);
 
-/** @p fingerprint as 32 hexadecimal digits. */
+/** Returns @p fingerprint as 32 hexadecimal digits. */
 std::string toString(const RequestFingerprint &fingerprint);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/keys/uuid7.h
+++ b/modules/heatherridge_state/keys/uuid7.h
@@ -15,8 +15,8 @@
 /**
  * A UUID of version 7 (RFC 9562): 48 bits of creation time in milliseconds, then 74 random bits.
  *
- * The order of two values is the order of their creation times. A key of this form can be dated by whoever holds it,
- * so that an old key is told from a new one without any memory of it. Value type.
+ * Values sort by creation time. Because the key itself carries its creation time, old keys can be distinguished from
+ * new ones without storing them. Value type.
  */
 class Uuid7
 {
@@ -25,23 +25,25 @@
 
     Uuid7() = default;
 
-    /** Reads the usual form of 32 hexadecimal digits and four hyphens; nothing for any other text, version or variant.
+    /**
+     * Parses the standard form of 32 hexadecimal digits and four hyphens. Returns nothing for any other text, version
+     * or variant.
      */
     static std::optional<Uuid7> parse(std::string_view text);
 
-    /** Takes 16 octets; nothing when version or variant differ. */
+    /** Creates a UUID from 16 octets. Returns nothing for any other version or variant. */
     static std::optional<Uuid7> fromOctets(const Octets &octets);
 
-    /** A key created at @p time whose random bits are filled from @p randomHigh and @p randomLow. */
+    /** Creates a UUID with creation time @p time and the random bits of @p randomHigh and @p randomLow. */
     static Uuid7 make(WallTime time, std::uint64_t randomHigh, std::uint64_t randomLow);
 
-    /** When its maker says that it was created. */
+    /** Returns the creation time stated by whoever generated the UUID. */
     WallTime time() const;
 
-    /** The 16 octets, in network order. */
+    /** Returns the 16 octets in network byte order. */
     const Octets &octets() const;
 
-    /** The usual text form in lower case. */
+    /** Returns the standard text form in lower case. */
     std::string toString() const;
 
     auto operator<=>(const Uuid7 &) const = default;
