--- a/modules/heatherridge_coordination/keys/batchwriter.h
+++ b/modules/heatherridge_coordination/keys/batchwriter.h
@@ -10,45 +10,45 @@
 {
 
 /**
- * Group commit for one key stream: collects records while an append is under way and sends them in one.
+ * Group commit for one key stream: collects records while an append is in flight and appends them in one batch.
  *
- * At most one batch is out at a time, until it has been read back. An append that failed, or whose reply was lost, is
- * made again with the same number, so that the order of batches in the log is the order in which they were made.
- * No I/O; one thread.
+ * At most one batch is in flight at a time, until it has been read back. An append that failed or whose reply was lost
+ * is repeated with the same serial, so that the batches are logged in the order in which they were created. Does no
+ * I/O. Not thread-safe.
  */
 class BatchWriter
 {
 public:
-    /** @param self who writes */
+    /** @param self the gate that writes the batches */
     explicit BatchWriter(GateId self);
 
-    /** Adds @p record behind all others. */
+    /** Adds @p record to the end of the queue. */
     void add(KeyRecord record);
 
-    /** Removes the waiting records, not those on their way, for which @p matches holds. */
+    /** Removes the queued records for which @p matches returns true. Does not affect the batch in flight. */
     void removeQueued(const std::function<bool(const KeyRecord &)> &matches);
 
     /**
-     * The batch to append now, or nothing while an append is under way or when there is nothing to write.
+     * Returns the batch to append now, or nothing while a batch is in flight or if no records are queued.
      *
-     * @param view what the writer has folded
-     * @param onBehalfOf the claim under which a writer acts that is not its holder
+     * @param view summary of the records that the writer has applied
+     * @param onBehalfOf the claim under which the writer acts if it is not the holder
      */
     std::optional<KeyBatch> nextBatch(const LedgerView &view, const std::optional<ClaimId> &onBehalfOf);
 
-    /** The append ended. With @p ok the batch only waits to be read back, otherwise nextBatch() yields it again. */
+    /** Called when the append ended. If @p ok, the batch awaits read-back; otherwise nextBatch() returns it again. */
     void appendCompleted(std::uint64_t serial, bool ok);
 
-    /** The batch @p serial has been read back. Returns whether it was the one on its way. */
+    /** Called when batch @p serial has been read back. Returns whether it was the batch in flight. */
     bool confirmReadBack(std::uint64_t serial);
 
-    /** Gives up the batch on its way, which can't be read back any more. @returns its records */
+    /** Abandons the batch in flight, which can no longer be read back, and returns its records. */
     std::vector<KeyRecord> abandon();
 
-    /** The records on their way, then those that wait. */
+    /** Returns the records in flight, followed by the queued ones. */
     std::vector<KeyRecord> unconfirmedRecords() const;
 
-    /** Whether everything added has been read back. */
+    /** Returns whether all records added have been read back. */
     bool isEmpty() const;
 
 private:
--- a/modules/heatherridge_coordination/keys/claimmanager.cpp
+++ b/modules/heatherridge_coordination/keys/claimmanager.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Claims whose promises are kept: the one in force, the one on its way, and some that arrive late. */
+/** Claims whose promises are kept: the one in force, the one in flight, and some for which promises arrive late. */
 constexpr std::size_t MaxTrackedClaims = 16;
 
 } // namespace
@@ -48,7 +48,7 @@
     if (!m_options.safeguards.witnessesAsked) {
         return true;
     }
-    // A claim whose append was not read back may be in the log all the same; a successor would ask its witnesses, not
+    // A claim that was not read back may be in the log all the same. A successor would then ask its witnesses, not
     // those of the claim before it.
     const bool isInFlightPromised =
         !m_claimInFlight || !m_options.safeguards.claimsInFlightCount || isPromised(*m_claimInFlight, time);
@@ -119,7 +119,7 @@
     auto &until = m_promises[reply.claim][from];
     until = std::max(until, reply.until);
     while (m_promises.size() > MaxTrackedClaims) {
-        m_promises.erase(m_promises.begin()); // a forgotten promise only refuses; it is asked for again
+        m_promises.erase(m_promises.begin()); // safe: without the promise keys are refused, and it is requested again
     }
 }
 
@@ -147,7 +147,8 @@
         return false;
     }
     const auto active = activeClaim(ledger);
-    // With a claim on its way the hand-over would have to name two; it is asked for again once that is settled.
+    // With a claim in flight, the hand-over would have to name two claims. The request is repeated after the claim is
+    // read back.
     return active && active->claim.id == request.claim && !m_claimInFlight && to != m_self;
 }
 
@@ -207,7 +208,7 @@
     return hasHandOver ? std::optional(current->claim.id) : std::nullopt;
 }
 
-/** The claim under which this process acts: its own, or the one it was handed; nothing when it doesn't act. */
+/** Returns the claim under which this process acts: its own, or one handed over to it, or nothing. */
 std::optional<LoggedClaim> ClaimManager::activeClaim(const KeyLedger &ledger) const
 {
     if (canAnnounce(ledger)) {
@@ -236,13 +237,13 @@
 
 bool ClaimManager::isRenewalDue(const KeyClaim &current, WallTime now) const
 {
-    // After an outage the witnesses still refuse successors for this claim; a new one frees the shard of that.
+    // After an outage the witnesses still refuse successors for this claim; a new claim has no such promises.
     const bool wasActivated = m_promises.contains(current.id);
     const bool isHalfExpired = current.until - now < m_options.claimSpan / 2;
     return wasActivated || isHalfExpired || current.witnesses != m_placement.witnesses;
 }
 
-/** The floor with which @p current may be replaced; nothing while its holder may still run keys without the log. */
+/** Returns the floor for replacing @p current, or nothing while its holder may still run keys without the log. */
 std::optional<WallTime> ClaimManager::takeOverFloor(const LoggedClaim &current, WallTime now) const
 {
     const auto &claim = current.claim;
--- a/modules/heatherridge_coordination/keys/claimmanager.h
+++ b/modules/heatherridge_coordination/keys/claimmanager.h
@@ -11,18 +11,18 @@
 namespace Heatherridge
 {
 
-/** Where a shard is to be held, as the inventory and the membership have it here and now. */
+/** Where a shard should be held, according to this process's current inventory and membership. */
 struct KeyPlacement
 {
-    bool shouldHold = false; ///< this process is to hold the shard
-    bool accepting = true; ///< false while it drains or is withdrawn: it hands the shard over and runs nothing new
-    std::vector<GateId> witnesses{}; ///< who is to witness its claims; empty: no key runs while the log is out
-    ProcessName preferredHolder{}; ///< who is to hold it, for callers' entries
+    bool shouldHold = false; ///< whether this process should hold the shard
+    bool accepting = true; ///< false while draining or withdrawn: hands the shard over, runs no new calls
+    std::vector<GateId> witnesses{}; ///< witnesses for new claims; if empty, no key runs while the log is unavailable
+    ProcessName preferredHolder{}; ///< the process that should hold the shard, to redirect entries to
 
     bool operator==(const KeyPlacement &) const = default;
 };
 
-/** A message on its way to another gate of the shard. */
+/** A message to send to another gate of the shard. */
 struct OutgoingKeyMessage
 {
     GateId to{};
@@ -30,68 +30,74 @@
 };
 
 /**
- * One process's part in who holds a shard: claims, the witnesses' promises, taking over and handing over.
+ * Manages one process's claims on a shard: making claims, the witnesses' promises, take-over and hand-over.
  *
- * It answers two questions: may this process announce keys in the log, and may it run a key without the log. The second
- * is yes only while every witness of every claim that may be in force promises to refuse successors; see
- * docs/notes/idempotency.md for the argument. No I/O, no clock; one thread.
+ * Decides whether this process may announce keys in the log and whether it may run a key without the log. It may run
+ * keys without the log only while every witness of every claim that may be in force promises to refuse successors; see
+ * docs/notes/idempotency.md for the proof. Does no I/O and reads no clock. Not thread-safe.
  */
 class ClaimManager
 {
 public:
     struct Options
     {
-        std::chrono::milliseconds claimSpan = std::chrono::hours(2); ///< a claim's end lies this far ahead
-        std::chrono::milliseconds activationSpan = std::chrono::minutes(4); ///< so does a witness's promise
-        std::chrono::milliseconds tolerance = std::chrono::minutes(2); ///< how far hosts' clocks may be apart
+        std::chrono::milliseconds claimSpan = std::chrono::hours(2); ///< duration of a claim
+        std::chrono::milliseconds activationSpan = std::chrono::minutes(4); ///< duration of a witness's promise
+        std::chrono::milliseconds tolerance = std::chrono::minutes(2); ///< maximum clock difference between hosts
         KeySafeguards safeguards{};
     };
 
     ClaimManager(GateId self, Options options);
 
-    /** Takes a new placement. Does nothing by itself. */
+    /** Sets the placement. Takes no action by itself. */
     void setPlacement(KeyPlacement placement);
 
-    /** The placement in force. */
+    /** Returns the current placement. */
     const KeyPlacement &placement() const;
 
-    /** Whether this process holds the shard by the log and has not handed it over. */
+    /** Returns whether this process holds the shard according to the log and has not handed it over. */
     bool canAnnounce(const KeyLedger &ledger) const;
 
-    /** Whether a key created at @p time and not known here may be run without the log. */
+    /** Returns whether a key that was created at @p time and is not known here may be run without the log. */
     bool canRunWithoutLog(const KeyLedger &ledger, WallTime time) const;
 
     /**
-     * The claim to append now, if one is due: the first one, a renewal, or a take-over that is allowed. At most one is
-     * on its way until confirmClaimReadBack().
+     * Returns the claim to append now, if one is due: the first claim, a renewal, or a permitted take-over. At most one
+     * claim is in flight until confirmClaimReadBack() is called.
      */
     std::optional<KeyClaim> nextClaim(const KeyLedger &ledger, WallTime now);
 
-    /** This process's claim has been read back, whether it counts or not. */
+    /** Called when this process's claim has been read back, whether it is valid or not. */
     void confirmClaimReadBack();
 
-    /** What to ask other gates now; asked again on each call until it is answered. */
+    /** Returns the requests to send to other gates now. Each is returned by every call until it is answered. */
     std::vector<OutgoingKeyMessage> pendingRequests(const KeyLedger &ledger, WallTime now, bool logAvailable) const;
 
-    /** A witness's promise. */
+    /** Handles a witness's promise. */
     void handleReply(const GateId &from, const ActivateReply &reply);
 
-    /** A witness's refusal to promise anything more to the holder. */
+    /** Handles a witness's statement that it makes no more promises to the holder. */
     void handleReply(const GateId &from, const RevokeReply &reply, const KeyLedger &ledger);
 
-    /** Whether the shard may be handed over to @p to now, as @p request asks. */
+    /** Returns whether the shard may be handed over to @p to now, as @p request asks. */
     bool canRelease(const GateId &to, const ReleaseRequest &request, const KeyLedger &ledger) const;
 
-    /** The hand-over without its records. From here on no key is announced or run under the claim. */
+    /**
+     * Releases the claim and returns the hand-over without its records. From then on, no key is announced or run under
+     * the claim.
+     */
     ReleaseReply release(const GateId &to, const ReleaseRequest &request, const KeyLedger &ledger);
 
-    /** Whom the shard was handed over to under the claim in force, if anybody. */
+    /** Returns the gate that the shard was handed over to under the claim in force, if any. */
     std::optional<GateId> releasedTo(const KeyLedger &ledger) const;
 
-    /** Takes a hand-over. False when it was taken before: a doubled one must not bring a right back. */
+    /**
+     * Accepts a hand-over. Returns false if it was accepted or the claim was released before: a duplicate must not
+     * restore a right that this process has passed on.
+     */
     bool acceptHandOver(const ReleaseReply &reply);
 
-    /** The claim under which this process may write though it isn't its holder. */
+    /** Returns the claim under which this process may write although it isn't its holder, if any. */
     std::optional<ClaimId> onBehalfOf(const KeyLedger &ledger) const;
 
 private:
@@ -116,9 +122,9 @@
     std::map<ClaimId, std::map<GateId, WallTime>> m_promises; ///< by claim and witness
     std::map<ClaimId, GateId> m_releasedTo;
     std::set<ClaimId> m_acceptedHandOvers;
-    std::optional<LoggedClaim> m_handedOverClaim; ///< another's claim whose right was handed over
+    std::optional<LoggedClaim> m_handedOverClaim; ///< another gate's claim that this one may run keys under
     WallTime m_handedOverFloor{};
-    std::optional<Revocation> m_bestRevocation; ///< the best word of a witness on the claim to be replaced
+    std::optional<Revocation> m_bestRevocation; ///< the witness reply with the lowest floor for the claim to replace
     std::uint64_t m_serial = 0;
 };
 
--- a/modules/heatherridge_coordination/keys/keyaction.h
+++ b/modules/heatherridge_coordination/keys/keyaction.h
@@ -9,19 +9,19 @@
 {
 
 /**
- * One try of a request with a key, as one entry counts them. An entry never uses a number twice and sends them in
- * rising order to each gate, so that a gate needs one number an entry to know what it has seen.
+ * Identifies one attempt of a request with a key. An entry never reuses a number and sends its numbers to each gate in
+ * ascending order, so that a gate detects duplicates by storing one number per entry.
  */
 struct AttemptId
 {
-    GateId entry{}; ///< the run of the entry's process
+    GateId entry{}; ///< the run of the entry's process that sent the attempt
     std::uint64_t number = 0; ///< from 1
 
     auto operator<=>(const AttemptId &) const = default;
     bool operator==(const AttemptId &) const = default;
 };
 
-/** A request with a key, as far as a gate needs it; the body stays with whoever runs the gate. */
+/** The parts of a request with a key that a gate needs. The owner of the gate keeps the body. */
 struct KeyedCall
 {
     AttemptId attempt{};
@@ -29,43 +29,46 @@
     RequestFingerprint fingerprint{};
 };
 
-/** This process didn't run the try and won't; another may know the key, or may have run it before. */
+/** This process has not run the attempt and will not run it. Another process may know the key or may have run it. */
 struct KeyRedirect
 {
-    ProcessName holder{}; ///< who may know; empty when nobody is known
+    ProcessName holder{}; ///< the process that may know the key; empty if unknown
 };
 
-/** What a gate tells the entry about one try. */
+/** A gate's reply to the entry for one attempt. */
 using KeyReply = std::variant<StoredAnswer, Error, KeyRedirect>;
 
-/** Append @p batch to the shard's stream and report with KeyGate::appendCompleted(). */
+/** Action: append `batch` to the shard's stream and report the result with KeyGate::appendCompleted(). */
 struct AppendBatch
 {
     KeyBatch batch{};
 };
 
-/** Send the call to the service now, once, with the body of @p attempt, and report with KeyGate::callCompleted(). */
+/**
+ * Action: send the call to the service now, exactly once, with the body of `attempt`, and report the result with
+ * KeyGate::callCompleted().
+ */
 struct RunCall
 {
     Uuid7 key{};
     AttemptId attempt{};
 };
 
-/** Answer the try. */
+/** Action: send the reply to an attempt. */
 struct AnswerCall
 {
     AttemptId attempt{};
     KeyReply reply{};
 };
 
-/** Send @p message to another gate of the shard. */
+/** Action: send `message` to another gate of the shard. */
 struct SendKeyMessage
 {
     GateId to{};
     KeyMessage message{};
 };
 
-/** What a gate wants done, in this order. */
+/** An action that a gate requests. Actions must be performed in the order in which they are returned. */
 using KeyAction = std::variant<AppendBatch, RunCall, AnswerCall, SendKeyMessage>;
 using KeyActions = std::vector<KeyAction>;
 
--- a/modules/heatherridge_coordination/keys/keygate.cpp
+++ b/modules/heatherridge_coordination/keys/keygate.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Entries' runs whose last number is kept. An entry restarts far less often than this many times within a minute. */
+/** Entry runs whose highest attempt number is kept. Entries restart far less often than this many times a minute. */
 constexpr std::size_t MaxTrackedEntries = 8192;
 
 KeyLedger::Options ledgerOptions(const KeyGate::Options &options)
@@ -57,8 +57,8 @@
     if (!wasParked && call == nullptr) {
         return takeActions();
     }
-    // Another holder may have run an earlier try of the key before the intent of this one gets to the log: that this
-    // try never ran is no proof that the key did not.
+    // Another holder may have run an earlier attempt of the key before this attempt's intent reaches the log. That this
+    // attempt never ran does not prove that the key never ran.
     const bool isUnsent = wasParked || (call->state == CallState::Announced && call->waiters.empty());
     refuse(attempt, isUnsent ? ErrorKind::KeyNotDecidable : ErrorKind::KeyRunning, Ran::Unknown);
     return takeActions();
@@ -86,7 +86,7 @@
     for (const auto &waiter : call.waiters) {
         std::visit([&](const auto &response) { sendAnswer(waiter, response); }, result);
     }
-    // The outcome goes with the next intent, or at the next tick: an append of its own would hold that intent up.
+    // The outcome is appended with the next intent or at the next tick. A separate append would delay that intent.
     return takeActions();
 }
 
@@ -195,8 +195,8 @@
 }
 
 /**
- * Whether @p attempt has not been seen. A frame that comes doubled, or so late that later ones overtook it, may belong
- * to a try that was already told "not run"; running it then would make that a lie.
+ * Records @p attempt and returns whether it is new. A frame that arrives twice or out of order may belong to an attempt
+ * that was already reported as not run. Running it later would make that report false.
  */
 bool KeyGate::registerAttempt(const AttemptId &attempt)
 {
@@ -215,7 +215,7 @@
     return true;
 }
 
-/** Answers @p keyedCall from what is known, or admits it. */
+/** Answers @p keyedCall if its key is known or open; otherwise passes it to admit(). */
 void KeyGate::decide(const KeyedCall &keyedCall, WallTime now)
 {
     if (const auto *open = m_calls.find(keyedCall.key)) {
@@ -271,7 +271,7 @@
     sendAnswer(keyedCall.attempt, entry.answer);
 }
 
-/** Why a key created at @p time can't be taken at @p now, if so. */
+/** Returns the error for a key created at @p time that is outside the accepted window at @p now, if it is. */
 std::optional<ErrorKind> KeyGate::checkCreationTime(WallTime time, WallTime now)
 {
     if (time > now + m_options.claims.tolerance) {
@@ -285,7 +285,7 @@
     return std::nullopt;
 }
 
-/** Decides on a key that has not run as far as is known here; @p isReleased when it is known not to have run. */
+/** Decides on a key that is not known to have run. @p isReleased is set if the key is known not to have run. */
 void KeyGate::admit(const KeyedCall &keyedCall, bool isReleased, WallTime now)
 {
     const auto time = keyedCall.key.time();
@@ -310,14 +310,14 @@
     } else if (m_claimManager.canRunWithoutLog(m_ledger, time)) {
         startWithoutLog(keyedCall);
     } else if (isHolderNow || placement.shouldHold) {
-        // The witnesses' promises, or the take-over, may be there in a moment.
+        // The witnesses' promises may arrive shortly, or the take-over may complete.
         m_calls.park(keyedCall, now);
     } else {
         redirect(keyedCall.attempt);
     }
 }
 
-/** Decides again on the tries that wait for this gate to be able to; those that have waited too long are refused. */
+/** Decides again on the parked attempts. Refuses or redirects those that have waited longer than maxParkTime. */
 void KeyGate::retryParked(WallTime now)
 {
     const bool isHolderNow = m_claimManager.canAnnounce(m_ledger);
@@ -327,7 +327,7 @@
             continue;
         }
         if (isHolderNow) {
-            // The shard may have a new holder by now that this process, cut off from the log, has not heard of.
+            // The shard may have a new holder that this process does not know of, because it can't read the log.
             ++m_counters.notDecidable;
             refuse(parked.call.attempt, ErrorKind::KeyNotDecidable, Ran::Unknown);
         } else {
@@ -358,7 +358,7 @@
     m_actions.push_back(RunCall{.key = key, .attempt = call.waiters.front()});
 }
 
-/** An intent of this process has been read back: it counts if it is the first of its key, by the holder. */
+/** Handles an own intent that was read back. It is valid if it is the first for its key and written by the holder. */
 void KeyGate::handleOwnIntent(const KeyIntent &intent)
 {
     auto *call = m_calls.find(intent.key);
@@ -376,7 +376,7 @@
     }
 }
 
-/** Ends an announced call that this process may not run, with what is known of its key. */
+/** Closes an announced call that this process may not run, and answers its attempts from @p entry. */
 void KeyGate::closeUnrunCall(const Uuid7 &key, const std::optional<KeyEntry> &entry)
 {
     const auto call = m_calls.close(key);
@@ -390,8 +390,9 @@
 }
 
 /**
- * A record of this process may have landed among those that expired unread. Appending it again under its number is no
- * way out: readers who saw it skip the second, while this process would take it for the first.
+ * Handles an own record that may have been logged among those that expired unread. It must not be appended again with
+ * the same serial: readers that saw the first copy would skip the second, while this process would take it for the
+ * first.
  */
 void KeyGate::handleLostRecord(const KeyRecord &record)
 {
@@ -425,7 +426,7 @@
     }
 }
 
-/** Calls that wait for their intent to be read back may run at once when the right to do without the log is there. */
+/** Runs the calls that wait for their intent to be read back, if they may run without the log. */
 void KeyGate::runAnnouncedWithoutLog()
 {
     if (m_logAvailable) {
@@ -434,7 +435,8 @@
     for (auto &[key, call] : m_calls.calls()) {
         const bool isWaiting = call.state == CallState::Announced && !call.waiters.empty();
         if (isWaiting && m_claimManager.canRunWithoutLog(m_ledger, key.time())) {
-            // The intent on its way was written before the right was there, and may be void.
+            // The intent in flight was written before this gate had the right to run without the log, and may be
+            // invalid.
             m_writer.add(KeyIntent{.key = key, .fingerprint = call.fingerprint, .runner = m_self});
             ++m_counters.runWithoutLog;
             run(key, call);
@@ -442,7 +444,7 @@
     }
 }
 
-/** Answers the calls that wait for their intent though another process has run them, as a hand-over has shown. */
+/** Closes the calls that wait for their intent but, according to a hand-over, have been run by another process. */
 void KeyGate::closeCallsRunElsewhere()
 {
     std::vector<Uuid7> runElsewhere;
@@ -521,7 +523,7 @@
                message);
 }
 
-/** Hands the shard over, or sends an earlier hand-over again whose message may have been lost. */
+/** Hands the shard over, or repeats an earlier hand-over whose message may have been lost. */
 void KeyGate::handOver(const GateId &to, const ReleaseRequest &request)
 {
     if (m_lastHandOver && m_lastHandOver->first == to && m_lastHandOver->second.claim.claim.id == request.claim) {
@@ -563,7 +565,7 @@
     closeCallsRunElsewhere();
 }
 
-/** Does what has become possible by the last event. */
+/** Performs the steps that the last event has made possible. */
 void KeyGate::advance(WallTime now)
 {
     runAnnouncedWithoutLog();
--- a/modules/heatherridge_coordination/keys/keygate.h
+++ b/modules/heatherridge_coordination/keys/keygate.h
@@ -12,32 +12,33 @@
 namespace Heatherridge
 {
 
-/** How often a gate did what, for the counters of the same names. */
+/** Event counts of a gate, exported as metrics with corresponding names. */
 struct KeyGateCounters
 {
     std::uint64_t run = 0; ///< calls sent to the service
-    std::uint64_t runWithoutLog = 0; ///< of these, while the log was out
-    std::uint64_t repeatsAnswered = 0; ///< tries answered from what was kept
-    std::uint64_t joined = 0; ///< tries that wait for a run under way
+    std::uint64_t runWithoutLog = 0; ///< of these, calls run while the log was unavailable
+    std::uint64_t repeatsAnswered = 0; ///< attempts answered from a stored answer
+    std::uint64_t joined = 0; ///< attempts that joined an open call
     std::uint64_t mismatches = 0; ///< KeyMismatch
     std::uint64_t unknown = 0; ///< KeyOutcomeUnknown
     std::uint64_t expired = 0; ///< KeyExpired
-    std::uint64_t fromTheFuture = 0; ///< BadIdempotencyKey: created after now
+    std::uint64_t fromTheFuture = 0; ///< BadIdempotencyKey: created in the future
     std::uint64_t notDecidable = 0; ///< KeyNotDecidable
-    std::uint64_t redirected = 0; ///< sent to another gate
+    std::uint64_t redirected = 0; ///< attempts redirected to another gate
     std::uint64_t full = 0; ///< QueueFull
-    std::uint64_t duplicateAttempts = 0; ///< tries that came doubled or out of order, dropped
-    std::uint64_t handedOver = 0; ///< hand-overs given
-    std::uint64_t inherited = 0; ///< hand-overs taken
+    std::uint64_t duplicateAttempts = 0; ///< attempts dropped because they arrived twice or out of order
+    std::uint64_t handedOver = 0; ///< hand-overs sent
+    std::uint64_t inherited = 0; ///< hand-overs accepted
 };
 
 /**
- * The one place of a process that decides whether a call with an idempotency key of one shard runs.
+ * Decides whether calls with an idempotency key of one shard run in this process. No other class makes this decision.
  *
- * A state machine: every method takes an event and returns what is to be done. With the log well, a call runs once its
- * intent has been read back as the first of its key, written by the holder of the shard. With the log out, it runs only
- * under the promises that ClaimManager holds. A refused try never runs later. An error's ran speaks of the key, over
- * all tries and gates so far, and is No only where that is proved. No I/O, no clock; one thread.
+ * A state machine: each event method returns the actions to perform. While the log is available, a call runs once its
+ * intent has been read back as the first intent for its key, written by the holder of the shard. While the log is
+ * unavailable, a call runs only under the promises tracked by ClaimManager. A refused attempt never runs later. The
+ * `ran` of an error refers to the key, over all attempts and gates so far, and is No only if that is proven. Does no
+ * I/O and reads no clock. Not thread-safe.
  */
 class KeyGate
 {
@@ -46,64 +47,70 @@
     {
         KeyLedger::Options ledger{};
         ClaimManager::Options claims{};
-        std::chrono::milliseconds window = std::chrono::hours(24); ///< older keys are refused
-        std::size_t maxCalls = 4096; ///< calls announced or running
-        std::size_t maxWaiters = 8; ///< tries that wait for one run
-        std::chrono::milliseconds maxParkTime{1500}; ///< how long a try waits for a take-over of the shard to end
+        std::chrono::milliseconds window = std::chrono::hours(24); ///< older keys are rejected
+        std::size_t maxCalls = 4096; ///< maximum number of open calls and parked attempts
+        std::size_t maxWaiters = 8; ///< maximum number of attempts that wait for one run
+        std::chrono::milliseconds maxParkTime{1500}; ///< how long an attempt waits for promises or a take-over
         KeySafeguards safeguards{};
     };
 
-    /** The gate of run @p self. */
+    /** Creates the gate of process run @p self. */
     KeyGate(GateId self, Options options);
 
-    /** A try arrived at @p now. It is answered by exactly one AnswerCall, now or later, unless it was dropped. */
+    /** Called when an attempt arrives. It is answered by exactly one AnswerCall, now or later, unless it is dropped. */
     KeyActions requestReceived(const KeyedCall &call, WallTime now);
 
-    /** The entry gives a try up. The try won't run any more unless it runs already; no proof about the key as such. */
+    /**
+     * Called when the entry cancels an attempt. The attempt will not run unless it is running already. This proves
+     * nothing about the key, which another attempt may have run.
+     */
     KeyActions cancel(const AttemptId &attempt);
 
     /**
-     * The service's answer to a RunCall. An error whose ran is No frees the key to be run again.
+     * Called with the service's answer to a RunCall. An error whose `ran` is No releases the key to be run again.
      */
     KeyActions callCompleted(const Uuid7 &key, Result<StoredAnswer> result);
 
-    /** A record of the shard's stream was read; @p batch is nothing when it is damaged. */
+    /** Called for each record read from the shard's stream. @p batch is empty if the record could not be decoded. */
     KeyActions recordRead(LogOffset offset, std::optional<KeyBatch> batch, WallTime now);
 
-    /** The records up to @p through have expired unread. */
+    /** Called when the records up to @p through have expired unread. */
     KeyActions recordsExpired(LogOffset through);
 
-    /** Reading has come to the end of the stream: from here on claims may be made. */
+    /** Called when the end of the stream has been read. Claims may be made from then on. */
     KeyActions streamCaughtUp(WallTime now);
 
-    /** The append of batch @p serial ended; without @p ok it may have taken effect or not. */
+    /** Called when the append of batch @p serial ended. If not @p ok, the batch may or may not have been logged. */
     KeyActions appendCompleted(std::uint64_t serial, bool ok, WallTime now);
 
-    /** The log is reachable or not, as this process sees it. Decides what is tried, never what is safe. */
+    /**
+     * Called when the log has become reachable or unreachable for this process. Affects which calls are attempted,
+     * never what is safe.
+     */
     KeyActions logAvailabilityChanged(bool available, WallTime now);
 
-    /** Who is to hold the shard has changed. */
+    /** Called when the placement of the shard may have changed. */
     KeyActions placementChanged(KeyPlacement placement, WallTime now);
 
-    /** Gate @p from sent @p message to this run of this process. */
+    /** Called when a message from gate @p from to this run of this process arrives. */
     KeyActions messageReceived(const GateId &from, const KeyMessage &message, WallTime now);
 
-    /** Asks and appends again what is due; call a few times a second. */
+    /** Repeats unanswered requests and appends queued records. Call a few times a second. */
     KeyActions tick(WallTime now);
 
-    /** The fold of the shard's stream. */
+    /** Returns the ledger of the shard's stream. */
     const KeyLedger &ledger() const;
 
-    /** Whether this process would announce calls now. */
+    /** Returns whether this process holds the shard and may announce calls. */
     bool isHolder() const;
 
-    /** Calls announced or running. */
+    /** Returns the number of open calls and parked attempts. */
     std::size_t openCalls() const;
 
-    /** Whether everything known here is in the log as well: the process may end without loss. */
+    /** Returns whether all records have been read back from the log, so that the process can exit without loss. */
     bool isRecorded() const;
 
-    /** What happened so far. */
+    /** Returns the counts so far. */
     const KeyGateCounters &counters() const;
 
 private:
@@ -143,8 +150,8 @@
     BatchWriter m_writer;
     OpenCalls m_calls;
     UnrecordedKeys m_unrecorded;
-    std::map<GateId, std::uint64_t> m_highestAttempts; ///< highest number of each entry's run
-    std::optional<std::pair<GateId, ReleaseReply>> m_lastHandOver; ///< kept for a receiver that asks again
+    std::map<GateId, std::uint64_t> m_highestAttempts; ///< highest attempt number by entry run
+    std::optional<std::pair<GateId, ReleaseReply>> m_lastHandOver; ///< kept to answer a repeated request
     KeyActions m_actions;
     KeyGateCounters m_counters;
     bool m_logAvailable = false;
--- a/modules/heatherridge_coordination/keys/opencalls.h
+++ b/modules/heatherridge_coordination/keys/opencalls.h
@@ -9,13 +9,13 @@
 namespace Heatherridge
 {
 
-/** How far a call with a key has come. */
+/** Progress of a call with a key. */
 enum class CallState {
-    Announced, ///< its intent waits or is on its way
-    Running, ///< the service has it
+    Announced, ///< its intent is queued or in flight
+    Running, ///< sent to the service
 };
 
-/** One call with a key at a gate, and the tries that wait for its answer. */
+/** A call with a key at a gate, and the attempts that wait for its answer. */
 struct OpenCall
 {
     RequestFingerprint fingerprint{};
@@ -23,50 +23,50 @@
     std::vector<AttemptId> waiters{};
 };
 
-/** A try that waits until this gate holds the shard. */
+/** An attempt that waits until this gate may run keys of the shard. */
 struct ParkedCall
 {
     KeyedCall call{};
     WallTime since{};
 };
 
-/** The calls of one gate that have no answer yet, by key and by try. No decisions; one thread. */
+/** The unanswered calls of one gate, by key and by attempt. Makes no decisions. Not thread-safe. */
 class OpenCalls
 {
 public:
     using Calls = std::map<Uuid7, OpenCall>;
 
-    /** Opens a call that waits for its intent, with @p keyedCall as its first try. */
+    /** Opens a call that waits for its intent, with @p keyedCall as its first attempt. */
     OpenCall &open(const KeyedCall &keyedCall);
 
-    /** Adds @p keyedCall to a call that is open already. */
+    /** Adds the attempt of @p keyedCall to the open call of the same key. */
     void join(const KeyedCall &keyedCall);
 
-    /** The call of @p key, or nullptr. */
+    /** Returns the open call of @p key, or nullptr. */
     OpenCall *find(const Uuid7 &key);
 
-    /** Takes the call of @p key out, which must be there, with its tries. */
+    /** Removes and returns the call of @p key, which must be open, with its attempts. */
     OpenCall close(const Uuid7 &key);
 
-    /** Takes try @p attempt away from its call. @returns the call, or nullptr when it waits for none */
+    /** Removes @p attempt from its call. @returns the call, or nullptr if the attempt waits for none */
     const OpenCall *removeWaiter(const AttemptId &attempt);
 
-    /** Parks @p keyedCall at @p now. */
+    /** Parks @p keyedCall, with @p now as the start of its wait. */
     void park(const KeyedCall &keyedCall, WallTime now);
 
-    /** Takes try @p attempt out of the parked ones; false when it is none. */
+    /** Removes @p attempt from the parked attempts. Returns false if it is not parked. */
     bool unpark(const AttemptId &attempt);
 
-    /** Takes out all parked tries. */
+    /** Removes and returns all parked attempts. */
     std::vector<ParkedCall> takeParked();
 
-    /** Whether @p attempt waits for an answer. */
+    /** Returns whether @p attempt waits for the answer to an open call. */
     bool hasWaiter(const AttemptId &attempt) const;
 
-    /** All open calls. */
+    /** Returns all open calls. */
     Calls &calls();
 
-    /** Open calls and parked tries. */
+    /** Returns the number of open calls and parked attempts. */
     std::size_t size() const;
 
 private:
--- a/modules/heatherridge_coordination/keys/unrecordedkeys.cpp
+++ b/modules/heatherridge_coordination/keys/unrecordedkeys.cpp
@@ -53,7 +53,7 @@
         }
         const auto entry = m_entries.find(outcome->key);
         const auto *recorded = ledger.find(outcome->key);
-        // Of two runs the first of which was released, the ledger may know the first end only.
+        // If the first of two runs was released, the ledger may have recorded only the outcome of the first.
         if (entry != m_entries.end() && recorded != nullptr && entry->second.runState == recorded->runState) {
             m_entries.erase(entry);
         }
--- a/modules/heatherridge_coordination/keys/unrecordedkeys.h
+++ b/modules/heatherridge_coordination/keys/unrecordedkeys.h
@@ -10,25 +10,25 @@
 {
 
 /**
- * What one gate knows of keys beyond the ledger: ends of its own runs that are not read back yet, and the runs that a
- * hand-over named. No I/O; one thread.
+ * What one gate knows about keys beyond the ledger: outcomes of its own runs that have not been read back yet, and the
+ * runs listed in a hand-over. Does no I/O. Not thread-safe.
  */
 class UnrecordedKeys
 {
 public:
-    /** Takes what @p record says of a key over whatever was known here. Claims are ignored. */
+    /** Replaces the entry of a key by the contents of @p record. Ignores claims. */
     void update(const KeyRecord &record);
 
-    /** The key is run anew: what was known of an earlier run no longer counts. */
+    /** Erases the entry of @p key. Called when the key is run again, because an earlier run no longer counts. */
     void erase(const Uuid7 &key);
 
-    /** Forgets what @p ledger has learnt by @p batch. */
+    /** Erases the entries whose outcomes @p ledger has recorded from @p batch. */
     void eraseRecorded(const KeyBatch &batch, const KeyLedger &ledger);
 
-    /** What is known of @p key, here or in @p ledger; whichever knows more. */
+    /** Returns the entry of @p key from here or from @p ledger, whichever knows more. */
     std::optional<KeyEntry> find(const Uuid7 &key, const KeyLedger &ledger) const;
 
-    /** All keys of @p ledger, then those of here, as the records that would tell another gate of them. */
+    /** Returns all keys of @p ledger, followed by the ones stored here, as records for another gate. */
     std::vector<KeyRecord> snapshot(const KeyLedger &ledger) const;
 
 private:
--- a/modules/heatherridge_coordination/keys/witnesspromises.h
+++ b/modules/heatherridge_coordination/keys/witnesspromises.h
@@ -9,28 +9,34 @@
 {
 
 /**
- * The promises that this process has made as a witness of other gates' claims on one shard.
+ * The promises made by this process as a witness of other gates' claims on one shard.
  *
- * For each claim it either promises the holder to refuse successors, or promises a successor to give the holder
- * nothing more. The second is final. The promises live in memory: a restarted process is another witness, which no
- * claim of before names. No I/O; one thread.
+ * For each claim, a witness either promises the holder to refuse successors, or promises a successor to make no more
+ * promises to the holder. The second is final. Promises are kept in memory only: a restarted process is a different
+ * witness, which no earlier claim names. Does no I/O. Not thread-safe.
  */
 class WitnessPromises
 {
 public:
-    /** Most claims remembered. When full, new ones are not answered, which leaves both sides safe. */
+    /** Maximum number of claims tracked. Requests for further claims are not answered, which is safe for both sides. */
     static constexpr std::size_t MaxClaims = 256;
 
     /**
-     * @param retention how long a promise is remembered: longer than any key under it can be run
-     * @param safeguards which safeguards are on
+     * @param retention how long a promise is kept: must be longer than any key can be run under it
+     * @param safeguards the safeguards that are on
      */
     WitnessPromises(std::chrono::milliseconds retention, KeySafeguards safeguards);
 
-    /** A holder's request at @p now; nothing when a successor came first. */
+    /**
+     * Handles a holder's request at @p now. Returns nothing if a successor asked first, or if too many claims are
+     * tracked.
+     */
     std::optional<ActivateReply> activate(const ActivateRequest &request, WallTime now);
 
-    /** A successor's request at @p now: from here on the holder gets nothing more. */
+    /**
+     * Handles a successor's request at @p now. The holder gets no more promises afterwards. Returns nothing if too many
+     * claims are tracked.
+     */
     std::optional<RevokeReply> revoke(const RevokeRequest &request, WallTime now);
 
 private:
