--- a/tests/keymodel/keysimulation.cpp
+++ b/tests/keymodel/keysimulation.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t GateCount = 3;
 constexpr std::size_t RecentKeys = 4;
 constexpr auto ClaimSpan = 8min;
-/** Records expire no sooner than this. */
+/** Minimum time for which the log keeps records. */
 constexpr auto Retention = 30min;
 constexpr int MaxSettleRounds = 60;
 
@@ -79,7 +79,7 @@
         node.isPaused = false;
         node.canReachLog = true;
     }
-    // Past every promise and claim, a shard must be free again whatever happened before.
+    // Once all promises and claims have ended, the shard must be available again, whatever happened before.
     for (int round = 0; round < 4; ++round) {
         m_now += ClaimSpan;
         runUntilSettled();
@@ -130,23 +130,23 @@
     if (drawChance(m_profile.pause)) {
         auto &node = randomNode();
         node.isPaused = !node.isPaused;
-        addTrace(node.isPaused ? "pause " : "wake ", toTraceText(node.id));
+        addTrace(node.isPaused ? "pause " : "resume ", toTraceText(node.id));
         return true;
     }
     if (drawChance(m_profile.outage)) {
         if (drawChance(500)) {
             m_logAvailable = !m_logAvailable;
-            addTrace(m_logAvailable ? "log well" : "log out");
+            addTrace(m_logAvailable ? "log available" : "log unavailable");
         } else {
             auto &node = randomNode();
             node.canReachLog = !node.canReachLog;
-            addTrace(node.canReachLog ? "log reached by " : "log cut from ", toTraceText(node.id));
+            addTrace(node.canReachLog ? "log reachable from " : "log unreachable from ", toTraceText(node.id));
         }
         return true;
     }
     if (drawChance(m_profile.placement)) {
         m_preferredNode = m_random.below(GateCount);
-        addTrace("wanted ", m_preferredNode);
+        addTrace("preferred holder ", m_preferredNode);
         return true;
     }
     if (drawChance(m_profile.cancel) && !m_openAttempts.empty()) {
@@ -221,7 +221,7 @@
     }
 }
 
-/** A gate's word on one try; it counts from the moment it is said, whether or not it arrives. */
+/** Records a gate's answer to an attempt and checks it. It counts from when it is sent, whether it arrives or not. */
 void KeySimulation::recordAnswer(const AnswerCall &answer)
 {
     const auto key = m_allAttempts.at(answer.attempt);
@@ -229,21 +229,21 @@
     const auto *error = std::get_if<Error>(&answer.reply);
     const bool redirected = std::holds_alternative<KeyRedirect>(answer.reply);
     const bool notRun = error != nullptr && error->ranOrDefault() == Ran::No;
-    addTrace("told ", toTraceText(answer.attempt), " on ", toTraceText(key), ": ",
-             redirected ? "ask elsewhere" : (error != nullptr ? answerFor(error->kind).name : "answered"));
+    addTrace("answer to ", toTraceText(answer.attempt), " for ", toTraceText(key), ": ",
+             redirected ? "redirected" : (error != nullptr ? answerFor(error->kind).name : "answered"));
     if (notRun && m_executionsByKey[key] > 0) {
-        reportViolation("told not run after it ran: " + toTraceText(key));
+        reportViolation("reported as not run after it ran: " + toTraceText(key));
     }
     if (notRun || redirected) {
         m_reportedNotRun.insert(answer.attempt);
     }
     if (redirected && m_executedAttempts.contains(answer.attempt)) {
-        reportViolation("sent elsewhere after it ran: " + toTraceText(answer.attempt));
+        reportViolation("redirected after it ran: " + toTraceText(answer.attempt));
     }
     if (const auto *stored = std::get_if<StoredAnswer>(&answer.reply)) {
         const auto [known, isFirst] = m_answers.try_emplace(key, stored->body);
         if (known->second != stored->body || m_executionsByKey[key] == 0) {
-            reportViolation("two answers for one key: " + toTraceText(key));
+            reportViolation("different answers for one key, or an answer without a run: " + toTraceText(key));
         }
     }
 }
@@ -260,7 +260,7 @@
     updatePlacement(node);
 }
 
-/** Tells @p node who is wanted, as the world has it now; other nodes may still believe otherwise. */
+/** Sends the current placement to @p node. Other nodes may still have an older one. */
 void KeySimulation::updatePlacement(Node &node)
 {
     KeyPlacement placement;
@@ -330,7 +330,7 @@
     const bool reachesLog = m_logAvailable && (append.isReportedFailed || node == nullptr || node->canReachLog);
     const bool replyLost = !append.isReportedFailed && (!reachesLog || drawChance(m_profile.lostAppends));
     if (replyLost && drawChance(600)) {
-        m_appends[position].isReportedFailed = true; // may land later, when nobody expects it any more
+        m_appends[position].isReportedFailed = true; // may be logged later, when no gate expects it any more
     } else {
         m_appends.erase(m_appends.begin() + static_cast<std::ptrdiff_t>(position));
         if (reachesLog) {
@@ -424,7 +424,7 @@
         reportViolation("executed twice: " + toTraceText(run.call.key));
     }
     if (m_reportedNotRun.contains(run.call.attempt)) {
-        reportViolation("ran after told not run: " + toTraceText(run.call.attempt));
+        reportViolation("ran after it was reported as not run: " + toTraceText(run.call.attempt));
     }
 }
 
--- a/tests/keymodel/keysimulation.h
+++ b/tests/keymodel/keysimulation.h
@@ -10,11 +10,11 @@
 namespace Heatherridge
 {
 
-/** How often, out of 1000, a step of the schedule is of each kind. The rest are ordinary steps. */
+/** Probability of each kind of fault, out of 1000 steps unless stated otherwise. All other steps are ordinary. */
 struct FaultProfile
 {
-    std::uint64_t messageLoss = 60; ///< a message is lost, out of 1000 messages
-    std::uint64_t duplication = 60; ///< a message is delivered and stays to be delivered again
+    std::uint64_t messageLoss = 60; ///< a message or an answer of the service is lost, out of 1000
+    std::uint64_t duplication = 60; ///< a message is delivered and kept for another delivery, out of 1000 messages
     std::uint64_t lostAppends = 150; ///< an append fails, or its reply is lost, out of 1000 appends
     std::uint64_t crash = 6;
     std::uint64_t pause = 10;
@@ -23,14 +23,14 @@
     std::uint64_t cancel = 15;
     std::uint64_t expiry = 3;
     std::uint64_t refusedCalls = 150; ///< a call meets a closed port and does not run, out of 1000 calls
-    std::uint64_t maxClockSkewSeconds = 90; ///< seconds
+    std::uint64_t maxClockSkewSeconds = 90; ///< maximum offset of a node's clock
 };
 
 /**
- * Three gates of one shard, two entries, callers, a log and a service that counts what it executes.
+ * Simulates three gates of one shard, two entries, callers, a log and a service that counts its executions.
  *
- * A schedule is one sequence of random steps: anything under way may be delivered, lost, doubled or left for later.
- * violation() tells the first broken promise.
+ * A schedule is a sequence of random steps: anything in flight may be delivered, lost, duplicated or delayed.
+ * violation() returns the first violated guarantee.
  */
 class KeySimulation
 {
@@ -40,16 +40,16 @@
     /** Runs @p steps random steps; stops at the first violation. */
     void run(int steps);
 
-    /** Ends all faults, lets everything settle, and asks for a new key: true when it is executed and answered. */
+    /** Stops all faults, runs until settled, and requests a new key. Returns whether it is executed and answered. */
     bool recoversAfterFaults();
 
-    /** The first broken promise; empty when all were kept. */
+    /** Returns the first violated guarantee, or an empty string. */
     const std::string &violation() const;
 
-    /** What happened, for a failed test's message. */
+    /** Returns the events so far, for the message of a failed test. */
     std::string trace() const;
 
-    /** Executions so far, and those of them that were made while the log was out. */
+    /** Return the number of executions, and of those made while the log was unavailable. */
     std::uint64_t executions() const;
     std::uint64_t executionsWithoutLog() const;
 
@@ -71,7 +71,7 @@
     {
         GateId writer;
         KeyBatch batch;
-        bool isReportedFailed = false; ///< the writer was told that it failed; it may land all the same
+        bool isReportedFailed = false; ///< reported to the writer as failed; may be logged all the same
     };
 
     struct Run
--- a/tests/keymodel/keysimulation_test.cpp
+++ b/tests/keymodel/keysimulation_test.cpp
@@ -27,10 +27,11 @@
             .maxClockSkewSeconds = upTo(110)};
 }
 
-// Two trucks come for one load, or a guest pays two deposits: a caller asked again, elsewhere, after its answer was
-// lost, while gates died, paused, lost the log or each other and the inventory changed. Or a caller that was told
-// "not run" books by telephone, and the first request runs after all. Random schedules of all these faults; whatever
-// happens, a key is executed at most once, no try runs after its "not run", and all answers to a key are the same.
+// Guards against executing a request twice: a caller whose answer was lost repeats the request at another gate, while
+// gates crash, pause or lose the log or each other and the inventory changes. Also guards against executing a request
+// after it was reported as not run, when the caller may have used another way. Runs random schedules of these faults. A
+// key must be executed at most once, no attempt may run after it was reported as not run, and all answers to a key must
+// be the same.
 RC_GTEST_PROP(KeySimulation, RunsAtMostOnceAndNeverAfterNotRun, ())
 {
     const auto profile = generateProfile();
@@ -44,8 +45,8 @@
     }
 }
 
-// Safe is easy for a gate that refuses everything. Once faults end and clocks have passed the last promise, a new key
-// must be run and answered, however the schedule left the shard.
+// A gate that refuses everything would be safe. Once faults have stopped and all promises have ended, a new key must be
+// run and answered, whatever state the schedule left the shard in.
 RC_GTEST_PROP(KeySimulation, RunsNewKeysOnceFaultsEnd, ())
 {
     const auto profile = generateProfile();
@@ -63,7 +64,7 @@
     FaultProfile profile = {};
 };
 
-/** Appends that land late and unseen, by gates that have lost the shard meanwhile. */
+/** Frequent appends that are logged late, unknown to the writer, by gates that have lost the shard by then. */
 const FaultProfile LateAppends{.messageLoss = 20,
                                .duplication = 190,
                                .lostAppends = 690,
@@ -90,8 +91,8 @@
 {
 };
 
-// The property above proves nothing if it can't fail. With any single safeguard off, some schedule must break it. Two
-// safeguards against coincidences too rare for that have scripted schedules instead; see keygate_test.cpp.
+// Shows that the property above can fail: with any one safeguard off, some schedule must violate it. Two safeguards
+// against coincidences too rare for random schedules have scripted ones instead; see keygate_test.cpp.
 TEST_P(SafeguardOff, IsDetected)
 {
     KeySafeguards safeguards;
@@ -101,18 +102,18 @@
         simulation.run(StepsPerSchedule);
         if (!simulation.violation().empty()) {
             RecordProperty("schedules", schedule + 1);
-            std::cout << GetParam().name << " caught by schedule " << schedule + 1 << ": " << simulation.violation()
+            std::cout << GetParam().name << " detected by schedule " << schedule + 1 << ": " << simulation.violation()
                       << "\n";
             return;
         }
     }
-    FAIL() << GetParam().name << " off was not caught";
+    FAIL() << GetParam().name << " off was not detected";
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, SafeguardOff, testing::ValuesIn(SafeguardRows),
                          [](const auto &row) { return std::string(row.param.name); });
 
-// Counts that show that the schedules do get somewhere: runs happen, also without the log.
+// Shows that the schedules reach executions, including executions without the log.
 TEST(KeySimulation, SchedulesReachRunsWithoutLog)
 {
     std::uint64_t executions = 0;
@@ -123,7 +124,7 @@
         executions += simulation.executions();
         withoutLog += simulation.executionsWithoutLog();
     }
-    std::cout << executions << " executions in 200 schedules, " << withoutLog << " while the log was out\n";
+    std::cout << executions << " executions in 200 schedules, " << withoutLog << " while the log was unavailable\n";
     EXPECT_GT(executions, 200U);
     EXPECT_GT(withoutLog, 20U);
 }
--- a/tests/keys/keygate_test.cpp
+++ b/tests/keys/keygate_test.cpp
@@ -13,7 +13,7 @@
 const GateId Witness{.process = ProcessName("w"), .incarnation = Incarnation{2}};
 const GateId Entry{.process = ProcessName("e"), .incarnation = Incarnation{3}};
 
-/** One gate with a hand-driven log: appends land, and are read back, only when told. */
+/** A gate whose log is driven by the test: appends complete and are read back only when the test says so. */
 struct GateFixture
 {
     explicit GateFixture(KeySafeguards safeguards = {})
@@ -52,7 +52,7 @@
                                      Now));
     }
 
-    /** The witness promises for every claim that it was asked for but the last @p unansweredCount ones. */
+    /** Answers all the gate's requests for a promise but the last @p unansweredCount ones. */
     void promiseClaims(std::size_t unansweredCount)
     {
         sentMessages.clear();
@@ -162,8 +162,9 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, KeyCreationTime, testing::ValuesIn(KeyTimeRows));
 
-// Two trucks after an outage: the holder's renewal had landed unseen, and a successor was let in by a witness of that
-// renewal, while the holder went on under the promises for the claim before it. So a claim on its way counts.
+// A key runs twice after an outage: the holder's renewal was logged without the holder seeing it, and a witness of that
+// renewal admitted a successor, while the holder still ran keys under the promises for the claim before it. The holder
+// therefore needs promises for a claim in flight as well.
 TEST(KeyGate, RequiresPromisesForAClaimInFlight)
 {
     for (const bool claimInFlightCounts : {true, false}) {
@@ -181,9 +182,9 @@
     }
 }
 
-// A deposit is charged twice: its first run met a closed port and was released; the batch that said so landed twice,
-// the second time after the key had been announced again, and so released a key that was running. See
-// LedgerFold for the safeguard; off, the fold must show the fault.
+// A key runs twice: its first run met a closed port and was released. The batch with the release was logged twice, the
+// second time after the key had been announced again, and so released a key that was running. LedgerReplay tests the
+// safeguard; with the safeguard off, the ledger must show the fault.
 TEST(KeyLedger, SkipsADuplicateReleaseByItsSerial)
 {
     for (const bool duplicatesSkipped : {true, false}) {
--- a/tests/keys/keyledger_test.cpp
+++ b/tests/keys/keyledger_test.cpp
@@ -57,13 +57,13 @@
     const char *description;
     std::vector<BatchRow> batches;
     GateId holder;
-    std::optional<GateId> runner; ///< of the key of second 5
+    std::optional<GateId> runner; ///< expected runner of the key created at second 5
     RunState runState;
 };
 
 const LedgerRow LedgerRows[] = {
-    {"an intent by the holder counts", {{GateA, 1, {claimOf(GateA, 0), intentOf(5, GateA)}}}, GateA, GateA, {}},
-    {"an intent by anybody else is void",
+    {"an intent by the holder is valid", {{GateA, 1, {claimOf(GateA, 0), intentOf(5, GateA)}}}, GateA, GateA, {}},
+    {"an intent by any other gate is ignored",
      {{GateA, 1, {claimOf(GateA, 0)}}, {GateB, 1, {intentOf(5, GateB)}}},
      GateA,
      {},
@@ -73,7 +73,7 @@
      GateA,
      {},
      {}},
-    {"a paused holder's intent behind its successor's claim is void",
+    {"a paused holder's intent logged after its successor's claim is ignored",
      {{GateA, 1, {claimOf(GateA, 0)}}, {GateB, 1, {claimOf(GateB, 1)}}, {GateA, 2, {intentOf(5, GateA)}}},
      GateB,
      {},
@@ -83,21 +83,21 @@
      GateB,
      GateA,
      RunState::Open},
-    {"the predecessor's outcome still counts",
+    {"the predecessor's outcome is still accepted",
      {{GateA, 1, {claimOf(GateA, 0), intentOf(5, GateA)}},
       {GateB, 1, {claimOf(GateB, 1)}},
       {GateA, 2, {outcomeOf(5, GateA, RunState::Answered)}}},
      GateB,
      GateA,
      RunState::Answered},
-    {"a released key may be announced anew",
+    {"a released key may be announced again",
      {{GateA, 1, {claimOf(GateA, 0), intentOf(5, GateA)}},
       {GateA, 2, {outcomeOf(5, GateA, RunState::NotRun)}},
       {GateB, 1, {claimOf(GateB, 1), intentOf(5, GateB)}}},
      GateB,
      GateB,
      RunState::Open},
-    {"a doubled release doesn't release the second run",
+    {"a duplicate release doesn't release the second run",
      {{GateA, 1, {claimOf(GateA, 0), intentOf(5, GateA)}},
       {GateA, 2, {outcomeOf(5, GateA, RunState::NotRun)}},
       {GateA, 3, {intentOf(5, GateA)}},
@@ -105,7 +105,7 @@
      GateA,
      GateA,
      RunState::Open},
-    {"an outcome without an intent stands for a run made while the log was out",
+    {"an outcome without an intent records a run made while the log was unavailable",
      {{GateA, 1, {claimOf(GateA, 0)}}, {GateA, 2, {outcomeOf(5, GateA, RunState::Answered)}}},
      GateA,
      GateA,
@@ -139,8 +139,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, LedgerReplay, testing::ValuesIn(LedgerRows));
 
-// A guest is charged again by a key from last week. The ledger had forgotten the key to bound its memory, and took its
-// absence for "never used". Whatever is forgotten lies below the floor, and the floor never sinks.
+// Guards against running an old key again: if the ledger evicted a key to bound its memory and took its absence for
+// "never used", a customer would be charged again. Every evicted key is below the floor, and the floor never decreases.
 RC_GTEST_PROP(KeyLedger, EvictsOnlyKeysBelowTheFloor, (const std::vector<std::uint8_t> &seconds))
 {
     KeyLedger ledger({.window = 60s, .maxEntries = 20, .maxAnswerBytes = 100});
@@ -163,8 +163,8 @@
     }
 }
 
-// A process comes up when the older records of a stream have expired. It must not take a key for new because the
-// record of it is gone, and has to know who holds the shard.
+// A process starts after the older records of a stream have expired. It must not take a key for new because its record
+// has expired, and must know which gate holds the shard.
 TEST(KeyLedger, ResumesAtABatchThatCoversTheLostRecords)
 {
     KeyLedger complete({});
@@ -185,8 +185,8 @@
     EXPECT_TRUE(reader.canDecide(keyAt(50).time()));
 }
 
-// All records of a quiet shard have expired, so that nobody's claim is known. A claim made after the loss counts only
-// at the very next offset; with anything in between, nobody may take it for valid.
+// All records of an idle shard have expired, so no claim is known. A claim made after the loss is valid only at the
+// next offset. With any record in between, no reader may accept it.
 TEST(KeyLedger, AClaimAfterLossCountsOnlyAtTheNextOffset)
 {
     for (const bool hasRecordBetween : {false, true}) {
@@ -264,8 +264,8 @@
     EXPECT_NE(base, fingerprintOf(WorkspaceName("w"), "POST", "/ab", ""));
 }
 
-// When one target leaves, only its own shards may move: every other shard's holder keeps the memory that lets it run
-// keys.
+// When a target is removed, only its own shards may move: the holders of all other shards keep the in-memory state that
+// lets them run keys.
 RC_GTEST_PROP(KeyShards, ALeavingTargetMovesOnlyItsOwnShards, ())
 {
     const auto count = *rc::gen::inRange(2, 12);
