--- a/modules/heatherridge_coordination/keys/keygate.h
+++ b/modules/heatherridge_coordination/keys/keygate.h
@@ -12,7 +12,7 @@
 namespace Heatherridge
 {
 
-/** Event counts of a gate, exported as metrics with corresponding names. */
+/** Event counts of a gate. All but duplicateAttempts are exported as metrics with corresponding names. */
 struct KeyGateCounters
 {
     std::uint64_t run = 0; ///< calls sent to the service
