--- a/benchmarks/configfold.cpp
+++ b/benchmarks/configfold.cpp
@@ -79,14 +79,14 @@
     ConfigReplica replica;
     std::uint64_t offset = 1;
     const auto whole = record(offset, WholeDocument{inventoryOf(targets)});
-    const auto first = milliseconds([&] { replica.take(whole); });
+    const auto first = milliseconds([&] { replica.receive(whole); });
     double fold = 0;
     double digest = 0;
     std::size_t changeBytes = 0;
     for (int i = 0; i < Repeats; ++i) {
         const auto change = record(++offset, DocumentChange{sectionOf(i % targets, i + 1), {}});
         changeBytes = change.payload.size();
-        fold += milliseconds([&] { replica.take(change); });
+        fold += milliseconds([&] { replica.receive(change); });
         digest += milliseconds([&] { replica.state().digest(); });
     }
     const auto bytes = encodeConfigImage(replica.state().image());
--- a/benchmarks/configrelaysize.cpp
+++ b/benchmarks/configrelaysize.cpp
@@ -63,7 +63,7 @@
     }
     std::shared_ptr<const RelayPlan> plan = std::make_shared<const RelayPlan>(members);
     for (const auto &member : members) {
-        network.add(log, {.process = member.process, .zone = member.zone, .planFor = [&plan](const Inventory &) {
+        network.add(log, {.process = member.process, .zone = member.zone, .buildPlan = [&plan](const Inventory &) {
                               return plan;
                           }});
     }
--- a/modules/heatherridge_coordination/config/configagent.cpp
+++ b/modules/heatherridge_coordination/config/configagent.cpp
@@ -12,7 +12,7 @@
 
 void ConfigAgent::RelayListener::recordsFolded(const std::vector<FoldedRecord> &records)
 {
-    m_agent.tell(records);
+    m_agent.notifyListener(records);
 }
 
 void ConfigAgent::RelayListener::stateReplaced()
@@ -23,19 +23,19 @@
 ConfigAgent::ConfigAgent(LogService &service, RelayLinks &links, RandomSource &random, ConfigAgentOptions options)
     : m_options(std::move(options))
     , m_replica(m_options.replica)
-    , m_follower(service, m_replica, random, m_options.follower)
+    , m_logFollower(service, m_replica, random, m_options.follower)
     , m_relay(links, m_replica, random, m_options.process, m_options.zone, m_options.relay)
-    , m_writer(service, random, m_options.snapshots)
+    , m_snapshotWriter(service, random, m_options.snapshots)
     , m_relayListener(*this)
 {
-    m_follower.setListener(this);
+    m_logFollower.setListener(this);
     m_relay.setListener(&m_relayListener);
-    if (!m_options.planFor) {
-        m_options.planFor = [](const Inventory &inventory) {
+    if (!m_options.buildPlan) {
+        m_options.buildPlan = [](const Inventory &inventory) {
             return std::make_shared<const RelayPlan>(relayMembersOf(inventory));
         };
     }
-    renewPlan();
+    rebuildPlan();
 }
 
 void ConfigAgent::setListener(FollowerListener *listener)
@@ -46,16 +46,16 @@
 void ConfigAgent::tick(SteadyTime now)
 {
     m_now = now;
-    if (m_relay.wantsLog() && m_follower.isReachable() == false) {
-        m_relay.noteLog(false, false, now);
+    if (m_relay.shouldReadLog() && m_logFollower.isReachable() == false) {
+        m_relay.recordLogResult(false, false, now);
     }
-    m_relay.setPhase(phase(), m_open);
+    m_relay.setPhase(phase(), m_openRequests);
     m_relay.tick(now);
-    m_follower.setActive(m_relay.wantsLog());
-    m_follower.tick(now);
+    m_logFollower.setActive(m_relay.shouldReadLog());
+    m_logFollower.tick(now);
     // Only readers know the log's bounds; without any, as in a deployment of entries alone, whoever reads writes.
-    if (m_relay.wantsLog() && m_follower.isReachable() == true) {
-        m_writer.tick(now, m_replica, m_plan->readerRank(m_options.process));
+    if (m_relay.shouldReadLog() && m_logFollower.isReachable() == true) {
+        m_snapshotWriter.tick(now, m_replica, m_plan->readerRank(m_options.process));
     }
 }
 
@@ -76,7 +76,7 @@
 
 ProcessPhase ConfigAgent::phase() const
 {
-    if (m_draining) {
+    if (m_isDraining) {
         return ProcessPhase::Draining;
     }
     if (m_replica.isConfirmed()) {
@@ -87,37 +87,37 @@
 
 void ConfigAgent::beginDrain()
 {
-    m_draining = true;
+    m_isDraining = true;
 }
 
-void ConfigAgent::setOpen(std::uint32_t open)
+void ConfigAgent::setOpenRequests(std::uint32_t openRequests)
 {
-    m_open = open;
+    m_openRequests = openRequests;
 }
 
 std::optional<bool> ConfigAgent::isLogReachable() const
 {
-    return m_follower.isReachable();
+    return m_logFollower.isReachable();
 }
 
 const SnapshotWriterCounters &ConfigAgent::snapshotCounters() const
 {
-    return m_writer.counters();
+    return m_snapshotWriter.counters();
 }
 
 void ConfigAgent::recordsFolded(const std::vector<FoldedRecord> &records)
 {
-    m_relay.handOn(records);
-    tell(records);
+    m_relay.forwardRecords(records);
+    notifyListener(records);
 }
 
-void ConfigAgent::tell(const std::vector<FoldedRecord> &records)
+void ConfigAgent::notifyListener(const std::vector<FoldedRecord> &records)
 {
-    const bool newInventory = std::any_of(records.begin(), records.end(), [](const auto &folded) {
+    const bool inventoryChanged = std::any_of(records.begin(), records.end(), [](const auto &folded) {
         return folded.effect == FoldEffect::InventoryChanged || folded.effect == FoldEffect::Reset;
     });
-    if (newInventory) {
-        renewPlan();
+    if (inventoryChanged) {
+        rebuildPlan();
     }
     if (m_listener != nullptr) {
         m_listener->recordsFolded(records);
@@ -126,7 +126,7 @@
 
 void ConfigAgent::stateReplaced()
 {
-    renewPlan();
+    rebuildPlan();
     if (m_listener != nullptr) {
         m_listener->stateReplaced();
     }
@@ -134,16 +134,16 @@
 
 void ConfigAgent::logAnswered(bool atEnd)
 {
-    m_relay.noteLog(true, atEnd, m_now);
+    m_relay.recordLogResult(true, atEnd, m_now);
     if (m_listener != nullptr) {
         m_listener->logAnswered(atEnd);
     }
 }
 
-void ConfigAgent::renewPlan()
+void ConfigAgent::rebuildPlan()
 {
-    m_plan = m_options.planFor(*m_replica.state().inventory());
-    m_relay.follow(m_plan);
+    m_plan = m_options.buildPlan(*m_replica.state().inventory());
+    m_relay.setPlan(m_plan);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/config/configagent.h
+++ b/modules/heatherridge_coordination/config/configagent.h
@@ -18,7 +18,7 @@
     ConfigRelayOptions relay{};
     SnapshotWriterOptions snapshots{};
     /** Makes the relay's plan from a new inventory; by default from all its targets. */
-    std::function<std::shared_ptr<const RelayPlan>(const Inventory &)> planFor{};
+    std::function<std::shared_ptr<const RelayPlan>(const Inventory &)> buildPlan{};
 };
 
 /**
@@ -57,7 +57,7 @@
     void beginDrain();
 
     /** Requests and streams that are running, for the heartbeats. */
-    void setOpen(std::uint32_t open);
+    void setOpenRequests(std::uint32_t openRequests);
 
     /** Whether the log answered the last time it was asked; nothing before the first time. */
     std::optional<bool> isLogReachable() const;
@@ -69,7 +69,7 @@
     void recordsFolded(const std::vector<FoldedRecord> &records) override;
     void stateReplaced() override;
     void logAnswered(bool atEnd) override;
-    void renewPlan();
+    void rebuildPlan();
 
     /** Passes on what came in through the relay, which must not be handed to the relay again. */
     class RelayListener final : public FollowerListener
@@ -83,19 +83,19 @@
         ConfigAgent &m_agent;
     };
 
-    void tell(const std::vector<FoldedRecord> &records);
+    void notifyListener(const std::vector<FoldedRecord> &records);
 
     ConfigAgentOptions m_options;
     ConfigReplica m_replica;
-    LogFollower m_follower;
+    LogFollower m_logFollower;
     ConfigRelay m_relay;
-    SnapshotWriter m_writer;
+    SnapshotWriter m_snapshotWriter;
     RelayListener m_relayListener;
     FollowerListener *m_listener = nullptr;
     std::shared_ptr<const RelayPlan> m_plan;
     SteadyTime m_now{}; ///< of the last tick
-    std::uint32_t m_open = 0;
-    bool m_draining = false;
+    std::uint32_t m_openRequests = 0;
+    bool m_isDraining = false;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/config/configrelay.cpp
+++ b/modules/heatherridge_coordination/config/configrelay.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-constexpr std::size_t MaxEndedRuns = 256;
-constexpr std::size_t MaxAvoided = 256;
+constexpr std::size_t MaxEndedIncarnations = 256;
+constexpr std::size_t MaxAvoidedSources = 256;
 
 } // namespace
 
@@ -29,15 +29,15 @@
     m_listener = listener;
 }
 
-void ConfigRelay::follow(std::shared_ptr<const RelayPlan> plan)
+void ConfigRelay::setPlan(std::shared_ptr<const RelayPlan> plan)
 {
     m_plan = std::move(plan);
 }
 
-void ConfigRelay::setPhase(ProcessPhase phase, std::uint32_t open)
+void ConfigRelay::setPhase(ProcessPhase phase, std::uint32_t openRequests)
 {
     m_phase = phase;
-    m_open = open;
+    m_openRequests = openRequests;
 }
 
 bool ConfigRelay::linkUp(const ProcessName &process, LinkDirection direction, SteadyTime now)
@@ -47,20 +47,20 @@
         if (source == m_peers.end() || !source->second.isSource) {
             return false;
         }
-        source->second.isUp = true;
-        source->second.lastHeard = now;
+        source->second.isConnected = true;
+        source->second.lastReceivedAt = now;
         m_nextHeartbeat = std::min(m_nextHeartbeat, now); // tells the source at once what is lacking here
         return true;
     }
     const auto subscribers =
         std::count_if(m_peers.begin(), m_peers.end(), [](const auto &entry) { return entry.second.isSubscriber; });
     if (static_cast<std::size_t>(subscribers) >= m_options.maxSubscribers) {
-        ++m_counters.turnedAway;
+        ++m_counters.refusedSubscribers;
         return false;
     }
     auto &peer = m_peers[process];
     peer.isSubscriber = true;
-    peer.lastHeard = now;
+    peer.lastReceivedAt = now;
     return true;
 }
 
@@ -72,9 +72,9 @@
     }
     if (direction == LinkDirection::Incoming) {
         peer->second.isSubscriber = false;
-        forgetIfUnused(process);
+        erasePeerIfUnused(process);
     } else if (peer->second.isSource) {
-        giveUp(process, now);
+        abandonSource(process, now);
     }
 }
 
@@ -82,35 +82,35 @@
                           SteadyTime now)
 {
     const auto peer = m_peers.find(from);
-    if (peer == m_peers.end() || isOfEndedRun(peer->second, envelope.incarnation)) {
+    if (peer == m_peers.end() || isFromEndedIncarnation(peer->second, envelope.incarnation)) {
         m_counters.oldIncarnation += peer == m_peers.end() ? 0 : 1;
         return;
     }
-    peer->second.lastHeard = now;
+    peer->second.lastReceivedAt = now;
     peer->second.offset = std::max(peer->second.offset, envelope.offset);
     m_replica.notePeerOffset(envelope.offset);
     if (const auto *heartbeat = std::get_if<Heartbeat>(&message)) {
         // Digests are compared only at the offset that the sender had when it wrote the message.
-        if (!m_replica.compare(envelope.offset, heartbeat->digest)) {
+        if (!m_replica.checkDigest(envelope.offset, heartbeat->digest)) {
             ++m_counters.diverged;
         }
     }
-    std::visit([&](const auto &typed) { take(from, typed, now); }, message);
+    std::visit([&](const auto &typed) { handle(from, typed, now); }, message);
 }
 
-bool ConfigRelay::isOfEndedRun(RelayPeer &peer, Incarnation incarnation)
+bool ConfigRelay::isFromEndedIncarnation(RelayPeer &peer, Incarnation incarnation)
 {
     // A frame of a process that has since been restarted may come late, over the old connection. Its offset and its
     // sign of life say nothing about the run that is there now.
-    if (m_endedRuns.contains(incarnation)) {
+    if (m_endedIncarnations.contains(incarnation)) {
         return true;
     }
     if (peer.incarnation != incarnation) {
         if (peer.incarnation != Incarnation{}) {
-            if (m_endedRuns.size() >= MaxEndedRuns) {
-                m_endedRuns.erase(m_endedRuns.begin());
+            if (m_endedIncarnations.size() >= MaxEndedIncarnations) {
+                m_endedIncarnations.erase(m_endedIncarnations.begin());
             }
-            m_endedRuns.insert(peer.incarnation);
+            m_endedIncarnations.insert(peer.incarnation);
         }
         peer.incarnation = incarnation;
         peer.offset = {};
@@ -118,37 +118,38 @@
     return false;
 }
 
-void ConfigRelay::take(const ProcessName &from, const RecordsRelay &relay, SteadyTime /*now*/)
+void ConfigRelay::handle(const ProcessName &from, const RecordsRelay &relay, SteadyTime /*now*/)
 {
     std::vector<FoldedRecord> folded;
     for (const auto &record : relay.records) {
-        auto some = m_replica.take(record);
-        folded.insert(folded.end(), std::make_move_iterator(some.begin()), std::make_move_iterator(some.end()));
+        auto newlyFolded = m_replica.receive(record);
+        folded.insert(folded.end(), std::make_move_iterator(newlyFolded.begin()),
+                      std::make_move_iterator(newlyFolded.end()));
     }
     if (folded.empty()) {
         return;
     }
-    m_fetches = 0;
-    push(folded, &from);
+    m_fetchAttempts = 0;
+    pushRecords(folded, &from);
     if (m_listener != nullptr) {
         m_listener->recordsFolded(folded);
     }
 }
 
-void ConfigRelay::take(const ProcessName &from, const RecordsRequest &request, SteadyTime /*now*/)
+void ConfigRelay::handle(const ProcessName &from, const RecordsRequest &request, SteadyTime /*now*/)
 {
-    auto records = m_replica.recentFrom(request.from);
+    auto records = m_replica.recentRecordsFrom(request.from);
     if (!records.empty()) {
         ++m_counters.relayed;
         m_links.send(from, RecordsRelay{.records = std::move(records)});
     }
 }
 
-void ConfigRelay::take(const ProcessName &from, const StateRequest &request, SteadyTime now)
+void ConfigRelay::handle(const ProcessName &from, const StateRequest &request, SteadyTime now)
 {
     auto &servedAt = m_stateServedAt[from];
     // A whole state is large; a peer that asks again and again must not fill the link.
-    const bool tooSoon = servedAt != SteadyTime{} && now - servedAt < m_options.statePause;
+    const bool tooSoon = servedAt != SteadyTime{} && now - servedAt < m_options.stateRequestInterval;
     if (tooSoon || m_replica.state().offset() <= request.newerThan) {
         return;
     }
@@ -159,41 +160,42 @@
     }
 }
 
-void ConfigRelay::take(const ProcessName & /*from*/, const StateOffer &offer, SteadyTime /*now*/)
+void ConfigRelay::handle(const ProcessName & /*from*/, const StateOffer &offer, SteadyTime /*now*/)
 {
-    const auto whole = m_assembler.take(offer.part);
-    if (!whole || !m_replica.adopt(whole->image, whole->claimed)) {
+    const auto assembled = m_assembler.addPart(offer.part);
+    if (!assembled || !m_replica.adopt(assembled->image, assembled->claimedDigest)) {
         return;
     }
     ++m_counters.statesAdopted;
-    m_fetches = 0;
+    m_fetchAttempts = 0;
     if (m_listener != nullptr) {
         m_listener->stateReplaced();
     }
 }
 
-void ConfigRelay::take(const ProcessName &from, const Heartbeat &heartbeat, SteadyTime now)
+void ConfigRelay::handle(const ProcessName &from, const Heartbeat &heartbeat, SteadyTime now)
 {
     auto &peer = m_peers.at(from);
     peer.heartbeat = heartbeat;
     if (heartbeat.freshAge && m_replica.state().offset() >= peer.offset) {
-        const auto at = now - *heartbeat.freshAge;
-        m_freshAt = m_freshAt ? std::max(*m_freshAt, at) : at;
+        const auto freshAt = now - *heartbeat.freshAge;
+        m_freshAt = m_freshAt ? std::max(*m_freshAt, freshAt) : freshAt;
     }
 }
 
-void ConfigRelay::handOn(const std::vector<FoldedRecord> &records)
+void ConfigRelay::forwardRecords(const std::vector<FoldedRecord> &records)
 {
-    m_fetches = 0;
-    push(records, nullptr);
+    m_fetchAttempts = 0;
+    pushRecords(records, nullptr);
 }
 
-void ConfigRelay::push(const std::vector<FoldedRecord> &records, const ProcessName *except)
+void ConfigRelay::pushRecords(const std::vector<FoldedRecord> &records, const ProcessName *excludedPeer)
 {
     // A process that reads the log although it is no reader does so because its sources are behind: it tells them too.
-    const bool upwards = except == nullptr && m_plan != nullptr && !m_plan->isReader(m_self);
+    const bool includesSources = excludedPeer == nullptr && m_plan != nullptr && !m_plan->isReader(m_self);
     for (auto &[process, peer] : m_peers) {
-        if ((except != nullptr && process == *except) || !(peer.isSubscriber || (upwards && peer.isUp))) {
+        if ((excludedPeer != nullptr && process == *excludedPeer)
+            || !(peer.isSubscriber || (includesSources && peer.isConnected))) {
             continue;
         }
         RecordsRelay relay;
@@ -216,9 +218,9 @@
     }
 }
 
-void ConfigRelay::noteLog(bool answered, bool atEnd, SteadyTime now)
+void ConfigRelay::recordLogResult(bool answered, bool atEnd, SteadyTime now)
 {
-    m_logOut = !answered;
+    m_isLogUnreachable = !answered;
     if (answered && atEnd) {
         m_freshAt = now;
     }
@@ -228,15 +230,16 @@
 {
     if (m_startedAt == SteadyTime{}) {
         m_startedAt = now;
-        m_nextHeartbeat =
-            now + std::chrono::milliseconds(m_random.below(static_cast<std::uint64_t>(m_options.heartbeat.count())));
+        m_nextHeartbeat = now
+            + std::chrono::milliseconds(
+                              m_random.below(static_cast<std::uint64_t>(m_options.heartbeatInterval.count())));
     }
     dropSilentSources(now);
     chooseSources(now);
     sendHeartbeats(now);
     fetchMissing(now);
     requestState(now);
-    decideOnLog(now);
+    updateLogReading(now);
 }
 
 void ConfigRelay::dropSilentSources(SteadyTime now)
@@ -244,27 +247,27 @@
     std::vector<ProcessName> silent;
     for (const auto &[process, peer] : m_peers) {
         // A paused process keeps its connections open, so only its silence tells.
-        if (peer.isSource && now - peer.lastHeard > m_options.silence) {
+        if (peer.isSource && now - peer.lastReceivedAt > m_options.silenceTimeout) {
             silent.push_back(process);
         }
     }
     for (const auto &process : silent) {
         m_links.disconnect(process);
-        giveUp(process, now);
+        abandonSource(process, now);
     }
 }
 
-void ConfigRelay::giveUp(const ProcessName &process, SteadyTime now)
+void ConfigRelay::abandonSource(const ProcessName &process, SteadyTime now)
 {
     ++m_counters.sourcesLost;
-    if (m_avoidUntil.size() >= MaxAvoided) {
-        m_avoidUntil.clear();
+    if (m_avoidedUntil.size() >= MaxAvoidedSources) {
+        m_avoidedUntil.clear();
     }
-    m_avoidUntil[process] = now + m_options.avoidance;
+    m_avoidedUntil[process] = now + m_options.avoidancePeriod;
     auto &peer = m_peers.at(process);
     peer.isSource = false;
-    peer.isUp = false;
-    forgetIfUnused(process);
+    peer.isConnected = false;
+    erasePeerIfUnused(process);
 }
 
 std::vector<const RelayMember *> ConfigRelay::candidates() const
@@ -282,19 +285,20 @@
 {
     std::set<ProcessName> wanted;
     // A reader follows the other readers of its zone, and those of other zones only while the log fails it.
-    const bool reader = m_plan != nullptr && m_plan->isReader(m_self);
+    const bool isReader = m_plan != nullptr && m_plan->isReader(m_self);
     for (const auto *candidate : candidates()) {
-        const auto avoided = m_avoidUntil.find(candidate->process);
-        const bool usable = avoided == m_avoidUntil.end() || avoided->second <= now;
-        if (wanted.size() == m_options.sources || !usable || (reader && !m_logOut && candidate->zone != m_zone)) {
+        const auto avoided = m_avoidedUntil.find(candidate->process);
+        const bool usable = avoided == m_avoidedUntil.end() || avoided->second <= now;
+        if (wanted.size() == m_options.sourceCount || !usable
+            || (isReader && !m_isLogUnreachable && candidate->zone != m_zone)) {
             continue;
         }
         wanted.insert(candidate->process);
         auto &peer = m_peers[candidate->process];
         if (!peer.isSource) {
             peer.isSource = true;
-            peer.isUp = false;
-            peer.lastHeard = now;
+            peer.isConnected = false;
+            peer.lastReceivedAt = now;
             m_links.connect(candidate->process, candidate->endpoint);
         }
     }
@@ -303,8 +307,8 @@
 
 void ConfigRelay::dropSurplusSources(const std::set<ProcessName> &wanted)
 {
-    const bool replaced =
-        std::any_of(wanted.begin(), wanted.end(), [this](const auto &process) { return m_peers.at(process).isUp; });
+    const bool replaced = std::any_of(wanted.begin(), wanted.end(),
+                                      [this](const auto &process) { return m_peers.at(process).isConnected; });
     if (!replaced) {
         return; // what there is stays until something better is up
     }
@@ -317,8 +321,8 @@
     for (const auto &process : surplus) {
         m_links.disconnect(process);
         m_peers.at(process).isSource = false;
-        m_peers.at(process).isUp = false;
-        forgetIfUnused(process);
+        m_peers.at(process).isConnected = false;
+        erasePeerIfUnused(process);
     }
 }
 
@@ -327,14 +331,14 @@
     if (now < m_nextHeartbeat) {
         return;
     }
-    m_nextHeartbeat = now + m_options.heartbeat;
+    m_nextHeartbeat = now + m_options.heartbeatInterval;
     const Heartbeat heartbeat{.digest = m_replica.state().digest(),
                               .phase = m_phase,
-                              .open = m_open,
+                              .open = m_openRequests,
                               .freshAge = freshAge(now),
-                              .logOut = m_logOut || (!m_wantsLog && sourcesReportOutage())};
+                              .logOut = m_isLogUnreachable || (!m_shouldReadLog && sourcesReportOutage())};
     for (const auto &[process, peer] : m_peers) {
-        if (peer.isSubscriber || peer.isUp) {
+        if (peer.isSubscriber || peer.isConnected) {
             m_links.send(process, heartbeat);
         }
     }
@@ -342,13 +346,13 @@
 
 void ConfigRelay::fetchMissing(SteadyTime now)
 {
-    const auto missing = m_replica.missingFrom();
+    const auto missing = m_replica.firstMissingOffset();
     const auto *peer = mostAdvancedPeer();
     if (!missing || peer == nullptr || now < m_nextFetch) {
         return;
     }
-    m_nextFetch = now + m_options.fetchPause;
-    m_fetches = *missing == m_fetchedFrom ? m_fetches + 1 : 1;
+    m_nextFetch = now + m_options.fetchInterval;
+    m_fetchAttempts = *missing == m_fetchedFrom ? m_fetchAttempts + 1 : 1;
     m_fetchedFrom = *missing;
     m_links.send(*peer, RecordsRequest{.from = *missing});
 }
@@ -356,38 +360,40 @@
 void ConfigRelay::requestState(SteadyTime now)
 {
     // Records alone cannot help: either this process has no state, or those it lacks are kept nowhere any more.
-    const bool helpless = (m_logOut || m_replica.isCutOff()) && m_fetches >= m_options.fetchesBeforeLog;
+    const bool needsState =
+        (m_isLogUnreachable || m_replica.isCutOff()) && m_fetchAttempts >= m_options.maxFetchAttempts;
     const auto *peer = mostAdvancedPeer();
-    if (!helpless || peer == nullptr || now < m_nextStateRequest) {
+    if (!needsState || peer == nullptr || now < m_nextStateRequest) {
         return;
     }
-    m_nextStateRequest = now + m_options.statePause;
+    m_nextStateRequest = now + m_options.stateRequestInterval;
     m_links.send(*peer, StateRequest{.newerThan = m_replica.state().offset()});
 }
 
-void ConfigRelay::decideOnLog(SteadyTime now)
+void ConfigRelay::updateLogReading(SteadyTime now)
 {
-    if (hasLiveSource()) {
-        m_sourcelessSince.reset();
-    } else if (!m_sourcelessSince) {
-        m_sourcelessSince = now;
+    if (hasConnectedSource()) {
+        m_withoutSourceSince.reset();
+    } else if (!m_withoutSourceSince) {
+        m_withoutSourceSince = now;
     }
-    const bool before = m_wantsLog;
-    m_wantsLog = needsLog(now);
-    m_logOut = m_logOut && m_wantsLog; // what was seen of the log is old once it is no longer read
-    m_counters.fallbacks += m_wantsLog && !before ? 1 : 0;
+    const bool didReadLog = m_shouldReadLog;
+    m_shouldReadLog = evaluateLogReading(now);
+    m_isLogUnreachable =
+        m_isLogUnreachable && m_shouldReadLog; // what was seen of the log is old once it is no longer read
+    m_counters.logFallbacks += m_shouldReadLog && !didReadLog ? 1 : 0;
 }
 
-bool ConfigRelay::needsLog(SteadyTime now)
+bool ConfigRelay::evaluateLogReading(SteadyTime now)
 {
-    const bool nobodyToAsk =
+    const bool hasNoSources =
         std::none_of(m_peers.begin(), m_peers.end(), [](const auto &entry) { return entry.second.isSource; });
-    const bool fetchFails = m_replica.missingFrom() && m_fetches > m_options.fetchesBeforeLog;
-    if (m_plan == nullptr || m_plan->isReader(m_self) || !m_replica.isConfirmed() || fetchFails || nobodyToAsk) {
+    const bool fetchFails = m_replica.firstMissingOffset() && m_fetchAttempts > m_options.maxFetchAttempts;
+    if (m_plan == nullptr || m_plan->isReader(m_self) || !m_replica.isConfirmed() || fetchFails || hasNoSources) {
         return true;
     }
-    if (m_sourcelessSince) {
-        return now - *m_sourcelessSince > m_options.heartbeat;
+    if (m_withoutSourceSince) {
+        return now - *m_withoutSourceSince > m_options.heartbeatInterval;
     }
     const bool stale = now - m_freshAt.value_or(m_startedAt) > m_options.staleAfter;
     if (!stale || !sourcesReportOutage()) {
@@ -398,15 +404,15 @@
     if (now < m_nextOutagePoll) {
         return false;
     }
-    const bool first = m_nextOutagePoll == SteadyTime{};
-    const auto pause = static_cast<std::uint64_t>(m_options.outagePoll.count());
+    const bool isFirstPoll = m_nextOutagePoll == SteadyTime{};
+    const auto pause = static_cast<std::uint64_t>(m_options.outagePollInterval.count());
     m_nextOutagePoll = now + std::chrono::milliseconds(pause / 2 + m_random.below(pause));
-    return !first;
+    return !isFirstPoll;
 }
 
-bool ConfigRelay::wantsLog() const
+bool ConfigRelay::shouldReadLog() const
 {
-    return m_wantsLog;
+    return m_shouldReadLog;
 }
 
 std::optional<std::chrono::milliseconds> ConfigRelay::freshAge(SteadyTime now) const
@@ -422,7 +428,7 @@
     const ProcessName *best = nullptr;
     LogOffset highest = m_replica.state().offset();
     for (const auto &[process, peer] : m_peers) {
-        if ((peer.isUp || peer.isSubscriber) && peer.offset > highest) {
+        if ((peer.isConnected || peer.isSubscriber) && peer.offset > highest) {
             highest = peer.offset;
             best = &process;
         }
@@ -430,18 +436,18 @@
     return best;
 }
 
-bool ConfigRelay::hasLiveSource() const
+bool ConfigRelay::hasConnectedSource() const
 {
-    return std::any_of(m_peers.begin(), m_peers.end(), [](const auto &entry) { return entry.second.isUp; });
+    return std::any_of(m_peers.begin(), m_peers.end(), [](const auto &entry) { return entry.second.isConnected; });
 }
 
 bool ConfigRelay::sourcesReportOutage() const
 {
     return std::all_of(m_peers.begin(), m_peers.end(),
-                       [](const auto &entry) { return !entry.second.isUp || entry.second.heartbeat.logOut; });
+                       [](const auto &entry) { return !entry.second.isConnected || entry.second.heartbeat.logOut; });
 }
 
-void ConfigRelay::forgetIfUnused(const ProcessName &process)
+void ConfigRelay::erasePeerIfUnused(const ProcessName &process)
 {
     const auto peer = m_peers.find(process);
     if (peer != m_peers.end() && !peer->second.isSource && !peer->second.isSubscriber) {
--- a/modules/heatherridge_coordination/config/configreplica.cpp
+++ b/modules/heatherridge_coordination/config/configreplica.cpp
@@ -13,12 +13,12 @@
 {
 }
 
-std::vector<FoldedRecord> ConfigReplica::take(RelayedRecord record)
+std::vector<FoldedRecord> ConfigReplica::receive(RelayedRecord record)
 {
     std::vector<FoldedRecord> folded;
-    m_highestKnown = std::max(m_highestKnown, record.offset);
+    m_highestKnownOffset = std::max(m_highestKnownOffset, record.offset);
     if (record.offset <= m_state.offset()) {
-        ++m_counters.old;
+        ++m_counters.outdated;
         return folded;
     }
     if (record.offset == next(m_state.offset())) {
@@ -77,7 +77,7 @@
 void ConfigReplica::buffer(RelayedRecord record)
 {
     if (m_buffered.contains(record.offset)) {
-        ++m_counters.old;
+        ++m_counters.outdated;
         return;
     }
     // A peer may be far ahead, or wrong; what cannot be kept is fetched again once the gap before it is closed.
@@ -86,7 +86,7 @@
         ++m_counters.dropped;
         return;
     }
-    ++m_counters.early;
+    ++m_counters.outOfOrder;
     m_bufferedBytes += record.payload.size();
     m_buffered.emplace(record.offset, std::move(record.payload));
 }
@@ -109,19 +109,19 @@
     }
 }
 
-bool ConfigReplica::adopt(const ConfigImage &image, Digest claimed)
+bool ConfigReplica::adopt(const ConfigImage &image, Digest claimedDigest)
 {
-    if (image.offset <= m_state.offset() || digestOf(image) != claimed) {
-        ++m_counters.refusedImages;
+    if (image.offset <= m_state.offset() || digestOf(image) != claimedDigest) {
+        ++m_counters.rejectedImages;
         return false;
     }
     auto state = ConfigState::fromImage(image);
     if (!state) {
-        ++m_counters.refusedImages;
+        ++m_counters.rejectedImages;
         return false;
     }
     m_state = std::move(*state);
-    m_highestKnown = std::max(m_highestKnown, m_state.offset());
+    m_highestKnownOffset = std::max(m_highestKnownOffset, m_state.offset());
     m_recent.clear();
     m_recentBytes = 0;
     dropBufferedUpTo(m_state.offset());
@@ -130,19 +130,19 @@
 
 void ConfigReplica::noteLogBounds(LogOffset first, LogOffset last)
 {
-    m_logFirst = std::max(m_logFirst, first);
-    m_highestKnown = std::max(m_highestKnown, last);
-    if (!m_confirmAt) {
-        m_confirmAt = last;
+    m_firstLogOffset = std::max(m_firstLogOffset, first);
+    m_highestKnownOffset = std::max(m_highestKnownOffset, last);
+    if (!m_confirmationOffset) {
+        m_confirmationOffset = last;
     }
 }
 
 void ConfigReplica::notePeerOffset(LogOffset offset)
 {
-    m_highestKnown = std::max(m_highestKnown, offset);
+    m_highestKnownOffset = std::max(m_highestKnownOffset, offset);
 }
 
-bool ConfigReplica::compare(LogOffset offset, Digest digest)
+bool ConfigReplica::checkDigest(LogOffset offset, Digest digest)
 {
     if (offset != m_state.offset() || digest == m_state.digest()) {
         return true;
@@ -158,25 +158,25 @@
 
 bool ConfigReplica::isConfirmed() const
 {
-    return m_confirmAt && m_state.offset() >= *m_confirmAt;
+    return m_confirmationOffset && m_state.offset() >= *m_confirmationOffset;
 }
 
 bool ConfigReplica::isCutOff() const
 {
-    return m_logFirst > next(m_state.offset());
+    return m_firstLogOffset > next(m_state.offset());
 }
 
-LogOffset ConfigReplica::logFirst() const
+LogOffset ConfigReplica::firstLogOffset() const
 {
-    return m_logFirst;
+    return m_firstLogOffset;
 }
 
-std::optional<LogOffset> ConfigReplica::missingFrom() const
+std::optional<LogOffset> ConfigReplica::firstMissingOffset() const
 {
-    return m_highestKnown > m_state.offset() ? std::optional(next(m_state.offset())) : std::nullopt;
+    return m_highestKnownOffset > m_state.offset() ? std::optional(next(m_state.offset())) : std::nullopt;
 }
 
-std::vector<RelayedRecord> ConfigReplica::recentFrom(LogOffset from) const
+std::vector<RelayedRecord> ConfigReplica::recentRecordsFrom(LogOffset from) const
 {
     std::vector<RelayedRecord> records;
     if (m_recent.empty() || from < m_recent.front().offset || from > m_recent.back().offset) {
--- a/modules/heatherridge_coordination/config/configreplica.h
+++ b/modules/heatherridge_coordination/config/configreplica.h
@@ -30,10 +30,10 @@
 /** What a replica has been given and could not use, by reason. */
 struct ReplicaCounters
 {
-    std::uint64_t old = 0; ///< records at or below the offset folded: doubled or late
-    std::uint64_t early = 0; ///< records that were kept until the ones before them came
+    std::uint64_t outdated = 0; ///< records at or below the offset folded: doubled or late
+    std::uint64_t outOfOrder = 0; ///< records that were kept until the ones before them came
     std::uint64_t dropped = 0; ///< early records beyond the bounds
-    std::uint64_t refusedImages = 0; ///< states offered that were damaged, or not newer
+    std::uint64_t rejectedImages = 0; ///< states offered that were damaged, or not newer
     std::uint64_t diverged = 0; ///< peers seen with another digest at the same offset
     std::uint64_t resetsFromGap = 0; ///< resets by which expired records were passed over
 };
@@ -53,14 +53,14 @@
      * Takes one record.
      * @returns the records that could be folded with it, in order; empty when it was old or early
      */
-    std::vector<FoldedRecord> take(RelayedRecord record);
+    std::vector<FoldedRecord> receive(RelayedRecord record);
 
     /**
      * Takes over a whole state, from a snapshot or from a peer, when it is newer than the own one and its digest is
      * the one that was claimed with it.
      * @returns whether it was taken over
      */
-    bool adopt(const ConfigImage &image, Digest claimed);
+    bool adopt(const ConfigImage &image, Digest claimedDigest);
 
     /**
      * What the log itself said about the stream in a read that began after this process started.
@@ -73,7 +73,7 @@
     void notePeerOffset(LogOffset offset);
 
     /** Compares states; @returns false, and counts, when a peer at the same offset has another digest. */
-    bool compare(LogOffset offset, Digest digest);
+    bool checkDigest(LogOffset offset, Digest digest);
 
     /** The folded state. */
     const ConfigState &state() const;
@@ -88,13 +88,13 @@
     bool isCutOff() const;
 
     /** The oldest offset that the log was known to keep; 0 before it said so. */
-    LogOffset logFirst() const;
+    LogOffset firstLogOffset() const;
 
     /** The next offset to fetch, when a higher one is known to exist. */
-    std::optional<LogOffset> missingFrom() const;
+    std::optional<LogOffset> firstMissingOffset() const;
 
     /** Folded records from @p from on, at most MaxRelayBytes (but at least one); empty when @p from is not kept. */
-    std::vector<RelayedRecord> recentFrom(LogOffset from) const;
+    std::vector<RelayedRecord> recentRecordsFrom(LogOffset from) const;
 
     /** Counters since the start. */
     const ReplicaCounters &counters() const;
@@ -113,9 +113,9 @@
     std::size_t m_bufferedBytes = 0;
     std::deque<RelayedRecord> m_recent; ///< without gaps, up to the state's offset
     std::size_t m_recentBytes = 0;
-    LogOffset m_highestKnown{};
-    LogOffset m_logFirst{};
-    std::optional<LogOffset> m_confirmAt; ///< end of the log in the first read after the start
+    LogOffset m_highestKnownOffset{};
+    LogOffset m_firstLogOffset{};
+    std::optional<LogOffset> m_confirmationOffset; ///< end of the log in the first read after the start
     ReplicaCounters m_counters;
 };
 
--- a/modules/heatherridge_coordination/config/imageassembler.cpp
+++ b/modules/heatherridge_coordination/config/imageassembler.cpp
@@ -7,44 +7,44 @@
 namespace Heatherridge
 {
 
-std::optional<AssembledImage> ImageAssembler::take(const ImagePart &part)
+std::optional<AssembledImage> ImageAssembler::addPart(const ImagePart &part)
 {
-    auto &open = openFor(part);
-    auto &place = open.parts.at(part.index);
-    if (place) {
+    auto &partial = findOrCreatePartialImage(part);
+    auto &slot = partial.parts.at(part.index);
+    if (slot) {
         return std::nullopt;
     }
-    place = part.bytes;
-    if (--open.missing > 0) {
+    slot = part.bytes;
+    if (--partial.missing > 0) {
         return std::nullopt;
     }
     Bytes bytes;
-    for (const auto &piece : open.parts) {
-        bytes.insert(bytes.end(), piece->begin(), piece->end());
+    for (const auto &partBytes : partial.parts) {
+        bytes.insert(bytes.end(), partBytes->begin(), partBytes->end());
     }
     auto image = decodeConfigImage(bytes);
     if (errorIn(image) != nullptr) {
         return std::nullopt;
     }
-    return AssembledImage{.image = std::get<ConfigImage>(std::move(image)), .claimed = part.digest};
+    return AssembledImage{.image = std::get<ConfigImage>(std::move(image)), .claimedDigest = part.digest};
 }
 
-ImageAssembler::Open &ImageAssembler::openFor(const ImagePart &part)
+ImageAssembler::PartialImage &ImageAssembler::findOrCreatePartialImage(const ImagePart &part)
 {
-    const auto open = std::find_if(m_open.begin(), m_open.end(), [&part](const auto &candidate) {
+    const auto partial = std::find_if(m_partialImages.begin(), m_partialImages.end(), [&part](const auto &candidate) {
         return candidate.covers == part.covers && candidate.digest == part.digest
             && candidate.parts.size() == part.count;
     });
-    if (open != m_open.end()) {
-        return *open;
+    if (partial != m_partialImages.end()) {
+        return *partial;
     }
-    if (m_open.size() == MaxOpen) {
-        m_open.pop_front();
+    if (m_partialImages.size() == MaxPartialImages) {
+        m_partialImages.pop_front();
     }
-    return m_open.emplace_back(Open{.covers = part.covers,
-                                    .digest = part.digest,
-                                    .parts = std::vector<std::optional<Bytes>>(part.count),
-                                    .missing = part.count});
+    return m_partialImages.emplace_back(PartialImage{.covers = part.covers,
+                                                     .digest = part.digest,
+                                                     .parts = std::vector<std::optional<Bytes>>(part.count),
+                                                     .missing = part.count});
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/config/imageassembler.h
+++ b/modules/heatherridge_coordination/config/imageassembler.h
@@ -12,7 +12,7 @@
 struct AssembledImage
 {
     ConfigImage image{};
-    Digest claimed{}; ///< the digest that its parts carried
+    Digest claimedDigest{}; ///< the digest that its parts carried
 };
 
 /**
@@ -25,13 +25,13 @@
 {
 public:
     /** States that are put together at a time; the one started longest ago gives way. */
-    static constexpr std::size_t MaxOpen = 3;
+    static constexpr std::size_t MaxPartialImages = 3;
 
     /** Takes @p part; @returns the state when it was the last one missing and the whole can be read. */
-    std::optional<AssembledImage> take(const ImagePart &part);
+    std::optional<AssembledImage> addPart(const ImagePart &part);
 
 private:
-    struct Open
+    struct PartialImage
     {
         LogOffset covers{};
         Digest digest{};
@@ -39,9 +39,9 @@
         std::size_t missing = 0;
     };
 
-    Open &openFor(const ImagePart &part);
+    PartialImage &findOrCreatePartialImage(const ImagePart &part);
 
-    std::deque<Open> m_open;
+    std::deque<PartialImage> m_partialImages;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/config/logfollower.cpp
+++ b/modules/heatherridge_coordination/config/logfollower.cpp
@@ -11,8 +11,8 @@
     , m_replica(replica)
     , m_random(random)
     , m_reader(service, *this, random, options.reader)
-    , m_retryPause(options.firstBackoff, options.longestBackoff)
-    , m_wantsSnapshot(replica.state().offset() == LogOffset{})
+    , m_retryBackoff(options.initialBackoff, options.maxBackoff)
+    , m_needsSnapshot(replica.state().offset() == LogOffset{})
 {
 }
 
@@ -33,12 +33,12 @@
         m_loader.reset();
         m_loaderDone = false;
     }
-    if (m_pause) {
-        m_pause = false;
-        m_notBefore = now + m_retryPause.draw(m_random);
+    if (m_isBackoffPending) {
+        m_isBackoffPending = false;
+        m_nextAttemptAt = now + m_retryBackoff.nextDelay(m_random);
     }
-    if (m_wantsSnapshot) {
-        if (!m_loader && now >= m_notBefore) {
+    if (m_needsSnapshot) {
+        if (!m_loader && now >= m_nextAttemptAt) {
             startLoader();
         }
         // A newcomer waits for the snapshot; one that is cut off goes on reading, since only a reset may help.
@@ -53,50 +53,51 @@
 void LogFollower::startLoader()
 {
     m_loader.emplace(m_service,
-                     [this](Result<std::optional<AssembledImage>> result) { takeSnapshot(std::move(result)); });
+                     [this](Result<std::optional<AssembledImage>> result) { handleSnapshot(std::move(result)); });
     m_loader->start();
 }
 
-void LogFollower::takeSnapshot(Result<std::optional<AssembledImage>> result)
+void LogFollower::handleSnapshot(Result<std::optional<AssembledImage>> result)
 {
     m_loaderDone = true; // the loader is still running this call, so the next tick ends it
     m_loaderFailed = errorIn(result) != nullptr;
     if (m_loaderFailed) {
-        m_pause = true;
+        m_isBackoffPending = true;
         return;
     }
     const auto &image = std::get<std::optional<AssembledImage>>(result);
-    if (image && m_replica.adopt(image->image, image->claimed) && m_listener != nullptr) {
+    if (image && m_replica.adopt(image->image, image->claimedDigest) && m_listener != nullptr) {
         m_listener->stateReplaced();
     }
-    m_wantsSnapshot = m_replica.isCutOff();
-    m_pause = m_wantsSnapshot;
-    if (!m_wantsSnapshot) {
-        m_retryPause.reset();
+    m_needsSnapshot = m_replica.isCutOff();
+    m_isBackoffPending = m_needsSnapshot;
+    if (!m_needsSnapshot) {
+        m_retryBackoff.reset();
     }
 }
 
-LogOffset LogFollower::wantedFrom() const
+LogOffset LogFollower::nextReadOffset() const
 {
     if (m_replica.isCutOff()) {
-        return std::max(next(m_scanned), m_replica.logFirst());
+        return std::max(next(m_scannedUpTo), m_replica.firstLogOffset());
     }
     return next(m_replica.state().offset());
 }
 
-void LogFollower::takePage(const LogPage &page)
+void LogFollower::handlePage(const LogPage &page)
 {
     m_replica.noteLogBounds(page.first, page.last);
     std::vector<FoldedRecord> folded;
     for (const auto &record : page.records) {
-        m_scanned = std::max(m_scanned, record.offset);
-        auto some = m_replica.take({.offset = record.offset, .payload = record.payload});
-        folded.insert(folded.end(), std::make_move_iterator(some.begin()), std::make_move_iterator(some.end()));
+        m_scannedUpTo = std::max(m_scannedUpTo, record.offset);
+        auto newlyFolded = m_replica.receive({.offset = record.offset, .payload = record.payload});
+        folded.insert(folded.end(), std::make_move_iterator(newlyFolded.begin()),
+                      std::make_move_iterator(newlyFolded.end()));
     }
     if (!folded.empty() && m_listener != nullptr) {
         m_listener->recordsFolded(folded);
     }
-    m_wantsSnapshot = m_replica.isCutOff();
+    m_needsSnapshot = m_replica.isCutOff();
     if (m_listener != nullptr) {
         m_listener->logAnswered(m_replica.state().offset() >= page.last);
     }
--- a/modules/heatherridge_coordination/config/logfollower.h
+++ b/modules/heatherridge_coordination/config/logfollower.h
@@ -30,8 +30,8 @@
 struct LogFollowerOptions
 {
     LogReaderOptions reader{};
-    std::chrono::milliseconds firstBackoff{200}; ///< pause between tries to find a snapshot
-    std::chrono::milliseconds longestBackoff{5'000};
+    std::chrono::milliseconds initialBackoff{200}; ///< pause between tries to find a snapshot
+    std::chrono::milliseconds maxBackoff{5'000};
 };
 
 /**
@@ -63,25 +63,25 @@
     std::uint64_t damagedParts() const;
 
 private:
-    LogOffset wantedFrom() const override;
-    void takePage(const LogPage &page) override;
+    LogOffset nextReadOffset() const override;
+    void handlePage(const LogPage &page) override;
     void startLoader();
-    void takeSnapshot(Result<std::optional<AssembledImage>> result);
+    void handleSnapshot(Result<std::optional<AssembledImage>> result);
 
     LogService &m_service;
     ConfigReplica &m_replica;
     RandomSource &m_random;
     LogReader m_reader;
-    RetryPause m_retryPause;
+    RetryBackoff m_retryBackoff;
     FollowerListener *m_listener = nullptr;
     std::optional<SnapshotLoader> m_loader;
     bool m_loaderDone = false;
-    bool m_wantsSnapshot;
-    bool m_pause = false; ///< a pause has to be drawn before the next search
+    bool m_needsSnapshot;
+    bool m_isBackoffPending = false; ///< a pause has to be drawn before the next search
     bool m_active = true;
     bool m_loaderFailed = false;
-    SteadyTime m_notBefore{};
-    LogOffset m_scanned{}; ///< while cut off: how far the log has been searched for a reset
+    SteadyTime m_nextAttemptAt{};
+    LogOffset m_scannedUpTo{}; ///< while cut off: how far the log has been searched for a reset
     std::uint64_t m_damagedParts = 0;
 };
 
--- a/modules/heatherridge_coordination/config/logreader.cpp
+++ b/modules/heatherridge_coordination/config/logreader.cpp
@@ -8,7 +8,7 @@
     , m_client(client)
     , m_random(random)
     , m_options(std::move(options))
-    , m_retryPause(m_options.firstBackoff, m_options.longestBackoff)
+    , m_retryBackoff(m_options.initialBackoff, m_options.maxBackoff)
 {
 }
 
@@ -19,42 +19,42 @@
 
 void LogReader::tick(SteadyTime now)
 {
-    if (m_failed) {
-        m_failed = false;
-        m_notBefore = now + m_retryPause.draw(m_random);
+    if (m_isBackoffPending) {
+        m_isBackoffPending = false;
+        m_nextAttemptAt = now + m_retryBackoff.nextDelay(m_random);
     }
-    if (m_active && !m_reading && now >= m_notBefore) {
+    if (m_active && !m_isReading && now >= m_nextAttemptAt) {
         read();
     }
 }
 
 void LogReader::read()
 {
-    m_reading = true;
+    m_isReading = true;
     // The first read, and the first after a failure, does not wait for a new record: what it tells is where the
     // stream ends, and a process that starts or has been cut off must not stay unconfirmed for a whole long poll.
-    const auto wait = m_reachable.value_or(false) ? m_options.wait : std::chrono::milliseconds(0);
-    m_service.read(m_options.stream, m_client.wantedFrom(), m_options.pageRecords, wait,
+    const auto wait = m_reachable.value_or(false) ? m_options.longPollTimeout : std::chrono::milliseconds(0);
+    m_service.read(m_options.stream, m_client.nextReadOffset(), m_options.maxRecordsPerPage, wait,
                    [this, alive = std::weak_ptr(m_alive)](const Result<LogPage> &result) {
                        if (!alive.expired()) {
-                           take(result);
+                           handleResult(result);
                        }
                    });
 }
 
-void LogReader::take(const Result<LogPage> &result)
+void LogReader::handleResult(const Result<LogPage> &result)
 {
-    m_reading = false;
+    m_isReading = false;
     const auto *page = std::get_if<LogPage>(&result);
     m_reachable = page != nullptr;
     if (page == nullptr) {
         ++m_counters.failures;
-        m_failed = true;
+        m_isBackoffPending = true;
         return;
     }
     ++m_counters.pages;
-    m_retryPause.reset();
-    m_client.takePage(*page);
+    m_retryBackoff.reset();
+    m_client.handlePage(*page);
     // Reading on at once keeps a change from waiting for the next tick. After an empty page the tick paces the reads,
     // so that a log that answers at once instead of waiting is not asked in a tight loop.
     if (m_active && !page->records.empty()) {
--- a/modules/heatherridge_coordination/config/logreader.h
+++ b/modules/heatherridge_coordination/config/logreader.h
@@ -16,22 +16,22 @@
     virtual ~LogReaderClient() = default;
 
     /** The next offset to read from. */
-    virtual LogOffset wantedFrom() const = 0;
+    virtual LogOffset nextReadOffset() const = 0;
 
-    /** Takes a page read in answer to wantedFrom(); empty when nothing came within the waiting time. */
-    virtual void takePage(const LogPage &page) = 0;
+    /** Takes a page read in answer to nextReadOffset(); empty when nothing came within the waiting time. */
+    virtual void handlePage(const LogPage &page) = 0;
 };
 
 /** How a LogReader reads. */
 struct LogReaderOptions
 {
     StreamName stream = ControlStream;
-    std::size_t pageRecords = 64; ///< most records a read
+    std::size_t maxRecordsPerPage = 64; ///< most records a read
     /** How long the log may hold a read open for a new record. The end of each read also renews the knowledge that
      * nothing newer exists, so it is well below the time after which a state counts as stale. */
-    std::chrono::milliseconds wait{1'000};
-    std::chrono::milliseconds firstBackoff{100}; ///< pause after the first failure
-    std::chrono::milliseconds longestBackoff{5'000}; ///< bound of the pause, and so of the delay after an outage
+    std::chrono::milliseconds longPollTimeout{1'000};
+    std::chrono::milliseconds initialBackoff{100}; ///< pause after the first failure
+    std::chrono::milliseconds maxBackoff{5'000}; ///< bound of the pause, and so of the delay after an outage
 };
 
 /** Reads of a LogReader, by how they ended. */
@@ -66,18 +66,18 @@
 
 private:
     void read();
-    void take(const Result<LogPage> &result);
+    void handleResult(const Result<LogPage> &result);
 
     LogService &m_service;
     LogReaderClient &m_client;
     RandomSource &m_random;
     LogReaderOptions m_options;
-    RetryPause m_retryPause;
+    RetryBackoff m_retryBackoff;
     bool m_active = true;
-    bool m_reading = false;
-    bool m_failed = false; ///< the last read failed and its pause has not been drawn yet
+    bool m_isReading = false;
+    bool m_isBackoffPending = false; ///< the last read failed and its pause has not been drawn yet
     std::optional<bool> m_reachable;
-    SteadyTime m_notBefore{};
+    SteadyTime m_nextAttemptAt{};
     LogReaderCounters m_counters;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< answers hold a weak pointer to it
 };
--- a/modules/heatherridge_coordination/config/publisher.cpp
+++ b/modules/heatherridge_coordination/config/publisher.cpp
@@ -11,7 +11,7 @@
     , m_request(std::move(request))
     , m_options(options)
     , m_follower(service, m_replica, random, options.follower)
-    , m_retryPause(options.firstBackoff, options.longestBackoff)
+    , m_retryBackoff(options.initialBackoff, options.maxBackoff)
 {
 }
 
@@ -22,38 +22,38 @@
     }
     if (!m_deadline) {
         m_deadline = now + m_options.timeout;
-        if (auto faults = faultsOf(m_request.text); !faults.empty()) {
+        if (auto faults = validate(m_request.text); !faults.empty()) {
             m_result = PublishInvalid{.faults = std::move(faults)};
             return;
         }
     }
     m_follower.tick(now);
-    if (m_replica.isConfirmed() && settle()) {
+    if (m_replica.isConfirmed() && checkOutcome()) {
         return;
     }
     if (now >= *m_deadline) {
-        if (m_mayHaveEffect || m_appending) {
+        if (m_mayHaveEffect || m_isAppending) {
             m_result = PublishUnknown{.operation = m_request.operation, .basedOn = m_record->basedOn};
         } else {
             m_result = PublishNotSent{.detail = "the log did not answer in time"};
         }
         return;
     }
-    if (m_pause) {
-        m_pause = false;
-        m_notBefore = now + m_retryPause.draw(m_random);
+    if (m_isBackoffPending) {
+        m_isBackoffPending = false;
+        m_nextAttemptAt = now + m_retryBackoff.nextDelay(m_random);
     }
-    if (m_replica.isConfirmed() && !m_appending && !m_taken && now >= m_notBefore) {
+    if (m_replica.isConfirmed() && !m_isAppending && !m_isAppended && now >= m_nextAttemptAt) {
         if (!m_record) {
-            build();
+            buildRecord();
         }
         if (!m_result) {
-            append();
+            appendRecord();
         }
     }
 }
 
-std::vector<ConfigFault> Publisher::faultsOf(const std::string &text) const
+std::vector<ConfigFault> Publisher::validate(const std::string &text) const
 {
     const auto document = IniDocument::parse(text);
     if (m_request.document == DocumentKind::Inventory) {
@@ -66,7 +66,7 @@
     return faults != nullptr ? *faults : std::vector<ConfigFault>();
 }
 
-bool Publisher::settle()
+bool Publisher::checkOutcome()
 {
     const auto *outcome = m_replica.state().outcomeOf(m_request.operation);
     if (outcome == nullptr) {
@@ -82,7 +82,7 @@
     return true;
 }
 
-void Publisher::build()
+void Publisher::buildRecord()
 {
     const auto &state = m_replica.state();
     const auto &current = state.document(m_request.document);
@@ -102,28 +102,28 @@
     m_record = std::move(record);
 }
 
-void Publisher::append()
+void Publisher::appendRecord()
 {
-    m_appending = true;
+    m_isAppending = true;
     ++m_counters.appends;
     m_service.append(ControlStream, encodeControlRecord(*m_record),
                      [this, alive = std::weak_ptr(m_alive)](const Result<LogOffset> &result) {
                          if (!alive.expired()) {
-                             takeAppended(result);
+                             handleAppendResult(result);
                          }
                      });
 }
 
-void Publisher::takeAppended(const Result<LogOffset> &result)
+void Publisher::handleAppendResult(const Result<LogOffset> &result)
 {
-    m_appending = false;
+    m_isAppending = false;
     const auto *error = errorIn(result);
     if (error == nullptr) {
         m_mayHaveEffect = true;
-        m_taken = true;
+        m_isAppended = true;
         return;
     }
-    m_pause = true;
+    m_isBackoffPending = true;
     if (error->ran == Ran::No) {
         ++m_counters.failedAppends;
     } else {
--- a/modules/heatherridge_coordination/config/publisher.h
+++ b/modules/heatherridge_coordination/config/publisher.h
@@ -67,8 +67,8 @@
 struct PublisherOptions
 {
     std::chrono::milliseconds timeout{30'000};
-    std::chrono::milliseconds firstBackoff{200};
-    std::chrono::milliseconds longestBackoff{2'000};
+    std::chrono::milliseconds initialBackoff{200};
+    std::chrono::milliseconds maxBackoff{2'000};
     LogFollowerOptions follower{};
 };
 
@@ -102,11 +102,11 @@
     const PublisherCounters &counters() const;
 
 private:
-    std::vector<ConfigFault> faultsOf(const std::string &text) const;
-    bool settle();
-    void build();
-    void append();
-    void takeAppended(const Result<LogOffset> &result);
+    std::vector<ConfigFault> validate(const std::string &text) const;
+    bool checkOutcome();
+    void buildRecord();
+    void appendRecord();
+    void handleAppendResult(const Result<LogOffset> &result);
 
     LogService &m_service;
     RandomSource &m_random;
@@ -114,14 +114,14 @@
     PublisherOptions m_options;
     ConfigReplica m_replica;
     LogFollower m_follower;
-    RetryPause m_retryPause;
+    RetryBackoff m_retryBackoff;
     std::optional<SteadyTime> m_deadline;
     std::optional<Publish> m_record; ///< built once; every append carries the same
-    bool m_appending = false;
+    bool m_isAppending = false;
     bool m_mayHaveEffect = false;
-    bool m_taken = false; ///< the log has told its offset; it only has to be folded
-    bool m_pause = false; ///< a pause has to be drawn before the next append
-    SteadyTime m_notBefore{};
+    bool m_isAppended = false; ///< the log has told its offset; it only has to be folded
+    bool m_isBackoffPending = false; ///< a pause has to be drawn before the next append
+    SteadyTime m_nextAttemptAt{};
     std::optional<PublishResult> m_result;
     PublisherCounters m_counters;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
--- a/modules/heatherridge_coordination/config/relayplan.cpp
+++ b/modules/heatherridge_coordination/config/relayplan.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-constexpr std::size_t SourcesOfLevelAbove = 4;
-constexpr std::size_t SourcesOfHigherLevels = 2;
-constexpr std::size_t SourcesOfOtherZones = 2;
+constexpr std::size_t SourcesFromLevelAbove = 4;
+constexpr std::size_t SourcesFromHigherLevels = 2;
+constexpr std::size_t SourcesFromOtherZones = 2;
 
 std::uint64_t scoreOf(std::string_view chooser, std::string_view candidate)
 {
@@ -21,14 +21,14 @@
 }
 
 /** The place of a process in its zone: its own name alone decides. */
-std::uint64_t placeOf(const ZoneName &zone, const ProcessName &process)
+std::uint64_t hashPositionOf(const ZoneName &zone, const ProcessName &process)
 {
     return scoreOf(zone.text(), process.text());
 }
 
 } // namespace
 
-ProcessName processBeside(const TargetName &target)
+ProcessName sidecarProcessOf(const TargetName &target)
 {
     return ProcessName(target.text());
 }
@@ -42,7 +42,7 @@
             continue;
         }
         const auto zone = inventory.zones().find(target.zone);
-        members.push_back({.process = processBeside(name),
+        members.push_back({.process = sidecarProcessOf(name),
                            .zone = target.zone,
                            .region = zone == inventory.zones().end() ? RegionName() : zone->second.region,
                            .endpoint = target.gate});
@@ -57,14 +57,14 @@
     std::map<ZoneName, std::vector<std::pair<std::uint64_t, std::size_t>>> byZone; ///< places and indices
     for (std::size_t index = 0; index < m_members.size(); ++index) {
         const auto &member = m_members[index];
-        byZone[member.zone].emplace_back(placeOf(member.zone, member.process), index);
+        byZone[member.zone].emplace_back(hashPositionOf(member.zone, member.process), index);
     }
-    for (auto &[zone, placed] : byZone) {
-        std::sort(placed.begin(), placed.end());
+    for (auto &[zone, ordered] : byZone) {
+        std::sort(ordered.begin(), ordered.end());
         auto &plan = m_zones[zone];
-        plan.region = m_members[placed.front().second].region;
+        plan.region = m_members[ordered.front().second].region;
         auto width = m_options.readersPerZone;
-        for (const auto &[place, index] : placed) {
+        for (const auto &[position, index] : ordered) {
             // Whole levels, not levels drawn at random: with few members drawn for a level, each would serve many.
             if (plan.levels.empty() || plan.levels.back().size() == width) {
                 width *= plan.levels.empty() ? 1 : m_options.fanOut;
@@ -96,24 +96,24 @@
     const auto plan = m_zones.find(zone);
     if (plan != m_zones.end()) {
         const auto &levels = plan->second.levels;
-        const auto known = m_levelOf.find(process);
+        const auto memberLevel = m_levelOf.find(process);
         // Who is no member takes a place beside the lowest level, which may not be full yet.
-        auto level = known != m_levelOf.end() ? known->second : std::max<std::size_t>(levels.size() - 1, 1);
+        auto level = memberLevel != m_levelOf.end() ? memberLevel->second : std::max<std::size_t>(levels.size() - 1, 1);
         if (level == 0) {
-            addBest(process, levels[0], SourcesOfLevelAbove, sources);
+            addBest(process, levels[0], SourcesFromLevelAbove, sources);
         }
-        auto most = SourcesOfLevelAbove;
+        auto maxCount = SourcesFromLevelAbove;
         while (level > 0) {
             --level;
-            addBest(process, levels[level], most, sources);
-            most = SourcesOfHigherLevels;
+            addBest(process, levels[level], maxCount, sources);
+            maxCount = SourcesFromHigherLevels;
         }
     }
     addOtherZones(process, zone, sources);
     return sources;
 }
 
-void RelayPlan::addBest(const ProcessName &process, const std::vector<std::size_t> &level, std::size_t most,
+void RelayPlan::addBest(const ProcessName &process, const std::vector<std::size_t> &level, std::size_t maxCount,
                         std::vector<const RelayMember *> &sources) const
 {
     std::vector<std::pair<std::uint64_t, const RelayMember *>> scored;
@@ -125,7 +125,7 @@
         }
     }
     std::sort(scored.begin(), scored.end());
-    for (std::size_t i = 0; i < std::min(most, scored.size()); ++i) {
+    for (std::size_t i = 0; i < std::min(maxCount, scored.size()); ++i) {
         sources.push_back(scored[i].second);
     }
 }
@@ -133,8 +133,8 @@
 void RelayPlan::addOtherZones(const ProcessName &process, const ZoneName &zone,
                               std::vector<const RelayMember *> &sources) const
 {
-    const auto own = m_zones.find(zone);
-    const auto region = own == m_zones.end() ? RegionName() : own->second.region;
+    const auto ownZone = m_zones.find(zone);
+    const auto region = ownZone == m_zones.end() ? RegionName() : ownZone->second.region;
     for (const bool sameRegion : {true, false}) {
         std::vector<std::size_t> readers;
         for (const auto &[name, plan] : m_zones) {
@@ -142,7 +142,7 @@
                 readers.insert(readers.end(), plan.levels[0].begin(), plan.levels[0].end());
             }
         }
-        addBest(process, readers, SourcesOfOtherZones, sources);
+        addBest(process, readers, SourcesFromOtherZones, sources);
     }
 }
 
--- a/modules/heatherridge_coordination/config/relayplan.h
+++ b/modules/heatherridge_coordination/config/relayplan.h
@@ -18,7 +18,7 @@
 };
 
 /** The process beside @p target: it goes by the target's name. */
-ProcessName processBeside(const TargetName &target);
+ProcessName sidecarProcessOf(const TargetName &target);
 
 /** The members that @p inventory lists; withdrawn targets are left out. */
 std::vector<RelayMember> relayMembersOf(const Inventory &inventory);
@@ -70,7 +70,7 @@
         std::vector<std::vector<std::size_t>> levels{}; ///< indices of members; level 0 reads the log
     };
 
-    void addBest(const ProcessName &process, const std::vector<std::size_t> &level, std::size_t most,
+    void addBest(const ProcessName &process, const std::vector<std::size_t> &level, std::size_t maxCount,
                  std::vector<const RelayMember *> &sources) const;
     void addOtherZones(const ProcessName &process, const ZoneName &zone,
                        std::vector<const RelayMember *> &sources) const;
--- a/modules/heatherridge_coordination/config/retrypause.h
+++ b/modules/heatherridge_coordination/config/retrypause.h
@@ -6,30 +6,30 @@
 {
 
 /** A Backoff that counts the tries in a row. One thread. */
-class RetryPause
+class RetryBackoff
 {
 public:
-    /** Pauses of up to @p first, growing to @p longest. */
-    RetryPause(std::chrono::milliseconds first, std::chrono::milliseconds longest)
-        : m_backoff({.base = first, .most = longest})
+    /** Delays of up to @p initial, growing to @p max. */
+    RetryBackoff(std::chrono::milliseconds initial, std::chrono::milliseconds max)
+        : m_backoff({.base = initial, .most = max})
     {
     }
 
     /** The time to wait before the next try. */
-    std::chrono::milliseconds draw(RandomSource &random)
+    std::chrono::milliseconds nextDelay(RandomSource &random)
     {
-        return m_backoff.delay(m_tries++, std::nullopt, random);
+        return m_backoff.delay(m_attempts++, std::nullopt, random);
     }
 
     /** Begins again after a success. */
     void reset()
     {
-        m_tries = 0;
+        m_attempts = 0;
     }
 
 private:
     Backoff m_backoff;
-    int m_tries = 0;
+    int m_attempts = 0;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/config/snapshotloader.cpp
+++ b/modules/heatherridge_coordination/config/snapshotloader.cpp
@@ -8,15 +8,15 @@
 namespace
 {
 
-constexpr std::size_t FirstWindow = 64;
-constexpr std::size_t PageParts = 16;
+constexpr std::size_t InitialWindowSize = 64;
+constexpr std::size_t PartsPerPage = 16;
 
 } // namespace
 
-SnapshotLoader::SnapshotLoader(LogService &service, Done done)
+SnapshotLoader::SnapshotLoader(LogService &service, Callback callback)
     : m_service(service)
-    , m_done(std::move(done))
-    , m_windowSize(FirstWindow)
+    , m_callback(std::move(callback))
+    , m_windowSize(InitialWindowSize)
 {
 }
 
@@ -30,51 +30,51 @@
     return m_damagedParts;
 }
 
-void SnapshotLoader::read(LogOffset from, std::size_t most)
+void SnapshotLoader::read(LogOffset from, std::size_t maxRecords)
 {
-    m_service.read(SnapshotStream, from, most, std::chrono::milliseconds(0),
+    m_service.read(SnapshotStream, from, maxRecords, std::chrono::milliseconds(0),
                    [this, alive = std::weak_ptr(m_alive)](const Result<LogPage> &result) {
                        if (!alive.expired()) {
-                           take(result);
+                           handleResult(result);
                        }
                    });
 }
 
-void SnapshotLoader::take(const Result<LogPage> &result)
+void SnapshotLoader::handleResult(const Result<LogPage> &result)
 {
     if (const auto *error = errorIn(result)) {
-        m_done(*error);
+        m_callback(*error);
         return;
     }
     const auto &page = std::get<LogPage>(result);
-    m_first = std::max(page.first, LogOffset{1});
-    if (!m_probed) {
-        m_probed = true;
-        m_last = page.last;
-        const auto last = toNumber(m_last);
-        m_windowBegin = std::max(m_first, LogOffset{last > m_windowSize ? last - m_windowSize + 1 : 1});
-        if (m_last < m_first) {
-            m_done(std::optional<AssembledImage>());
+    m_firstOffset = std::max(page.first, LogOffset{1});
+    if (!m_hasBounds) {
+        m_hasBounds = true;
+        m_lastOffset = page.last;
+        const auto last = toNumber(m_lastOffset);
+        m_windowStart = std::max(m_firstOffset, LogOffset{last > m_windowSize ? last - m_windowSize + 1 : 1});
+        if (m_lastOffset < m_firstOffset) {
+            m_callback(std::optional<AssembledImage>());
             return;
         }
-        read(m_windowBegin, PageParts);
+        read(m_windowStart, PartsPerPage);
         return;
     }
-    takeRecords(page);
+    addRecords(page);
     if (page.records.empty()) {
         // The window's begin has expired while it was read, or the log has nothing more.
         finishWindow();
         return;
     }
-    const auto reached = page.records.back().offset;
-    if (reached < m_last) {
-        read(next(reached), PageParts);
+    const auto lastRead = page.records.back().offset;
+    if (lastRead < m_lastOffset) {
+        read(next(lastRead), PartsPerPage);
     } else {
         finishWindow();
     }
 }
 
-void SnapshotLoader::takeRecords(const LogPage &page)
+void SnapshotLoader::addRecords(const LogPage &page)
 {
     for (const auto &record : page.records) {
         const auto part = decodeImagePart(record.payload);
@@ -82,26 +82,26 @@
             ++m_damagedParts;
             continue;
         }
-        auto whole = m_assembler.take(std::get<ImagePart>(part));
+        auto assembled = m_assembler.addPart(std::get<ImagePart>(part));
         // A whole that does not match its own digest is as good as torn; an older one may still be sound.
-        if (whole && digestOf(whole->image) == whole->claimed
-            && (!m_best || whole->image.offset > m_best->image.offset)) {
-            m_best = std::move(whole);
+        if (assembled && digestOf(assembled->image) == assembled->claimedDigest
+            && (!m_best || assembled->image.offset > m_best->image.offset)) {
+            m_best = std::move(assembled);
         }
     }
 }
 
 void SnapshotLoader::finishWindow()
 {
-    if (m_best || m_windowBegin <= m_first) {
-        m_done(std::move(m_best));
+    if (m_best || m_windowStart <= m_firstOffset) {
+        m_callback(std::move(m_best));
         return;
     }
     m_windowSize *= 2;
-    const auto last = toNumber(m_last);
-    m_windowBegin = std::max(m_first, LogOffset{last > m_windowSize ? last - m_windowSize + 1 : 1});
+    const auto last = toNumber(m_lastOffset);
+    m_windowStart = std::max(m_firstOffset, LogOffset{last > m_windowSize ? last - m_windowSize + 1 : 1});
     m_assembler = {};
-    read(m_windowBegin, PageParts);
+    read(m_windowStart, PartsPerPage);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/config/snapshotloader.h
+++ b/modules/heatherridge_coordination/config/snapshotloader.h
@@ -21,9 +21,9 @@
 {
 public:
     /** The snapshot, nothing when the stream holds no whole one, or why the log gave no answer. */
-    using Done = std::function<void(Result<std::optional<AssembledImage>>)>;
+    using Callback = std::function<void(Result<std::optional<AssembledImage>>)>;
 
-    SnapshotLoader(LogService &service, Done done);
+    SnapshotLoader(LogService &service, Callback callback);
 
     /** Begins; calls back once. */
     void start();
@@ -32,19 +32,19 @@
     std::uint64_t damagedParts() const;
 
 private:
-    void read(LogOffset from, std::size_t most);
-    void take(const Result<LogPage> &result);
-    void takeRecords(const LogPage &page);
+    void read(LogOffset from, std::size_t maxRecords);
+    void handleResult(const Result<LogPage> &result);
+    void addRecords(const LogPage &page);
     void finishWindow();
 
     LogService &m_service;
-    Done m_done;
+    Callback m_callback;
     ImageAssembler m_assembler;
     std::optional<AssembledImage> m_best;
-    bool m_probed = false;
-    LogOffset m_first{};
-    LogOffset m_last{};
-    LogOffset m_windowBegin{};
+    bool m_hasBounds = false;
+    LogOffset m_firstOffset{};
+    LogOffset m_lastOffset{};
+    LogOffset m_windowStart{};
     std::size_t m_windowSize;
     std::uint64_t m_damagedParts = 0;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
--- a/modules/heatherridge_coordination/config/snapshotwriter.cpp
+++ b/modules/heatherridge_coordination/config/snapshotwriter.cpp
@@ -10,17 +10,17 @@
     : m_service(service)
     , m_random(random)
     , m_options(options)
-    , m_retryPause(options.firstBackoff, options.longestBackoff)
+    , m_retryBackoff(options.initialBackoff, options.maxBackoff)
 {
 }
 
 void SnapshotWriter::tick(SteadyTime now, const ConfigReplica &replica, std::size_t rank)
 {
-    if (m_pause) {
-        m_pause = false;
-        m_notBefore = now + m_retryPause.draw(m_random);
+    if (m_isBackoffPending) {
+        m_isBackoffPending = false;
+        m_nextAttemptAt = now + m_retryBackoff.nextDelay(m_random);
     }
-    if (m_writing || now < m_notBefore) {
+    if (m_isWriting || now < m_nextAttemptAt) {
         return;
     }
     if (!isDue(now, replica)) {
@@ -40,8 +40,8 @@
 {
     const auto &state = replica.state();
     const auto covers = state.snapshot().covers;
-    if (m_lastCovers != covers) {
-        m_lastCovers = covers;
+    if (m_lastCoveredOffset != covers) {
+        m_lastCoveredOffset = covers;
         m_announcedAt = now;
     }
     if (!replica.isConfirmed() || replica.isCutOff() || state.offset() == LogOffset{}) {
@@ -49,9 +49,9 @@
     }
     // Records after the snapshot have expired: the log was out for longer than it keeps records, or every process
     // was. Until a new snapshot is there, a newcomer finds a gap.
-    const bool gapOpen = replica.logFirst() > next(covers);
-    const auto behind = toNumber(state.offset()) - toNumber(covers);
-    return gapOpen || behind >= m_options.recordsBetween || now - m_announcedAt >= m_options.interval;
+    const bool hasGap = replica.firstLogOffset() > next(covers);
+    const auto recordsBehind = toNumber(state.offset()) - toNumber(covers);
+    return hasGap || recordsBehind >= m_options.recordsBetweenSnapshots || now - m_announcedAt >= m_options.interval;
 }
 
 void SnapshotWriter::begin(const ConfigState &state)
@@ -61,7 +61,7 @@
         abandon();
         return;
     }
-    m_writing = true;
+    m_isWriting = true;
     m_payloads.clear();
     for (auto part = parts.rbegin(); part != parts.rend(); ++part) {
         m_payloads.push_back(encodeImagePart(*part));
@@ -72,23 +72,23 @@
 
 void SnapshotWriter::appendNext()
 {
-    const bool announce = m_payloads.empty();
-    auto payload = announce ? encodeControlRecord(m_announcement) : std::move(m_payloads.back());
-    if (!announce) {
+    const bool isAnnouncement = m_payloads.empty();
+    auto payload = isAnnouncement ? encodeControlRecord(m_announcement) : std::move(m_payloads.back());
+    if (!isAnnouncement) {
         m_payloads.pop_back();
     }
-    m_service.append(announce ? ControlStream : SnapshotStream, std::move(payload),
-                     [this, announce, alive = std::weak_ptr(m_alive)](const Result<LogOffset> &result) {
+    m_service.append(isAnnouncement ? ControlStream : SnapshotStream, std::move(payload),
+                     [this, isAnnouncement, alive = std::weak_ptr(m_alive)](const Result<LogOffset> &result) {
                          if (alive.expired()) {
                              return;
                          }
                          if (errorIn(result) != nullptr) {
                              abandon();
-                         } else if (announce) {
-                             m_writing = false;
-                             m_retryPause.reset();
+                         } else if (isAnnouncement) {
+                             m_isWriting = false;
+                             m_retryBackoff.reset();
                              // Until the announcement has been folded here, the snapshot still seems due.
-                             m_pause = true;
+                             m_isBackoffPending = true;
                              ++m_counters.written;
                          } else {
                              appendNext();
@@ -98,15 +98,15 @@
 
 void SnapshotWriter::abandon()
 {
-    m_writing = false;
-    m_pause = true;
+    m_isWriting = false;
+    m_isBackoffPending = true;
     m_payloads.clear();
     ++m_counters.abandoned;
 }
 
 bool SnapshotWriter::isWriting() const
 {
-    return m_writing;
+    return m_isWriting;
 }
 
 const SnapshotWriterCounters &SnapshotWriter::counters() const
--- a/modules/heatherridge_coordination/config/snapshotwriter.h
+++ b/modules/heatherridge_coordination/config/snapshotwriter.h
@@ -13,11 +13,11 @@
 /** When snapshots are written. */
 struct SnapshotWriterOptions
 {
-    std::uint64_t recordsBetween = 64; ///< about as many records as a newcomer folds after the snapshot
+    std::uint64_t recordsBetweenSnapshots = 64; ///< about as many records as a newcomer folds after the snapshot
     std::chrono::milliseconds interval{std::chrono::minutes(30)}; ///< well below the log's retention time
     std::chrono::milliseconds stagger{2'000}; ///< the process of rank N waits N times this after a snapshot is due
-    std::chrono::milliseconds firstBackoff{1'000};
-    std::chrono::milliseconds longestBackoff{30'000};
+    std::chrono::milliseconds initialBackoff{1'000};
+    std::chrono::milliseconds maxBackoff{30'000};
 };
 
 /** Snapshots of one process, by how they ended. */
@@ -57,15 +57,15 @@
     LogService &m_service;
     RandomSource &m_random;
     SnapshotWriterOptions m_options;
-    RetryPause m_retryPause;
-    std::optional<LogOffset> m_lastCovers; ///< of the snapshot announced when this was last looked at
+    RetryBackoff m_retryBackoff;
+    std::optional<LogOffset> m_lastCoveredOffset; ///< of the snapshot announced when this was last looked at
     SteadyTime m_announcedAt{}; ///< when it was first seen here
     std::optional<SteadyTime> m_dueSince;
-    SteadyTime m_notBefore{};
-    bool m_pause = false; ///< a pause has to be drawn before the next snapshot
+    SteadyTime m_nextAttemptAt{};
+    bool m_isBackoffPending = false; ///< a pause has to be drawn before the next snapshot
     std::vector<Bytes> m_payloads; ///< parts still to append, in reverse
     SnapshotTaken m_announcement;
-    bool m_writing = false;
+    bool m_isWriting = false;
     SnapshotWriterCounters m_counters;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
--- a/modules/heatherridge_transport/app/controlplane.cpp
+++ b/modules/heatherridge_transport/app/controlplane.cpp
@@ -152,7 +152,7 @@
         const auto &state = replica.state();
         const auto &relay = m_agent->relay();
         ControlStatus status{.phase = toString(m_agent->phase()),
-                             .log = relay.wantsLog() ? "following" : "relayed",
+                             .log = relay.shouldReadLog() ? "following" : "relayed",
                              .freshAge = relay.freshAge(now),
                              .offset = state.offset(),
                              .inventoryOffset = state.inventoryOffset(),
@@ -161,7 +161,7 @@
                              .isCutOff = replica.isCutOff(),
                              .diverged = relay.counters().diverged,
                              .missingTargets = state.missingTargets()};
-        if (relay.wantsLog() && m_agent->isLogReachable() == false) {
+        if (relay.shouldReadLog() && m_agent->isLogReachable() == false) {
             status.log = "out";
         }
         for (const auto &[process, peer] : relay.peers()) {
@@ -169,7 +169,7 @@
                 {.process = process,
                  .isSource = peer.isSource,
                  .offset = peer.offset,
-                 .silentFor = std::chrono::duration_cast<std::chrono::milliseconds>(now - peer.lastHeard)});
+                 .silentFor = std::chrono::duration_cast<std::chrono::milliseconds>(now - peer.lastReceivedAt)});
         }
         return status;
     }
@@ -187,15 +187,15 @@
             show("heatherridge_config_refused_records", toString(reason), state.refused(reason));
         }
         const auto &replica = m_agent->replica().counters();
-        show("heatherridge_config_received_records", "old", replica.old);
-        show("heatherridge_config_received_records", "early", replica.early);
+        show("heatherridge_config_received_records", "old", replica.outdated);
+        show("heatherridge_config_received_records", "early", replica.outOfOrder);
         show("heatherridge_config_received_records", "dropped", replica.dropped);
         const auto &relay = m_agent->relay().counters();
         show("heatherridge_relay_events", "relayed", relay.relayed);
         show("heatherridge_relay_events", "source-lost", relay.sourcesLost);
-        show("heatherridge_relay_events", "turned-away", relay.turnedAway);
+        show("heatherridge_relay_events", "turned-away", relay.refusedSubscribers);
         show("heatherridge_relay_events", "old-incarnation", relay.oldIncarnation);
-        show("heatherridge_relay_events", "fallback", relay.fallbacks);
+        show("heatherridge_relay_events", "fallback", relay.logFallbacks);
         show("heatherridge_relay_events", "state-served", relay.statesServed);
         show("heatherridge_relay_events", "state-adopted", relay.statesAdopted);
         show("heatherridge_relay_events", "diverged", relay.diverged);
--- a/tests/agreement/logfollowing_test.cpp
+++ b/tests/agreement/logfollowing_test.cpp
@@ -40,7 +40,7 @@
 {
     explicit Process(FakeLog &log)
         : follower(log, replica, random)
-        , writer(log, random, {.recordsBetween = 20})
+        , writer(log, random, {.recordsBetweenSnapshots = 20})
     {
     }
 
@@ -300,23 +300,23 @@
     }
     ConfigReplica ordered;
     for (const auto &record : records) {
-        ordered.take(record);
+        ordered.receive(record);
     }
     const auto bound = *rc::gen::inRange<std::size_t>(1, 30);
     ConfigReplica replica({.maxBufferedRecords = bound});
     const auto order = *rc::gen::container<std::vector<std::size_t>>(200, rc::gen::inRange<std::size_t>(0, 30));
     LogOffset highest{};
     for (const auto index : order) {
-        replica.take(records[index]);
+        replica.receive(records[index]);
         RC_ASSERT(replica.state().offset() >= highest);
         highest = replica.state().offset();
     }
-    while (const auto missing = replica.missingFrom()) {
-        replica.take(records.at(toNumber(*missing) - 1));
+    while (const auto missing = replica.firstMissingOffset()) {
+        replica.receive(records.at(toNumber(*missing) - 1));
     }
     RC_ASSERT(highest == LogOffset{} || replica.state().offset() >= highest);
     for (std::uint64_t offset = toNumber(replica.state().offset()) + 1; offset <= 30; ++offset) {
-        replica.take(records[offset - 1]);
+        replica.receive(records[offset - 1]);
     }
     RC_ASSERT(replica.state().digest() == ordered.state().digest());
     RC_ASSERT(replica.state().refused(RefusalReason::Conflict) == 0U);
--- a/tests/agreement/relay_test.cpp
+++ b/tests/agreement/relay_test.cpp
@@ -46,7 +46,7 @@
         return network.add(access.at(index % Zones),
                            {.process = nameOf(index),
                             .zone = zoneOf(index),
-                            .planFor = [shared = plan](const Inventory &) { return shared; }});
+                            .buildPlan = [shared = plan](const Inventory &) { return shared; }});
     }
 
     void run(std::chrono::milliseconds span, std::chrono::milliseconds step = Step)
@@ -84,7 +84,7 @@
     {
         return static_cast<std::size_t>(
             std::count_if(network.nodes().begin(), network.nodes().end(),
-                          [](const auto &entry) { return entry.second->agent.relay().wantsLog(); }));
+                          [](const auto &entry) { return entry.second->agent.relay().shouldReadLog(); }));
     }
 
     FakeLog log;
@@ -250,7 +250,7 @@
     node.agent.relay().receive(peer, {.sender = peer, .incarnation = old, .offset = LogOffset{99}}, Heartbeat{}, now);
     EXPECT_EQ(node.agent.relay().counters().oldIncarnation, 1U);
     EXPECT_EQ(node.agent.relay().peers().at(peer).offset, LogOffset{});
-    EXPECT_FALSE(node.agent.replica().missingFrom());
+    EXPECT_FALSE(node.agent.replica().firstMissingOffset());
 }
 
 TEST(RelayPlan, AMemberThatLeavesMovesOnlyThoseThatChoseIt)
