--- a/modules/heatherridge_coordination/config/logreader.h
+++ b/modules/heatherridge_coordination/config/logreader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "heatherridge_coordination/config/retrypause.h"
+#include "heatherridge_coordination/config/retrybackoff.h"
 #include "heatherridge_coordination/logservice.h"
 
 #include <memory>
--- a/modules/heatherridge_coordination/config/snapshotwriter.h
+++ b/modules/heatherridge_coordination/config/snapshotwriter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "heatherridge_coordination/config/configreplica.h"
-#include "heatherridge_coordination/config/retrypause.h"
+#include "heatherridge_coordination/config/retrybackoff.h"
 #include "heatherridge_coordination/logservice.h"
 
 #include <memory>
