--- a/modules/heatherridge_coordination/feed/crashfeed.cpp
+++ b/modules/heatherridge_coordination/feed/crashfeed.cpp
@@ -18,13 +18,13 @@
 
 void CrashFeed::report(CrashReport report)
 {
-    if (m_pending.size() - m_appending >= m_options.mostPending) {
-        m_pending.erase(m_pending.begin() + static_cast<std::ptrdiff_t>(m_appending));
+    if (m_pendingReports.size() - m_appendingCount >= m_options.maxPendingReports) {
+        m_pendingReports.erase(m_pendingReports.begin() + static_cast<std::ptrdiff_t>(m_appendingCount));
         m_events.lost("the log takes no reports, and too many wait");
     }
-    m_pending.push_back(std::move(report));
-    m_lastReport = m_now;
-    if (m_readWait > m_options.busyWait) {
+    m_pendingReports.push_back(std::move(report));
+    m_lastReportAt = m_now;
+    if (m_pollTimeout > m_options.busyPollTimeout) {
         restartRead();
     }
 }
@@ -32,30 +32,30 @@
 void CrashFeed::restartRead()
 {
     m_isReading = false;
-    m_readRetry.next = m_now;
+    m_readRetry.nextAttempt = m_now;
 }
 
 void CrashFeed::logRestored()
 {
     m_callToken = std::make_shared<int>(0);
-    m_appending = 0;
-    for (auto told = m_told.rbegin(); told != m_told.rend(); ++told) {
-        if (m_now - told->first < m_options.toldMemory) {
-            m_pending.push_front(std::move(told->second));
+    m_appendingCount = 0;
+    for (auto sent = m_sentReports.rbegin(); sent != m_sentReports.rend(); ++sent) {
+        if (m_now - sent->first < m_options.sentReportRetention) {
+            m_pendingReports.push_front(std::move(sent->second));
         }
     }
-    m_told.clear();
-    m_position = 0;
+    m_sentReports.clear();
+    m_nextOffset = 0;
     restartRead();
 }
 
 void CrashFeed::tick(SteadyTime now)
 {
     m_now = now;
-    if (m_appending == 0 && !m_pending.empty() && now >= m_appendRetry.next) {
+    if (m_appendingCount == 0 && !m_pendingReports.empty() && now >= m_appendRetry.nextAttempt) {
         append();
     }
-    if (!m_isReading && now >= m_readRetry.next) {
+    if (!m_isReading && now >= m_readRetry.nextAttempt) {
         read();
     }
 }
@@ -63,64 +63,64 @@
 void CrashFeed::append()
 {
     std::vector<std::string> records;
-    records.reserve(m_pending.size());
-    for (const auto &report : m_pending) {
+    records.reserve(m_pendingReports.size());
+    for (const auto &report : m_pendingReports) {
         records.push_back(encode(report));
     }
-    m_appending = records.size();
+    m_appendingCount = records.size();
     m_log.append(records, [this, token = std::weak_ptr(m_callToken)](const Outcome &outcome) {
         if (token.expired()) {
             return;
         }
-        const auto count = std::exchange(m_appending, 0);
+        const auto count = std::exchange(m_appendingCount, 0);
         if (const auto *error = errorIn(outcome)) {
-            failed("append", *error, m_appendRetry);
+            handleFailure("append", *error, m_appendRetry);
             return;
         }
-        succeeded(m_appendRetry);
-        appended(count);
+        handleSuccess(m_appendRetry);
+        handleAppended(count);
     });
 }
 
-void CrashFeed::appended(std::size_t count)
+void CrashFeed::handleAppended(std::size_t count)
 {
-    for (std::size_t taken = 0; taken < count; ++taken) {
-        m_told.emplace_back(m_now, std::move(m_pending.front()));
-        m_pending.pop_front();
+    for (std::size_t index = 0; index < count; ++index) {
+        m_sentReports.emplace_back(m_now, std::move(m_pendingReports.front()));
+        m_pendingReports.pop_front();
     }
-    while (m_told.size() > m_options.mostTold) {
-        m_told.pop_front();
+    while (m_sentReports.size() > m_options.maxSentReports) {
+        m_sentReports.pop_front();
     }
 }
 
 void CrashFeed::read()
 {
     m_isReading = true;
-    m_readWait = isBusy() ? m_options.busyWait : m_options.idleWait;
-    m_log.read(m_position, m_readWait,
+    m_pollTimeout = isBusy() ? m_options.busyPollTimeout : m_options.idlePollTimeout;
+    m_log.read(m_nextOffset, m_pollTimeout,
                [this, number = ++m_readNumber, token = std::weak_ptr(m_callToken)](Result<ReportPage> page) {
                    if (!token.expired()) {
-                       takePage(number, std::move(page));
+                       handlePage(number, std::move(page));
                    }
                });
 }
 
-void CrashFeed::takePage(std::uint64_t number, Result<ReportPage> page)
+void CrashFeed::handlePage(std::uint64_t number, Result<ReportPage> page)
 {
     if (number != m_readNumber) {
         return;
     }
     m_isReading = false;
     if (const auto *error = errorIn(page)) {
-        failed("read", *error, m_readRetry);
+        handleFailure("read", *error, m_readRetry);
         return;
     }
-    succeeded(m_readRetry);
+    handleSuccess(m_readRetry);
     auto &[records, end] = std::get<ReportPage>(page);
-    if (records.empty() && end != m_position) {
-        m_readRetry.next = m_now + m_options.retryPause; // the log no longer holds what this process asked for
+    if (records.empty() && end != m_nextOffset) {
+        m_readRetry.nextAttempt = m_now + m_options.retryDelay; // the log no longer holds what this process asked for
     }
-    m_position = end;
+    m_nextOffset = end;
     std::vector<CrashReport> reports;
     for (const auto &record : records) {
         auto report = decodeCrashReport(record);
@@ -131,30 +131,30 @@
         reports.push_back(std::move(std::get<CrashReport>(report)));
     }
     if (!reports.empty()) {
-        m_lastReport = m_now;
-        m_events.learnt(std::move(reports));
+        m_lastReportAt = m_now;
+        m_events.received(std::move(reports));
     }
 }
 
 bool CrashFeed::isBusy() const
 {
-    return m_lastReport && m_now - *m_lastReport < m_options.busyTime;
+    return m_lastReportAt && m_now - *m_lastReportAt < m_options.busyPeriod;
 }
 
-void CrashFeed::failed(std::string_view what, const Error &error, Retry &retry)
+void CrashFeed::handleFailure(std::string_view what, const Error &error, Retry &retry)
 {
-    const auto pause = std::max(retry.pause, m_options.retryPause);
-    retry.next = m_now + pause;
-    retry.pause = std::min(pause * 2, m_options.longestRetryPause);
+    const auto delay = std::max(retry.delay, m_options.retryDelay);
+    retry.nextAttempt = m_now + delay;
+    retry.delay = std::min(delay * 2, m_options.maxRetryDelay);
     if (!std::exchange(retry.isFailing, true)) {
         m_events.failed(what, error);
     }
 }
 
-void CrashFeed::succeeded(Retry &retry) const
+void CrashFeed::handleSuccess(Retry &retry) const
 {
     retry.isFailing = false;
-    retry.pause = m_options.retryPause;
+    retry.delay = m_options.retryDelay;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/feed/crashfeed.h
+++ b/modules/heatherridge_coordination/feed/crashfeed.h
@@ -25,20 +25,20 @@
 public:
     struct Options
     {
-        std::chrono::milliseconds idleWait{15'000}; ///< of a read while nothing has been reported of late
-        std::chrono::milliseconds busyWait{1'800}; ///< of a read after a report, so that a silent log is noticed
-        std::chrono::milliseconds busyTime{60'000}; ///< after the last report
-        std::chrono::milliseconds retryPause{250}; ///< after a call that failed; doubles up to longestRetryPause
-        std::chrono::milliseconds longestRetryPause{1'000};
-        std::size_t mostPending = 1'000; ///< reports that the log has not taken; beyond it the oldest are dropped
-        std::size_t mostTold = 1'000; ///< reports that are told again when the log comes back from an older copy
-        std::chrono::milliseconds toldMemory{300'000}; ///< how long after they were told
+        std::chrono::milliseconds idlePollTimeout{15'000}; ///< of a read while nothing has been reported of late
+        std::chrono::milliseconds busyPollTimeout{1'800}; ///< of a read after a report, so that a silent log is noticed
+        std::chrono::milliseconds busyPeriod{60'000}; ///< after the last report
+        std::chrono::milliseconds retryDelay{250}; ///< after a call that failed; doubles up to maxRetryDelay
+        std::chrono::milliseconds maxRetryDelay{1'000};
+        std::size_t maxPendingReports = 1'000; ///< reports that the log has not taken; beyond it the oldest are dropped
+        std::size_t maxSentReports = 1'000; ///< reports that are told again when the log comes back from an older copy
+        std::chrono::milliseconds sentReportRetention{300'000}; ///< how long after they were told
     };
 
     struct Events
     {
         /** The log holds @p reports, this process's own among them. */
-        std::function<void(std::vector<CrashReport> reports)> learnt{};
+        std::function<void(std::vector<CrashReport> reports)> received{};
         /** A call to @p what, "read" or "append", has failed, and is made again. Told once until one succeeds. */
         std::function<void(std::string_view what, const Error &error)> failed{};
         /** A record cannot be read, or a report was dropped. */
@@ -62,35 +62,35 @@
 
 private:
     void append();
-    void appended(std::size_t count);
+    void handleAppended(std::size_t count);
     void read();
-    void takePage(std::uint64_t number, Result<ReportPage> page);
+    void handlePage(std::uint64_t number, Result<ReportPage> page);
     bool isBusy() const;
     /** When a call may be made again that has failed. */
     struct Retry
     {
         bool isFailing = false; ///< the last call has failed
-        std::chrono::milliseconds pause{0}; ///< after the next failure
-        SteadyTime next{};
+        std::chrono::milliseconds delay{0}; ///< after the next failure
+        SteadyTime nextAttempt{};
     };
 
-    void failed(std::string_view what, const Error &error, Retry &retry);
-    void succeeded(Retry &retry) const;
+    void handleFailure(std::string_view what, const Error &error, Retry &retry);
+    void handleSuccess(Retry &retry) const;
 
     ReportLog &m_log;
     Options m_options;
     Events m_events;
-    std::deque<CrashReport> m_pending; ///< not yet taken by the log
-    std::size_t m_appending = 0; ///< the first of them, under way
-    std::deque<std::pair<SteadyTime, CrashReport>> m_told; ///< taken by the log, the oldest first
-    std::uint64_t m_position = 0; ///< read up to here
+    std::deque<CrashReport> m_pendingReports; ///< not yet taken by the log
+    std::size_t m_appendingCount = 0; ///< the first of them, under way
+    std::deque<std::pair<SteadyTime, CrashReport>> m_sentReports; ///< taken by the log, the oldest first
+    std::uint64_t m_nextOffset = 0; ///< read up to here
     std::uint64_t m_readNumber = 0; ///< of the last read; answers to earlier ones are not taken
-    std::chrono::milliseconds m_readWait{0};
+    std::chrono::milliseconds m_pollTimeout{0};
     bool m_isReading = false;
     SteadyTime m_now{}; ///< of the last tick; answers come between ticks
     Retry m_readRetry;
     Retry m_appendRetry;
-    std::optional<SteadyTime> m_lastReport;
+    std::optional<SteadyTime> m_lastReportAt;
     std::shared_ptr<int> m_callToken; ///< answers to calls that were made before it was renewed are dropped
 };
 
--- a/modules/heatherridge_coordination/feed/logrestore.h
+++ b/modules/heatherridge_coordination/feed/logrestore.h
@@ -15,8 +15,8 @@
  */
 struct LogRestored
 {
-    std::uint64_t before = 0; ///< how many times it had come back until then
-    std::uint64_t after = 0;
+    std::uint64_t previousCount = 0; ///< how many times it had come back until then
+    std::uint64_t newCount = 0;
 };
 
 /** What answers of the log say beside their content. */
--- a/modules/heatherridge_coordination/feed/registerfollower.cpp
+++ b/modules/heatherridge_coordination/feed/registerfollower.cpp
@@ -13,81 +13,82 @@
 void RegisterFollower::tick(SteadyTime now)
 {
     m_now = now;
-    if (m_isReading || now < m_next) {
+    if (m_isReading || now < m_nextReadAt) {
         return;
     }
     m_isReading = true;
-    if (!m_position) {
-        m_log.newest(m_options.kind, whenCurrent(&RegisterFollower::takeNewest, now));
+    if (!m_nextOffset) {
+        m_log.readNewest(m_options.kind, ifNotRestarted(&RegisterFollower::handleNewest, now));
         return;
     }
-    m_log.read(m_options.kind, *m_position, m_options.wait, whenCurrent(&RegisterFollower::takeRead, now));
+    m_log.read(m_options.kind, *m_nextOffset, m_options.pollTimeout,
+               ifNotRestarted(&RegisterFollower::handleRead, now));
 }
 
 void RegisterFollower::restart(std::chrono::milliseconds delay)
 {
-    ++m_restarts;
+    ++m_restartCount;
     m_isReading = false;
-    m_position.reset();
-    m_next = m_now + delay;
+    m_nextOffset.reset();
+    m_nextReadAt = m_now + delay;
 }
 
-RegisterLog::Done RegisterFollower::whenCurrent(void (RegisterFollower::*take)(Result<RegisterPage>, SteadyTime),
-                                                SteadyTime asked)
+RegisterLog::Done RegisterFollower::ifNotRestarted(void (RegisterFollower::*handler)(Result<RegisterPage>, SteadyTime),
+                                                   SteadyTime requestedAt)
 {
-    return [this, take, asked, restarts = m_restarts](Result<RegisterPage> page) {
-        if (restarts == m_restarts) {
-            (this->*take)(std::move(page), asked);
+    return [this, handler, requestedAt, restartCount = m_restartCount](Result<RegisterPage> page) {
+        if (restartCount == m_restartCount) {
+            (this->*handler)(std::move(page), requestedAt);
         }
     };
 }
 
-void RegisterFollower::takeNewest(Result<RegisterPage> page, SteadyTime asked)
+void RegisterFollower::handleNewest(Result<RegisterPage> page, SteadyTime requestedAt)
 {
     m_isReading = false;
     if (const auto *error = errorIn(page)) {
-        failed(*error);
+        handleFailure(*error);
         return;
     }
-    const auto &whole = std::get<RegisterPage>(page);
-    m_position = whole.end;
-    answered(asked);
-    m_events.replaced(whole.changes);
+    const auto &snapshot = std::get<RegisterPage>(page);
+    m_nextOffset = snapshot.end;
+    handleAnswer(requestedAt);
+    m_events.replaced(snapshot.changes);
 }
 
-void RegisterFollower::takeRead(Result<RegisterPage> page, SteadyTime asked)
+void RegisterFollower::handleRead(Result<RegisterPage> page, SteadyTime requestedAt)
 {
     m_isReading = false;
     if (const auto *error = errorIn(page)) {
         if (error->kind == ErrorKind::NotFound) {
-            m_position.reset();
-            m_next = m_now;
+            m_nextOffset.reset();
+            m_nextReadAt = m_now;
             return;
         }
-        failed(*error);
+        handleFailure(*error);
         return;
     }
-    const auto &news = std::get<RegisterPage>(page);
-    m_position = news.end;
-    answered(asked);
-    if (!news.changes.empty()) {
-        m_events.changed(news.changes);
+    const auto &update = std::get<RegisterPage>(page);
+    m_nextOffset = update.end;
+    handleAnswer(requestedAt);
+    if (!update.changes.empty()) {
+        m_events.changed(update.changes);
     }
 }
 
-void RegisterFollower::failed(const Error &error)
+void RegisterFollower::handleFailure(const Error &error)
 {
-    m_next = m_now + m_options.retryPause;
-    if (m_answers) {
-        m_answers = false;
+    m_nextReadAt = m_now + m_options.retryDelay;
+    if (m_isReachable) {
+        m_isReachable = false;
         m_events.reachable(false, error.detail);
     }
 }
 
-void RegisterFollower::answered(SteadyTime asked)
+void RegisterFollower::handleAnswer(SteadyTime requestedAt)
 {
-    m_answers = true;
-    m_next = asked + m_options.period;
+    m_isReachable = true;
+    m_nextReadAt = requestedAt + m_options.pollInterval;
     m_events.reachable(true, {});
 }
 
--- a/modules/heatherridge_coordination/feed/registerfollower.h
+++ b/modules/heatherridge_coordination/feed/registerfollower.h
@@ -16,7 +16,7 @@
     /** @p changes came on top. */
     std::function<void(const std::vector<RegisterChange> &changes)> changed{};
     /** Whether the register answers; told at each change of that and, while it does, at each answer. */
-    std::function<void(bool answers, std::string_view reason)> reachable{};
+    std::function<void(bool isReachable, std::string_view reason)> reachable{};
 };
 
 /**
@@ -29,9 +29,9 @@
     struct Options
     {
         RegisterKind kind = RegisterKind::Rules;
-        std::chrono::milliseconds wait{0}; ///< how long a read waits for news
-        std::chrono::milliseconds period{0}; ///< between reads that don't wait
-        std::chrono::milliseconds retryPause{
+        std::chrono::milliseconds pollTimeout{0}; ///< how long a read waits for news
+        std::chrono::milliseconds pollInterval{0}; ///< between reads that don't wait
+        std::chrono::milliseconds retryDelay{
             250}; ///< after a failure; a tenth of what a change may take to be in force
     };
 
@@ -45,21 +45,22 @@
     void restart(std::chrono::milliseconds delay);
 
 private:
-    RegisterLog::Done whenCurrent(void (RegisterFollower::*take)(Result<RegisterPage>, SteadyTime), SteadyTime asked);
-    void takeNewest(Result<RegisterPage> page, SteadyTime asked);
-    void takeRead(Result<RegisterPage> page, SteadyTime asked);
-    void failed(const Error &error);
-    void answered(SteadyTime asked);
+    RegisterLog::Done ifNotRestarted(void (RegisterFollower::*handler)(Result<RegisterPage>, SteadyTime),
+                                     SteadyTime requestedAt);
+    void handleNewest(Result<RegisterPage> page, SteadyTime requestedAt);
+    void handleRead(Result<RegisterPage> page, SteadyTime requestedAt);
+    void handleFailure(const Error &error);
+    void handleAnswer(SteadyTime requestedAt);
 
     RegisterLog &m_log;
     Options m_options;
     RegisterEvents m_events;
-    std::optional<std::uint64_t> m_position; ///< nothing: only newest() can tell what holds
-    std::uint64_t m_restarts = 0; ///< answers to calls from before the last are not taken
+    std::optional<std::uint64_t> m_nextOffset; ///< nothing: only readNewest() can tell what holds
+    std::uint64_t m_restartCount = 0; ///< answers to calls from before the last are not taken
     bool m_isReading = false;
-    bool m_answers = true;
+    bool m_isReachable = true;
     SteadyTime m_now{}; ///< of the last tick; answers come between ticks
-    SteadyTime m_next{};
+    SteadyTime m_nextReadAt{};
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/feed/registerlog.h
+++ b/modules/heatherridge_coordination/feed/registerlog.h
@@ -52,31 +52,31 @@
     virtual ~RegisterLog() = default;
 
     /** The newest record of each key. */
-    virtual void newest(RegisterKind kind, Done done) = 0;
+    virtual void readNewest(RegisterKind kind, Done done) = 0;
 
     /**
      * The records from offset @p from on; waits up to @p wait for the first. An error of kind NotFound says that
-     * records from there on have been deleted, so that only newest() tells what holds.
+     * records from there on have been deleted, so that only readNewest() tells what holds.
      */
     virtual void read(RegisterKind kind, std::uint64_t from, std::chrono::milliseconds wait, Done done) = 0;
 
     /** The records that copy @p copy of the rules holds. */
-    virtual void copies(int copy, std::function<void(Result<RulesCopy>)> done) = 0;
+    virtual void readCopy(int copy, std::function<void(Result<RulesCopy>)> done) = 0;
 
     /**
      * Adds @p rules, a record of the register of rules, to copy @p copy of it as @p version, and drops the versions
      * @p dropped, each with its number of records. All of it takes effect, or nothing. Tells how many records hold
      * @p version: none if it is too large for the log, and then the others are dropped all the same.
      */
-    virtual void keepCopy(int copy, const RegisterChange &rules, std::uint64_t version,
-                          const std::map<std::uint64_t, std::size_t> &dropped,
-                          std::function<void(Result<std::size_t>)> done) = 0;
+    virtual void writeCopy(int copy, const RegisterChange &rules, std::uint64_t version,
+                           const std::map<std::uint64_t, std::size_t> &dropped,
+                           std::function<void(Result<std::size_t>)> done) = 0;
 
     /** The configuration in @p change, or an error of kind BadRequest; nothing for a key that is none. */
-    virtual std::optional<Result<RoutingConfig>> rulesIn(const RegisterChange &change) const = 0;
+    virtual std::optional<Result<RoutingConfig>> parseRules(const RegisterChange &change) const = 0;
 
     /** The target in @p change, or an error of kind BadRequest when it names no usable one. */
-    virtual Result<TargetRecord> targetIn(const RegisterChange &change) const = 0;
+    virtual Result<TargetRecord> parseTarget(const RegisterChange &change) const = 0;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/feed/rulescopies.cpp
+++ b/modules/heatherridge_coordination/feed/rulescopies.cpp
@@ -24,7 +24,7 @@
     for (auto &copy : m_copies) {
         copy.versions.reset();
         copy.isCalling = false;
-        copy.next = m_now;
+        copy.nextCallAt = m_now;
     }
 }
 
@@ -33,7 +33,7 @@
     m_now = now;
     for (std::size_t index = 0; index < m_copies.size(); ++index) {
         const auto &copy = m_copies[index];
-        if (copy.isCalling || now < copy.next) {
+        if (copy.isCalling || now < copy.nextCallAt) {
             continue;
         }
         const auto number = static_cast<int>(index);
@@ -50,20 +50,20 @@
 void RulesCopies::read(int index, bool restores)
 {
     m_copies[index].isCalling = true;
-    m_log.copies(index, [this, index, restores, token = std::weak_ptr(m_callToken)](Result<RulesCopy> read) {
+    m_log.readCopy(index, [this, index, restores, token = std::weak_ptr(m_callToken)](Result<RulesCopy> read) {
         if (token.expired()) {
             return;
         }
         auto &copy = m_copies[index];
         copy.isCalling = false;
         if (const auto *error = errorIn(read)) {
-            failed(copy, "read", *error, restores ? m_options.restorePause : m_options.pause);
+            handleFailure(copy, "read", *error, restores ? m_options.restoreRetryDelay : m_options.callInterval);
             return;
         }
         const auto &records = std::get<RulesCopy>(read);
         copy.versions = records.versions;
         if (restores) {
-            copy.next = m_now + m_options.pause;
+            copy.nextCallAt = m_now + m_options.callInterval;
             m_events.restored(records.changes);
         }
     });
@@ -74,28 +74,28 @@
     auto &copy = m_copies[index];
     copy.isCalling = true;
     const std::map<std::uint64_t, std::size_t> dropped(copy.versions->begin(), copy.versions->lower_bound(m_version));
-    m_log.keepCopy(index, *m_rules, m_version, dropped,
-                   [this, index, dropped, version = m_version,
-                    token = std::weak_ptr(m_callToken)](const Result<std::size_t> &kept) {
-                       if (token.expired()) {
-                           return;
-                       }
-                       auto &written = m_copies[index];
-                       written.isCalling = false;
-                       if (const auto *error = errorIn(kept)) {
-                           failed(written, "write", *error, m_options.pause);
-                           return;
-                       }
-                       for (const auto &[old, records] : dropped) {
-                           written.versions->erase(old);
-                       }
-                       written.versions->insert_or_assign(version, std::get<std::size_t>(kept));
-                   });
+    m_log.writeCopy(index, *m_rules, m_version, dropped,
+                    [this, index, dropped, version = m_version,
+                     token = std::weak_ptr(m_callToken)](const Result<std::size_t> &kept) {
+                        if (token.expired()) {
+                            return;
+                        }
+                        auto &written = m_copies[index];
+                        written.isCalling = false;
+                        if (const auto *error = errorIn(kept)) {
+                            handleFailure(written, "write", *error, m_options.callInterval);
+                            return;
+                        }
+                        for (const auto &[old, records] : dropped) {
+                            written.versions->erase(old);
+                        }
+                        written.versions->insert_or_assign(version, std::get<std::size_t>(kept));
+                    });
 }
 
-void RulesCopies::failed(Copy &copy, std::string_view what, const Error &error, std::chrono::milliseconds pause)
+void RulesCopies::handleFailure(Copy &copy, std::string_view what, const Error &error, std::chrono::milliseconds delay)
 {
-    copy.next = m_now + pause;
+    copy.nextCallAt = m_now + delay;
     m_events.failed(what, error);
 }
 
--- a/modules/heatherridge_coordination/feed/rulescopies.h
+++ b/modules/heatherridge_coordination/feed/rulescopies.h
@@ -27,8 +27,9 @@
     struct Options
     {
         int count = 1; ///< copies, each in a partition of its own
-        std::chrono::milliseconds restorePause{250}; ///< after a read that failed, of a process without rules
-        std::chrono::milliseconds pause{1'000}; ///< after any other call that failed, and between reads that succeed
+        std::chrono::milliseconds restoreRetryDelay{250}; ///< after a read that failed, of a process without rules
+        std::chrono::milliseconds callInterval{
+            1'000}; ///< after any other call that failed, and between reads that succeed
     };
 
     /** What this process has to do at present. */
@@ -64,12 +65,12 @@
         /** That it holds, and in how many records; nothing before it was read. */
         std::optional<std::map<std::uint64_t, std::size_t>> versions{};
         bool isCalling = false;
-        SteadyTime next{}; ///< no call before
+        SteadyTime nextCallAt{}; ///< no call before
     };
 
     void read(int index, bool restores);
     void write(int index);
-    void failed(Copy &copy, std::string_view what, const Error &error, std::chrono::milliseconds pause);
+    void handleFailure(Copy &copy, std::string_view what, const Error &error, std::chrono::milliseconds delay);
 
     RegisterLog &m_log;
     Options m_options;
--- a/modules/heatherridge_coordination/feed/workshare.cpp
+++ b/modules/heatherridge_coordination/feed/workshare.cpp
@@ -13,42 +13,42 @@
 
 void WorkShare::tick(SteadyTime now)
 {
-    if (m_isCalling || m_hasLeft || now < m_due) {
+    if (m_isCalling || m_hasLeft || now < m_nextCallAt) {
         return;
     }
-    m_due = now + m_options.period;
+    m_nextCallAt = now + m_options.callInterval;
     m_isCalling = true;
     m_log.join(m_options.member, m_options.lease, m_share.generation,
-               [this, now, restores = m_restores](Result<ShareAnswer> answer) {
-                   if (restores != m_restores) {
+               [this, now, restoreCount = m_restoreCount](Result<ShareAssignment> assignment) {
+                   if (restoreCount != m_restoreCount) {
                        return;
                    }
                    m_isCalling = false;
-                   if (errorIn(answer) == nullptr) {
+                   if (errorIn(assignment) == nullptr) {
                        m_confirmedAt = now;
-                       m_share = std::get<ShareAnswer>(std::move(answer));
+                       m_share = std::get<ShareAssignment>(std::move(assignment));
                    }
                });
 }
 
 bool WorkShare::isMine(std::string_view work) const
 {
-    const auto part = XXH3_64bits(work.data(), work.size()) % static_cast<std::uint64_t>(m_options.parts);
-    return !m_hasLeft && m_share.parts.contains(static_cast<int>(part));
+    const auto partition = XXH3_64bits(work.data(), work.size()) % static_cast<std::uint64_t>(m_options.partitionCount);
+    return !m_hasLeft && m_share.partitions.contains(static_cast<int>(partition));
 }
 
-std::optional<double> WorkShare::part() const
+std::optional<double> WorkShare::fraction() const
 {
-    if (!m_confirmedAt || m_options.parts <= 0) {
+    if (!m_confirmedAt || m_options.partitionCount <= 0) {
         return std::nullopt;
     }
-    return m_hasLeft ? 0.0 : static_cast<double>(m_share.parts.size()) / m_options.parts;
+    return m_hasLeft ? 0.0 : static_cast<double>(m_share.partitions.size()) / m_options.partitionCount;
 }
 
-std::optional<double> WorkShare::evenPart() const
+std::optional<double> WorkShare::nonZeroFraction() const
 {
-    const auto own = part();
-    return own && *own <= 0 && !m_hasLeft ? 1.0 / (m_options.parts + 1) : own;
+    const auto own = fraction();
+    return own && *own <= 0 && !m_hasLeft ? 1.0 / (m_options.partitionCount + 1) : own;
 }
 
 bool WorkShare::isConfirmed(SteadyTime now) const
@@ -58,11 +58,11 @@
 
 void WorkShare::logRestored()
 {
-    ++m_restores;
+    ++m_restoreCount;
     m_share.generation = 0; // the log counts on from an older one
     m_confirmedAt.reset();
     m_isCalling = false;
-    m_due = {};
+    m_nextCallAt = {};
 }
 
 void WorkShare::leave()
--- a/modules/heatherridge_coordination/feed/workshare.h
+++ b/modules/heatherridge_coordination/feed/workshare.h
@@ -15,10 +15,10 @@
 {
 
 /** What the platform's log says of one member's share. */
-struct ShareAnswer
+struct ShareAssignment
 {
     std::uint64_t generation = 0;
-    std::set<int> parts{}; ///< of the partitions, those that belong to the member
+    std::set<int> partitions{}; ///< of the partitions, those that belong to the member
 };
 
 /** The platform's division of numbered parts among living members. One thread; answers come later on it. */
@@ -29,7 +29,7 @@
 
     /** Joins, or stays. Who has not called for @p lease is taken for gone. */
     virtual void join(const std::string &member, std::chrono::milliseconds lease, std::uint64_t generation,
-                      std::function<void(Result<ShareAnswer>)> done) = 0;
+                      std::function<void(Result<ShareAssignment>)> done) = 0;
 
     /** Leaves at once. */
     virtual void leave(const std::string &member) = 0;
@@ -48,8 +48,8 @@
     struct Options
     {
         std::string member{}; ///< unique for this run of the process
-        int parts = 1; ///< partitions of a topic of the log
-        std::chrono::milliseconds period{450}; ///< between calls; a third of the lease, so that two may get lost
+        int partitionCount = 1; ///< partitions of a topic of the log
+        std::chrono::milliseconds callInterval{450}; ///< between calls; a third of the lease, so that two may get lost
         std::chrono::milliseconds lease{1'500}; ///< how long a dead member's work lies idle at most
     };
 
@@ -64,13 +64,13 @@
 
     /** Part of all work that belongs to this process; those of all living processes add up to 1. Nothing before the
      * first answer. */
-    std::optional<double> part() const;
+    std::optional<double> fraction() const;
 
     /**
      * The same for what all members do alike, whether or not the log has pieces of work enough for each: never 0. A
      * member that has none is one of more members than there are parts.
      */
-    std::optional<double> evenPart() const;
+    std::optional<double> nonZeroFraction() const;
 
     /** Whether the log has confirmed the share within its lease, so that nobody else can have it. */
     bool isConfirmed(SteadyTime now) const;
@@ -84,10 +84,10 @@
 private:
     ShareLog &m_log;
     Options m_options;
-    ShareAnswer m_share;
-    SteadyTime m_due{};
+    ShareAssignment m_share;
+    SteadyTime m_nextCallAt{};
     std::optional<SteadyTime> m_confirmedAt; ///< when the last call that was answered was made
-    std::uint64_t m_restores = 0; ///< of the log; answers to calls from before the last are not taken
+    std::uint64_t m_restoreCount = 0; ///< of the log; answers to calls from before the last are not taken
     bool m_isCalling = false;
     bool m_hasLeft = false;
 };
--- a/modules/heatherridge_transport/direct/gatewaycontrol.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycontrol.cpp
@@ -25,7 +25,7 @@
     , m_registerOutages(metrics.counter("heatherridge_register_outages_total"))
     , m_staleRules(metrics.counter("heatherridge_config_stale_total"))
     , m_rulesCopyFailures(metrics.counter("heatherridge_rules_copy_failures_total"))
-    , m_rulesFollower(log, {.kind = RegisterKind::Rules, .wait = rulesWait(options)},
+    , m_rulesFollower(log, {.kind = RegisterKind::Rules, .pollTimeout = rulesWait(options)},
                       {.replaced = [this](const auto &changes) { applyRules(changes, Source::Register); },
                        .changed = [this](const auto &changes) { applyRules(changes, Source::Register); },
                        .reachable =
@@ -35,22 +35,23 @@
                                    reportReachability("rules", isReachable, reason);
                                }
                            }})
-    , m_targetsFollower(
-          log, {.kind = RegisterKind::Targets, .period = fractionOf(options.withdrawalTime, TargetsReadPeriodFraction)},
-          {.replaced = [this](const auto &changes) { replaceTargets(changes); },
-           .changed = [this](const auto &changes) { changeTargets(changes); },
-           .reachable =
-               [this](bool isReachable, std::string_view reason) {
-                   if (isReachable != m_isTargetsRegisterReachable) {
-                       m_isTargetsRegisterReachable = isReachable;
-                       reportReachability("targets", isReachable, reason);
-                   }
-                   if (isReachable) {
-                       m_directory.readable(m_now);
-                   } else {
-                       m_directory.unreadable(m_now);
-                   }
-               }})
+    , m_targetsFollower(log,
+                        {.kind = RegisterKind::Targets,
+                         .pollInterval = fractionOf(options.withdrawalTime, TargetsReadPeriodFraction)},
+                        {.replaced = [this](const auto &changes) { replaceTargets(changes); },
+                         .changed = [this](const auto &changes) { changeTargets(changes); },
+                         .reachable =
+                             [this](bool isReachable, std::string_view reason) {
+                                 if (isReachable != m_isTargetsRegisterReachable) {
+                                     m_isTargetsRegisterReachable = isReachable;
+                                     reportReachability("targets", isReachable, reason);
+                                 }
+                                 if (isReachable) {
+                                     m_directory.readable(m_now);
+                                 } else {
+                                     m_directory.unreadable(m_now);
+                                 }
+                             }})
     , m_rulesCopies(log, {.count = options.rulesCopies},
                     {.restored = [this](const auto &changes) { applyRules(changes, Source::Copy); },
                      .failed =
@@ -109,7 +110,7 @@
 
 void GatewayControl::applyRulesChange(const RegisterChange &change, Source source)
 {
-    auto decoded = m_log.rulesIn(change);
+    auto decoded = m_log.parseRules(change);
     if (!decoded) {
         return;
     }
@@ -142,7 +143,7 @@
 {
     std::vector<TargetRecord> records;
     for (const auto &change : changes) {
-        const auto record = m_log.targetIn(change);
+        const auto record = m_log.parseTarget(change);
         if (const auto *error = errorIn(record)) {
             m_malformedRecords.add();
             logEvent(Severity::Warning, "target-malformed", {{"target", change.key}, {"reason", error->detail}});
@@ -157,7 +158,7 @@
 void GatewayControl::changeTargets(const std::vector<RegisterChange> &changes)
 {
     for (const auto &change : changes) {
-        const auto record = m_log.targetIn(change);
+        const auto record = m_log.parseTarget(change);
         if (const auto *error = errorIn(record)) {
             if (change.value) {
                 m_malformedRecords.add();
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -80,9 +80,9 @@
         , m_ranks(m_client, {.port = m_options.sidecarPort}, m_adapter.makeRankControl(m_client), m_metrics)
         , m_workShare(*m_logClients.shares,
                       {.member = m_options.process.text() + "-" + std::to_string(m_entropy()),
-                       .parts = m_options.logPartitions})
-        , m_crashFeed(*m_logClients.reports, {.busyWait = GatewayControl::rulesWait(m_options.control)},
-                      {.learnt = [this](auto reports) { onCrashReports(std::move(reports)); },
+                       .partitionCount = m_options.logPartitions})
+        , m_crashFeed(*m_logClients.reports, {.busyPollTimeout = GatewayControl::rulesWait(m_options.control)},
+                      {.received = [this](auto reports) { onCrashReports(std::move(reports)); },
                        .failed = [this](auto call, const auto &error) { onCrashFeedFailed(call, error); },
                        .lost = [this](auto what) { onCrashReportLost(what); }})
         , m_control(*m_logClients.registers, controlOptions(m_options),
@@ -211,12 +211,12 @@
     /** Divides the slack for repeats among the gateways as the log divides work among them. */
     void updateShares()
     {
-        const auto share = m_workShare.part();
+        const auto share = m_workShare.fraction();
         if (!share || share == m_budgetShare) {
             return;
         }
         m_budgetShare = share;
-        const auto evenShare = m_workShare.evenPart().value_or(*share);
+        const auto evenShare = m_workShare.nonZeroFraction().value_or(*share);
         m_trafficLoop.post([this, share = *share, evenShare] { m_traffic.setShares(share, evenShare); });
     }
 
@@ -280,8 +280,8 @@
     {
         m_logRestores.add();
         logEvent(Severity::Warning, "log-restored",
-                 {{"before", std::to_string(restored.before)},
-                  {"after", std::to_string(restored.after)},
+                 {{"before", std::to_string(restored.previousCount)},
+                  {"after", std::to_string(restored.newCount)},
                   {"read-again", "rules targets copies-of-rules crash-reports"},
                   {"unconfirmed", "share-of-work"}});
         SeededRandom random(m_entropy());
--- a/tests/feed/crashfeed_test.cpp
+++ b/tests/feed/crashfeed_test.cpp
@@ -58,8 +58,8 @@
     int m_reads = 0;
     CrashFeed m_feed{
         m_log,
-        {.idleWait = 15s, .busyWait = 2s, .busyTime = 60s, .retryPause = 250ms, .mostPending = 3},
-        {.learnt = [this](auto reports) { m_learnt.insert(m_learnt.end(), reports.begin(), reports.end()); },
+        {.idlePollTimeout = 15s, .busyPollTimeout = 2s, .busyPeriod = 60s, .retryDelay = 250ms, .maxPendingReports = 3},
+        {.received = [this](auto reports) { m_learnt.insert(m_learnt.end(), reports.begin(), reports.end()); },
          .failed = [this](auto what, const auto &) { m_failures.emplace_back(what); },
          .lost = [this](auto) { ++m_lost; }}};
 
--- a/tests/feed/registerfollower_test.cpp
+++ b/tests/feed/registerfollower_test.cpp
@@ -24,7 +24,7 @@
         Done done{};
     };
 
-    void newest(RegisterKind, Done done) override
+    void readNewest(RegisterKind, Done done) override
     {
         calls.push_back({.isNewest = true, .done = std::move(done)});
     }
@@ -49,7 +49,7 @@
 {
 protected:
     Followers()
-        : m_follower(m_log, {.period = 600ms, .retryPause = 250ms},
+        : m_follower(m_log, {.pollInterval = 600ms, .retryDelay = 250ms},
                      {.replaced = [this](const auto &changes) { m_replaced.push_back(changes.size()); },
                       .changed = [this](const auto &changes) { m_changed.push_back(changes.size()); },
                       .reachable = [this](bool answers, auto) { m_reachable.push_back(answers); }})
--- a/tests/feed/rulescopies_test.cpp
+++ b/tests/feed/rulescopies_test.cpp
@@ -19,7 +19,7 @@
 class CopiesLog final : public SilentRegisters
 {
 public:
-    void copies(int copy, std::function<void(Result<RulesCopy>)> done) override
+    void readCopy(int copy, std::function<void(Result<RulesCopy>)> done) override
     {
         ++reads;
         if (isAway[copy]) {
@@ -34,9 +34,9 @@
         done(std::move(kept));
     }
 
-    void keepCopy(int copy, const RegisterChange &rules, std::uint64_t version,
-                  const std::map<std::uint64_t, std::size_t> &dropped,
-                  std::function<void(Result<std::size_t>)> done) override
+    void writeCopy(int copy, const RegisterChange &rules, std::uint64_t version,
+                   const std::map<std::uint64_t, std::size_t> &dropped,
+                   std::function<void(Result<std::size_t>)> done) override
     {
         ++writes;
         if (isAway[copy]) {
--- a/tests/feed/workshare_test.cpp
+++ b/tests/feed/workshare_test.cpp
@@ -14,7 +14,7 @@
 {
 public:
     void join(const std::string &, std::chrono::milliseconds, std::uint64_t generation,
-              std::function<void(Result<ShareAnswer>)> done) override
+              std::function<void(Result<ShareAssignment>)> done) override
     {
         ++joins;
         lastGeneration = generation;
@@ -29,27 +29,27 @@
     int joins = 0;
     int leaves = 0;
     std::uint64_t lastGeneration = 0;
-    std::function<void(Result<ShareAnswer>)> answer{};
+    std::function<void(Result<ShareAssignment>)> answer{};
 };
 
 class Shares : public testing::Test
 {
 protected:
     ManualShareLog m_log;
-    WorkShare m_share{m_log, {.member = "m", .parts = 2, .period = 450ms, .lease = 1'500ms}};
+    WorkShare m_share{m_log, {.member = "m", .partitionCount = 2, .callInterval = 450ms, .lease = 1'500ms}};
 };
 
 TEST_F(Shares, DivideAllWorkAmongTheParts)
 {
     EXPECT_FALSE(m_share.isMine("a"));
     m_share.tick(Start);
-    m_log.answer(ShareAnswer{.generation = 4, .parts = {0, 1}});
+    m_log.answer(ShareAssignment{.generation = 4, .partitions = {0, 1}});
     for (const auto *work : {"a", "b", "c", "d"}) {
         EXPECT_TRUE(m_share.isMine(work));
     }
     m_share.tick(Start + 450ms);
     EXPECT_EQ(m_log.lastGeneration, 4U);
-    m_log.answer(ShareAnswer{.generation = 5, .parts = {}});
+    m_log.answer(ShareAssignment{.generation = 5, .partitions = {}});
     EXPECT_FALSE(m_share.isMine("a"));
 }
 
@@ -57,7 +57,7 @@
 TEST_F(Shares, StandWhileTheLogIsOutButAreNotConfirmed)
 {
     m_share.tick(Start);
-    m_log.answer(ShareAnswer{.generation = 1, .parts = {0, 1}});
+    m_log.answer(ShareAssignment{.generation = 1, .partitions = {0, 1}});
     m_share.tick(Start + 500ms);
     m_log.answer(Error{.kind = ErrorKind::PlatformUnavailable});
     EXPECT_TRUE(m_share.isMine("a"));
@@ -88,13 +88,13 @@
 TEST_P(Parts, AddUpAndAreNeverNothingWhereAllWorkAlike)
 {
     ManualShareLog log;
-    WorkShare share(log, {.member = "m", .parts = 2});
-    EXPECT_FALSE(share.part());
-    EXPECT_FALSE(share.evenPart());
+    WorkShare share(log, {.member = "m", .partitionCount = 2});
+    EXPECT_FALSE(share.fraction());
+    EXPECT_FALSE(share.nonZeroFraction());
     share.tick(Start);
-    log.answer(ShareAnswer{.generation = 1, .parts = GetParam().parts});
-    EXPECT_DOUBLE_EQ(*share.part(), GetParam().part) << GetParam().story;
-    EXPECT_DOUBLE_EQ(*share.evenPart(), GetParam().evenPart) << GetParam().story;
+    log.answer(ShareAssignment{.generation = 1, .partitions = GetParam().parts});
+    EXPECT_DOUBLE_EQ(*share.fraction(), GetParam().part) << GetParam().story;
+    EXPECT_DOUBLE_EQ(*share.nonZeroFraction(), GetParam().evenPart) << GetParam().story;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, Parts, testing::ValuesIn(PartRows));
@@ -102,7 +102,7 @@
 TEST_F(Shares, EndWhenTheyAreGivenBack)
 {
     m_share.tick(Start);
-    m_log.answer(ShareAnswer{.generation = 1, .parts = {0, 1}});
+    m_log.answer(ShareAssignment{.generation = 1, .partitions = {0, 1}});
     m_share.leave();
     m_share.tick(Start + 10s);
     EXPECT_FALSE(m_share.isMine("a"));
@@ -115,17 +115,17 @@
 TEST_F(Shares, AreConfirmedAnewOnceTheLogHasComeBackOlder)
 {
     m_share.tick(Start);
-    m_log.answer(ShareAnswer{.generation = 7, .parts = {0, 1}});
+    m_log.answer(ShareAssignment{.generation = 7, .partitions = {0, 1}});
     m_share.tick(Start + 450ms);
     const auto late = m_log.answer;
     m_share.logRestored();
-    late(ShareAnswer{.generation = 8, .parts = {0, 1}});
+    late(ShareAssignment{.generation = 8, .partitions = {0, 1}});
     EXPECT_FALSE(m_share.isConfirmed(Start + 460ms));
     EXPECT_TRUE(m_share.isMine("a")) << "work that nobody does is worse than work that two do";
     m_share.tick(Start + 470ms);
     EXPECT_EQ(m_log.joins, 3);
     EXPECT_EQ(m_log.lastGeneration, 0U);
-    m_log.answer(ShareAnswer{.generation = 5, .parts = {}});
+    m_log.answer(ShareAssignment{.generation = 5, .partitions = {}});
     EXPECT_FALSE(m_share.isMine("a"));
     EXPECT_TRUE(m_share.isConfirmed(Start + 480ms));
 }
--- a/tests/gateway/gatewayfixture.cpp
+++ b/tests/gateway/gatewayfixture.cpp
@@ -36,10 +36,11 @@
     {
     }
 
-    void join(const std::string &, milliseconds, std::uint64_t, std::function<void(Result<ShareAnswer>)> done) override
+    void join(const std::string &, milliseconds, std::uint64_t,
+              std::function<void(Result<ShareAssignment>)> done) override
     {
         if (!m_partitions.empty()) {
-            done(ShareAnswer{.generation = 1, .parts = m_partitions});
+            done(ShareAssignment{.generation = 1, .partitions = m_partitions});
         }
     }
 
@@ -63,7 +64,7 @@
     {
     }
 
-    void newest(RegisterKind kind, Done done) override
+    void readNewest(RegisterKind kind, Done done) override
     {
         RegisterPage page;
         if (kind == RegisterKind::Rules) {
@@ -80,12 +81,12 @@
         done(RegisterPage{.end = from});
     }
 
-    std::optional<Result<RoutingConfig>> rulesIn(const RegisterChange &) const override
+    std::optional<Result<RoutingConfig>> parseRules(const RegisterChange &) const override
     {
         return m_config;
     }
 
-    Result<TargetRecord> targetIn(const RegisterChange &change) const override
+    Result<TargetRecord> parseTarget(const RegisterChange &change) const override
     {
         return TargetRecord{.entry = m_targets.at(std::stoul(change.key))};
     }
--- a/tests/restoredlog/restoredworld.cpp
+++ b/tests/restoredlog/restoredworld.cpp
@@ -46,7 +46,7 @@
     {
     }
 
-    void newest(RegisterKind kind, RegisterLog::Done done) override
+    void readNewest(RegisterKind kind, RegisterLog::Done done) override
     {
         call<RegisterPage>({}, std::move(done), [kind](const LogContent &log) {
             const auto &records = kind == RegisterKind::Rules ? log.rules : log.targets;
@@ -82,7 +82,7 @@
             RegisterPage{.end = from});
     }
 
-    void copies(int copy, std::function<void(Result<RulesCopy>)> done) override
+    void readCopy(int copy, std::function<void(Result<RulesCopy>)> done) override
     {
         call<RulesCopy>({}, std::move(done), [copy](const LogContent &log) {
             RulesCopy kept;
@@ -94,9 +94,9 @@
         });
     }
 
-    void keepCopy(int copy, const RegisterChange &rules, std::uint64_t version,
-                  const std::map<std::uint64_t, std::size_t> &dropped,
-                  std::function<void(Result<std::size_t>)> done) override
+    void writeCopy(int copy, const RegisterChange &rules, std::uint64_t version,
+                   const std::map<std::uint64_t, std::size_t> &dropped,
+                   std::function<void(Result<std::size_t>)> done) override
     {
         call<std::size_t>({}, std::move(done), [copy, rules, version, dropped](LogContent &log) {
             auto &kept = log.copies[static_cast<std::size_t>(copy)];
@@ -108,12 +108,12 @@
         });
     }
 
-    std::optional<Result<RoutingConfig>> rulesIn(const RegisterChange &change) const override
+    std::optional<Result<RoutingConfig>> parseRules(const RegisterChange &change) const override
     {
         return RoutingConfig{.version = std::stoull(change.value.value_or("0"))};
     }
 
-    Result<TargetRecord> targetIn(const RegisterChange &change) const override
+    Result<TargetRecord> parseTarget(const RegisterChange &change) const override
     {
         if (!change.value) {
             return Error{.kind = ErrorKind::BadRequest};
@@ -125,10 +125,11 @@
         return record;
     }
 
-    void join(const std::string &, milliseconds, std::uint64_t, std::function<void(Result<ShareAnswer>)> done) override
+    void join(const std::string &, milliseconds, std::uint64_t,
+              std::function<void(Result<ShareAssignment>)> done) override
     {
-        call<ShareAnswer>({}, std::move(done), [](const LogContent &) {
-            return std::optional(Result<ShareAnswer>(ShareAnswer{.generation = 1, .parts = {0}}));
+        call<ShareAssignment>({}, std::move(done), [](const LogContent &) {
+            return std::optional(Result<ShareAssignment>(ShareAssignment{.generation = 1, .partitions = {0}}));
         });
     }
 
@@ -219,7 +220,7 @@
     {
         const auto verdict = m_era.judge(std::to_string(era), eraAtCall);
         if (const auto *risen = std::get_if<EraRisen>(&verdict)) {
-            m_events.restored({.before = risen->before, .after = risen->after});
+            m_events.restored({.previousCount = risen->before, .newCount = risen->after});
         }
         const bool holds = std::holds_alternative<EraUnchanged>(verdict) || !m_world.m_safeguards.judgesEras;
         return holds ? result : Result<T>(NoAnswer);
@@ -236,7 +237,7 @@
 {
     explicit Gateway(RestoredWorld &world)
         : log(world, {.restored = [this, &world](const auto &) { restored(world); }})
-        , crashFeed(log, {}, {.learnt = [](auto) {}, .failed = [](auto, const auto &) {}, .lost = [](auto) {}})
+        , crashFeed(log, {}, {.received = [](auto) {}, .failed = [](auto, const auto &) {}, .lost = [](auto) {}})
         , workShare(log, {.member = "m"})
         , control(log, {.rulesCopies = Copies},
                   {.rulesChanged = [](auto) {}, .targetsChanged = [](auto) {}, .reachabilityChanged = [](bool) {}},
--- a/tests/support/silentregisters.h
+++ b/tests/support/silentregisters.h
@@ -9,7 +9,7 @@
 class SilentRegisters : public RegisterLog
 {
 public:
-    void newest(RegisterKind, Done) override
+    void readNewest(RegisterKind, Done) override
     {
     }
 
@@ -17,21 +17,21 @@
     {
     }
 
-    void copies(int, std::function<void(Result<RulesCopy>)>) override
+    void readCopy(int, std::function<void(Result<RulesCopy>)>) override
     {
     }
 
-    void keepCopy(int, const RegisterChange &, std::uint64_t, const std::map<std::uint64_t, std::size_t> &,
-                  std::function<void(Result<std::size_t>)>) override
+    void writeCopy(int, const RegisterChange &, std::uint64_t, const std::map<std::uint64_t, std::size_t> &,
+                   std::function<void(Result<std::size_t>)>) override
     {
     }
 
-    std::optional<Result<RoutingConfig>> rulesIn(const RegisterChange &) const override
+    std::optional<Result<RoutingConfig>> parseRules(const RegisterChange &) const override
     {
         return std::nullopt;
     }
 
-    Result<TargetRecord> targetIn(const RegisterChange &) const override
+    Result<TargetRecord> parseTarget(const RegisterChange &) const override
     {
         return Error{};
     }
