--- a/tests/agreement/fencing_test.cpp
+++ b/tests/agreement/fencing_test.cpp
@@ -12,11 +12,11 @@
 const RoleName Leader{"leader"};
 
 /** One process beside a target: a replica of the stream and a gate, both lost at a restart. */
-struct Guard
+struct FencedProcess
 {
     ConfigState state;
     FencingGate gate;
-    std::size_t confirmAt = 0; ///< the log's end when this run started
+    std::size_t confirmationOffset = 0; ///< the log's end when this run started
     LogOffset lastAccepted{}; ///< over all runs: what must not be undercut
     RoleHolder lastHolder{};
 
@@ -28,7 +28,7 @@
                 gate.learn(*holder);
             }
         }
-        if (toNumber(state.offset()) >= confirmAt) {
+        if (toNumber(state.offset()) >= confirmationOffset) {
             gate.open();
         }
     }
@@ -36,48 +36,48 @@
 
 // Processes claim the leader's role, one after the other, and each goes on giving orders after it has been replaced,
 // as after a pause. Gates follow the log at their own pace and restart with empty memory in between.
-RC_GTEST_PROP(FencingProperty, NoGateAcceptsALowerNumberAfterAHigherNorTwoHoldersOfOne, ())
+RC_GTEST_PROP(FencingProperty, NeverAcceptsALowerNumberOrASecondHolderOfTheSameNumber, ())
 {
     std::vector<ClaimRole> log;
-    std::vector<Guard> guards(3);
-    std::uint64_t accepted = 0;
+    std::vector<FencedProcess> processes(3);
+    std::uint64_t acceptedOrders = 0;
     for (int step = 0; step < 150; ++step) {
-        auto &guard = guards[*rc::gen::inRange<std::size_t>(0, guards.size())];
-        const auto pick = *rc::gen::inRange(0, 10);
-        if (pick == 0) {
+        auto &process = processes[*rc::gen::inRange<std::size_t>(0, processes.size())];
+        const auto action = *rc::gen::inRange(0, 10);
+        if (action == 0) {
             const auto replaces = *rc::gen::inRange<std::uint64_t>(0, log.size() + 1);
             log.push_back({.role = Leader,
                            .claimant = ProcessName("p" + std::to_string(log.size() % 3)),
                            .incarnation = static_cast<Incarnation>(log.size()),
                            .replaces = static_cast<FencingNumber>(replaces)});
-        } else if (pick == 1) {
-            guard.state = {};
-            guard.gate = {};
-            guard.confirmAt = log.size();
-            guard.fold(log, 0);
-        } else if (pick < 5) {
-            guard.fold(log, *rc::gen::inRange<std::size_t>(0, log.size() + 1));
+        } else if (action == 1) {
+            process.state = {};
+            process.gate = {};
+            process.confirmationOffset = log.size();
+            process.fold(log, 0);
+        } else if (action < 5) {
+            process.fold(log, *rc::gen::inRange<std::size_t>(0, log.size() + 1));
         } else if (!log.empty()) {
             const auto number = *rc::gen::inRange<std::size_t>(0, log.size()) + 1;
             const auto &order = log[number - 1];
             const auto outcome =
-                guard.gate.check(order.claimant, order.incarnation, static_cast<FencingNumber>(number));
+                process.gate.check(order.claimant, order.incarnation, static_cast<FencingNumber>(number));
             if (errorIn(outcome) == nullptr) {
-                ++accepted;
+                ++acceptedOrders;
                 const RoleHolder holder{order.claimant, order.incarnation, static_cast<FencingNumber>(number)};
-                RC_ASSERT(static_cast<LogOffset>(number) >= guard.lastAccepted);
-                RC_ASSERT(static_cast<LogOffset>(number) > guard.lastAccepted || holder == guard.lastHolder);
-                guard.lastAccepted = static_cast<LogOffset>(number);
-                guard.lastHolder = holder;
+                RC_ASSERT(static_cast<LogOffset>(number) >= process.lastAccepted);
+                RC_ASSERT(static_cast<LogOffset>(number) > process.lastAccepted || holder == process.lastHolder);
+                process.lastAccepted = static_cast<LogOffset>(number);
+                process.lastHolder = holder;
             }
         }
     }
-    RC_CLASSIFY(accepted > 0);
+    RC_CLASSIFY(acceptedOrders > 0);
 }
 
 struct OrderRow
 {
-    const char *story;
+    const char *description;
     bool isOpen;
     RoleHolder order;
     std::optional<ErrorKind> refusal;
@@ -105,7 +105,7 @@
 {
 };
 
-TEST_P(FencedOrder, PassesOrIsRefusedForItsReason)
+TEST_P(FencedOrder, IsAcceptedOrRejectedWithTheExpectedError)
 {
     FencingGate gate;
     gate.learn({ProcessName("b"), Incarnation{2}, FencingNumber{7}});
@@ -116,10 +116,10 @@
     const auto &order = GetParam().order;
     const auto outcome = gate.check(order.holder, order.incarnation, order.number);
     const auto *error = errorIn(outcome);
-    ASSERT_EQ(error != nullptr, GetParam().refusal.has_value()) << GetParam().story;
+    ASSERT_EQ(error != nullptr, GetParam().refusal.has_value()) << GetParam().description;
     if (error != nullptr) {
-        EXPECT_EQ(error->kind, *GetParam().refusal) << GetParam().story;
-        EXPECT_EQ(error->ranOrDefault(), Ran::No) << GetParam().story;
+        EXPECT_EQ(error->kind, *GetParam().refusal) << GetParam().description;
+        EXPECT_EQ(error->ranOrDefault(), Ran::No) << GetParam().description;
     }
 }
 
--- a/tests/agreement/logfollowing_test.cpp
+++ b/tests/agreement/logfollowing_test.cpp
@@ -13,25 +13,25 @@
 
 constexpr std::chrono::milliseconds Step{50};
 
-std::string workspace(const std::string &name, int weight)
+std::string workspaceSection(const std::string &name, int weight)
 {
     return "[workspace." + name + "]\nweight = " + std::to_string(weight) + "\n";
 }
 
-Bytes change(const std::string &operation, LogOffset basedOn, int weight)
+Bytes encodeChange(const std::string &operation, LogOffset basedOn, int weight)
 {
     return encodeControlRecord(Publish{.document = DocumentKind::Rules,
                                        .operation = OperationId(operation),
                                        .basedOn = basedOn,
-                                       .content = DocumentChange{workspace("mill", weight), {}}});
+                                       .content = DocumentChange{workspaceSection("mill", weight), {}}});
 }
 
 /** Appends @p count accepted changes to @p log. */
-void putChanges(FakeLog &log, int count)
+void appendChanges(FakeLog &log, int count)
 {
     for (int i = 0; i < count; ++i) {
         const auto last = log.last(ControlStream);
-        log.put(ControlStream, change("op-" + std::to_string(toNumber(last)), last, i + 1));
+        log.put(ControlStream, encodeChange("op-" + std::to_string(toNumber(last)), last, i + 1));
     }
 }
 
@@ -51,13 +51,13 @@
 };
 
 /** Virtual time, a log, and whatever ticks. */
-struct World
+struct Simulation
 {
-    template<typename... Ticking>
-    void run(std::chrono::milliseconds span, Ticking &...ticking)
+    template<typename... Tickable>
+    void run(std::chrono::milliseconds duration, Tickable &...tickables)
     {
-        for (const auto end = now + span; now < end; now += Step) {
-            (ticking.tick(now), ...);
+        for (const auto end = now + duration; now < end; now += Step) {
+            (tickables.tick(now), ...);
             log.run(now);
         }
     }
@@ -66,13 +66,13 @@
     SteadyTime now{};
 };
 
-enum class Trouble { None, Out, Slow, ReplyLost, AppendDropped, TwoRepliesLost };
+enum class LogFault { None, Out, Slow, ReplyLost, AppendDropped, TwoRepliesLost };
 
 struct PublishRow
 {
-    const char *story;
-    Trouble trouble;
-    bool troubleEnds;
+    const char *description;
+    LogFault fault;
+    bool faultEnds;
     std::size_t expected; ///< index of the result's alternative
 };
 
@@ -81,81 +81,81 @@
 constexpr std::size_t Unknown = 6;
 
 const PublishRow PublishRows[] = {
-    {"nothing is wrong", Trouble::None, true, Accepted},
-    {"the log is out and comes back", Trouble::Out, true, Accepted},
-    {"the log is out for longer than the operator waits", Trouble::Out, false, NotSent},
-    {"the log takes two seconds for each answer", Trouble::Slow, false, Accepted},
-    {"the append took effect and its reply was lost", Trouble::ReplyLost, true, Accepted},
-    {"so did the second one", Trouble::TwoRepliesLost, true, Accepted},
-    {"the append was lost on its way", Trouble::AppendDropped, true, Accepted},
+    {"nothing is wrong", LogFault::None, true, Accepted},
+    {"the log is out and comes back", LogFault::Out, true, Accepted},
+    {"the log is out for longer than the operator waits", LogFault::Out, false, NotSent},
+    {"the log takes two seconds for each answer", LogFault::Slow, false, Accepted},
+    {"the append took effect and its reply was lost", LogFault::ReplyLost, true, Accepted},
+    {"so did the second one", LogFault::TwoRepliesLost, true, Accepted},
+    {"the append was lost on its way", LogFault::AppendDropped, true, Accepted},
 };
 
-class PublishUnderTrouble : public testing::TestWithParam<PublishRow>
+class PublishWithLogFault : public testing::TestWithParam<PublishRow>
 {
 };
 
 // The log fails around an operator's publish. Whatever the operator is told must be what the readers fold: "accepted"
 // for a publish that no reader has is a change that never comes; a doubled one could take a colleague's change back.
-TEST_P(PublishUnderTrouble, TheOperatorIsToldWhatTheReadersFold)
+TEST_P(PublishWithLogFault, ReportsTheOutcomeThatReadersFold)
 {
     const auto &row = GetParam();
-    World world;
-    putChanges(world.log, 5);
-    world.log.isOut = row.trouble == Trouble::Out;
-    world.log.delay = std::chrono::milliseconds(row.trouble == Trouble::Slow ? 2000 : 0);
-    world.log.loseReplies = row.trouble == Trouble::ReplyLost ? 1 : row.trouble == Trouble::TwoRepliesLost ? 2 : 0;
-    world.log.dropAppends = row.trouble == Trouble::AppendDropped ? 1 : 0;
+    Simulation simulation;
+    appendChanges(simulation.log, 5);
+    simulation.log.isOut = row.fault == LogFault::Out;
+    simulation.log.delay = std::chrono::milliseconds(row.fault == LogFault::Slow ? 2000 : 0);
+    simulation.log.loseReplies = row.fault == LogFault::ReplyLost ? 1 : row.fault == LogFault::TwoRepliesLost ? 2 : 0;
+    simulation.log.dropAppends = row.fault == LogFault::AppendDropped ? 1 : 0;
     SeededRandom random(1);
     Publisher publisher(
-        world.log, random,
-        {.document = DocumentKind::Rules, .operation = OperationId("mine"), .text = workspace("yard", 2)});
-    world.run(std::chrono::seconds(10), publisher);
-    if (row.troubleEnds) {
-        world.log.isOut = false;
+        simulation.log, random,
+        {.document = DocumentKind::Rules, .operation = OperationId("mine"), .text = workspaceSection("yard", 2)});
+    simulation.run(std::chrono::seconds(10), publisher);
+    if (row.faultEnds) {
+        simulation.log.isOut = false;
     }
-    world.run(std::chrono::seconds(25), publisher);
-    ASSERT_TRUE(publisher.result()) << row.story;
-    EXPECT_EQ(publisher.result()->index(), row.expected) << row.story;
+    simulation.run(std::chrono::seconds(25), publisher);
+    ASSERT_TRUE(publisher.result()) << row.description;
+    EXPECT_EQ(publisher.result()->index(), row.expected) << row.description;
 
-    world.log.isOut = false;
-    Process reader(world.log);
-    world.run(std::chrono::seconds(10), reader.follower);
+    simulation.log.isOut = false;
+    Process reader(simulation.log);
+    simulation.run(std::chrono::seconds(10), reader.follower);
     ASSERT_TRUE(reader.replica.isConfirmed());
     const auto *outcome = reader.replica.state().outcomeOf(OperationId("mine"));
     if (row.expected == Accepted) {
-        ASSERT_NE(outcome, nullptr) << row.story;
-        EXPECT_EQ(outcome->decidedAt, std::get<PublishAccepted>(*publisher.result()).offset) << row.story;
-        EXPECT_NE(reader.replica.state().rules()->find(WorkspaceName("yard")), nullptr) << row.story;
+        ASSERT_NE(outcome, nullptr) << row.description;
+        EXPECT_EQ(outcome->decidedAt, std::get<PublishAccepted>(*publisher.result()).offset) << row.description;
+        EXPECT_NE(reader.replica.state().rules()->find(WorkspaceName("yard")), nullptr) << row.description;
     } else {
-        EXPECT_EQ(outcome, nullptr) << row.story;
+        EXPECT_EQ(outcome, nullptr) << row.description;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, PublishUnderTrouble, testing::ValuesIn(PublishRows));
+INSTANTIATE_TEST_SUITE_P(Table, PublishWithLogFault, testing::ValuesIn(PublishRows));
 
 // The log goes out just as it takes the append: the command cannot know. Run again with the same operation id, it
 // finds the first append and says so, in place of publishing a second time.
-TEST(Publisher, AnUnknownOutcomeIsSettledByRunningAgainWithTheOperation)
+TEST(Publisher, RetryWithTheSameOperationIdResolvesAnUnknownOutcome)
 {
-    World world;
-    putChanges(world.log, 3);
+    Simulation simulation;
+    appendChanges(simulation.log, 3);
     SeededRandom random(1);
     const PublishRequest request{
-        .document = DocumentKind::Rules, .operation = OperationId("mine"), .text = workspace("yard", 2)};
-    Publisher first(world.log, random, request);
-    world.log.loseReplies = 1;
+        .document = DocumentKind::Rules, .operation = OperationId("mine"), .text = workspaceSection("yard", 2)};
+    Publisher first(simulation.log, random, request);
+    simulation.log.loseReplies = 1;
     while (first.counters().appends == 0) {
-        world.run(Step);
-        first.tick(world.now);
+        simulation.run(Step);
+        first.tick(simulation.now);
     }
-    world.log.isOut = true;
-    world.run(std::chrono::seconds(31), first);
+    simulation.log.isOut = true;
+    simulation.run(std::chrono::seconds(31), first);
     ASSERT_TRUE(first.result());
     ASSERT_EQ(first.result()->index(), Unknown);
-    world.log.isOut = false;
-    putChanges(world.log, 2);
-    Publisher second(world.log, random, request);
-    world.run(std::chrono::seconds(5), second);
+    simulation.log.isOut = false;
+    appendChanges(simulation.log, 2);
+    Publisher second(simulation.log, random, request);
+    simulation.run(std::chrono::seconds(5), second);
     ASSERT_TRUE(second.result());
     ASSERT_EQ(second.result()->index(), Accepted);
     EXPECT_EQ(std::get<PublishAccepted>(*second.result()).offset, LogOffset{4});
@@ -163,26 +163,26 @@
 }
 
 // Five operators publish the same section at the same moment. One of them wins; each of the others is told so by name.
-TEST(Publisher, OfFiveRacingOperatorsOneWinsAndFourAreToldWhoDid)
+TEST(Publisher, AcceptsOneOfFiveConcurrentPublishesAndNamesItToTheOthers)
 {
-    World world;
-    putChanges(world.log, 1);
+    Simulation simulation;
+    appendChanges(simulation.log, 1);
     SeededRandom random(1);
     std::vector<std::unique_ptr<Publisher>> operators;
     operators.reserve(5);
     for (int i = 0; i < 5; ++i) {
         operators.push_back(
-            std::make_unique<Publisher>(world.log, random,
+            std::make_unique<Publisher>(simulation.log, random,
                                         PublishRequest{.document = DocumentKind::Rules,
                                                        .operation = OperationId("operator-" + std::to_string(i)),
                                                        .basedOn = LogOffset{1},
-                                                       .text = workspace("mill", 10 + i)}));
+                                                       .text = workspaceSection("mill", 10 + i)}));
     }
     for (int i = 0; i < 100; ++i) {
         for (auto &publisher : operators) {
-            publisher->tick(world.now);
+            publisher->tick(simulation.now);
         }
-        world.run(Step);
+        simulation.run(Step);
     }
     int accepted = 0;
     for (auto &publisher : operators) {
@@ -199,89 +199,90 @@
 }
 
 // All records that a newcomer needs have expired; only the snapshots are left.
-TEST(Snapshots, ANewcomerNeedsTheLastSnapshotAndWhatFollows)
+TEST(Snapshots, NewProcessStartsFromTheLastSnapshotAndLaterRecords)
 {
-    World world;
-    putChanges(world.log, 30);
-    Process old(world.log);
-    world.run(std::chrono::seconds(5), old.follower);
-    old.writer.tick(world.now, old.replica, 0);
-    world.run(std::chrono::seconds(5), old.follower);
-    ASSERT_EQ(old.writer.counters().written, 1U);
-    EXPECT_EQ(old.replica.state().snapshot().covers, LogOffset{30});
-    putChanges(world.log, 5);
-    world.log.expireBelow(ControlStream, LogOffset{31});
-    world.run(std::chrono::seconds(5), old.follower);
-    Process newcomer(world.log);
-    world.run(std::chrono::seconds(5), newcomer.follower);
-    EXPECT_TRUE(newcomer.replica.isConfirmed());
-    EXPECT_EQ(newcomer.replica.state().digest(), old.replica.state().digest());
+    Simulation simulation;
+    appendChanges(simulation.log, 30);
+    Process existing(simulation.log);
+    simulation.run(std::chrono::seconds(5), existing.follower);
+    existing.writer.tick(simulation.now, existing.replica, 0);
+    simulation.run(std::chrono::seconds(5), existing.follower);
+    ASSERT_EQ(existing.writer.counters().written, 1U);
+    EXPECT_EQ(existing.replica.state().snapshot().covers, LogOffset{30});
+    appendChanges(simulation.log, 5);
+    simulation.log.expireBelow(ControlStream, LogOffset{31});
+    simulation.run(std::chrono::seconds(5), existing.follower);
+    Process newProcess(simulation.log);
+    simulation.run(std::chrono::seconds(5), newProcess.follower);
+    EXPECT_TRUE(newProcess.replica.isConfirmed());
+    EXPECT_EQ(newProcess.replica.state().digest(), existing.replica.state().digest());
 }
 
 // Two processes notice at once that a snapshot is due, and a third one dies half-way. Newcomers must not care.
-TEST(Snapshots, DoubledOnesAreHarmlessAndATornOneIsPassedOver)
+TEST(Snapshots, DuplicatesAreHarmlessAndIncompleteOnesAreSkipped)
 {
-    World world;
-    putChanges(world.log, 30);
-    Process one(world.log);
-    Process two(world.log);
-    world.run(std::chrono::seconds(5), one.follower, two.follower);
-    one.writer.tick(world.now, one.replica, 0);
-    two.writer.tick(world.now, two.replica, 0);
-    world.run(std::chrono::seconds(5), one.follower, two.follower);
-    EXPECT_EQ(world.log.last(SnapshotStream), LogOffset{2});
+    Simulation simulation;
+    appendChanges(simulation.log, 30);
+    Process one(simulation.log);
+    Process two(simulation.log);
+    simulation.run(std::chrono::seconds(5), one.follower, two.follower);
+    one.writer.tick(simulation.now, one.replica, 0);
+    two.writer.tick(simulation.now, two.replica, 0);
+    simulation.run(std::chrono::seconds(5), one.follower, two.follower);
+    EXPECT_EQ(simulation.log.last(SnapshotStream), LogOffset{2});
     EXPECT_EQ(one.replica.state().skipped(SkipReason::Doubled), 1U);
-    putChanges(world.log, 1);
-    const auto torn = world.log.put(SnapshotStream, world.log.payloadAt(SnapshotStream, LogOffset{1}));
-    world.log.payloadAt(SnapshotStream, torn).at(40) ^= 1U;
-    world.log.expireBelow(ControlStream, LogOffset{31});
-    Process newcomer(world.log);
-    world.run(std::chrono::seconds(5), one.follower, newcomer.follower);
-    EXPECT_EQ(newcomer.follower.damagedParts(), 1U);
-    EXPECT_TRUE(newcomer.replica.isConfirmed());
-    EXPECT_EQ(newcomer.replica.state().digest(), one.replica.state().digest());
+    appendChanges(simulation.log, 1);
+    const auto incomplete = simulation.log.put(SnapshotStream, simulation.log.payloadAt(SnapshotStream, LogOffset{1}));
+    simulation.log.payloadAt(SnapshotStream, incomplete).at(40) ^= 1U;
+    simulation.log.expireBelow(ControlStream, LogOffset{31});
+    Process newProcess(simulation.log);
+    simulation.run(std::chrono::seconds(5), one.follower, newProcess.follower);
+    EXPECT_EQ(newProcess.follower.damagedParts(), 1U);
+    EXPECT_TRUE(newProcess.replica.isConfirmed());
+    EXPECT_EQ(newProcess.replica.state().digest(), one.replica.state().digest());
 }
 
 // The log was out for longer than it keeps records, and every snapshot is gone with them. Running processes still have
 // the state: the first of them writes it back as soon as the log answers.
-TEST(Snapshots, AfterAnOutagePastTheRetentionTheStateIsWrittenBack)
+TEST(Snapshots, RunningProcessRewritesTheStateAfterAnOutageBeyondRetention)
 {
-    World world;
-    putChanges(world.log, 5);
-    Process running(world.log);
-    world.run(std::chrono::seconds(5), running.follower);
-    world.log.isOut = true;
-    world.run(std::chrono::seconds(60), running.follower);
-    world.log.expireBelow(ControlStream, LogOffset{6});
-    world.log.isOut = false;
-    world.run(std::chrono::seconds(10), running.follower);
+    Simulation simulation;
+    appendChanges(simulation.log, 5);
+    Process running(simulation.log);
+    simulation.run(std::chrono::seconds(5), running.follower);
+    simulation.log.isOut = true;
+    simulation.run(std::chrono::seconds(60), running.follower);
+    simulation.log.expireBelow(ControlStream, LogOffset{6});
+    simulation.log.isOut = false;
+    simulation.run(std::chrono::seconds(10), running.follower);
     EXPECT_FALSE(running.replica.isCutOff());
-    running.writer.tick(world.now, running.replica, 0);
-    world.run(std::chrono::seconds(5), running.follower);
+    running.writer.tick(simulation.now, running.replica, 0);
+    simulation.run(std::chrono::seconds(5), running.follower);
     EXPECT_EQ(running.writer.counters().written, 1U);
-    Process newcomer(world.log);
-    world.run(std::chrono::seconds(5), running.follower, newcomer.follower);
-    EXPECT_EQ(newcomer.replica.state().digest(), running.replica.state().digest());
+    Process newProcess(simulation.log);
+    simulation.run(std::chrono::seconds(5), running.follower, newProcess.follower);
+    EXPECT_EQ(newProcess.replica.state().digest(), running.replica.state().digest());
 }
 
 // A process was paused while records that it needs expired. Without a snapshot nobody can tell what they said: it must
 // keep its state and say so, not guess. An operator's reset brings it back.
-TEST(Snapshots, AProcessCutOffFromExpiredRecordsWaitsForAReset)
+TEST(Snapshots, ProcessThatMissedExpiredRecordsWaitsForAReset)
 {
-    World world;
-    putChanges(world.log, 5);
-    Process paused(world.log);
-    world.run(std::chrono::seconds(5), paused.follower);
-    putChanges(world.log, 5);
-    world.log.expireBelow(ControlStream, LogOffset{9});
-    world.run(std::chrono::seconds(20), paused.follower);
+    Simulation simulation;
+    appendChanges(simulation.log, 5);
+    Process paused(simulation.log);
+    simulation.run(std::chrono::seconds(5), paused.follower);
+    appendChanges(simulation.log, 5);
+    simulation.log.expireBelow(ControlStream, LogOffset{9});
+    simulation.run(std::chrono::seconds(20), paused.follower);
     EXPECT_TRUE(paused.replica.isCutOff());
     EXPECT_EQ(paused.replica.state().offset(), LogOffset{5});
-    world.log.put(ControlStream,
-                  encodeControlRecord(ResetFold{
-                      .operation = OperationId("r"), .basedOn = LogOffset{10}, .rules = workspace("estate", 3)}));
-    putChanges(world.log, 1);
-    world.run(std::chrono::seconds(20), paused.follower);
+    simulation.log.put(ControlStream,
+                       encodeControlRecord(ResetFold{.operation = OperationId("r"),
+                                                     .basedOn = LogOffset{10},
+                                                     .rules = workspaceSection("estate", 3)}));
+    appendChanges(simulation.log, 1);
+    simulation.run(std::chrono::seconds(20), paused.follower);
     EXPECT_FALSE(paused.replica.isCutOff());
     EXPECT_EQ(paused.replica.state().offset(), LogOffset{12});
     EXPECT_EQ(paused.replica.counters().resetsFromGap, 1U);
@@ -289,10 +290,10 @@
 }
 
 // Records reach a process from the log and from peers at once: doubled, late, early, and again much later.
-RC_GTEST_PROP(ReplicaProperty, AnyDeliveryGivesTheSameStateAndNoneReverts, ())
+RC_GTEST_PROP(ReplicaProperty, AnyDeliveryOrderConvergesWithoutReverting, ())
 {
     FakeLog log;
-    putChanges(log, 30);
+    appendChanges(log, 30);
     std::vector<RelayedRecord> records;
     for (std::uint64_t offset = 1; offset <= 30; ++offset) {
         records.push_back(
--- a/tests/agreement/membership_test.cpp
+++ b/tests/agreement/membership_test.cpp
@@ -11,7 +11,7 @@
 
 struct SignalRow
 {
-    const char *story;
+    const char *description;
     TargetSignals signals;
     bool observerFault;
     Standing standing;
@@ -90,19 +90,19 @@
      StandingReason::Returning},
 };
 
-class Signals : public testing::TestWithParam<SignalRow>
+class StandingFromSignals : public testing::TestWithParam<SignalRow>
 {
 };
 
-TEST_P(Signals, GiveTheStandingOfTheTable)
+TEST_P(StandingFromSignals, MatchesTheExpectedStanding)
 {
     const auto &row = GetParam();
     const TargetStanding expected{row.standing, row.reason};
     const auto actual = standingFrom(row.signals, row.observerFault, {});
-    EXPECT_EQ(actual, expected) << row.story << ": " << toString(actual.reason);
+    EXPECT_EQ(actual, expected) << row.description << ": " << toString(actual.reason);
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, Signals, testing::ValuesIn(SignalRows));
+INSTANTIATE_TEST_SUITE_P(Table, StandingFromSignals, testing::ValuesIn(SignalRows));
 
 /** Six targets, three a zone, each on its host, all heard at the start. */
 struct Observer
@@ -119,14 +119,14 @@
         const auto inventory = Inventory::fromDocument(IniDocument::parse(text));
         membership.follow(std::make_shared<Inventory>(std::get<Inventory>(inventory)), std::make_shared<RuleSet>(),
                           now);
-        pass(seconds(5), 6);
+        advance(seconds(5), 6);
     }
 
     /** Lets @p span pass, in which the first @p heard targets are heard. */
-    void pass(milliseconds span, int heard)
+    void advance(milliseconds duration, int heardTargets)
     {
-        for (const auto end = now + span; now < end; now += milliseconds(500)) {
-            for (int i = 0; i < heard; ++i) {
+        for (const auto end = now + duration; now < end; now += milliseconds(500)) {
+            for (int i = 0; i < heardTargets; ++i) {
                 membership.noteHeard(target(i), true, now);
             }
         }
@@ -146,23 +146,23 @@
     Membership membership;
 };
 
-TEST(Membership, OneSilentTargetIsSuspectAndServesAgainOnlyAfterAWhile)
+TEST(Membership, SilentTargetIsSuspectUntilHeardForLongEnough)
 {
     Observer observer;
-    observer.pass(seconds(5), 5);
+    observer.advance(seconds(5), 5);
     EXPECT_EQ(observer.standing(5).standing, Standing::Suspect);
-    observer.pass(milliseconds(500), 6);
+    observer.advance(milliseconds(500), 6);
     EXPECT_EQ(observer.standing(5).reason, StandingReason::Returning);
-    observer.pass(seconds(2), 6);
+    observer.advance(seconds(2), 6);
     EXPECT_EQ(observer.standing(5).standing, Standing::Serving);
 }
 
 // A zone's switch fails, or the observer's own cable: half of all targets fall silent in one second. Were all of them
 // taken out, the other half would get twice its load and fail as well.
-TEST(Membership, WhenHalfFallSilentAtOnceTheObserverDoubtsItself)
+TEST(Membership, SimultaneousSilenceOfHalfTheTargetsIsAnObserverFault)
 {
     Observer observer;
-    observer.pass(seconds(5), 3);
+    observer.advance(seconds(5), 3);
     EXPECT_TRUE(observer.membership.isObserverAtFault(observer.now));
     for (int i = 3; i < 6; ++i) {
         EXPECT_EQ(observer.standing(i), (TargetStanding{Standing::Serving, StandingReason::ObserverFault}));
@@ -173,7 +173,7 @@
 
 // While a machine is replaced its name stands in the list twice, once as leaving and once as live; later lists show it
 // as live, leave it out, and show it as leaving again.
-TEST(Membership, AHostListedTwiceOrFlappingCountsAsLeaving)
+TEST(Membership, HostListedTwiceOrFlappingCountsAsLeaving)
 {
     Observer observer;
     auto &membership = observer.membership;
@@ -186,14 +186,14 @@
     EXPECT_EQ(observer.standing(0).reason, StandingReason::HostLeaving);
     membership.noteHostList({}, observer.now);
     EXPECT_EQ(observer.standing(0).reason, StandingReason::HostLeaving);
-    observer.pass(seconds(11), 6);
+    observer.advance(seconds(11), 6);
     EXPECT_EQ(observer.standing(0).reason, StandingReason::Healthy);
     EXPECT_EQ(observer.standing(1).reason, StandingReason::Healthy);
 }
 
 // An operator withdraws a target, then takes it back, while a stream runs for minutes; then the process is told to
 // stop.
-TEST(Drain, TellsWhatIsOpenSinceWhenAndEndsWithItsCause)
+TEST(Drain, ReportsOpenRequestsOldestFirstAndKeepsItsCause)
 {
     const SteadyTime begin{seconds(100)};
     DrainTracker drain;
--- a/tests/agreement/relay_test.cpp
+++ b/tests/agreement/relay_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::chrono::milliseconds Step{50};
 constexpr std::chrono::milliseconds LongStep{400}; ///< while nothing is to be measured
-constexpr std::chrono::seconds Settled{20};
+constexpr std::chrono::seconds SettleTime{20};
 constexpr int Zones = 2;
 
 /** Two zones of @p perZone processes each, their log, and a count of what each zone reads from it. */
@@ -49,9 +49,9 @@
                             .buildPlan = [shared = plan](const Inventory &) { return shared; }});
     }
 
-    void run(std::chrono::milliseconds span, std::chrono::milliseconds step = Step)
+    void run(std::chrono::milliseconds duration, std::chrono::milliseconds step = Step)
     {
-        network.run(span, step, [this] {
+        network.run(duration, step, [this] {
             log.run(network.now());
             for (auto &zone : access) {
                 zone.run();
@@ -71,7 +71,7 @@
     }
 
     /** How many running processes have not folded @p offset. */
-    std::size_t behind(LogOffset offset)
+    std::size_t countBehind(LogOffset offset)
     {
         return static_cast<std::size_t>(
             std::count_if(network.nodes().begin(), network.nodes().end(), [offset](const auto &entry) {
@@ -80,7 +80,7 @@
     }
 
     /** How many processes read the log now. */
-    std::size_t reading()
+    std::size_t countReaders()
     {
         return static_cast<std::size_t>(
             std::count_if(network.nodes().begin(), network.nodes().end(),
@@ -93,14 +93,14 @@
     std::shared_ptr<const RelayPlan> plan;
 };
 
-TEST(Relay, FewReadTheLogAndAllHaveAChangeWithinThreeSeconds)
+TEST(Relay, FewProcessesReadTheLogAndAllApplyAChangeWithinThreeSeconds)
 {
     Fleet fleet(40);
-    fleet.run(Settled);
-    EXPECT_EQ(fleet.reading(), 4U);
+    fleet.run(SettleTime);
+    EXPECT_EQ(fleet.countReaders(), 4U);
     const auto offset = fleet.publish();
     fleet.run(std::chrono::seconds(3));
-    EXPECT_EQ(fleet.behind(offset), 0U);
+    EXPECT_EQ(fleet.countBehind(offset), 0U);
     for (const auto &[name, node] : fleet.network.nodes()) {
         EXPECT_EQ(node->agent.phase(), ProcessPhase::Ready);
         EXPECT_EQ(node->agent.relay().counters().diverged, 0U);
@@ -111,9 +111,9 @@
 
 struct FaultRow
 {
-    const char *story;
+    const char *description;
     Fault fault;
-    std::chrono::seconds within; ///< from the publish, which comes right after the fault
+    std::chrono::seconds timeLimit; ///< from the publish, which comes right after the fault
 };
 
 const FaultRow FaultRows[] = {
@@ -131,14 +131,14 @@
 
 // The processes that read the log for a zone fail at the moment a change is published. Without a way round them the
 // whole zone would stay on the old configuration, with every process in it believing that it is up to date.
-TEST_P(RelayUnderFault, EveryRunningProcessGetsTheChange)
+TEST_P(RelayUnderFault, EveryRunningProcessReceivesTheChange)
 {
     Fleet fleet(20);
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     std::vector<ProcessName> readers;
     for (const auto &[name, node] : fleet.network.nodes()) {
-        const bool ofZoneA = Fleet::zoneOf(std::stoi(name.text().substr(7))) == ZoneName("a");
-        if (fleet.plan->isReader(name) && (ofZoneA || GetParam().fault == Fault::AllReadersKilled)) {
+        const bool isInZoneA = Fleet::zoneOf(std::stoi(name.text().substr(7))) == ZoneName("a");
+        if (fleet.plan->isReader(name) && (isInZoneA || GetParam().fault == Fault::AllReadersKilled)) {
             readers.push_back(name);
         }
     }
@@ -157,8 +157,8 @@
     fleet.network.doubleMessages = GetParam().fault == Fault::MessagesDoubled;
     fleet.access[0].isCut = GetParam().fault == Fault::ZoneCutFromLog;
     const auto offset = fleet.publish();
-    fleet.run(GetParam().within);
-    EXPECT_EQ(fleet.behind(offset), 0U) << GetParam().story;
+    fleet.run(GetParam().timeLimit);
+    EXPECT_EQ(fleet.countBehind(offset), 0U) << GetParam().description;
     for (const auto &[name, node] : fleet.network.nodes()) {
         EXPECT_EQ(node->agent.replica().state().skipped(SkipReason::Doubled), 0U);
     }
@@ -168,33 +168,33 @@
 
 // A process is replaced while the log is out. It must come up on the newest state that a peer has, say that nobody has
 // confirmed it, and be confirmed when the log is back.
-TEST(Relay, AProcessReplacedInAnOutageTakesItsPeersStateUnconfirmed)
+TEST(Relay, ProcessReplacedDuringALogOutageAdoptsPeerStateAsUnconfirmed)
 {
     Fleet fleet(10);
     for (int i = 0; i < 5; ++i) {
         fleet.publish();
     }
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     fleet.log.isOut = true;
     fleet.run(std::chrono::seconds(5));
     fleet.network.kill(Fleet::nameOf(3));
     auto &replaced = fleet.start(3);
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     EXPECT_EQ(replaced.agent.replica().state().offset(), LogOffset{5});
     EXPECT_EQ(replaced.agent.phase(), ProcessPhase::Unconfirmed);
     fleet.log.isOut = false;
     const auto offset = fleet.publish();
-    fleet.run(Settled);
-    EXPECT_EQ(fleet.behind(offset), 0U);
+    fleet.run(SettleTime);
+    EXPECT_EQ(fleet.countBehind(offset), 0U);
     EXPECT_EQ(replaced.agent.phase(), ProcessPhase::Ready);
 }
 
 // The log is out for twelve minutes and comes back. If every process met its return with a read, the log would be out
 // again.
-TEST(Relay, AnOutageOfTheLogDoesNotTurnEveryProcessIntoAReader)
+TEST(Relay, LogOutageDoesNotMakeEveryProcessPollTheLog)
 {
     Fleet fleet(40);
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     fleet.log.isOut = true;
     fleet.run(std::chrono::minutes(2), LongStep);
     const auto before = fleet.log.counts.reads;
@@ -205,18 +205,18 @@
     fleet.log.isOut = false;
     const auto offset = fleet.publish();
     fleet.run(std::chrono::seconds(12));
-    EXPECT_EQ(fleet.behind(offset), 0U);
-    fleet.run(Settled);
-    EXPECT_EQ(fleet.reading(), 4U);
+    EXPECT_EQ(fleet.countBehind(offset), 0U);
+    fleet.run(SettleTime);
+    EXPECT_EQ(fleet.countReaders(), 4U);
 }
 
 // A zone loses the others and the log for an hour. It must keep what it has, know how old that is, and take up what it
 // missed soon after they meet again.
-TEST(Relay, AZoneThatIsCutOffForAnHourKnowsItsAgeAndCatchesUp)
+TEST(Relay, ZoneIsolatedForAnHourReportsItsStateAgeAndCatchesUp)
 {
     Fleet fleet(10);
     fleet.publish();
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     fleet.access[1].isCut = true;
     fleet.network.passes = [](const ProcessName &a, const ProcessName &b) {
         return (std::stoi(a.text().substr(7)) + std::stoi(b.text().substr(7))) % Zones == 0;
@@ -224,8 +224,8 @@
     fleet.run(std::chrono::seconds(2)); // reads that the log holds open end
     const auto offset = fleet.publish();
     fleet.run(std::chrono::minutes(60), LongStep);
-    EXPECT_EQ(fleet.behind(offset), 10U);
-    EXPECT_EQ(fleet.behind(LogOffset{1}), 0U);
+    EXPECT_EQ(fleet.countBehind(offset), 10U);
+    EXPECT_EQ(fleet.countBehind(LogOffset{1}), 0U);
     for (int i = 1; i < 2 * 10; i += Zones) {
         const auto age = fleet.network.node(Fleet::nameOf(i)).agent.relay().freshAge(fleet.network.now());
         EXPECT_GE(age, std::chrono::minutes(59));
@@ -233,27 +233,28 @@
     fleet.access[1].isCut = false;
     fleet.network.passes = [](const auto &, const auto &) { return true; };
     fleet.run(std::chrono::seconds(8));
-    EXPECT_EQ(fleet.behind(offset), 0U);
+    EXPECT_EQ(fleet.countBehind(offset), 0U);
 }
 
 // A frame of a process's earlier run arrives after its successor has spoken. Taken at its word, it would make a dead
 // run look alive.
-TEST(Relay, AMessageOfAnEndedRunIsRefused)
+TEST(Relay, MessageFromAnEndedIncarnationIsRejected)
 {
     Fleet fleet(10);
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     auto &node = *fleet.network.nodes().begin()->second;
     const auto peer = node.agent.relay().peers().begin()->first;
-    const auto old = node.agent.relay().peers().begin()->second.incarnation;
+    const auto endedIncarnation = node.agent.relay().peers().begin()->second.incarnation;
     const auto now = fleet.network.now();
     node.agent.relay().receive(peer, {.sender = peer, .incarnation = Incarnation{77}}, Heartbeat{}, now);
-    node.agent.relay().receive(peer, {.sender = peer, .incarnation = old, .offset = LogOffset{99}}, Heartbeat{}, now);
+    node.agent.relay().receive(peer, {.sender = peer, .incarnation = endedIncarnation, .offset = LogOffset{99}},
+                               Heartbeat{}, now);
     EXPECT_EQ(node.agent.relay().counters().oldIncarnation, 1U);
     EXPECT_EQ(node.agent.relay().peers().at(peer).offset, LogOffset{});
     EXPECT_FALSE(node.agent.replica().firstMissingOffset());
 }
 
-TEST(RelayPlan, AMemberThatLeavesMovesOnlyThoseThatChoseIt)
+TEST(RelayPlan, RemovingAMemberReassignsOnlyItsSubscribers)
 {
     std::vector<RelayMember> members;
     members.reserve(700);
@@ -263,7 +264,7 @@
     const RelayPlan before(members);
     members.pop_back();
     const RelayPlan after(members);
-    int moved = 0;
+    int reassigned = 0;
     std::map<ProcessName, int> children;
     for (const auto &member : members) {
         const auto first = before.sourcesOf(member.process, member.zone);
@@ -273,9 +274,9 @@
             ++children[first[i]->process];
             EXPECT_NE(first[i]->process, member.process);
         }
-        moved += first[0]->process != second[0]->process ? 1 : 0;
+        reassigned += first[0]->process != second[0]->process ? 1 : 0;
     }
-    EXPECT_LT(moved, 30);
+    EXPECT_LT(reassigned, 30);
     EXPECT_LE(before.depthOf(ZoneName("a")), 4U); // 2 readers times 5^4 is more than 700 rounded up
     for (const auto &[process, count] : children) {
         EXPECT_LE(count, 30) << process.text();
