--- a/tests/feed/crashfeed_test.cpp
+++ b/tests/feed/crashfeed_test.cpp
@@ -10,13 +10,13 @@
 namespace
 {
 
-CrashReport report(std::uint64_t number)
+CrashReport makeReport(std::uint64_t number)
 {
     return {.kind = CrashReport::Kind::TargetDied, .request = {.low = number}, .target = TargetName("t")};
 }
 
 /** A report log that answers when the test says so. */
-class SlowReports final : public ReportLog
+class ManualReportLog final : public ReportLog
 {
 public:
     struct Read
@@ -42,49 +42,50 @@
     std::vector<Read> reads;
 };
 
-class CrashFeeds : public testing::Test
+class CrashFeedTest : public testing::Test
 {
 protected:
-    void tick(std::chrono::milliseconds time)
+    void tick(std::chrono::milliseconds duration)
     {
-        m_now += time;
+        m_now += duration;
         m_feed.tick(m_now);
     }
 
-    SlowReports m_log;
-    std::vector<CrashReport> m_learnt;
+    ManualReportLog m_log;
+    std::vector<CrashReport> m_received;
     std::vector<std::string> m_failures;
-    int m_lost = 0;
-    int m_reads = 0;
+    int m_lostCount = 0;
+    int m_readCount = 0;
     CrashFeed m_feed{
         m_log,
         {.idlePollTimeout = 15s, .busyPollTimeout = 2s, .busyPeriod = 60s, .retryDelay = 250ms, .maxPendingReports = 3},
-        {.received = [this](auto reports) { m_learnt.insert(m_learnt.end(), reports.begin(), reports.end()); },
+        {.received = [this](auto reports) { m_received.insert(m_received.end(), reports.begin(), reports.end()); },
          .failed = [this](auto what, const auto &) { m_failures.emplace_back(what); },
-         .lost = [this](auto) { ++m_lost; }}};
+         .lost = [this](auto) { ++m_lostCount; }}};
 
 private:
     SteadyTime m_now{};
 };
 
-const Error Out{.kind = ErrorKind::PlatformUnavailable};
+const Error LogUnavailable{.kind = ErrorKind::PlatformUnavailable};
 
 // Guards against a gateway that starts and does not hear what was reported before.
-TEST_F(CrashFeeds, ReadFromTheFirstRecordAndOnFromWhereTheyAre)
+TEST_F(CrashFeedTest, ReadsFromTheFirstRecordAndContinuesAfterTheLast)
 {
     tick(20ms);
     ASSERT_EQ(m_log.reads.size(), 1U);
     EXPECT_EQ(m_log.reads[0].from, 0U);
-    m_log.reads[0].done(ReportPage{.records = {encode(report(1)), "not a report", encode(report(2))}, .end = 3});
-    EXPECT_EQ(m_learnt, (std::vector{report(1), report(2)}));
-    EXPECT_EQ(m_lost, 1);
+    m_log.reads[0].done(
+        ReportPage{.records = {encode(makeReport(1)), "not a report", encode(makeReport(2))}, .end = 3});
+    EXPECT_EQ(m_received, (std::vector{makeReport(1), makeReport(2)}));
+    EXPECT_EQ(m_lostCount, 1);
     tick(20ms);
     ASSERT_EQ(m_log.reads.size(), 2U);
     EXPECT_EQ(m_log.reads[1].from, 3U);
 }
 
 // Guards against asking for ever for records that the log has dropped, or had given out before it came back older.
-TEST_F(CrashFeeds, GoOnWhereTheLogBeginsWhenItDoesNotHoldTheirPlace)
+TEST_F(CrashFeedTest, ContinuesAtTheFirstHeldOffsetWhenItsOwnIsNotHeld)
 {
     tick(20ms);
     m_log.reads[0].done(ReportPage{.end = 40});
@@ -96,19 +97,19 @@
 }
 
 // Guards against a report that is lost with a call that failed.
-TEST_F(CrashFeeds, OfferAReportAgainUntilTheLogHasTakenIt)
+TEST_F(CrashFeedTest, RetriesAReportUntilTheLogAcceptsIt)
 {
     tick(20ms);
-    m_feed.report(report(1));
+    m_feed.report(makeReport(1));
     tick(20ms);
     ASSERT_EQ(m_log.appended.size(), 1U);
-    m_feed.report(report(2));
-    m_log.appends[0](Out);
+    m_feed.report(makeReport(2));
+    m_log.appends[0](LogUnavailable);
     tick(20ms);
     EXPECT_EQ(m_log.appended.size(), 1U) << "before the pause is over";
     tick(250ms);
     ASSERT_EQ(m_log.appended.size(), 2U);
-    EXPECT_EQ(m_log.appended[1], (std::vector{encode(report(1)), encode(report(2))}));
+    EXPECT_EQ(m_log.appended[1], (std::vector{encode(makeReport(1)), encode(makeReport(2))}));
     m_log.appends[1]({});
     tick(250ms);
     EXPECT_EQ(m_log.appended.size(), 2U);
@@ -116,45 +117,45 @@
 }
 
 // Guards against calls by the hundred, which are paid for, while the log refuses one gateway for long.
-TEST_F(CrashFeeds, ReadSeldomWhileTheLogIsOutAndAtOnceWhenItIsBack)
+TEST_F(CrashFeedTest, BacksOffDuringAnOutageAndReadsAtOnceAfterRecovery)
 {
-    for (auto time = 0ms; time < 10s; time += 20ms) {
+    for (auto elapsed = 0ms; elapsed < 10s; elapsed += 20ms) {
         tick(20ms);
         if (!m_log.reads.empty()) {
-            m_log.reads.back().done(Out);
+            m_log.reads.back().done(LogUnavailable);
             m_log.reads.pop_back();
-            ++m_reads;
+            ++m_readCount;
         }
     }
-    EXPECT_LE(m_reads, 13);
+    EXPECT_LE(m_readCount, 13);
     m_feed.restartRead();
     tick(20ms);
     EXPECT_EQ(m_log.reads.size(), 1U);
 }
 
 // Guards against memory that grows without bound while the log is out.
-TEST_F(CrashFeeds, DropTheOldestReportsWhenTooManyWait)
+TEST_F(CrashFeedTest, DropsTheOldestReportsWhenTooManyArePending)
 {
     for (std::uint64_t number = 0; number < 5; ++number) {
-        m_feed.report(report(number));
+        m_feed.report(makeReport(number));
     }
     tick(20ms);
-    EXPECT_EQ(m_log.appended.at(0), (std::vector{encode(report(2)), encode(report(3)), encode(report(4))}));
-    EXPECT_EQ(m_lost, 2);
+    EXPECT_EQ(m_log.appended.at(0), (std::vector{encode(makeReport(2)), encode(makeReport(3)), encode(makeReport(4))}));
+    EXPECT_EQ(m_lostCount, 2);
 }
 
 // Guards against a connection that has gone silent while a read waits on it: reports of others would come too late.
-TEST_F(CrashFeeds, ReadAnewAndWaitShorterOnceThereIsAReport)
+TEST_F(CrashFeedTest, RestartsTheReadWithAShorterTimeoutAfterAReport)
 {
     tick(20ms);
     EXPECT_EQ(m_log.reads.at(0).wait, 15s);
-    m_feed.report(report(1));
+    m_feed.report(makeReport(1));
     tick(20ms);
     ASSERT_EQ(m_log.reads.size(), 2U);
     EXPECT_EQ(m_log.reads[1].wait, 2s);
-    m_log.reads[0].done(ReportPage{.records = {encode(report(9))}, .end = 1});
-    EXPECT_TRUE(m_learnt.empty()) << "the answer to a read that was given up";
-    m_feed.report(report(2));
+    m_log.reads[0].done(ReportPage{.records = {encode(makeReport(9))}, .end = 1});
+    EXPECT_TRUE(m_received.empty()) << "the answer to a read that was given up";
+    m_feed.report(makeReport(2));
     tick(20ms);
     EXPECT_EQ(m_log.reads.size(), 2U);
     m_feed.restartRead();
@@ -163,24 +164,24 @@
 }
 
 // Guards against reports that are gone with what the log had acknowledged last.
-TEST_F(CrashFeeds, AreToldAgainOnceTheLogHasComeBackOlder)
+TEST_F(CrashFeedTest, ResendsReportsAfterALogRestore)
 {
     tick(20ms);
-    m_feed.report(report(1));
-    m_feed.report(report(2));
+    m_feed.report(makeReport(1));
+    m_feed.report(makeReport(2));
     tick(20ms);
     m_log.appends[0]({});
-    m_feed.report(report(3));
+    m_feed.report(makeReport(3));
     tick(20ms);
     m_feed.logRestored();
     m_log.appends[1]({}); // of the m_log before
     tick(20ms);
     ASSERT_EQ(m_log.appended.size(), 3U);
-    EXPECT_EQ(m_log.appended[2], (std::vector{encode(report(1)), encode(report(2)), encode(report(3))}));
+    EXPECT_EQ(m_log.appended[2], (std::vector{encode(makeReport(1)), encode(makeReport(2)), encode(makeReport(3))}));
     EXPECT_EQ(m_log.reads.back().from, 0U);
 }
 
-RC_GTEST_PROP(CrashReports, AreReadAsTheyWereWritten,
+RC_GTEST_PROP(CrashReportCodec, RoundTripsEveryReport,
               (bool hasAnswered, std::uint64_t high, std::uint64_t low, const std::string &target))
 {
     const CrashReport written{.kind = hasAnswered ? CrashReport::Kind::Answered : CrashReport::Kind::TargetDied,
@@ -191,7 +192,7 @@
     RC_ASSERT(std::get<CrashReport>(read) == written);
 }
 
-RC_GTEST_PROP(CrashReports, TakeAnyBytesWithoutHarm, (const std::string &bytes))
+RC_GTEST_PROP(CrashReportCodec, DecodesArbitraryBytesSafely, (const std::string &bytes))
 {
     static_cast<void>(decodeCrashReport(bytes));
 }
--- a/tests/feed/registerfollower_test.cpp
+++ b/tests/feed/registerfollower_test.cpp
@@ -35,7 +35,7 @@
     }
 
     /** The call that has waited longest. */
-    Call take()
+    Call popOldestCall()
     {
         auto call = std::move(calls.front());
         calls.pop_front();
@@ -45,20 +45,20 @@
     std::deque<Call> calls{};
 };
 
-class Followers : public testing::Test
+class RegisterFollowerTest : public testing::Test
 {
 protected:
-    Followers()
+    RegisterFollowerTest()
         : m_follower(m_log, {.pollInterval = 600ms, .retryDelay = 250ms},
                      {.replaced = [this](const auto &changes) { m_replaced.push_back(changes.size()); },
                       .changed = [this](const auto &changes) { m_changed.push_back(changes.size()); },
-                      .reachable = [this](bool answers, auto) { m_reachable.push_back(answers); }})
+                      .reachable = [this](bool isReachable, auto) { m_reachable.push_back(isReachable); }})
     {
     }
 
     void answerNewest(std::uint64_t end)
     {
-        m_log.take().done(RegisterPage{.changes = {RegisterChange{.key = "a"}}, .end = end});
+        m_log.popOldestCall().done(RegisterPage{.changes = {RegisterChange{.key = "a"}}, .end = end});
     }
 
     ManualRegister m_log;
@@ -68,7 +68,7 @@
     RegisterFollower m_follower;
 };
 
-TEST_F(Followers, ReadOnBehindWhatTheyHave)
+TEST_F(RegisterFollowerTest, ContinuesAfterTheRecordsAlreadyRead)
 {
     m_follower.tick(Start);
     answerNewest(5);
@@ -76,7 +76,7 @@
     m_follower.tick(Start + 300ms);
     EXPECT_TRUE(m_log.calls.empty());
     m_follower.tick(Start + 600ms);
-    auto call = m_log.take();
+    auto call = m_log.popOldestCall();
     EXPECT_FALSE(call.isNewest);
     EXPECT_EQ(call.from, 5U);
     call.done(RegisterPage{.changes = {RegisterChange{}, RegisterChange{}}, .end = 7});
@@ -85,12 +85,12 @@
 
 // The store drops records that a follower has not read. Read on as if nothing had been there, a key that was taken away
 // or a target that left in the gap would be used for ever.
-TEST_F(Followers, BeginAnewWhenRecordsHaveGone)
+TEST_F(RegisterFollowerTest, RereadsTheWholeRegisterWhenRecordsWereDeleted)
 {
     m_follower.tick(Start);
     answerNewest(5);
     m_follower.tick(Start + 600ms);
-    m_log.take().done(Error{.kind = ErrorKind::NotFound});
+    m_log.popOldestCall().done(Error{.kind = ErrorKind::NotFound});
     m_follower.tick(Start + 620ms);
     ASSERT_EQ(m_log.calls.size(), 1U);
     EXPECT_TRUE(m_log.calls.front().isNewest);
@@ -98,26 +98,26 @@
     EXPECT_EQ(m_replaced.size(), 2U);
 }
 
-TEST_F(Followers, TellOfAnOutageOnceAndGoOnWhereTheyWere)
+TEST_F(RegisterFollowerTest, ReportsAnOutageOnceAndResumesAtTheSameOffset)
 {
     m_follower.tick(Start);
     answerNewest(5);
     m_follower.tick(Start + 600ms);
-    m_log.take().done(Error{.kind = ErrorKind::PlatformUnavailable});
+    m_log.popOldestCall().done(Error{.kind = ErrorKind::PlatformUnavailable});
     m_follower.tick(Start + 700ms);
     EXPECT_TRUE(m_log.calls.empty()) << "it asks again within the pause";
     m_follower.tick(Start + 850ms);
-    m_log.take().done(Error{.kind = ErrorKind::PlatformUnavailable});
+    m_log.popOldestCall().done(Error{.kind = ErrorKind::PlatformUnavailable});
     EXPECT_EQ(m_reachable, (std::vector<bool>{true, false}));
     m_follower.tick(Start + 1200ms);
-    auto call = m_log.take();
+    auto call = m_log.popOldestCall();
     EXPECT_EQ(call.from, 5U);
     call.done(RegisterPage{.end = 5});
     EXPECT_EQ(m_reachable, (std::vector<bool>{true, false, true}));
     EXPECT_TRUE(m_changed.empty());
 }
 
-TEST_F(Followers, AskOnceAtATime)
+TEST_F(RegisterFollowerTest, KeepsAtMostOneReadInFlight)
 {
     m_follower.tick(Start);
     m_follower.tick(Start + 10s);
@@ -125,14 +125,14 @@
 }
 
 // Guards against records that are never read, since the log has given out again the offsets that were read before.
-TEST_F(Followers, ReadTheWholeRegisterAnewAfterARestart)
+TEST_F(RegisterFollowerTest, RereadsTheWholeRegisterAfterARestart)
 {
     m_follower.tick(Start);
     answerNewest(5);
     m_follower.tick(Start + 600ms);
-    const auto late = m_log.take();
+    const auto staleCall = m_log.popOldestCall();
     m_follower.restart(100ms);
-    late.done(RegisterPage{.changes = {RegisterChange{.key = "old"}}, .end = 9});
+    staleCall.done(RegisterPage{.changes = {RegisterChange{.key = "old"}}, .end = 9});
     EXPECT_TRUE(m_changed.empty()) << "an answer from before the restart";
     m_follower.tick(Start + 680ms);
     EXPECT_TRUE(m_log.calls.empty()) << "before the delay is over";
--- a/tests/feed/rulescopies_test.cpp
+++ b/tests/feed/rulescopies_test.cpp
@@ -13,25 +13,25 @@
 namespace
 {
 
-constexpr int Copies = 3;
+constexpr int CopyCount = 3;
 
 /** Copies of rules in partitions that can be away; each answers at once. */
-class CopiesLog final : public SilentRegisters
+class RulesCopyLog final : public SilentRegisters
 {
 public:
     void readCopy(int copy, std::function<void(Result<RulesCopy>)> done) override
     {
         ++reads;
-        if (isAway[copy]) {
+        if (isUnavailable[copy]) {
             done(Error{.kind = ErrorKind::PlatformUnavailable});
             return;
         }
-        RulesCopy kept;
+        RulesCopy stored;
         for (const auto &[version, rules] : records[copy]) {
-            kept.versions.emplace(version, 1);
-            kept.changes.push_back(rules);
+            stored.versions.emplace(version, 1);
+            stored.changes.push_back(rules);
         }
-        done(std::move(kept));
+        done(std::move(stored));
     }
 
     void writeCopy(int copy, const RegisterChange &rules, std::uint64_t version,
@@ -39,7 +39,7 @@
                    std::function<void(Result<std::size_t>)> done) override
     {
         ++writes;
-        if (isAway[copy]) {
+        if (isUnavailable[copy]) {
             done(Error{.kind = ErrorKind::PlatformUnavailable});
             return;
         }
@@ -50,8 +50,8 @@
         done(std::size_t{1});
     }
 
-    std::array<bool, Copies> isAway{};
-    std::array<std::map<std::uint64_t, RegisterChange>, Copies> records{};
+    std::array<bool, CopyCount> isUnavailable{};
+    std::array<std::map<std::uint64_t, RegisterChange>, CopyCount> records{};
     int reads = 0;
     int writes = 0;
 };
@@ -60,8 +60,8 @@
 class Process
 {
 public:
-    explicit Process(CopiesLog &log)
-        : m_copies(log, {.count = Copies},
+    explicit Process(RulesCopyLog &log)
+        : m_copies(log, {.count = CopyCount},
                    {.restored =
                         [this](const auto &changes) {
                             for (const auto &change : changes) {
@@ -72,9 +72,9 @@
     {
     }
 
-    void run(RulesCopies::Duty duty, std::chrono::milliseconds time)
+    void run(RulesCopies::Duty duty, std::chrono::milliseconds duration)
     {
-        for (const auto end = m_now + time; m_now < end; m_now += 20ms) {
+        for (const auto end = m_now + duration; m_now < end; m_now += 20ms) {
             m_copies.tick(duty, m_now);
         }
     }
@@ -105,8 +105,8 @@
 struct OutageRow
 {
     const char *name;
-    std::array<bool, Copies> isAwayForWriter;
-    std::array<bool, Copies> isAwayForReader;
+    std::array<bool, CopyCount> isUnavailableForWriter;
+    std::array<bool, CopyCount> isUnavailableForReader;
     bool isRestored;
 };
 
@@ -118,40 +118,40 @@
     {"the whole log away", {}, {true, true, true}, false},
 };
 
-class Outages : public testing::TestWithParam<OutageRow>
+class RulesCopiesOutage : public testing::TestWithParam<OutageRow>
 {
 };
 
 // Guards against processes that start without rules, and refuse everything, while only the register of rules is away.
-TEST_P(Outages, LeaveTheNewestRulesToAProcessWithout)
+TEST_P(RulesCopiesOutage, RestoresTheNewestRulesToAProcessWithoutRules)
 {
     const auto &row = GetParam();
-    CopiesLog log;
-    log.isAway = row.isAwayForWriter;
+    RulesCopyLog log;
+    log.isUnavailable = row.isUnavailableForWriter;
     Process writer(log);
     writer.setRules(4);
     writer.run({.writes = true}, 100ms);
     writer.setRules(7);
     writer.run({.writes = true}, 2s);
-    log.isAway = row.isAwayForReader;
+    log.isUnavailable = row.isUnavailableForReader;
     Process reader(log);
     reader.run({.reads = true}, 100ms);
     EXPECT_EQ(contains(reader.restored, "7"), row.isRestored) << row.name;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, Outages, testing::ValuesIn(OutageRows));
+INSTANTIATE_TEST_SUITE_P(Table, RulesCopiesOutage, testing::ValuesIn(OutageRows));
 
 // Guards against copies that grow with each version, and against calls for versions that are kept already.
-TEST(RulesCopies, HoldTheNewestVersionAloneAndAreWrittenOnce)
+TEST(RulesCopies, KeepOnlyTheNewestVersionAndAreWrittenOnce)
 {
-    CopiesLog log;
+    RulesCopyLog log;
     Process writer(log);
     for (std::uint64_t version = 1; version <= 20; ++version) {
         writer.setRules(version);
         writer.run({.writes = true}, 500ms);
     }
-    EXPECT_EQ(log.writes, 20 * Copies);
-    EXPECT_EQ(log.reads, Copies);
+    EXPECT_EQ(log.writes, 20 * CopyCount);
+    EXPECT_EQ(log.reads, CopyCount);
     for (const auto &copy : log.records) {
         EXPECT_EQ(copy.size(), 1U);
         EXPECT_TRUE(copy.contains(20));
@@ -159,9 +159,9 @@
 }
 
 // Guards against a process that was paused with an old version and takes the newest one out of the copies.
-TEST(RulesCopies, KeepANewerVersionBesideAnOldOneThatIsWrittenLate)
+TEST(RulesCopies, KeepANewerVersionWhenAnOldOneIsWrittenLate)
 {
-    CopiesLog log;
+    RulesCopyLog log;
     Process paused(log);
     paused.setRules(5);
     paused.run({.writes = true}, 40ms);
@@ -176,34 +176,34 @@
 }
 
 // Guards against reads of copies by every process all the time.
-TEST(RulesCopies, AreLeftAloneByProcessesThatHaveRules)
+TEST(RulesCopies, AreNotAccessedByProcessesThatHaveRules)
 {
-    CopiesLog log;
+    RulesCopyLog log;
     Process process(log);
     process.setRules(3);
     process.run({}, 5s);
     EXPECT_EQ(log.reads + log.writes, 0);
 }
 
-TEST(RulesCopies, AreAskedForAgainAfterAFailure)
+TEST(RulesCopies, AreReadAgainAfterAFailure)
 {
-    CopiesLog log;
-    log.isAway = {true, true, true};
+    RulesCopyLog log;
+    log.isUnavailable = {true, true, true};
     Process reader(log);
     reader.run({.reads = true}, 1s);
-    EXPECT_GE(reader.failures, Copies * 3);
-    EXPECT_LE(reader.failures, Copies * 5);
+    EXPECT_GE(reader.failures, CopyCount * 3);
+    EXPECT_LE(reader.failures, CopyCount * 5);
 }
 
 // Guards against copies that stay at an old version, since their writer takes for granted what the log has lost.
-TEST(RulesCopies, AreWrittenAgainOnceTheLogHasComeBackOlder)
+TEST(RulesCopies, AreRewrittenAfterALogRestore)
 {
-    CopiesLog log;
+    RulesCopyLog log;
     Process writer(log);
     writer.setRules(6);
     writer.run({.writes = true}, 500ms);
-    const auto older = RegisterChange{.key = "5", .value = "rules"};
-    log.records.fill({{5, older}});
+    const auto olderRules = RegisterChange{.key = "5", .value = "rules"};
+    log.records.fill({{5, olderRules}});
     writer.run({.writes = true}, 500ms);
     EXPECT_FALSE(log.records[0].contains(6)) << "before it is told";
     writer.logRestored();
--- a/tests/feed/workshare_test.cpp
+++ b/tests/feed/workshare_test.cpp
@@ -32,14 +32,14 @@
     std::function<void(Result<ShareAssignment>)> answer{};
 };
 
-class Shares : public testing::Test
+class WorkShareTest : public testing::Test
 {
 protected:
     ManualShareLog m_log;
     WorkShare m_share{m_log, {.member = "m", .partitionCount = 2, .callInterval = 450ms, .lease = 1'500ms}};
 };
 
-TEST_F(Shares, DivideAllWorkAmongTheParts)
+TEST_F(WorkShareTest, OwnsTheWorkOfItsPartitions)
 {
     EXPECT_FALSE(m_share.isMine("a"));
     m_share.tick(Start);
@@ -54,7 +54,7 @@
 }
 
 // While the log is out nobody can take over. A keeper that stopped then would leave groups uneven for the whole outage.
-TEST_F(Shares, StandWhileTheLogIsOutButAreNotConfirmed)
+TEST_F(WorkShareTest, KeepsTheShareUnconfirmedDuringALogOutage)
 {
     m_share.tick(Start);
     m_log.answer(ShareAssignment{.generation = 1, .partitions = {0, 1}});
@@ -65,15 +65,15 @@
     EXPECT_FALSE(m_share.isConfirmed(Start + 1'600ms));
 }
 
-struct PartRow
+struct FractionRow
 {
-    const char *story;
-    std::set<int> parts;
-    double part;
-    double evenPart;
+    const char *description;
+    std::set<int> partitions;
+    double fraction;
+    double nonZeroFraction;
 };
 
-const PartRow PartRows[] = {
+const FractionRow FractionRows[] = {
     {"one of two members", {1}, 0.5, 0.5},
     {"the only member", {0, 1}, 1, 1},
     // Two gateways of fourteen before twelve parts take a quarter of the room that engines have: with no part, each
@@ -81,25 +81,25 @@
     {"one of more members than there are parts", {}, 0, 1.0 / 3},
 };
 
-class Parts : public testing::TestWithParam<PartRow>
+class WorkShareFraction : public testing::TestWithParam<FractionRow>
 {
 };
 
-TEST_P(Parts, AddUpAndAreNeverNothingWhereAllWorkAlike)
+TEST_P(WorkShareFraction, IsTheShareOfPartitionsAndNeverZeroForEqualWork)
 {
     ManualShareLog log;
     WorkShare share(log, {.member = "m", .partitionCount = 2});
     EXPECT_FALSE(share.fraction());
     EXPECT_FALSE(share.nonZeroFraction());
     share.tick(Start);
-    log.answer(ShareAssignment{.generation = 1, .partitions = GetParam().parts});
-    EXPECT_DOUBLE_EQ(*share.fraction(), GetParam().part) << GetParam().story;
-    EXPECT_DOUBLE_EQ(*share.nonZeroFraction(), GetParam().evenPart) << GetParam().story;
+    log.answer(ShareAssignment{.generation = 1, .partitions = GetParam().partitions});
+    EXPECT_DOUBLE_EQ(*share.fraction(), GetParam().fraction) << GetParam().description;
+    EXPECT_DOUBLE_EQ(*share.nonZeroFraction(), GetParam().nonZeroFraction) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Parts, testing::ValuesIn(PartRows));
+INSTANTIATE_TEST_SUITE_P(All, WorkShareFraction, testing::ValuesIn(FractionRows));
 
-TEST_F(Shares, EndWhenTheyAreGivenBack)
+TEST_F(WorkShareTest, ReleasesAllWorkOnLeave)
 {
     m_share.tick(Start);
     m_log.answer(ShareAssignment{.generation = 1, .partitions = {0, 1}});
@@ -112,14 +112,14 @@
 
 // Guards against a keeper that goes on as confirmed by a log that no longer knows its share, and against a generation
 // of the lost time, which a log that has come back would take for the answer to one that it has not given out yet.
-TEST_F(Shares, AreConfirmedAnewOnceTheLogHasComeBackOlder)
+TEST_F(WorkShareTest, RequiresANewConfirmationAfterALogRestore)
 {
     m_share.tick(Start);
     m_log.answer(ShareAssignment{.generation = 7, .partitions = {0, 1}});
     m_share.tick(Start + 450ms);
-    const auto late = m_log.answer;
+    const auto staleAnswer = m_log.answer;
     m_share.logRestored();
-    late(ShareAssignment{.generation = 8, .partitions = {0, 1}});
+    staleAnswer(ShareAssignment{.generation = 8, .partitions = {0, 1}});
     EXPECT_FALSE(m_share.isConfirmed(Start + 460ms));
     EXPECT_TRUE(m_share.isMine("a")) << "work that nobody does is worse than work that two do";
     m_share.tick(Start + 470ms);
