--- a/tests/restoredlog/restoredlog_test.cpp
+++ b/tests/restoredlog/restoredlog_test.cpp
@@ -14,7 +14,7 @@
 {
     const char *name;
     RestoreSafeguards safeguards;
-    bool holds;
+    bool expectsNoFailure;
 };
 
 const ScheduleRow ScheduleRows[] = {
@@ -22,41 +22,41 @@
     // come back from an older copy.
     {"AllSafeguards", {}, true},
     // The parts themselves drop answers to calls from before the change.
-    {"AnswersOfPassedErasBelieved", {.judgesEras = false}, true},
-    {"RegistersNotReadAnew", {.readsAnew = false}, false},
-    {"ReportsNotToldAgain", {.tellsAgain = false}, false},
-    {"RevisionsUnknown", {.knowsRevisions = false}, false},
+    {"AnswersOfPassedErasBelieved", {.checksEras = false}, true},
+    {"RegistersNotReadAnew", {.rereadsRegisters = false}, false},
+    {"ReportsNotToldAgain", {.resendsReports = false}, false},
+    {"RevisionsUnknown", {.comparesRevisions = false}, false},
 };
 
 /** More by hand: RESTORED_SCHEDULES=5000. */
 std::uint64_t scheduleCount()
 {
-    constexpr std::uint64_t usual = 150;
-    const char *wanted = std::getenv("RESTORED_SCHEDULES");
-    return wanted == nullptr ? usual : std::stoull(wanted);
+    constexpr std::uint64_t defaultCount = 150;
+    const char *requestedCount = std::getenv("RESTORED_SCHEDULES");
+    return requestedCount == nullptr ? defaultCount : std::stoull(requestedCount);
 }
 
-class RestoredLogs : public testing::TestWithParam<ScheduleRow>
+class LogRestore : public testing::TestWithParam<ScheduleRow>
 {
 };
 
-TEST_P(RestoredLogs, TakeNothingBackThatWasInForce)
+TEST_P(LogRestore, RevertsNothingInForce)
 {
     const auto &row = GetParam();
     const auto schedules = scheduleCount();
-    int failed = 0;
-    for (std::uint64_t seed = 1; seed <= schedules && (row.holds || failed == 0); ++seed) {
-        RestoredWorld world(seed, row.safeguards);
-        const auto fault = world.play();
-        failed += fault.empty() ? 0 : 1;
-        if (row.holds) {
-            EXPECT_EQ(fault, "") << "seed " << seed;
+    int failedRuns = 0;
+    for (std::uint64_t seed = 1; seed <= schedules && (row.expectsNoFailure || failedRuns == 0); ++seed) {
+        LogRestoreSimulation simulation(seed, row.safeguards);
+        const auto failure = simulation.run();
+        failedRuns += failure.empty() ? 0 : 1;
+        if (row.expectsNoFailure) {
+            EXPECT_EQ(failure, "") << "seed " << seed;
         }
     }
-    EXPECT_EQ(failed == 0, row.holds);
+    EXPECT_EQ(failedRuns == 0, row.expectsNoFailure);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, RestoredLogs, testing::ValuesIn(ScheduleRows),
+INSTANTIATE_TEST_SUITE_P(All, LogRestore, testing::ValuesIn(ScheduleRows),
                          [](const auto &row) { return row.param.name; });
 
 } // namespace
--- a/tests/restoredlog/restoredworld.cpp
+++ b/tests/restoredlog/restoredworld.cpp
@@ -14,33 +14,33 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds Step{20};
-constexpr milliseconds Troubles{25'000};
-constexpr milliseconds Calm{12'000};
+constexpr milliseconds FaultPhase{25'000};
+constexpr milliseconds RecoveryPhase{12'000};
 constexpr milliseconds BackupPeriod{250};
-constexpr milliseconds Heartbeat{1'200};
+constexpr milliseconds MaxHeartbeatInterval{1'200};
 constexpr milliseconds CallTimeout{700};
-constexpr std::size_t Gateways = 3;
-constexpr int Copies = 2;
-constexpr std::size_t UsualTargets = 4;
-constexpr double LostAnswers = 0.03;
+constexpr std::size_t GatewayCount = 3;
+constexpr int CopyCount = 2;
+constexpr std::size_t TargetCount = 4;
+constexpr double LostAnswerProbability = 0.03;
 
 const Error NoAnswer{.kind = ErrorKind::PlatformUnavailable, .detail = "no answer"};
 
 } // namespace
 
 /** A target as it is in truth. */
-struct RestoredWorld::Target
+struct LogRestoreSimulation::Target
 {
     TargetRecord record{};
-    bool isGone = false;
+    bool hasLeft = false;
 };
 
 /** One gateway's end of the log. */
-class RestoredWorld::LogEnd final : public RegisterLog, public ShareLog, public ReportLog
+class LogRestoreSimulation::SimulatedLogClient final : public RegisterLog, public ShareLog, public ReportLog
 {
 public:
-    LogEnd(RestoredWorld &world, LogEvents events)
-        : m_world(world)
+    SimulatedLogClient(LogRestoreSimulation &simulation, LogEvents events)
+        : m_simulation(simulation)
         , m_events(std::move(events))
         , m_alive(std::make_shared<int>(0))
     {
@@ -85,12 +85,12 @@
     void readCopy(int copy, std::function<void(Result<RulesCopy>)> done) override
     {
         call<RulesCopy>({}, std::move(done), [copy](const LogContent &log) {
-            RulesCopy kept;
+            RulesCopy stored;
             for (const auto &[version, rules] : log.copies[static_cast<std::size_t>(copy)]) {
-                kept.versions.emplace(version, 1);
-                kept.changes.push_back({.key = "config", .value = rules});
+                stored.versions.emplace(version, 1);
+                stored.changes.push_back({.key = "config", .value = rules});
             }
-            return std::optional(Result<RulesCopy>(std::move(kept)));
+            return std::optional(Result<RulesCopy>(std::move(stored)));
         });
     }
 
@@ -99,11 +99,11 @@
                    std::function<void(Result<std::size_t>)> done) override
     {
         call<std::size_t>({}, std::move(done), [copy, rules, version, dropped](LogContent &log) {
-            auto &kept = log.copies[static_cast<std::size_t>(copy)];
+            auto &stored = log.copies[static_cast<std::size_t>(copy)];
             for (const auto &[old, records] : dropped) {
-                kept.erase(old);
+                stored.erase(old);
             }
-            kept[version] = rules.value.value_or("");
+            stored[version] = rules.value.value_or("");
             return std::optional(Result<std::size_t>(std::size_t{1}));
         });
     }
@@ -121,7 +121,7 @@
         std::istringstream text(*change.value);
         TargetRecord record{.entry = {.id = TargetName(change.key)}};
         text >> record.entry.address.port >> record.revision >> record.entry.isDraining;
-        record.revision = m_world.m_safeguards.knowsRevisions ? record.revision : 0;
+        record.revision = m_simulation.m_safeguards.comparesRevisions ? record.revision : 0;
         return record;
     }
 
@@ -162,36 +162,37 @@
 
 private:
     template<typename T>
-    using Run = std::function<std::optional<Result<T>>(LogContent &)>; ///< nothing: there is nothing yet
+    using Operation = std::function<std::optional<Result<T>>(LogContent &)>; ///< nothing: there is nothing yet
 
     template<typename T>
     struct Call
     {
-        SteadyTime latest{}; ///< it is answered then, if nothing has come
+        SteadyTime deadline{}; ///< it is answered then, if nothing has come
         std::optional<std::uint64_t> eraAtCall{};
         std::uint64_t eraAtArrival = 0;
         std::function<void(Result<T>)> done{};
-        Run<T> run{};
-        Result<T> empty{}; ///< the answer when nothing has come
+        Operation<T> operation{};
+        Result<T> emptyResult{}; ///< the answer when nothing has come
     };
 
     template<typename T>
-    void call(milliseconds wait, std::function<void(Result<T>)> done, Run<T> run, Result<T> empty = NoAnswer)
+    void call(milliseconds wait, std::function<void(Result<T>)> done, Operation<T> operation,
+              Result<T> emptyResult = NoAnswer)
     {
-        Call<T> call{.latest = m_world.m_now + wait,
+        Call<T> call{.deadline = m_simulation.m_now + wait,
                      .eraAtCall = m_era.current(),
                      .done = std::move(done),
-                     .run = std::move(run),
-                     .empty = std::move(empty)};
-        later(m_world.drawn(2, 60), [this, call = std::move(call)]() mutable {
-            call.eraAtArrival = m_world.m_era;
-            perform(call);
+                     .operation = std::move(operation),
+                     .emptyResult = std::move(emptyResult)};
+        scheduleWhileAlive(m_simulation.randomDelay(2, 60), [this, call = std::move(call)]() mutable {
+            call.eraAtArrival = m_simulation.m_era;
+            execute(call);
         });
     }
 
-    void later(milliseconds delay, std::function<void()> task)
+    void scheduleWhileAlive(milliseconds delay, std::function<void()> task)
     {
-        m_world.after(delay, [alive = std::weak_ptr(m_alive), task = std::move(task)] {
+        m_simulation.schedule(delay, [alive = std::weak_ptr(m_alive), task = std::move(task)] {
             if (!alive.expired()) {
                 task();
             }
@@ -199,58 +200,59 @@
     }
 
     template<typename T>
-    void perform(const Call<T> &call)
+    void execute(const Call<T> &call)
     {
-        const bool isCut = m_world.m_isLogDown || call.eraAtArrival != m_world.m_era;
-        const bool isLost = m_world.m_random.fraction() < LostAnswers;
-        const auto result = isCut ? std::optional(Result<T>(NoAnswer)) : call.run(m_world.m_log);
-        if (!result && m_world.m_now < call.latest) {
-            later(Step, [this, call] { perform(call); });
+        const bool isInterrupted = m_simulation.m_isLogDown || call.eraAtArrival != m_simulation.m_era;
+        const bool isLost = m_simulation.m_random.fraction() < LostAnswerProbability;
+        const auto result = isInterrupted ? std::optional(Result<T>(NoAnswer)) : call.operation(m_simulation.m_log);
+        if (!result && m_simulation.m_now < call.deadline) {
+            scheduleWhileAlive(Step, [this, call] { execute(call); });
             return;
         }
-        const bool isAnswered = !isCut && !isLost;
-        later(isLost ? CallTimeout : m_world.drawn(2, 400),
-              [this, call, result = result.value_or(call.empty), isAnswered, era = m_world.m_era] {
-                  call.done(isAnswered ? believed<T>(result, era, call.eraAtCall) : Result<T>(NoAnswer));
-              });
+        const bool isAnswered = !isInterrupted && !isLost;
+        scheduleWhileAlive(
+            isLost ? CallTimeout : m_simulation.randomDelay(2, 400),
+            [this, call, result = result.value_or(call.emptyResult), isAnswered, era = m_simulation.m_era] {
+                call.done(isAnswered ? checkEra<T>(result, era, call.eraAtCall) : Result<T>(NoAnswer));
+            });
     }
 
     template<typename T>
-    Result<T> believed(const Result<T> &result, std::uint64_t era, std::optional<std::uint64_t> eraAtCall)
+    Result<T> checkEra(const Result<T> &result, std::uint64_t era, std::optional<std::uint64_t> eraAtCall)
     {
-        const auto verdict = m_era.judge(std::to_string(era), eraAtCall);
-        if (const auto *risen = std::get_if<EraRisen>(&verdict)) {
-            m_events.restored({.previousCount = risen->before, .newCount = risen->after});
+        const auto eraCheck = m_era.judge(std::to_string(era), eraAtCall);
+        if (const auto *eraRise = std::get_if<EraRisen>(&eraCheck)) {
+            m_events.restored({.previousCount = eraRise->before, .newCount = eraRise->after});
         }
-        const bool holds = std::holds_alternative<EraUnchanged>(verdict) || !m_world.m_safeguards.judgesEras;
-        return holds ? result : Result<T>(NoAnswer);
+        const bool isAccepted = std::holds_alternative<EraUnchanged>(eraCheck) || !m_simulation.m_safeguards.checksEras;
+        return isAccepted ? result : Result<T>(NoAnswer);
     }
 
-    RestoredWorld &m_world;
+    LogRestoreSimulation &m_simulation;
     LogEvents m_events;
     LogEra m_era;
     std::shared_ptr<int> m_alive;
 };
 
 /** The control state of one run of a gateway. */
-struct RestoredWorld::Gateway
+struct LogRestoreSimulation::Gateway
 {
-    explicit Gateway(RestoredWorld &world)
-        : log(world, {.restored = [this, &world](const auto &) { restored(world); }})
+    explicit Gateway(LogRestoreSimulation &simulation)
+        : log(simulation, {.restored = [this, &simulation](const auto &) { restored(simulation); }})
         , crashFeed(log, {}, {.received = [](auto) {}, .failed = [](auto, const auto &) {}, .lost = [](auto) {}})
         , workShare(log, {.member = "m"})
-        , control(log, {.rulesCopies = Copies},
+        , control(log, {.rulesCopies = CopyCount},
                   {.rulesChanged = [](auto) {}, .targetsChanged = [](auto) {}, .reachabilityChanged = [](bool) {}},
                   metrics)
     {
     }
 
-    void restored(RestoredWorld &world)
+    void restored(LogRestoreSimulation &simulation)
     {
-        if (world.m_safeguards.readsAnew) {
-            control.onLogRestored(world.m_random);
+        if (simulation.m_safeguards.rereadsRegisters) {
+            control.onLogRestored(simulation.m_random);
         }
-        if (world.m_safeguards.tellsAgain) {
+        if (simulation.m_safeguards.resendsReports) {
             crashFeed.logRestored();
         }
         workShare.logRestored();
@@ -262,7 +264,7 @@
     }
 
     Metrics metrics;
-    LogEnd log;
+    SimulatedLogClient log;
     CrashFeed crashFeed;
     WorkShare workShare;
     GatewayControl control;
@@ -271,36 +273,36 @@
     std::set<std::uint64_t> reported; ///< requests that it has reported
 };
 
-RestoredWorld::RestoredWorld(std::uint64_t seed, RestoreSafeguards safeguards)
+LogRestoreSimulation::LogRestoreSimulation(std::uint64_t seed, RestoreSafeguards safeguards)
     : m_random(seed)
     , m_safeguards(safeguards)
     , m_now(SteadyTime{} + std::chrono::hours(1))
 {
-    m_log.copies.resize(Copies);
-    m_gateways.resize(Gateways);
+    m_log.copies.resize(CopyCount);
+    m_gateways.resize(GatewayCount);
     publish();
-    for (std::size_t index = 0; index < Gateways; ++index) {
+    for (std::size_t index = 0; index < GatewayCount; ++index) {
         startGateway(index);
     }
 }
 
-RestoredWorld::~RestoredWorld() = default;
+LogRestoreSimulation::~LogRestoreSimulation() = default;
 
-std::string RestoredWorld::play()
+std::string LogRestoreSimulation::run()
 {
-    const auto calmFrom = m_now + Troubles;
-    while (m_now < calmFrom && m_fault.empty()) {
-        happen();
+    const auto faultsEndAt = m_now + FaultPhase;
+    while (m_now < faultsEndAt && m_failure.empty()) {
+        injectFaults();
         step();
     }
-    while (m_now < calmFrom + Calm && m_fault.empty()) {
+    while (m_now < faultsEndAt + RecoveryPhase && m_failure.empty()) {
         step();
     }
-    checkCalm();
-    return m_fault;
+    checkFinalState();
+    return m_failure;
 }
 
-void RestoredWorld::step()
+void LogRestoreSimulation::step()
 {
     m_now += Step;
     while (!m_tasks.empty() && m_tasks.begin()->first <= m_now) {
@@ -308,13 +310,13 @@
         m_tasks.erase(m_tasks.begin());
         task();
     }
-    for (std::size_t index = 0; index < Gateways; ++index) {
+    for (std::size_t index = 0; index < GatewayCount; ++index) {
         auto &gateway = *m_gateways[index];
         gateway.control.tick(m_now, index == 0);
         gateway.workShare.tick(m_now);
         gateway.crashFeed.tick(m_now);
     }
-    check();
+    checkInvariants();
     const bool isDue = m_backups.empty() || m_now - m_backups.rbegin()->first >= BackupPeriod;
     if (isDue && !m_isLogDown) {
         m_backups.emplace(m_now, m_log);
@@ -324,9 +326,9 @@
     }
 }
 
-void RestoredWorld::happen()
+void LogRestoreSimulation::injectFaults()
 {
-    if (m_targets.size() < UsualTargets) {
+    if (m_targets.size() < TargetCount) {
         const int port = freePort();
         m_targets.push_back(std::make_unique<Target>());
         auto &target = *m_targets.back();
@@ -335,27 +337,27 @@
         heartbeat(target);
     }
     for (const auto &target : m_targets) {
-        const bool mayDrain = !target->record.entry.isDraining;
-        if (mayDrain && happensOnceIn(milliseconds(9'000))) {
+        const bool canDrain = !target->record.entry.isDraining;
+        if (canDrain && occursOnAverageEvery(milliseconds(9'000))) {
             target->record.entry.isDraining = true;
-            after(milliseconds(2'500), [target = target.get()] { target->isGone = true; });
+            schedule(milliseconds(2'500), [target = target.get()] { target->hasLeft = true; });
         }
     }
-    if (happensOnceIn(milliseconds(3'000))) {
+    if (occursOnAverageEvery(milliseconds(3'000))) {
         publish();
     }
-    if (happensOnceIn(milliseconds(6'000))) {
+    if (occursOnAverageEvery(milliseconds(6'000))) {
         restoreLog();
     }
-    if (happensOnceIn(milliseconds(12'000))) {
-        startGateway(m_random.below(Gateways));
+    if (occursOnAverageEvery(milliseconds(12'000))) {
+        startGateway(m_random.below(GatewayCount));
     }
-    if (happensOnceIn(milliseconds(1'500))) {
-        reportDeath(*m_gateways[m_random.below(Gateways)]);
+    if (occursOnAverageEvery(milliseconds(1'500))) {
+        reportTargetDeath(*m_gateways[m_random.below(GatewayCount)]);
     }
 }
 
-int RestoredWorld::freePort() const
+int LogRestoreSimulation::freePort() const
 {
     int port = 1;
     const auto isTaken = [&](const auto &target) { return target->record.entry.address.port == port; };
@@ -365,20 +367,20 @@
     return port;
 }
 
-void RestoredWorld::publish()
+void LogRestoreSimulation::publish()
 {
     ++m_version;
     writeRules();
 }
 
-void RestoredWorld::heartbeat(Target &target)
+void LogRestoreSimulation::heartbeat(Target &target)
 {
     if (m_isLogDown) {
-        beatAfter(target, milliseconds(200));
+        scheduleHeartbeat(target, milliseconds(200));
         return;
     }
     const auto &entry = target.record.entry;
-    if (target.isGone) {
+    if (target.hasLeft) {
         writeRemoval(entry.id.text());
         std::erase_if(m_targets, [&](const auto &other) { return other.get() == &target; });
         return;
@@ -387,12 +389,14 @@
     append(m_log.targets, entry.id.text(),
            std::to_string(entry.address.port) + " " + std::to_string(target.record.revision) + " "
                + (entry.isDraining ? "1" : "0"));
-    beatAfter(target, entry.isDraining ? milliseconds(300) : drawn(400, static_cast<int>(Heartbeat.count())));
+    scheduleHeartbeat(target,
+                      entry.isDraining ? milliseconds(300)
+                                       : randomDelay(400, static_cast<int>(MaxHeartbeatInterval.count())));
 }
 
-void RestoredWorld::beatAfter(const Target &target, milliseconds delay)
+void LogRestoreSimulation::scheduleHeartbeat(const Target &target, milliseconds delay)
 {
-    after(delay, [this, id = target.record.entry.id] {
+    schedule(delay, [this, id = target.record.entry.id] {
         const auto found = std::find_if(m_targets.begin(), m_targets.end(),
                                         [&](const auto &other) { return other->record.entry.id == id; });
         if (found != m_targets.end()) {
@@ -401,90 +405,90 @@
     });
 }
 
-void RestoredWorld::restoreLog()
+void LogRestoreSimulation::restoreLog()
 {
     if (m_isLogDown || m_backups.empty()) {
         return;
     }
-    auto backup = m_backups.lower_bound(m_now - drawn(200, 4'000));
+    auto backup = m_backups.lower_bound(m_now - randomDelay(200, 4'000));
     backup = backup == m_backups.end() ? m_backups.begin() : backup;
-    const auto lost = m_log;
+    const auto lostContent = m_log;
     m_log = backup->second;
     m_backups.erase(std::next(backup), m_backups.end());
     ++m_era;
     m_isLogDown = true;
-    after(drawn(100, 1'500), [this, lost] {
+    schedule(randomDelay(100, 1'500), [this, lostContent] {
         m_isLogDown = false;
         // The platform drops a target that has left; its operators write their rules again.
-        std::set<std::string> left;
-        for (const auto &record : lost.targets) {
-            left.insert(record.key);
+        std::set<std::string> departed;
+        for (const auto &record : lostContent.targets) {
+            departed.insert(record.key);
         }
         for (const auto &target : m_targets) {
-            left.erase(target->record.entry.id.text());
+            departed.erase(target->record.entry.id.text());
         }
-        for (const auto &key : left) {
-            after(milliseconds(3'600), [this, key] { writeRemoval(key); });
+        for (const auto &key : departed) {
+            schedule(milliseconds(3'600), [this, key] { writeRemoval(key); });
         }
-        after(drawn(50, 1'000), [this] { writeRules(); });
+        schedule(randomDelay(50, 1'000), [this] { writeRules(); });
     });
 }
 
-void RestoredWorld::writeRules()
+void LogRestoreSimulation::writeRules()
 {
     if (m_isLogDown) {
-        after(milliseconds(200), [this] { writeRules(); });
+        schedule(milliseconds(200), [this] { writeRules(); });
         return;
     }
     append(m_log.rules, "config", std::to_string(m_version));
 }
 
-void RestoredWorld::writeRemoval(const std::string &target)
+void LogRestoreSimulation::writeRemoval(const std::string &target)
 {
     if (m_isLogDown) {
-        after(milliseconds(200), [this, target] { writeRemoval(target); });
+        schedule(milliseconds(200), [this, target] { writeRemoval(target); });
         return;
     }
     append(m_log.targets, target, {});
 }
 
-void RestoredWorld::append(std::vector<RegisterChange> &records, const std::string &key,
-                           std::optional<std::string> value)
+void LogRestoreSimulation::append(std::vector<RegisterChange> &records, const std::string &key,
+                                  std::optional<std::string> value)
 {
     records.push_back({.key = key, .value = std::move(value), .offset = records.size()});
 }
 
-void RestoredWorld::startGateway(std::size_t index)
+void LogRestoreSimulation::startGateway(std::size_t index)
 {
     m_gateways[index] = std::make_unique<Gateway>(*this);
 }
 
-void RestoredWorld::reportDeath(Gateway &gateway)
+void LogRestoreSimulation::reportTargetDeath(Gateway &gateway)
 {
     const auto request = m_random.draw();
     gateway.crashFeed.report({.request = {.low = request}, .target = TargetName("t")});
     gateway.reported.insert(request);
 }
 
-void RestoredWorld::check()
+void LogRestoreSimulation::checkInvariants()
 {
     for (const auto &gateway : m_gateways) {
         const auto version = gateway->version();
         if (version < gateway->highestVersion) {
-            fail("rules " + std::to_string(version) + " after " + std::to_string(gateway->highestVersion));
+            recordFailure("rules " + std::to_string(version) + " after " + std::to_string(gateway->highestVersion));
         }
         gateway->highestVersion = version;
         for (const auto &entry : gateway->control.targets()) {
             if (entry.isDraining) {
                 gateway->withdrawn.insert(entry.id);
             } else if (gateway->withdrawn.contains(entry.id)) {
-                fail(entry.id.text() + " was withdrawn and is used again");
+                recordFailure(entry.id.text() + " was withdrawn and is used again");
             }
         }
     }
 }
 
-void RestoredWorld::checkCalm()
+void LogRestoreSimulation::checkFinalState()
 {
     std::set<TargetName> serving;
     for (const auto &target : m_targets) {
@@ -494,7 +498,7 @@
     }
     for (const auto &gateway : m_gateways) {
         if (gateway->version() != m_version) {
-            fail("rules " + std::to_string(gateway->version()) + " long after " + std::to_string(m_version));
+            recordFailure("rules " + std::to_string(gateway->version()) + " long after " + std::to_string(m_version));
         }
         std::set<TargetName> used;
         for (const auto &entry : gateway->control.targets()) {
@@ -510,46 +514,47 @@
             for (const auto &id : serving) {
                 text += " serves:" + id.text();
             }
-            fail("other targets are used than those that serve:" + text);
+            recordFailure("other targets are used than those that serve:" + text);
         }
     }
     for (const auto &copy : m_log.copies) {
         if (!copy.contains(m_version)) {
-            fail("a copy without the rules in force");
+            recordFailure("a copy without the rules in force");
         }
     }
-    std::set<std::uint64_t> held;
+    std::set<std::uint64_t> storedReports;
     for (const auto &record : m_log.reports) {
-        held.insert(std::get<CrashReport>(decodeCrashReport(record)).request.low);
+        storedReports.insert(std::get<CrashReport>(decodeCrashReport(record)).request.low);
     }
     for (const auto &gateway : m_gateways) {
-        if (!std::includes(held.begin(), held.end(), gateway->reported.begin(), gateway->reported.end())) {
-            fail("a report that is lost");
+        if (!std::includes(storedReports.begin(), storedReports.end(), gateway->reported.begin(),
+                           gateway->reported.end())) {
+            recordFailure("a report that is lost");
         }
     }
 }
 
-void RestoredWorld::fail(const std::string &what)
+void LogRestoreSimulation::recordFailure(const std::string &what)
 {
-    if (m_fault.empty()) {
-        m_fault = what;
+    if (m_failure.empty()) {
+        m_failure = what;
     }
 }
 
-void RestoredWorld::after(milliseconds delay, std::function<void()> task)
+void LogRestoreSimulation::schedule(milliseconds delay, std::function<void()> task)
 {
     m_tasks.emplace(m_now + delay, std::move(task));
 }
 
-milliseconds RestoredWorld::drawn(int least, int most)
+milliseconds LogRestoreSimulation::randomDelay(int min, int max)
 {
-    const auto width = static_cast<std::uint64_t>(most) - static_cast<std::uint64_t>(least) + 1;
-    return milliseconds(least + static_cast<int>(m_random.below(width)));
+    const auto width = static_cast<std::uint64_t>(max) - static_cast<std::uint64_t>(min) + 1;
+    return milliseconds(min + static_cast<int>(m_random.below(width)));
 }
 
-bool RestoredWorld::happensOnceIn(milliseconds time)
+bool LogRestoreSimulation::occursOnAverageEvery(milliseconds interval)
 {
-    return m_random.fraction() < static_cast<double>(Step.count()) / static_cast<double>(time.count());
+    return m_random.fraction() < static_cast<double>(Step.count()) / static_cast<double>(interval.count());
 }
 
 } // namespace Heatherridge
--- a/tests/restoredlog/restoredworld.h
+++ b/tests/restoredlog/restoredworld.h
@@ -20,10 +20,10 @@
 /** What guards gateways against a log that comes back older; each can be switched off. */
 struct RestoreSafeguards
 {
-    bool judgesEras = true; ///< answers from before the log came back are dropped
-    bool readsAnew = true; ///< registers and copies are read again, and what was known of targets is kept
-    bool tellsAgain = true; ///< crash reports are written again
-    bool knowsRevisions = true; ///< targets' records are compared by revision
+    bool checksEras = true; ///< answers from before the log came back are dropped
+    bool rereadsRegisters = true; ///< registers and copies are read again, and what was known of targets is kept
+    bool resendsReports = true; ///< crash reports are written again
+    bool comparesRevisions = true; ///< targets' records are compared by revision
 };
 
 /** All that the log holds; copied and put back as a whole. */
@@ -39,38 +39,38 @@
  * Gateways' control state before a log that comes back from copies some seconds old, loses answers, and delays calls.
  * Operators and targets write, and write again what was lost. Time is simulated; one thread.
  */
-class RestoredWorld
+class LogRestoreSimulation
 {
 public:
-    RestoredWorld(std::uint64_t seed, RestoreSafeguards safeguards);
-    ~RestoredWorld();
+    LogRestoreSimulation(std::uint64_t seed, RestoreSafeguards safeguards);
+    ~LogRestoreSimulation();
 
     /** Plays troubles for a while, then calm. @returns what was wrong, or nothing */
-    std::string play();
+    std::string run();
 
 private:
     struct Target;
     struct Gateway;
-    class LogEnd;
+    class SimulatedLogClient;
 
     void step();
-    void happen();
+    void injectFaults();
     int freePort() const;
     void publish();
     void heartbeat(Target &target);
-    void beatAfter(const Target &target, std::chrono::milliseconds delay);
+    void scheduleHeartbeat(const Target &target, std::chrono::milliseconds delay);
     void restoreLog();
     void writeRules();
     void writeRemoval(const std::string &target);
     static void append(std::vector<RegisterChange> &records, const std::string &key, std::optional<std::string> value);
     void startGateway(std::size_t index);
-    void reportDeath(Gateway &gateway);
-    void check();
-    void checkCalm();
-    void fail(const std::string &what);
-    void after(std::chrono::milliseconds delay, std::function<void()> task);
-    std::chrono::milliseconds drawn(int least, int most);
-    bool happensOnceIn(std::chrono::milliseconds time);
+    void reportTargetDeath(Gateway &gateway);
+    void checkInvariants();
+    void checkFinalState();
+    void recordFailure(const std::string &what);
+    void schedule(std::chrono::milliseconds delay, std::function<void()> task);
+    std::chrono::milliseconds randomDelay(int min, int max);
+    bool occursOnAverageEvery(std::chrono::milliseconds interval);
 
     SeededRandom m_random;
     RestoreSafeguards m_safeguards;
@@ -84,7 +84,7 @@
     int m_targetCount = 0;
     std::vector<std::unique_ptr<Target>> m_targets;
     std::vector<std::unique_ptr<Gateway>> m_gateways;
-    std::string m_fault;
+    std::string m_failure;
 };
 
 } // namespace Heatherridge
