--- a/tests/restoredlog/restoredworld.cpp
+++ b/tests/restoredlog/logrestoresimulation.cpp
@@ -1,4 +1,4 @@
-#include "restoredlog/restoredworld.h"
+#include "restoredlog/logrestoresimulation.h"
 
 #include "heatherridge_protocol/crashreportcodec.h"
 
--- a/tests/restoredlog/restoredlog_test.cpp
+++ b/tests/restoredlog/restoredlog_test.cpp
@@ -1,4 +1,4 @@
-#include "restoredlog/restoredworld.h"
+#include "restoredlog/logrestoresimulation.h"
 
 #include <gtest/gtest.h>
 
