--- a/modules/heatherridge_coordination/config/configagent.cpp
+++ b/modules/heatherridge_coordination/config/configagent.cpp
@@ -53,7 +53,8 @@
     m_relay.tick(now);
     m_logFollower.setActive(m_relay.shouldReadLog());
     m_logFollower.tick(now);
-    // Only readers know the log's bounds; without any, as in a deployment of entries alone, whoever reads writes.
+    // Only processes that read the log know its bounds. In a deployment without designated readers, such as one of
+    // entry processes only, any process that reads the log writes snapshots.
     if (m_relay.shouldReadLog() && m_logFollower.isReachable() == true) {
         m_snapshotWriter.tick(now, m_replica, m_plan->readerRank(m_options.process));
     }
--- a/modules/heatherridge_coordination/config/configagent.h
+++ b/modules/heatherridge_coordination/config/configagent.h
@@ -8,7 +8,7 @@
 namespace Heatherridge
 {
 
-/** What a ConfigAgent is made of. */
+/** Identity of a ConfigAgent's process and the options of its components. */
 struct ConfigAgentOptions
 {
     ProcessName process{};
@@ -17,15 +17,15 @@
     LogFollowerOptions follower{};
     ConfigRelayOptions relay{};
     SnapshotWriterOptions snapshots{};
-    /** Makes the relay's plan from a new inventory; by default from all its targets. */
+    /** Builds the relay plan from a new inventory; the default uses all its targets. */
     std::function<std::shared_ptr<const RelayPlan>(const Inventory &)> buildPlan{};
 };
 
 /**
- * All of one process's part in the agreement on the configuration: replica, log follower, relay and snapshot writer,
- * wired together. The daemons own one each on their control thread.
+ * Connects the components with which one process takes part in the agreement on the configuration: replica, log
+ * follower, relay and snapshot writer. Each daemon owns one instance on its control thread.
  *
- * Service, links, random source and listener must outlive it. One thread.
+ * The service, links, random source and listener must outlive the agent. Single-threaded.
  */
 class ConfigAgent final : private FollowerListener
 {
@@ -35,34 +35,33 @@
     ConfigAgent(const ConfigAgent &) = delete;
     ConfigAgent &operator=(const ConfigAgent &) = delete;
 
-    /** Who is told of each change; nullptr for nobody. */
+    /** Sets the listener that is notified of each change; nullptr removes it. */
     void setListener(FollowerListener *listener);
 
-    /** Does what is due at @p now. Called every few tens of milliseconds. */
+    /** Performs the work due at @p now. Must be called every few tens of milliseconds. */
     void tick(SteadyTime now);
 
-    /** The relay, for the events of connections and for messages. */
+    /** Returns the relay, to which connection events and messages are delivered. */
     ConfigRelay &relay();
 
-    /** The relay, to look at. */
     const ConfigRelay &relay() const;
 
-    /** The replica, to look at. */
     const ConfigReplica &replica() const;
 
-    /** How far this process is: starting without any state, on a state that the log has not confirmed, or ready. */
+    /** Returns whether this process has no state yet, has one that the log has not confirmed, is ready, or is draining.
+     */
     ProcessPhase phase() const;
 
-    /** From now on the phase is "draining". */
+    /** Sets the phase to "draining" for the rest of the run. */
     void beginDrain();
 
-    /** Requests and streams that are running, for the heartbeats. */
+    /** Sets the number of running requests and streams reported in heartbeats. */
     void setOpenRequests(std::uint32_t openRequests);
 
-    /** Whether the log answered the last time it was asked; nothing before the first time. */
+    /** Returns whether the last call to the log was answered; empty before the first call has ended. */
     std::optional<bool> isLogReachable() const;
 
-    /** Snapshots written and abandoned. */
+    /** Returns the numbers of snapshots written and abandoned. */
     const SnapshotWriterCounters &snapshotCounters() const;
 
 private:
@@ -71,7 +70,7 @@
     void logAnswered(bool atEnd) override;
     void rebuildPlan();
 
-    /** Passes on what came in through the relay, which must not be handed to the relay again. */
+    /** Notifies the agent of changes received through the relay, which must not be forwarded to the relay again. */
     class RelayListener final : public FollowerListener
     {
     public:
@@ -93,7 +92,7 @@
     RelayListener m_relayListener;
     FollowerListener *m_listener = nullptr;
     std::shared_ptr<const RelayPlan> m_plan;
-    SteadyTime m_now{}; ///< of the last tick
+    SteadyTime m_now{}; ///< time of the last tick
     std::uint32_t m_openRequests = 0;
     bool m_isDraining = false;
 };
--- a/modules/heatherridge_coordination/config/configrelay.cpp
+++ b/modules/heatherridge_coordination/config/configrelay.cpp
@@ -49,7 +49,7 @@
         }
         source->second.isConnected = true;
         source->second.lastReceivedAt = now;
-        m_nextHeartbeat = std::min(m_nextHeartbeat, now); // tells the source at once what is lacking here
+        m_nextHeartbeat = std::min(m_nextHeartbeat, now); // reports this process's offset to the new source at once
         return true;
     }
     const auto subscribers =
@@ -90,7 +90,7 @@
     peer->second.offset = std::max(peer->second.offset, envelope.offset);
     m_replica.notePeerOffset(envelope.offset);
     if (const auto *heartbeat = std::get_if<Heartbeat>(&message)) {
-        // Digests are compared only at the offset that the sender had when it wrote the message.
+        // Digests are comparable only at the offset that the sender had when it wrote the message.
         if (!m_replica.checkDigest(envelope.offset, heartbeat->digest)) {
             ++m_counters.diverged;
         }
@@ -100,8 +100,8 @@
 
 bool ConfigRelay::isFromEndedIncarnation(RelayPeer &peer, Incarnation incarnation)
 {
-    // A frame of a process that has since been restarted may come late, over the old connection. Its offset and its
-    // sign of life say nothing about the run that is there now.
+    // A frame from before a peer's restart may arrive late, over the old connection. Neither its offset nor its arrival
+    // says anything about the peer's current run.
     if (m_endedIncarnations.contains(incarnation)) {
         return true;
     }
@@ -148,7 +148,7 @@
 void ConfigRelay::handle(const ProcessName &from, const StateRequest &request, SteadyTime now)
 {
     auto &servedAt = m_stateServedAt[from];
-    // A whole state is large; a peer that asks again and again must not fill the link.
+    // A full state is large; repeated requests of one peer must not saturate the link.
     const bool tooSoon = servedAt != SteadyTime{} && now - servedAt < m_options.stateRequestInterval;
     if (tooSoon || m_replica.state().offset() <= request.newerThan) {
         return;
@@ -191,7 +191,8 @@
 
 void ConfigRelay::pushRecords(const std::vector<FoldedRecord> &records, const ProcessName *excludedPeer)
 {
-    // A process that reads the log although it is no reader does so because its sources are behind: it tells them too.
+    // A process that reads the log without being a designated reader does so because its sources are behind, so it
+    // sends the records to its sources as well.
     const bool includesSources = excludedPeer == nullptr && m_plan != nullptr && !m_plan->isReader(m_self);
     for (auto &[process, peer] : m_peers) {
         if ((excludedPeer != nullptr && process == *excludedPeer)
@@ -206,7 +207,7 @@
             }
             bytes += folded.record.payload.size();
             if (!relay.records.empty() && bytes > MaxRelayBytes) {
-                break; // the peer sees the gap and asks for the rest
+                break; // the peer detects the gap and requests the rest
             }
             relay.records.push_back(folded.record);
         }
@@ -246,7 +247,7 @@
 {
     std::vector<ProcessName> silent;
     for (const auto &[process, peer] : m_peers) {
-        // A paused process keeps its connections open, so only its silence tells.
+        // A paused process keeps its connections open, so it can be detected only by its silence.
         if (peer.isSource && now - peer.lastReceivedAt > m_options.silenceTimeout) {
             silent.push_back(process);
         }
@@ -284,7 +285,8 @@
 void ConfigRelay::chooseSources(SteadyTime now)
 {
     std::set<ProcessName> wanted;
-    // A reader follows the other readers of its zone, and those of other zones only while the log fails it.
+    // A reader subscribes to the other readers of its zone, and to those of other zones only while it cannot reach the
+    // log.
     const bool isReader = m_plan != nullptr && m_plan->isReader(m_self);
     for (const auto *candidate : candidates()) {
         const auto avoided = m_avoidedUntil.find(candidate->process);
@@ -310,7 +312,7 @@
     const bool replaced = std::any_of(wanted.begin(), wanted.end(),
                                       [this](const auto &process) { return m_peers.at(process).isConnected; });
     if (!replaced) {
-        return; // what there is stays until something better is up
+        return; // keeps the present sources until a preferred one is connected
     }
     std::vector<ProcessName> surplus;
     for (const auto &[process, peer] : m_peers) {
@@ -359,7 +361,8 @@
 
 void ConfigRelay::requestState(SteadyTime now)
 {
-    // Records alone cannot help: either this process has no state, or those it lacks are kept nowhere any more.
+    // Single records are not enough: this process has no state, or the records that it lacks are no longer kept
+    // anywhere.
     const bool needsState =
         (m_isLogUnreachable || m_replica.isCutOff()) && m_fetchAttempts >= m_options.maxFetchAttempts;
     const auto *peer = mostAdvancedPeer();
@@ -379,8 +382,7 @@
     }
     const bool didReadLog = m_shouldReadLog;
     m_shouldReadLog = evaluateLogReading(now);
-    m_isLogUnreachable =
-        m_isLogUnreachable && m_shouldReadLog; // what was seen of the log is old once it is no longer read
+    m_isLogUnreachable = m_isLogUnreachable && m_shouldReadLog; // outdated once the log is no longer read
     m_counters.logFallbacks += m_shouldReadLog && !didReadLog ? 1 : 0;
 }
 
@@ -399,8 +401,8 @@
     if (!stale || !sourcesReportOutage()) {
         return stale;
     }
-    // In an outage everybody's state grows stale. If all then polled the log, its return would be met by all at
-    // once; so each looks only now and then, at a time of its own.
+    // During an outage the state of every process becomes stale. If all of them polled the log, they would all hit it
+    // at once on its return, so each polls rarely, at a randomized time.
     if (now < m_nextOutagePoll) {
         return false;
     }
--- a/modules/heatherridge_coordination/config/configrelay.h
+++ b/modules/heatherridge_coordination/config/configrelay.h
@@ -12,58 +12,60 @@
 namespace Heatherridge
 {
 
-/** Times and bounds of the relay. */
+/** Timing and limits of the relay. */
 struct ConfigRelayOptions
 {
-    std::size_t sourceCount = 2; ///< processes asked at a time; with two, one may fail without a gap
-    std::size_t maxSubscribers = 64; ///< processes served at a time; more are turned away to the next candidate
+    std::size_t sourceCount = 2; ///< sources used at a time; with two, one can fail without a gap
+    std::size_t maxSubscribers = 64; ///< further ones are refused and try their next candidate
     std::chrono::milliseconds heartbeatInterval{1'000};
-    std::chrono::milliseconds silenceTimeout{3'500}; ///< a source that is not heard for so long is given up
-    std::chrono::milliseconds avoidancePeriod{15'000}; ///< how long a source that failed is not tried again
+    std::chrono::milliseconds silenceTimeout{3'500}; ///< a source that sends nothing for this long is abandoned
+    std::chrono::milliseconds avoidancePeriod{15'000}; ///< a failed source is not retried for this long
     std::chrono::milliseconds fetchInterval{250}; ///< between requests for missing records
-    std::chrono::milliseconds stateRequestInterval{5'000}; ///< between requests for a whole state
-    std::chrono::milliseconds staleAfter{8'000}; ///< without news of the log, the log is read directly
-    std::chrono::milliseconds outagePollInterval{60'000}; ///< the same while the sources report that the log is out
-    int maxFetchAttempts = 3; ///< requests without effect after which the log is read directly
-    /** Peers from the settings, asked while there is no inventory that names any: a process that starts in an outage
-     * of the log has nowhere else to get its first state from. */
+    std::chrono::milliseconds stateRequestInterval{
+        5'000}; ///< between requests for a full state; also limits requests served per peer
+    std::chrono::milliseconds staleAfter{8'000}; ///< age of the state from which on the log is read directly
+    std::chrono::milliseconds outagePollInterval{
+        60'000}; ///< between direct reads while the sources report a log outage
+    int maxFetchAttempts = 3; ///< requests without effect before the log is read directly
+    /** Peers from the settings, used as sources while no inventory lists any. They are the only origin of a first
+     * state for a process that starts during a log outage. */
     std::vector<RelayMember> seeds{};
 };
 
-/** What the relay has done and refused, by reason. */
+/** Events of the relay, by kind. */
 struct ConfigRelayCounters
 {
     std::uint64_t relayed = 0; ///< messages with records sent
-    std::uint64_t sourcesLost = 0; ///< sources given up: silent, or their connection gone
-    std::uint64_t refusedSubscribers = 0; ///< subscribers beyond the bound
-    std::uint64_t oldIncarnation = 0; ///< messages from a run of a process that has ended
-    std::uint64_t logFallbacks = 0; ///< times that the log was read directly for lack of a source
+    std::uint64_t sourcesLost = 0; ///< sources abandoned because they were silent or their connection was lost
+    std::uint64_t refusedSubscribers = 0; ///< incoming connections beyond maxSubscribers
+    std::uint64_t oldIncarnation = 0; ///< messages from an ended run of a process
+    std::uint64_t logFallbacks = 0; ///< times this process began to read the log directly
     std::uint64_t statesServed = 0;
     std::uint64_t statesAdopted = 0;
-    std::uint64_t diverged = 0; ///< peers found with another digest at the same offset
+    std::uint64_t diverged = 0; ///< peers found with a different digest at the same offset
 };
 
-/** What is known of one peer. */
+/** State of one peer. */
 struct RelayPeer
 {
-    bool isSource = false; ///< this process asks it
-    bool isSubscriber = false; ///< it asks this process
-    bool isConnected = false; ///< for a source: connected
+    bool isSource = false; ///< this process subscribes to it
+    bool isSubscriber = false; ///< it subscribes to this process
+    bool isConnected = false; ///< for a source: its connection is up
     Incarnation incarnation{};
-    LogOffset offset{}; ///< what it has folded, or has been sent
+    LogOffset offset{}; ///< highest offset that it has folded or been sent
     SteadyTime lastReceivedAt{};
-    Heartbeat heartbeat{}; ///< the last one
+    Heartbeat heartbeat{}; ///< the last one received
 };
 
 /**
- * Brings the records of the control stream to every process without every process reading the log.
+ * Distributes the records of the control stream to every process without every process reading the log.
  *
- * A process asks a few others (its sources, as RelayPlan gives them) and serves those that ask it. Records are pushed
- * to subscribers as soon as they are folded; heartbeats tell offsets, so that a gap is seen and fetched. Each process
- * knows how fresh its state is, and reads the log itself when its sources fail it, so nobody depends on any other for
- * good. In an outage of the log a process that starts takes the highest state that its peers offer.
+ * A process subscribes to a few others (its sources, chosen by RelayPlan) and serves its own subscribers. Records are
+ * pushed to subscribers as soon as they are folded; heartbeats carry offsets, so that gaps are detected and fetched.
+ * Each process tracks how fresh its state is and reads the log itself when its sources fail, so no process depends
+ * permanently on another. A process that starts during a log outage adopts the newest state that its peers offer.
  *
- * Links, replica and listener must outlive it. One thread.
+ * The links, replica and listener must outlive the relay. Single-threaded.
  */
 class ConfigRelay
 {
@@ -71,48 +73,49 @@
     ConfigRelay(RelayLinks &links, ConfigReplica &replica, RandomSource &random, ProcessName self, ZoneName zone,
                 ConfigRelayOptions options = {});
 
-    /** Who is told what came in through the relay; nullptr for nobody. */
+    /** Sets the listener notified of records and states received through the relay; nullptr removes it. */
     void setListener(FollowerListener *listener);
 
-    /** Takes up @p plan, made from a new inventory. */
+    /** Replaces the plan with @p plan, built from a new inventory. */
     void setPlan(std::shared_ptr<const RelayPlan> plan);
 
-    /** What the own heartbeats say beside offset and digest. */
+    /** Sets the phase and the number of running requests that this process's heartbeats report. */
     void setPhase(ProcessPhase phase, std::uint32_t openRequests);
 
-    /** A connection to or from @p process is up. @returns false when it should be closed again: too many. */
+    /** Called when a connection to or from @p process is up. @returns false when the caller must close it: the process
+     * is no longer a source, or there are too many subscribers */
     bool linkUp(const ProcessName &process, LinkDirection direction, SteadyTime now);
 
-    /** The connection is gone, or could not be made. */
+    /** Called when the connection was lost or could not be established. */
     void linkDown(const ProcessName &process, LinkDirection direction, SteadyTime now);
 
     /**
-     * Takes a message.
-     * @param from the peer under whose name the connection was reported; a seed's name may differ from its sender's
-     * @param envelope the frame it came in
+     * Handles a received message.
+     * @param from the name under which the connection was reported; a seed's name may differ from the sender's
+     * @param envelope the envelope of its frame
      * @param message its decoded payload
      */
     void receive(const ProcessName &from, const Envelope &envelope, const ControlMessage &message, SteadyTime now);
 
-    /** Records that this process read from the log itself, to be handed on. */
+    /** Sends @p records, which this process read from the log itself, to subscribers. */
     void forwardRecords(const std::vector<FoldedRecord> &records);
 
-    /** The log has answered, or not. @p atEnd: nothing lies beyond the own offset. */
+    /** Records whether the log answered. @p atEnd: the log held nothing beyond this process's offset. */
     void recordLogResult(bool answered, bool atEnd, SteadyTime now);
 
-    /** Does what is due at @p now. */
+    /** Performs the work due at @p now. */
     void tick(SteadyTime now);
 
-    /** Whether this process should read the log itself. */
+    /** Returns whether this process should read the log itself. */
     bool shouldReadLog() const;
 
-    /** How long ago the log is known to have held nothing beyond the own offset; nothing when never. */
+    /** Returns how long ago the log is known to have held nothing beyond this process's offset; empty if never. */
     std::optional<std::chrono::milliseconds> freshAge(SteadyTime now) const;
 
-    /** All peers. */
+    /** Returns all current sources and subscribers. */
     const std::map<ProcessName, RelayPeer> &peers() const;
 
-    /** Counters since the start. */
+    /** Returns the counters since the start. */
     const ConfigRelayCounters &counters() const;
 
 private:
@@ -149,7 +152,7 @@
     ImageAssembler m_assembler;
     std::map<ProcessName, RelayPeer> m_peers;
     std::map<ProcessName, SteadyTime> m_avoidedUntil;
-    std::set<Incarnation> m_endedIncarnations; ///< bounded
+    std::set<Incarnation> m_endedIncarnations; ///< bounded in size
     ProcessPhase m_phase = ProcessPhase::Starting;
     std::uint32_t m_openRequests = 0;
     SteadyTime m_nextHeartbeat{};
@@ -162,7 +165,7 @@
     SteadyTime m_startedAt{};
     LogOffset m_fetchedFrom{};
     int m_fetchAttempts = 0; ///< requests for the same offset so far
-    bool m_isLogUnreachable = false; ///< as this process itself has seen
+    bool m_isLogUnreachable = false; ///< as observed by this process itself
     bool m_shouldReadLog = true;
     ConfigRelayCounters m_counters;
 };
--- a/modules/heatherridge_coordination/config/configreplica.cpp
+++ b/modules/heatherridge_coordination/config/configreplica.cpp
@@ -80,7 +80,7 @@
         ++m_counters.outdated;
         return;
     }
-    // A peer may be far ahead, or wrong; what cannot be kept is fetched again once the gap before it is closed.
+    // A peer may be far ahead, or faulty. Records that do not fit are fetched again once the gap before them is closed.
     if (m_buffered.size() >= m_options.maxBufferedRecords
         || m_bufferedBytes + record.payload.size() > m_options.maxBufferedBytes) {
         ++m_counters.dropped;
--- a/modules/heatherridge_coordination/config/configreplica.h
+++ b/modules/heatherridge_coordination/config/configreplica.h
@@ -11,38 +11,38 @@
 namespace Heatherridge
 {
 
-/** Bounds of what a replica keeps beside the state. */
+/** Limits of the records that a replica keeps in addition to its state. */
 struct ReplicaOptions
 {
-    std::size_t maxBufferedRecords = 512; ///< records that came before an earlier one
-    std::size_t maxBufferedBytes = 8UL << 20U; ///< their bytes
+    std::size_t maxBufferedRecords = 512; ///< records that arrived before a preceding one
+    std::size_t maxBufferedBytes = 8UL << 20U;
     std::size_t maxRecentRecords = 256; ///< folded records kept for peers that are behind
-    std::size_t maxRecentBytes = 2UL << 20U; ///< their bytes
+    std::size_t maxRecentBytes = 2UL << 20U;
 };
 
-/** One record that has just been folded. */
+/** A folded record and its effect on the state. */
 struct FoldedRecord
 {
     RelayedRecord record{};
     FoldEffect effect = FoldEffect::Skipped;
 };
 
-/** What a replica has been given and could not use, by reason. */
+/** Inputs that a replica did not apply directly, by reason. */
 struct ReplicaCounters
 {
-    std::uint64_t outdated = 0; ///< records at or below the offset folded: doubled or late
-    std::uint64_t outOfOrder = 0; ///< records that were kept until the ones before them came
-    std::uint64_t dropped = 0; ///< early records beyond the bounds
-    std::uint64_t rejectedImages = 0; ///< states offered that were damaged, or not newer
-    std::uint64_t diverged = 0; ///< peers seen with another digest at the same offset
-    std::uint64_t resetsFromGap = 0; ///< resets by which expired records were passed over
+    std::uint64_t outdated = 0; ///< records at or below the folded offset: duplicate or late
+    std::uint64_t outOfOrder = 0; ///< records buffered until the preceding ones arrive
+    std::uint64_t dropped = 0; ///< out-of-order records beyond the limits
+    std::uint64_t rejectedImages = 0; ///< offered states that were damaged or not newer
+    std::uint64_t diverged = 0; ///< peers found with a different digest at the same offset
+    std::uint64_t resetsFromGap = 0; ///< resets that bridged a gap of expired records
 };
 
 /**
- * One process's view of the control stream.
+ * One process's replica of the state that the control stream defines.
  *
- * Takes records from the log or from peers, in any order, doubled and with gaps, and folds each once and in order. It
- * never goes back: nothing below the offset already folded has any effect, whoever sends it. No I/O. One thread.
+ * Accepts records from the log or from peers in any order, with duplicates and gaps, and folds each once and in order.
+ * It never reverts: nothing at or below the folded offset has any effect, whoever sends it. No I/O. Single-threaded.
  */
 class ConfigReplica
 {
@@ -50,53 +50,54 @@
     explicit ConfigReplica(ReplicaOptions options = {});
 
     /**
-     * Takes one record.
-     * @returns the records that could be folded with it, in order; empty when it was old or early
+     * Accepts one record.
+     * @returns the records that could be folded as a result, in order; empty when it was outdated or out of order
      */
     std::vector<FoldedRecord> receive(RelayedRecord record);
 
     /**
-     * Takes over a whole state, from a snapshot or from a peer, when it is newer than the own one and its digest is
-     * the one that was claimed with it.
-     * @returns whether it was taken over
+     * Replaces the state with @p image, from a snapshot or a peer, if it is newer and its digest equals
+     * @p claimedDigest, which came with it.
+     * @returns whether the state was replaced
      */
     bool adopt(const ConfigImage &image, Digest claimedDigest);
 
     /**
-     * What the log itself said about the stream in a read that began after this process started.
+     * Records the bounds of the stream from a read of the log that began after this process started.
      * @param first the oldest offset still kept
      * @param last the newest offset
      */
     void noteLogBounds(LogOffset first, LogOffset last);
 
-    /** A peer has folded up to @p offset. */
+    /** Records that a peer has folded up to @p offset. */
     void notePeerOffset(LogOffset offset);
 
-    /** Compares states; @returns false, and counts, when a peer at the same offset has another digest. */
+    /** Compares a peer's digest; @returns false, and counts it, when it differs from the own one at the same offset. */
     bool checkDigest(LogOffset offset, Digest digest);
 
-    /** The folded state. */
+    /** Returns the folded state. */
     const ConfigState &state() const;
 
     /**
-     * Whether this state holds all that the log held at some moment after this process started. Until then a later
-     * record may exist that nobody who was reached has seen, so what must not be done twice is not done.
+     * Returns whether this state includes everything that the log held at some time after this process started. Until
+     * then later records may exist that no reachable peer has seen, so nothing that must not be done twice is done.
      */
     bool isConfirmed() const;
 
-    /** Whether the next record has expired from the log, so that only a whole state or a reset helps. */
+    /** Returns whether the next record has expired from the log, so that only a full state or a reset can help. */
     bool isCutOff() const;
 
-    /** The oldest offset that the log was known to keep; 0 before it said so. */
+    /** Returns the oldest offset that the log is known to keep; 0 while unknown. */
     LogOffset firstLogOffset() const;
 
-    /** The next offset to fetch, when a higher one is known to exist. */
+    /** Returns the next offset to fetch if a higher one than the folded offset is known to exist. */
     std::optional<LogOffset> firstMissingOffset() const;
 
-    /** Folded records from @p from on, at most MaxRelayBytes (but at least one); empty when @p from is not kept. */
+    /** Returns folded records from @p from on, at most MaxRelayBytes (but at least one); empty when @p from is not
+     * kept. */
     std::vector<RelayedRecord> recentRecordsFrom(LogOffset from) const;
 
-    /** Counters since the start. */
+    /** Returns the counters since the start. */
     const ReplicaCounters &counters() const;
 
 private:
@@ -111,11 +112,11 @@
     ConfigState m_state;
     std::map<LogOffset, Bytes> m_buffered;
     std::size_t m_bufferedBytes = 0;
-    std::deque<RelayedRecord> m_recent; ///< without gaps, up to the state's offset
+    std::deque<RelayedRecord> m_recent; ///< without gaps, ending at the state's offset
     std::size_t m_recentBytes = 0;
     LogOffset m_highestKnownOffset{};
     LogOffset m_firstLogOffset{};
-    std::optional<LogOffset> m_confirmationOffset; ///< end of the log in the first read after the start
+    std::optional<LogOffset> m_confirmationOffset; ///< end of the log at the first read after the start
     ReplicaCounters m_counters;
 };
 
--- a/modules/heatherridge_coordination/config/imageassembler.h
+++ b/modules/heatherridge_coordination/config/imageassembler.h
@@ -8,26 +8,27 @@
 namespace Heatherridge
 {
 
-/** A whole state put together from its parts, not yet checked against its digest. */
+/** A full state reassembled from its parts, not yet verified against its digest. */
 struct AssembledImage
 {
     ConfigImage image{};
-    Digest claimedDigest{}; ///< the digest that its parts carried
+    Digest claimedDigest{}; ///< the digest carried by its parts
 };
 
 /**
- * Puts states together from parts that come in any order, doubled, mixed with those of other states, or not at all.
+ * Reassembles states from parts that may arrive in any order, more than once, interleaved with those of other states,
+ * or not at all.
  *
- * Several writers may take the same snapshot at once; their parts are equal and fill the same places. A torn snapshot
- * stays incomplete and is pushed out by newer ones. Memory is bounded. One thread.
+ * Several writers may write the same snapshot at once; their parts are identical and fill the same slots. A partially
+ * written snapshot stays incomplete and is evicted by newer ones. Memory is bounded. Single-threaded.
  */
 class ImageAssembler
 {
 public:
-    /** States that are put together at a time; the one started longest ago gives way. */
+    /** Maximum number of incomplete states; the oldest is evicted when another one begins. */
     static constexpr std::size_t MaxPartialImages = 3;
 
-    /** Takes @p part; @returns the state when it was the last one missing and the whole can be read. */
+    /** Adds @p part; @returns the state if this part completed it and it can be decoded. */
     std::optional<AssembledImage> addPart(const ImagePart &part);
 
 private:
--- a/modules/heatherridge_coordination/config/logfollower.cpp
+++ b/modules/heatherridge_coordination/config/logfollower.cpp
@@ -41,7 +41,8 @@
         if (!m_loader && now >= m_nextAttemptAt) {
             startLoader();
         }
-        // A newcomer waits for the snapshot; one that is cut off goes on reading, since only a reset may help.
+        // A new process waits for the snapshot. One that is cut off continues to read, since possibly only a reset
+        // helps.
         if (!m_replica.isCutOff()) {
             return;
         }
@@ -59,7 +60,7 @@
 
 void LogFollower::handleSnapshot(Result<std::optional<AssembledImage>> result)
 {
-    m_loaderDone = true; // the loader is still running this call, so the next tick ends it
+    m_loaderDone = true; // the loader is still on the call stack, so the next tick destroys it
     m_loaderFailed = errorIn(result) != nullptr;
     if (m_loaderFailed) {
         m_isBackoffPending = true;
--- a/modules/heatherridge_coordination/config/logfollower.h
+++ b/modules/heatherridge_coordination/config/logfollower.h
@@ -7,39 +7,40 @@
 namespace Heatherridge
 {
 
-/** Who is told what a follower has folded. */
+/** Receives the changes of a replica's state. */
 class FollowerListener
 {
 public:
     virtual ~FollowerListener() = default;
 
-    /** These records were folded, in order. */
+    /** Called after @p records were folded, in order. */
     virtual void recordsFolded(const std::vector<FoldedRecord> &records) = 0;
 
-    /** The whole state was taken over from a snapshot. */
+    /** Called after the whole state was replaced, from a snapshot or a peer. */
     virtual void stateReplaced() = 0;
 
-    /** The log answered a read. @p atEnd: at that moment nothing lay beyond the folded offset. */
+    /** Called when the log has answered a read. @p atEnd: the log held nothing beyond the folded offset at that time.
+     */
     virtual void logAnswered(bool atEnd)
     {
         static_cast<void>(atEnd);
     }
 };
 
-/** How a follower reads. */
+/** Options of a LogFollower. */
 struct LogFollowerOptions
 {
     LogReaderOptions reader{};
-    std::chrono::milliseconds initialBackoff{200}; ///< pause between tries to find a snapshot
+    std::chrono::milliseconds initialBackoff{200}; ///< delay between attempts to load a snapshot
     std::chrono::milliseconds maxBackoff{5'000};
 };
 
 /**
- * Keeps a replica up with the control stream by reading the log itself.
+ * Keeps a replica up to date with the control stream by reading the log directly.
  *
- * A process without any state loads the last snapshot and then reads what follows it. One that was away for longer
- * than the log keeps records does the same. While it is cut off and no snapshot helps, it reads on in search of an
- * operator's reset. The service and the replica must outlive it. One thread.
+ * A process without any state loads the last snapshot and then reads the records after it. One that missed records for
+ * longer than the log keeps them does the same. While it is cut off and no snapshot closes the gap, it continues to
+ * read in search of an operator's reset. The service and the replica must outlive it. Single-threaded.
  */
 class LogFollower final : private LogReaderClient
 {
@@ -47,19 +48,19 @@
     LogFollower(LogService &service, ConfigReplica &replica, RandomSource &random,
                 const LogFollowerOptions &options = {});
 
-    /** Who is told; nullptr for nobody. Must outlive the follower. */
+    /** Sets the listener, which must outlive the follower; nullptr removes it. */
     void setListener(FollowerListener *listener);
 
-    /** Whether the log is read once the state is confirmed; before, it always is. */
+    /** Sets whether the log is read once the state is confirmed; until then it always is. */
     void setActive(bool active);
 
-    /** Starts what is due at @p now. */
+    /** Starts the calls due at @p now. */
     void tick(SteadyTime now);
 
-    /** Whether the log answered the last time; nothing before the first answer or failure. */
+    /** Returns whether the log answered the last call; empty before the first answer or failure. */
     std::optional<bool> isReachable() const;
 
-    /** Parts of snapshots that were damaged. */
+    /** Returns the number of damaged snapshot parts read. */
     std::uint64_t damagedParts() const;
 
 private:
@@ -77,11 +78,11 @@
     std::optional<SnapshotLoader> m_loader;
     bool m_loaderDone = false;
     bool m_needsSnapshot;
-    bool m_isBackoffPending = false; ///< a pause has to be drawn before the next search
+    bool m_isBackoffPending = false; ///< a delay must be drawn before the next attempt to load a snapshot
     bool m_active = true;
     bool m_loaderFailed = false;
     SteadyTime m_nextAttemptAt{};
-    LogOffset m_scannedUpTo{}; ///< while cut off: how far the log has been searched for a reset
+    LogOffset m_scannedUpTo{}; ///< while cut off: the offset up to which the log has been searched for a reset
     std::uint64_t m_damagedParts = 0;
 };
 
--- a/modules/heatherridge_coordination/config/logreader.cpp
+++ b/modules/heatherridge_coordination/config/logreader.cpp
@@ -31,8 +31,8 @@
 void LogReader::read()
 {
     m_isReading = true;
-    // The first read, and the first after a failure, does not wait for a new record: what it tells is where the
-    // stream ends, and a process that starts or has been cut off must not stay unconfirmed for a whole long poll.
+    // The first read, and the first one after a failure, does not wait for a new record: it reports where the stream
+    // ends, and a process that starts or was cut off must not stay unconfirmed for the duration of a long poll.
     const auto wait = m_reachable.value_or(false) ? m_options.longPollTimeout : std::chrono::milliseconds(0);
     m_service.read(m_options.stream, m_client.nextReadOffset(), m_options.maxRecordsPerPage, wait,
                    [this, alive = std::weak_ptr(m_alive)](const Result<LogPage> &result) {
@@ -55,8 +55,8 @@
     ++m_counters.pages;
     m_retryBackoff.reset();
     m_client.handlePage(*page);
-    // Reading on at once keeps a change from waiting for the next tick. After an empty page the tick paces the reads,
-    // so that a log that answers at once instead of waiting is not asked in a tight loop.
+    // Reads on at once so that a change does not wait for the next tick. After an empty page tick() paces the reads, so
+    // that a log that answers immediately instead of waiting is not polled in a tight loop.
     if (m_active && !page->records.empty()) {
         read();
     }
--- a/modules/heatherridge_coordination/config/logreader.h
+++ b/modules/heatherridge_coordination/config/logreader.h
@@ -9,32 +9,32 @@
 namespace Heatherridge
 {
 
-/** Who takes what a LogReader reads. */
+/** Receives the pages of a LogReader. */
 class LogReaderClient
 {
 public:
     virtual ~LogReaderClient() = default;
 
-    /** The next offset to read from. */
+    /** Returns the offset to read from next. */
     virtual LogOffset nextReadOffset() const = 0;
 
-    /** Takes a page read in answer to nextReadOffset(); empty when nothing came within the waiting time. */
+    /** Handles a page read from nextReadOffset() on; empty when no record arrived within the long-poll timeout. */
     virtual void handlePage(const LogPage &page) = 0;
 };
 
-/** How a LogReader reads. */
+/** Options of a LogReader. */
 struct LogReaderOptions
 {
     StreamName stream = ControlStream;
-    std::size_t maxRecordsPerPage = 64; ///< most records a read
-    /** How long the log may hold a read open for a new record. The end of each read also renews the knowledge that
-     * nothing newer exists, so it is well below the time after which a state counts as stale. */
+    std::size_t maxRecordsPerPage = 64;
+    /** How long the log may hold a read open for a new record. The end of each read also confirms that nothing newer
+     * exists, so this is well below the time after which a state counts as stale. */
     std::chrono::milliseconds longPollTimeout{1'000};
-    std::chrono::milliseconds initialBackoff{100}; ///< pause after the first failure
-    std::chrono::milliseconds maxBackoff{5'000}; ///< bound of the pause, and so of the delay after an outage
+    std::chrono::milliseconds initialBackoff{100}; ///< delay after the first failure
+    std::chrono::milliseconds maxBackoff{5'000}; ///< limit of the delay, and so of the time to recover after an outage
 };
 
-/** Reads of a LogReader, by how they ended. */
+/** Reads of a LogReader, by outcome. */
 struct LogReaderCounters
 {
     std::uint64_t pages = 0;
@@ -42,26 +42,28 @@
 };
 
 /**
- * Follows one stream by long polling, one read at a time, with growing pauses while the log fails.
+ * Follows one stream by long polling, one read at a time, with exponential backoff while the log fails.
  *
- * Does nothing by itself: tick() starts reads that are due. The service and the client must outlive it; answers that
- * come after its end are dropped. One thread, the one on which the service answers.
+ * tick() starts the reads that are due; nothing happens without it, except that a page with records is followed by the
+ * next read at once. The service and the client must outlive the reader; answers that arrive after its destruction are
+ * dropped. Single-threaded, on the thread on which the service answers.
  */
 class LogReader
 {
 public:
     LogReader(LogService &service, LogReaderClient &client, RandomSource &random, LogReaderOptions options = {});
 
-    /** Whether reads are started; at first they are. A read under way when this is switched off is still taken. */
+    /** Sets whether reads are started; initially true. The result of a read in progress is still handled when set to
+     * false. */
     void setActive(bool active);
 
-    /** Starts a read when one is due at @p now. */
+    /** Starts a read if one is due at @p now. */
     void tick(SteadyTime now);
 
-    /** Whether the last read that ended was answered; nothing before the first one ended. */
+    /** Returns whether the last completed read was answered; empty before the first one has completed. */
     std::optional<bool> isReachable() const;
 
-    /** Counters since the start. */
+    /** Returns the counters since the start. */
     const LogReaderCounters &counters() const;
 
 private:
@@ -75,11 +77,11 @@
     RetryBackoff m_retryBackoff;
     bool m_active = true;
     bool m_isReading = false;
-    bool m_isBackoffPending = false; ///< the last read failed and its pause has not been drawn yet
+    bool m_isBackoffPending = false; ///< the last read failed and its delay has not been drawn yet
     std::optional<bool> m_reachable;
     SteadyTime m_nextAttemptAt{};
     LogReaderCounters m_counters;
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< answers hold a weak pointer to it
+    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< callbacks hold a weak pointer to it
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/config/publisher.cpp
+++ b/modules/heatherridge_coordination/config/publisher.cpp
@@ -127,8 +127,8 @@
     if (error->ran == Ran::No) {
         ++m_counters.failedAppends;
     } else {
-        // The reply was lost, perhaps after the record was taken. The pause lets the follower read it first; should it
-        // turn up only after the second append, the fold counts one of the two.
+        // The reply was lost, possibly after the record was stored. The backoff gives the follower time to read it
+        // first; if it appears only after the second append, the fold applies only one of the two.
         ++m_counters.lostReplies;
         m_mayHaveEffect = true;
     }
--- a/modules/heatherridge_coordination/config/publisher.h
+++ b/modules/heatherridge_coordination/config/publisher.h
@@ -7,41 +7,41 @@
 namespace Heatherridge
 {
 
-/** What an operator wants to be in force. */
+/** A document that an operator wants to put in force. */
 struct PublishRequest
 {
     DocumentKind document = DocumentKind::Inventory;
-    OperationId operation{}; ///< the same when the command is run again after an unknown outcome
-    std::optional<LogOffset> basedOn{}; ///< what the operator had seen; nothing for the newest offset
-    std::string text{}; ///< the whole document; only what differs is sent
+    OperationId operation{}; ///< reused when the command is repeated after an unknown outcome
+    std::optional<LogOffset> basedOn{}; ///< the offset that the operator's edit is based on; empty for the newest
+    std::string text{}; ///< the whole document; only the differences are sent
 };
 
-/** It is accepted: every reader has it in force once it has folded this record. */
+/** Accepted: in force in every process that has folded this record. */
 struct PublishAccepted
 {
     LogOffset offset{};
 };
 
-/** It is refused and will never take effect. */
+/** Refused; it will never take effect. */
 struct PublishRefused
 {
     LogOffset decidedAt{};
     Refusal refusal{};
 };
 
-/** Its operation id was used before for other content; nothing is known about this one but that it has no effect. */
+/** The operation id was used before with different content. This request has no effect. */
 struct PublishReused
 {
     LogOffset decidedAt{};
 };
 
-/** The document has faults; nothing was sent. */
+/** The document is invalid; nothing was sent. */
 struct PublishInvalid
 {
     std::vector<ConfigFault> faults{};
 };
 
-/** The document in force is already this one; nothing was sent. */
+/** The document is already in force; nothing was sent. */
 struct PublishUnchanged
 {
     LogOffset offset{}; ///< of the record that put it in force
@@ -53,7 +53,7 @@
     std::string detail{};
 };
 
-/** It was sent and nobody could say what became of it. Run again with the same operation and basis. */
+/** The record was sent but its outcome is unknown. Publish again with the same operation id and basis. */
 struct PublishUnknown
 {
     OperationId operation{};
@@ -63,7 +63,7 @@
 using PublishResult = std::variant<PublishAccepted, PublishRefused, PublishReused, PublishInvalid, PublishUnchanged,
                                    PublishNotSent, PublishUnknown>;
 
-/** How long a publisher tries. */
+/** Timeout and backoff of a Publisher. */
 struct PublisherOptions
 {
     std::chrono::milliseconds timeout{30'000};
@@ -72,33 +72,34 @@
     LogFollowerOptions follower{};
 };
 
-/** Appends of one publisher, by how they ended. */
+/** Appends of a Publisher, by outcome. */
 struct PublisherCounters
 {
     std::uint64_t appends = 0;
-    std::uint64_t failedAppends = 0; ///< surely without effect
-    std::uint64_t lostReplies = 0; ///< perhaps with effect
+    std::uint64_t failedAppends = 0; ///< certainly without effect
+    std::uint64_t lostReplies = 0; ///< possibly with effect
 };
 
 /**
- * Publishes one document and finds out whether it was accepted.
+ * Publishes one document and determines whether it was accepted.
  *
- * "Accepted" is said only after the own fold of the log has accepted the record. An append whose reply is lost is
- * settled by reading on for its operation id; only when it has not shown up after a pause is the same record
- * appended once more, and then at most one of the two counts. The service must outlive it. One thread.
+ * PublishAccepted is reported only after the publisher's own fold of the log has accepted the record. If the reply to
+ * an append is lost, the publisher continues to read the log for its operation id. Only if the record has not appeared
+ * after a backoff delay is the same record appended again; at most one of the two takes effect. The service must
+ * outlive the publisher. Single-threaded.
  */
 class Publisher
 {
 public:
     Publisher(LogService &service, RandomSource &random, PublishRequest request, const PublisherOptions &options = {});
 
-    /** Goes on at @p now; the first call starts the timeout. */
+    /** Performs the work due at @p now; the first call starts the timeout. */
     void tick(SteadyTime now);
 
-    /** How it ended; nothing while it runs. */
+    /** Returns the result; empty while the publish is in progress. */
     const std::optional<PublishResult> &result() const;
 
-    /** Counters since the start. */
+    /** Returns the counters since the start. */
     const PublisherCounters &counters() const;
 
 private:
@@ -116,11 +117,11 @@
     LogFollower m_follower;
     RetryBackoff m_retryBackoff;
     std::optional<SteadyTime> m_deadline;
-    std::optional<Publish> m_record; ///< built once; every append carries the same
+    std::optional<Publish> m_record; ///< built once; every append sends the same record
     bool m_isAppending = false;
     bool m_mayHaveEffect = false;
-    bool m_isAppended = false; ///< the log has told its offset; it only has to be folded
-    bool m_isBackoffPending = false; ///< a pause has to be drawn before the next append
+    bool m_isAppended = false; ///< the log has acknowledged the record, which is yet to be folded
+    bool m_isBackoffPending = false; ///< a delay must be drawn before the next append
     SteadyTime m_nextAttemptAt{};
     std::optional<PublishResult> m_result;
     PublisherCounters m_counters;
--- a/modules/heatherridge_coordination/config/relaylinks.h
+++ b/modules/heatherridge_coordination/config/relaylinks.h
@@ -6,17 +6,17 @@
 namespace Heatherridge
 {
 
-/** Who opened a connection. */
+/** Which side opened a connection. */
 enum class LinkDirection : std::uint8_t {
-    Outgoing, ///< this process did
-    Incoming, ///< the peer did
+    Outgoing, ///< this process
+    Incoming, ///< the peer
 };
 
 /**
- * The connections of the relay, as it uses them.
+ * The relay's interface to its connections.
  *
- * All calls return at once and may fail silently; the loss of a connection, also of one that could not be made, is
- * reported to ConfigRelay::linkDown. The frames' envelopes are the implementation's business. One thread.
+ * All calls return at once and may fail silently. The loss of a connection, or the failure to establish one, is
+ * reported to ConfigRelay::linkDown. The implementation adds the envelopes of frames. Single-threaded.
  */
 class RelayLinks
 {
--- a/modules/heatherridge_coordination/config/relayplan.cpp
+++ b/modules/heatherridge_coordination/config/relayplan.cpp
@@ -20,7 +20,7 @@
     return digest.add(chooser).add(candidate).finish();
 }
 
-/** The place of a process in its zone: its own name alone decides. */
+/** Returns the position of a process in its zone, which depends only on the two names. */
 std::uint64_t hashPositionOf(const ZoneName &zone, const ProcessName &process)
 {
     return scoreOf(zone.text(), process.text());
@@ -54,7 +54,7 @@
     : m_options(options)
     , m_members(std::move(members))
 {
-    std::map<ZoneName, std::vector<std::pair<std::uint64_t, std::size_t>>> byZone; ///< places and indices
+    std::map<ZoneName, std::vector<std::pair<std::uint64_t, std::size_t>>> byZone; ///< positions and indices
     for (std::size_t index = 0; index < m_members.size(); ++index) {
         const auto &member = m_members[index];
         byZone[member.zone].emplace_back(hashPositionOf(member.zone, member.process), index);
@@ -65,7 +65,8 @@
         plan.region = m_members[ordered.front().second].region;
         auto width = m_options.readersPerZone;
         for (const auto &[position, index] : ordered) {
-            // Whole levels, not levels drawn at random: with few members drawn for a level, each would serve many.
+            // Levels are filled completely rather than by random assignment: a level that drew few members would leave
+            // each of them many subscribers.
             if (plan.levels.empty() || plan.levels.back().size() == width) {
                 width *= plan.levels.empty() ? 1 : m_options.fanOut;
                 plan.levels.emplace_back();
@@ -97,7 +98,7 @@
     if (plan != m_zones.end()) {
         const auto &levels = plan->second.levels;
         const auto memberLevel = m_levelOf.find(process);
-        // Who is no member takes a place beside the lowest level, which may not be full yet.
+        // A process that is not a member counts as part of the lowest level, which may not be full yet.
         auto level = memberLevel != m_levelOf.end() ? memberLevel->second : std::max<std::size_t>(levels.size() - 1, 1);
         if (level == 0) {
             addBest(process, levels[0], SourcesFromLevelAbove, sources);
--- a/modules/heatherridge_coordination/config/relayplan.h
+++ b/modules/heatherridge_coordination/config/relayplan.h
@@ -8,7 +8,7 @@
 namespace Heatherridge
 {
 
-/** One process that can hand records on: the one beside a target. Entries are in no inventory and are leaves. */
+/** A process that can forward records: the sidecar of a target. Entry processes are in no inventory and are leaves. */
 struct RelayMember
 {
     ProcessName process{};
@@ -17,57 +17,59 @@
     Endpoint endpoint{};
 };
 
-/** The process beside @p target: it goes by the target's name. */
+/** Returns the process name of the sidecar of @p target, which equals the target's name. */
 ProcessName sidecarProcessOf(const TargetName &target);
 
-/** The members that @p inventory lists; withdrawn targets are left out. */
+/** Returns the members listed in @p inventory, without withdrawn targets. */
 std::vector<RelayMember> relayMembersOf(const Inventory &inventory);
 
-/** Shape of the relay. */
+/** Shape of the relay's tree. */
 struct RelayPlanOptions
 {
     std::size_t readersPerZone = 2; ///< one more than needed, so that one can fail without a gap
-    std::size_t fanOut = 5; ///< members of a level for each one above it
+    std::size_t fanOut = 5; ///< ratio of the size of a level to that of the level above
 };
 
 /**
- * Who reads the log and who asks whom for records, worked out by every process for itself from the inventory.
+ * Determines which processes read the log and from which sources the others receive records. Each process computes the
+ * plan independently from the inventory.
  *
- * Nobody is elected: rendezvous hashing gives each member of a zone a place that depends on its own name alone, so a
- * member that comes or goes moves only those that chose it and one member at the border of each level. The first
- * members of a zone read the log; the others form levels below them, each fan-out times as large as the one above. A
- * process asks members of the level above its own, and going further up is always possible. Processes whose inventories
- * differ for a moment choose differently, which is harmless: whoever is asked serves. Immutable; any thread.
+ * There is no election: rendezvous hashing gives each member of a zone a position that depends only on its own name, so
+ * a member that joins or leaves affects only the processes that chose it and one member at the boundary of each level.
+ * The first members of a zone read the log; the others form levels below them, each fanOut times as large as the one
+ * above. A process subscribes to members of the level above its own, and can always fall back to higher levels.
+ * Processes whose inventories differ temporarily choose different sources, which is harmless: every member serves
+ * whoever subscribes. Immutable; usable from any thread.
  */
 class RelayPlan
 {
 public:
     explicit RelayPlan(std::vector<RelayMember> members, RelayPlanOptions options = {});
 
-    /** Whether @p process is one of the readers of its zone. */
+    /** Returns whether @p process is one of the readers of its zone. */
     bool isReader(const ProcessName &process) const;
 
-    /** The place of @p process among all readers, for staggering; the number of readers when it is none. */
+    /** Returns the index of @p process among all readers, for staggering; the number of readers if it is not one. */
     std::size_t readerRank(const ProcessName &process) const;
 
     /**
-     * Whom @p process asks for records, the best first: two members of the level above, the next ones of that level,
-     * then higher ones, then readers of other zones, those of its own region first. For a reader: the other readers
-     * of its zone, then those of other zones. Never the process itself.
+     * Returns the sources of @p process in order of preference: two members of the level above, further ones of that
+     * level, then higher levels, then readers of other zones, those of its own region first. For a reader: the other
+     * readers of its zone, then those of other zones. Never includes the process itself.
      */
     std::vector<const RelayMember *> sourcesOf(const ProcessName &process, const ZoneName &zone) const;
 
-    /** How many levels lie between the readers and the lowest members of @p zone. */
+    /** Returns the number of levels below the readers of @p zone. */
     std::size_t depthOf(const ZoneName &zone) const;
 
-    /** The number of members. */
+    /** Returns the number of members. */
     std::size_t size() const;
 
 private:
     struct ZonePlan
     {
         RegionName region{};
-        std::vector<std::vector<std::size_t>> levels{}; ///< indices of members; level 0 reads the log
+        std::vector<std::vector<std::size_t>> levels{}; ///< indices into m_members; level 0 reads the log
     };
 
     void addBest(const ProcessName &process, const std::vector<std::size_t> &level, std::size_t maxCount,
--- a/modules/heatherridge_coordination/config/retrybackoff.h
+++ b/modules/heatherridge_coordination/config/retrybackoff.h
@@ -5,7 +5,7 @@
 namespace Heatherridge
 {
 
-/** A Backoff that counts the tries in a row. One thread. */
+/** A Backoff that counts consecutive attempts. Single-threaded. */
 class RetryBackoff
 {
 public:
@@ -15,13 +15,13 @@
     {
     }
 
-    /** The time to wait before the next try. */
+    /** Returns the delay before the next attempt. */
     std::chrono::milliseconds nextDelay(RandomSource &random)
     {
         return m_backoff.delay(m_attempts++, std::nullopt, random);
     }
 
-    /** Begins again after a success. */
+    /** Restarts from the initial delay after a success. */
     void reset()
     {
         m_attempts = 0;
--- a/modules/heatherridge_coordination/config/snapshotloader.cpp
+++ b/modules/heatherridge_coordination/config/snapshotloader.cpp
@@ -22,7 +22,7 @@
 
 void SnapshotLoader::start()
 {
-    read(LogOffset{1}, 1); // says where the stream begins and ends
+    read(LogOffset{1}, 1); // determines where the stream begins and ends
 }
 
 std::uint64_t SnapshotLoader::damagedParts() const
@@ -62,7 +62,7 @@
     }
     addRecords(page);
     if (page.records.empty()) {
-        // The window's begin has expired while it was read, or the log has nothing more.
+        // The start of the window expired while it was read, or the log has no more records.
         finishWindow();
         return;
     }
@@ -83,7 +83,8 @@
             continue;
         }
         auto assembled = m_assembler.addPart(std::get<ImagePart>(part));
-        // A whole that does not match its own digest is as good as torn; an older one may still be sound.
+        // A complete image that does not match its digest is as unusable as a partial one; an older one may still be
+        // valid.
         if (assembled && digestOf(assembled->image) == assembled->claimedDigest
             && (!m_best || assembled->image.offset > m_best->image.offset)) {
             m_best = std::move(assembled);
--- a/modules/heatherridge_coordination/config/snapshotloader.h
+++ b/modules/heatherridge_coordination/config/snapshotloader.h
@@ -9,26 +9,27 @@
 namespace Heatherridge
 {
 
-/** The stream that holds snapshots; only processes that lack the state read it. */
+/** The stream that holds snapshots; only processes without a usable state read it. */
 inline const StreamName SnapshotStream{"control-snapshots"};
 
 /**
- * Finds the newest whole snapshot by reading the snapshot stream backwards, window by window.
+ * Finds the newest complete snapshot by reading the snapshot stream backwards in windows that double in size.
  *
- * One run an object. The service must outlive it; answers that come after its end are dropped. One thread.
+ * Each instance performs one search. The service must outlive it; answers that arrive after its destruction are
+ * dropped. Single-threaded.
  */
 class SnapshotLoader
 {
 public:
-    /** The snapshot, nothing when the stream holds no whole one, or why the log gave no answer. */
+    /** Receives the snapshot, empty if the stream holds no complete one, or the error of the log. */
     using Callback = std::function<void(Result<std::optional<AssembledImage>>)>;
 
     SnapshotLoader(LogService &service, Callback callback);
 
-    /** Begins; calls back once. */
+    /** Starts the search; the callback is called once. */
     void start();
 
-    /** Parts read that were damaged. */
+    /** Returns the number of damaged parts read. */
     std::uint64_t damagedParts() const;
 
 private:
--- a/modules/heatherridge_coordination/config/snapshotwriter.cpp
+++ b/modules/heatherridge_coordination/config/snapshotwriter.cpp
@@ -47,8 +47,8 @@
     if (!replica.isConfirmed() || replica.isCutOff() || state.offset() == LogOffset{}) {
         return false;
     }
-    // Records after the snapshot have expired: the log was out for longer than it keeps records, or every process
-    // was. Until a new snapshot is there, a newcomer finds a gap.
+    // Records after the snapshot have expired: the log, or every process, was down for longer than the log keeps
+    // records. Until a new snapshot is written, a new process finds a gap.
     const bool hasGap = replica.firstLogOffset() > next(covers);
     const auto recordsBehind = toNumber(state.offset()) - toNumber(covers);
     return hasGap || recordsBehind >= m_options.recordsBetweenSnapshots || now - m_announcedAt >= m_options.interval;
@@ -87,7 +87,7 @@
                          } else if (isAnnouncement) {
                              m_isWriting = false;
                              m_retryBackoff.reset();
-                             // Until the announcement has been folded here, the snapshot still seems due.
+                             // Until this process has folded the announcement, the snapshot still appears due.
                              m_isBackoffPending = true;
                              ++m_counters.written;
                          } else {
--- a/modules/heatherridge_coordination/config/snapshotwriter.h
+++ b/modules/heatherridge_coordination/config/snapshotwriter.h
@@ -10,42 +10,42 @@
 namespace Heatherridge
 {
 
-/** When snapshots are written. */
+/** When snapshots are written, and the backoff after failures. */
 struct SnapshotWriterOptions
 {
-    std::uint64_t recordsBetweenSnapshots = 64; ///< about as many records as a newcomer folds after the snapshot
+    std::uint64_t recordsBetweenSnapshots = 64; ///< about the number that a new process folds after loading one
     std::chrono::milliseconds interval{std::chrono::minutes(30)}; ///< well below the log's retention time
-    std::chrono::milliseconds stagger{2'000}; ///< the process of rank N waits N times this after a snapshot is due
+    std::chrono::milliseconds stagger{2'000}; ///< the process of rank N waits N times this once a snapshot is due
     std::chrono::milliseconds initialBackoff{1'000};
     std::chrono::milliseconds maxBackoff{30'000};
 };
 
-/** Snapshots of one process, by how they ended. */
+/** Snapshots of one process, by outcome. */
 struct SnapshotWriterCounters
 {
     std::uint64_t written = 0;
-    std::uint64_t abandoned = 0; ///< an append failed; the parts so far stay behind as a torn snapshot
+    std::uint64_t abandoned = 0; ///< an append failed; the parts written so far remain as an incomplete snapshot
 };
 
 /**
  * Writes the folded state to the snapshot stream before the records that it covers expire.
  *
- * Nobody is chosen for it: each process that follows the log notices that a snapshot is due and writes one after a
- * delay that grows with its rank, unless another's has been announced by then. Two at once are harmless. A process
- * whose state is unconfirmed writes none. The service must outlive it. One thread.
+ * No writer is elected: each process that follows the log detects that a snapshot is due and writes one after a delay
+ * that grows with its rank, unless another process has announced one by then. Concurrent snapshots are harmless. A
+ * process whose state is unconfirmed writes none. The service must outlive the writer. Single-threaded.
  */
 class SnapshotWriter
 {
 public:
     SnapshotWriter(LogService &service, RandomSource &random, SnapshotWriterOptions options = {});
 
-    /** Begins a snapshot when one is due at @p now. @p rank is this process's place among those that may write. */
+    /** Begins a snapshot if one is due at @p now. @p rank is this process's index among those that may write. */
     void tick(SteadyTime now, const ConfigReplica &replica, std::size_t rank);
 
-    /** Whether a snapshot is being written. */
+    /** Returns whether a snapshot is being written. */
     bool isWriting() const;
 
-    /** Counters since the start. */
+    /** Returns the counters since the start. */
     const SnapshotWriterCounters &counters() const;
 
 private:
@@ -58,12 +58,12 @@
     RandomSource &m_random;
     SnapshotWriterOptions m_options;
     RetryBackoff m_retryBackoff;
-    std::optional<LogOffset> m_lastCoveredOffset; ///< of the snapshot announced when this was last looked at
-    SteadyTime m_announcedAt{}; ///< when it was first seen here
+    std::optional<LogOffset> m_lastCoveredOffset; ///< of the snapshot announced at the last check
+    SteadyTime m_announcedAt{}; ///< when that snapshot was first seen by this process
     std::optional<SteadyTime> m_dueSince;
     SteadyTime m_nextAttemptAt{};
-    bool m_isBackoffPending = false; ///< a pause has to be drawn before the next snapshot
-    std::vector<Bytes> m_payloads; ///< parts still to append, in reverse
+    bool m_isBackoffPending = false; ///< a delay must be drawn before the next snapshot
+    std::vector<Bytes> m_payloads; ///< parts still to append, in reverse order
     SnapshotTaken m_announcement;
     bool m_isWriting = false;
     SnapshotWriterCounters m_counters;
