--- a/modules/heatherridge_coordination/config/configrelay.h
+++ b/modules/heatherridge_coordination/config/configrelay.h
@@ -21,11 +21,9 @@
     std::chrono::milliseconds silenceTimeout{3'500}; ///< a source that sends nothing for this long is abandoned
     std::chrono::milliseconds avoidancePeriod{15'000}; ///< a failed source is not retried for this long
     std::chrono::milliseconds fetchInterval{250}; ///< between requests for missing records
-    std::chrono::milliseconds stateRequestInterval{
-        5'000}; ///< between requests for a full state; also limits requests served per peer
+    std::chrono::milliseconds stateRequestInterval{5'000}; ///< between full-state requests, also those served per peer
     std::chrono::milliseconds staleAfter{8'000}; ///< age of the state from which on the log is read directly
-    std::chrono::milliseconds outagePollInterval{
-        60'000}; ///< between direct reads while the sources report a log outage
+    std::chrono::milliseconds outagePollInterval{60'000}; ///< between direct reads during a log outage
     int maxFetchAttempts = 3; ///< requests without effect before the log is read directly
     /** Peers from the settings, used as sources while no inventory lists any. They are the only origin of a first
      * state for a process that starts during a log outage. */
--- a/modules/heatherridge_coordination/feed/crashfeed.cpp
+++ b/modules/heatherridge_coordination/feed/crashfeed.cpp
@@ -20,7 +20,7 @@
 {
     if (m_pendingReports.size() - m_appendingCount >= m_options.maxPendingReports) {
         m_pendingReports.erase(m_pendingReports.begin() + static_cast<std::ptrdiff_t>(m_appendingCount));
-        m_events.lost("the log takes no reports, and too many wait");
+        m_events.lost("the log accepts no reports and too many are pending; dropped the oldest one");
     }
     m_pendingReports.push_back(std::move(report));
     m_lastReportAt = m_now;
@@ -118,7 +118,7 @@
     handleSuccess(m_readRetry);
     auto &[records, end] = std::get<ReportPage>(page);
     if (records.empty() && end != m_nextOffset) {
-        m_readRetry.nextAttempt = m_now + m_options.retryDelay; // the log no longer holds what this process asked for
+        m_readRetry.nextAttempt = m_now + m_options.retryDelay; // the log does not hold the requested offset
     }
     m_nextOffset = end;
     std::vector<CrashReport> reports;
--- a/modules/heatherridge_coordination/feed/logrestore.h
+++ b/modules/heatherridge_coordination/feed/logrestore.h
@@ -8,22 +8,22 @@
 {
 
 /**
- * The platform's log has come back from an older copy of itself.
+ * Event: the platform's log was restored from an older copy of itself.
  *
- * What it had acknowledged last may be gone, and its offsets are given out again: a position in it says nothing any
- * more. Operators and targets write again what they had written.
+ * The most recently acknowledged records may be lost, and their offsets are assigned again, so earlier offsets are no
+ * longer meaningful. Operators and targets write their records again.
  */
 struct LogRestored
 {
-    std::uint64_t previousCount = 0; ///< how many times it had come back until then
+    std::uint64_t previousCount = 0; ///< number of restores before this one
     std::uint64_t newCount = 0;
 };
 
-/** What answers of the log say beside their content. */
+/** Events derived from the metadata of the log's answers. */
 struct LogEvents
 {
     std::function<void(const LogRestored &restored)> restored{};
-    /** An answer was not believed, since it does not say in which state of the log it was given. */
+    /** Called when an answer was rejected because it does not state in which era of the log it was given. */
     std::function<void(std::string_view answer)> malformed{};
 };
 
--- a/modules/heatherridge_coordination/feed/registerfollower.h
+++ b/modules/heatherridge_coordination/feed/registerfollower.h
@@ -8,20 +8,20 @@
 namespace Heatherridge
 {
 
-/** What a follower tells; each on its thread. */
+/** Events of a RegisterFollower, called on its thread. */
 struct RegisterEvents
 {
-    /** @p changes are the whole register: what they don't name is gone. */
+    /** Called with the whole register: keys that @p changes do not contain no longer exist. */
     std::function<void(const std::vector<RegisterChange> &changes)> replaced{};
-    /** @p changes came on top. */
+    /** Called with changes to the register's previous content. */
     std::function<void(const std::vector<RegisterChange> &changes)> changed{};
-    /** Whether the register answers; told at each change of that and, while it does, at each answer. */
+    /** Called with whether the register answers: on each change of that, and on each answer. */
     std::function<void(bool isReachable, std::string_view reason)> reachable{};
 };
 
 /**
- * Follows one register from its present state on, through outages and deleted records. One thread; no clock or timer of
- * its own.
+ * Follows one register from its current content on, across outages and deleted records. Single-threaded; has no clock
+ * or timer of its own.
  */
 class RegisterFollower
 {
@@ -29,19 +29,18 @@
     struct Options
     {
         RegisterKind kind = RegisterKind::Rules;
-        std::chrono::milliseconds pollTimeout{0}; ///< how long a read waits for news
-        std::chrono::milliseconds pollInterval{0}; ///< between reads that don't wait
-        std::chrono::milliseconds retryDelay{
-            250}; ///< after a failure; a tenth of what a change may take to be in force
+        std::chrono::milliseconds pollTimeout{0}; ///< how long a read waits for a change
+        std::chrono::milliseconds pollInterval{0}; ///< between the starts of reads
+        std::chrono::milliseconds retryDelay{250}; ///< a tenth of the time within which a change must be in force
     };
 
     /** Uses @p log, which must outlive it. */
     RegisterFollower(RegisterLog &log, Options options, RegisterEvents events);
 
-    /** Starts a read when one is due. Called often. */
+    /** Starts a read if one is due. Must be called often. */
     void tick(SteadyTime now);
 
-    /** Reads the whole register anew after @p delay; what is under way is not taken. */
+    /** Reads the whole register again after @p delay; the answer to a read in progress is ignored. */
     void restart(std::chrono::milliseconds delay);
 
 private:
@@ -55,11 +54,11 @@
     RegisterLog &m_log;
     Options m_options;
     RegisterEvents m_events;
-    std::optional<std::uint64_t> m_nextOffset; ///< nothing: only readNewest() can tell what holds
-    std::uint64_t m_restartCount = 0; ///< answers to calls from before the last are not taken
+    std::optional<std::uint64_t> m_nextOffset; ///< empty: the current content has to be read with readNewest()
+    std::uint64_t m_restartCount = 0; ///< answers to calls from before the last restart are ignored
     bool m_isReading = false;
     bool m_isReachable = true;
-    SteadyTime m_now{}; ///< of the last tick; answers come between ticks
+    SteadyTime m_now{}; ///< of the last tick; answers arrive between ticks
     SteadyTime m_nextReadAt{};
 };
 
--- a/modules/heatherridge_coordination/feed/registerlog.h
+++ b/modules/heatherridge_coordination/feed/registerlog.h
@@ -15,35 +15,35 @@
 namespace Heatherridge
 {
 
-/** What the platform keeps for its users as keyed records, of which the newest of each key lasts. */
+/** Registers that the platform keeps: keyed records of which only the newest of each key is retained. */
 enum class RegisterKind {
     Rules, ///< the configuration in force
-    Targets, ///< who serves what, written by the targets
+    Targets, ///< which target serves what, written by the targets
 };
 
 /** One record of a register. */
 struct RegisterChange
 {
     std::string key{};
-    std::optional<std::string> value{}; ///< nothing: the key is gone
-    std::uint64_t offset = 0; ///< where it stands in the register
+    std::optional<std::string> value{}; ///< empty: the key was removed
+    std::uint64_t offset = 0; ///< its offset in the register
 };
 
-/** Some records of a register in their order. */
+/** Consecutive records of a register. */
 struct RegisterPage
 {
     std::vector<RegisterChange> changes{};
-    std::uint64_t end = 0; ///< where to read on
+    std::uint64_t end = 0; ///< the offset to continue from
 };
 
-/** The records of rules in one copy of their register. */
+/** The contents of one copy of the register of rules. */
 struct RulesCopy
 {
-    std::vector<RegisterChange> changes{}; ///< each can be read as one of the register itself
-    std::map<std::uint64_t, std::size_t> versions{}; ///< of them, and how many records of the log hold each
+    std::vector<RegisterChange> changes{}; ///< each in the form of a record of the register itself
+    std::map<std::uint64_t, std::size_t> versions{}; ///< stored versions, each with its number of log records
 };
 
-/** The platform's registers. One thread; answers come later on the same thread. */
+/** Interface to the platform's registers. Single-threaded; answers arrive later on the same thread. */
 class RegisterLog
 {
 public:
@@ -51,31 +51,32 @@
 
     virtual ~RegisterLog() = default;
 
-    /** The newest record of each key. */
+    /** Reads the newest record of each key. */
     virtual void readNewest(RegisterKind kind, Done done) = 0;
 
     /**
-     * The records from offset @p from on; waits up to @p wait for the first. An error of kind NotFound says that
-     * records from there on have been deleted, so that only readNewest() tells what holds.
+     * Reads the records from offset @p from on; waits up to @p wait for the first. An error of kind NotFound means that
+     * records from there on have been deleted, so that the current content has to be read with readNewest().
      */
     virtual void read(RegisterKind kind, std::uint64_t from, std::chrono::milliseconds wait, Done done) = 0;
 
-    /** The records that copy @p copy of the rules holds. */
+    /** Reads the records held by copy @p copy of the rules. */
     virtual void readCopy(int copy, std::function<void(Result<RulesCopy>)> done) = 0;
 
     /**
-     * Adds @p rules, a record of the register of rules, to copy @p copy of it as @p version, and drops the versions
-     * @p dropped, each with its number of records. All of it takes effect, or nothing. Tells how many records hold
-     * @p version: none if it is too large for the log, and then the others are dropped all the same.
+     * Adds @p rules, a record of the register of rules, to copy @p copy as @p version, and removes the versions
+     * @p dropped, each with its number of records. The call is atomic. Returns the number of records that hold
+     * @p version: 0 if it is too large for the log, in which case the dropped versions are still removed.
      */
     virtual void writeCopy(int copy, const RegisterChange &rules, std::uint64_t version,
                            const std::map<std::uint64_t, std::size_t> &dropped,
                            std::function<void(Result<std::size_t>)> done) = 0;
 
-    /** The configuration in @p change, or an error of kind BadRequest; nothing for a key that is none. */
+    /** Returns the configuration in @p change, or an error of kind BadRequest; empty if its key is not a
+     * configuration's. */
     virtual std::optional<Result<RoutingConfig>> parseRules(const RegisterChange &change) const = 0;
 
-    /** The target in @p change, or an error of kind BadRequest when it names no usable one. */
+    /** Returns the target in @p change, or an error of kind BadRequest if it does not describe a usable one. */
     virtual Result<TargetRecord> parseTarget(const RegisterChange &change) const = 0;
 };
 
--- a/modules/heatherridge_coordination/feed/rulescopies.cpp
+++ b/modules/heatherridge_coordination/feed/rulescopies.cpp
@@ -40,7 +40,7 @@
         if (duty.reads) {
             read(number, true);
         } else if (duty.writes && m_rules && !copy.versions) {
-            read(number, false); // tells which records the next write drops
+            read(number, false); // determines which records the next write removes
         } else if (duty.writes && m_rules && !copy.versions->contains(m_version)) {
             write(number);
         }
--- a/modules/heatherridge_coordination/feed/rulescopies.h
+++ b/modules/heatherridge_coordination/feed/rulescopies.h
@@ -14,58 +14,57 @@
 {
 
 /**
- * Keeps copies of the rules in other partitions of the log, for processes that start while the register of rules cannot
- * be read.
+ * Maintains copies of the rules in other partitions of the log, for processes that start while the register of rules
+ * cannot be read.
  *
- * One process, which the log's division of work names, writes each new version to all copies. A process without any
- * rules reads them all, and takes the highest version. Two writers do no harm: each version is a record of its own, and
- * a writer drops only records below the version that it writes. One thread; moved on by tick().
+ * One process, selected by the log's work sharing, writes each new version to all copies. A process without rules reads
+ * all copies and uses the highest version. Concurrent writers are harmless: each version is a separate record, and a
+ * writer removes only versions below the one that it writes. Single-threaded; driven by tick().
  */
 class RulesCopies
 {
 public:
     struct Options
     {
-        int count = 1; ///< copies, each in a partition of its own
-        std::chrono::milliseconds restoreRetryDelay{250}; ///< after a read that failed, of a process without rules
-        std::chrono::milliseconds callInterval{
-            1'000}; ///< after any other call that failed, and between reads that succeed
+        int count = 1; ///< number of copies, each in its own partition
+        std::chrono::milliseconds restoreRetryDelay{250}; ///< after a failed read by a process without rules
+        std::chrono::milliseconds callInterval{1'000}; ///< after other failed calls, and between successful reads
     };
 
-    /** What this process has to do at present. */
+    /** What this process currently has to do. */
     struct Duty
     {
         bool writes = false; ///< this process keeps the copies up to date
-        bool reads = false; ///< it has no rules, and the register cannot be read
+        bool reads = false; ///< this process has no rules and the register cannot be read
     };
 
     struct Events
     {
-        /** A process without rules has read @p changes from a copy. */
+        /** Called in a process without rules with @p changes read from a copy. */
         std::function<void(const std::vector<RegisterChange> &changes)> restored{};
-        /** A call failed that was to @p what, "read" or "write", a copy; it is made again. */
+        /** Called when a "read" or "write", given by @p what, of a copy failed; it is retried. */
         std::function<void(std::string_view what, const Error &error)> failed{};
     };
 
     /** Uses @p log, which must outlive it. */
     RulesCopies(RegisterLog &log, Options options, Events events);
 
-    /** @p rules, read from the register itself, is the newest record, of @p version. */
+    /** Sets the newest record of the rules, read from the register itself, and its version. */
     void setRules(const RegisterChange &rules, std::uint64_t version);
 
-    /** The log has come back from an older copy: what the copies hold has to be read again. */
+    /** Called after the log was restored from an older copy: the contents of the copies have to be read again. */
     void logRestored();
 
-    /** Starts the calls that are due. Called often. */
+    /** Starts the calls due at @p now. Must be called often. */
     void tick(Duty duty, SteadyTime now);
 
 private:
     struct Copy
     {
-        /** That it holds, and in how many records; nothing before it was read. */
+        /** Stored versions, each with its number of records; empty until the copy has been read. */
         std::optional<std::map<std::uint64_t, std::size_t>> versions{};
         bool isCalling = false;
-        SteadyTime nextCallAt{}; ///< no call before
+        SteadyTime nextCallAt{}; ///< earliest time of the next call
     };
 
     void read(int index, bool restores);
@@ -78,8 +77,8 @@
     std::vector<Copy> m_copies;
     std::optional<RegisterChange> m_rules;
     std::uint64_t m_version = 0; ///< of `m_rules`
-    SteadyTime m_now{}; ///< of the last tick; answers come between ticks
-    std::shared_ptr<int> m_callToken; ///< answers to calls that were made before it was renewed are dropped
+    SteadyTime m_now{}; ///< of the last tick; answers arrive between ticks
+    std::shared_ptr<int> m_callToken; ///< renewed to drop the answers to all earlier calls
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_coordination/feed/workshare.cpp
+++ b/modules/heatherridge_coordination/feed/workshare.cpp
@@ -59,7 +59,7 @@
 void WorkShare::logRestored()
 {
     ++m_restoreCount;
-    m_share.generation = 0; // the log counts on from an older one
+    m_share.generation = 0; // the restored log continues from an older generation
     m_confirmedAt.reset();
     m_isCalling = false;
     m_nextCallAt = {};
--- a/modules/heatherridge_coordination/feed/workshare.h
+++ b/modules/heatherridge_coordination/feed/workshare.h
@@ -14,71 +14,73 @@
 namespace Heatherridge
 {
 
-/** What the platform's log says of one member's share. */
+/** The partitions that the platform's log has assigned to one member. */
 struct ShareAssignment
 {
     std::uint64_t generation = 0;
-    std::set<int> partitions{}; ///< of the partitions, those that belong to the member
+    std::set<int> partitions{};
 };
 
-/** The platform's division of numbered parts among living members. One thread; answers come later on it. */
+/** Interface to the platform's assignment of partitions to live members. Single-threaded; answers arrive later on the
+ * same thread. */
 class ShareLog
 {
 public:
     virtual ~ShareLog() = default;
 
-    /** Joins, or stays. Who has not called for @p lease is taken for gone. */
+    /** Joins, or renews the membership. A member that has not called for @p lease is removed. */
     virtual void join(const std::string &member, std::chrono::milliseconds lease, std::uint64_t generation,
                       std::function<void(Result<ShareAssignment>)> done) = 0;
 
-    /** Leaves at once. */
+    /** Leaves immediately. */
     virtual void leave(const std::string &member) = 0;
 };
 
 /**
- * Which pieces of work this process is the one to do, as far as the platform's log can tell.
+ * Determines which work items belong to this process, based on the platform log's assignment of partitions.
  *
- * A hint that saves work, not a lock: around changes two members may hold a part, or none. What is done under it has to
- * be safe with any number of doers. While the log does not answer, the last share stands: nobody else can take it over
- * meanwhile, and work that nobody does is worse than work that two do. One thread; moved on by tick().
+ * This is a hint that avoids duplicate work, not a lock: during changes a partition may have two owners, or none, so
+ * the work must be safe with any number of workers. While the log does not answer, the last assignment remains in
+ * effect: nobody else can take it over in the meantime, and work done by nobody is worse than work done twice.
+ * Single-threaded; driven by tick().
  */
 class WorkShare
 {
 public:
     struct Options
     {
-        std::string member{}; ///< unique for this run of the process
-        int partitionCount = 1; ///< partitions of a topic of the log
-        std::chrono::milliseconds callInterval{450}; ///< between calls; a third of the lease, so that two may get lost
-        std::chrono::milliseconds lease{1'500}; ///< how long a dead member's work lies idle at most
+        std::string member{}; ///< unique to this run of the process
+        int partitionCount = 1; ///< number of partitions of the topic
+        std::chrono::milliseconds callInterval{450}; ///< a third of the lease, so that two calls may get lost
+        std::chrono::milliseconds lease{1'500}; ///< the longest time that a dead member's work is left undone
     };
 
     /** Uses @p log, which must outlive it. */
     WorkShare(ShareLog &log, Options options);
 
-    /** Calls when it is time. */
+    /** Calls the log if a call is due. */
     void tick(SteadyTime now);
 
-    /** Whether @p work, any stable name, belongs to this process. */
+    /** Returns whether @p work, any stable name, belongs to this process. */
     bool isMine(std::string_view work) const;
 
-    /** Part of all work that belongs to this process; those of all living processes add up to 1. Nothing before the
-     * first answer. */
+    /** Returns the fraction of all work that belongs to this process; the fractions of all live processes add up to 1.
+     * Empty before the first answer. */
     std::optional<double> fraction() const;
 
     /**
-     * The same for what all members do alike, whether or not the log has pieces of work enough for each: never 0. A
-     * member that has none is one of more members than there are parts.
+     * Returns the fraction to use for work that all members share equally, even if there are not enough partitions for
+     * each: never 0 while joined. A member without a partition is one of more members than there are partitions.
      */
     std::optional<double> nonZeroFraction() const;
 
-    /** Whether the log has confirmed the share within its lease, so that nobody else can have it. */
+    /** Returns whether the log has confirmed the assignment within its lease, so that no other member can have it. */
     bool isConfirmed(SteadyTime now) const;
 
-    /** The log has come back from an older copy: its division holds once it has confirmed it anew. */
+    /** Called after the log was restored from an older copy: the assignment has to be confirmed again. */
     void logRestored();
 
-    /** Gives everything back. */
+    /** Leaves and gives up all work. */
     void leave();
 
 private:
@@ -86,8 +88,8 @@
     Options m_options;
     ShareAssignment m_share;
     SteadyTime m_nextCallAt{};
-    std::optional<SteadyTime> m_confirmedAt; ///< when the last call that was answered was made
-    std::uint64_t m_restoreCount = 0; ///< of the log; answers to calls from before the last are not taken
+    std::optional<SteadyTime> m_confirmedAt; ///< start of the last successful call
+    std::uint64_t m_restoreCount = 0; ///< of the log; answers to calls from before the last restore are ignored
     bool m_isCalling = false;
     bool m_hasLeft = false;
 };
