--- a/tests/agreement/fencing_test.cpp
+++ b/tests/agreement/fencing_test.cpp
@@ -11,13 +11,13 @@
 
 const RoleName Leader{"leader"};
 
-/** One process beside a target: a replica of the stream and a gate, both lost at a restart. */
+/** A sidecar process: a replica of the stream and a fencing gate, both lost at a restart. */
 struct FencedProcess
 {
     ConfigState state;
     FencingGate gate;
     std::size_t confirmationOffset = 0; ///< the log's end when this run started
-    LogOffset lastAccepted{}; ///< over all runs: what must not be undercut
+    LogOffset lastAccepted{}; ///< highest over all runs; no lower number may be accepted later
     RoleHolder lastHolder{};
 
     void fold(const std::vector<ClaimRole> &log, std::size_t upTo)
@@ -34,8 +34,9 @@
     }
 };
 
-// Processes claim the leader's role, one after the other, and each goes on giving orders after it has been replaced,
-// as after a pause. Gates follow the log at their own pace and restart with empty memory in between.
+// Guards against orders of a replaced leader: processes claim the leader role one after the other, and each continues
+// to send orders after it was replaced, as after a pause. Gates follow the log at their own pace and lose their memory
+// when they restart.
 RC_GTEST_PROP(FencingProperty, NeverAcceptsALowerNumberOrASecondHolderOfTheSameNumber, ())
 {
     std::vector<ClaimRole> log;
@@ -89,16 +90,16 @@
      false,
      {ProcessName("b"), Incarnation{2}, FencingNumber{7}},
      ErrorKind::Unconfirmed},
-    {"an earlier holder that wakes up after a minute",
+    {"a previous holder that resumes after a minute",
      true,
      {ProcessName("a"), Incarnation{1}, FencingNumber{3}},
      ErrorKind::FencedOff},
-    {"an earlier run of the holder", true, {ProcessName("b"), Incarnation{1}, FencingNumber{7}}, ErrorKind::FencedOff},
+    {"a previous run of the holder", true, {ProcessName("b"), Incarnation{1}, FencingNumber{7}}, ErrorKind::FencedOff},
     {"a claim that is not folded here yet",
      true,
      {ProcessName("c"), Incarnation{3}, FencingNumber{9}},
      ErrorKind::StaleOffset},
-    {"no number at all", true, {ProcessName("b"), Incarnation{2}, FencingNumber{0}}, ErrorKind::FencedOff},
+    {"no fencing number", true, {ProcessName("b"), Incarnation{2}, FencingNumber{0}}, ErrorKind::FencedOff},
 };
 
 class FencedOrder : public testing::TestWithParam<OrderRow>
--- a/tests/agreement/logfollowing_test.cpp
+++ b/tests/agreement/logfollowing_test.cpp
@@ -35,7 +35,7 @@
     }
 }
 
-/** One process that follows the log and may write snapshots. */
+/** A process that follows the log and can write snapshots. */
 struct Process
 {
     explicit Process(FakeLog &log)
@@ -50,7 +50,7 @@
     SnapshotWriter writer;
 };
 
-/** Virtual time, a log, and whatever ticks. */
+/** Runs components against a fake log on virtual time. */
 struct Simulation
 {
     template<typename... Tickable>
@@ -73,7 +73,7 @@
     const char *description;
     LogFault fault;
     bool faultEnds;
-    std::size_t expected; ///< index of the result's alternative
+    std::size_t expected; ///< index of the PublishResult alternative
 };
 
 constexpr std::size_t Accepted = 0;
@@ -81,21 +81,21 @@
 constexpr std::size_t Unknown = 6;
 
 const PublishRow PublishRows[] = {
-    {"nothing is wrong", LogFault::None, true, Accepted},
-    {"the log is out and comes back", LogFault::Out, true, Accepted},
-    {"the log is out for longer than the operator waits", LogFault::Out, false, NotSent},
+    {"no fault", LogFault::None, true, Accepted},
+    {"the log is unavailable and recovers", LogFault::Out, true, Accepted},
+    {"the log is unavailable for longer than the publish timeout", LogFault::Out, false, NotSent},
     {"the log takes two seconds for each answer", LogFault::Slow, false, Accepted},
     {"the append took effect and its reply was lost", LogFault::ReplyLost, true, Accepted},
-    {"so did the second one", LogFault::TwoRepliesLost, true, Accepted},
-    {"the append was lost on its way", LogFault::AppendDropped, true, Accepted},
+    {"two appends took effect and both replies were lost", LogFault::TwoRepliesLost, true, Accepted},
+    {"the append was lost before it reached the log", LogFault::AppendDropped, true, Accepted},
 };
 
 class PublishWithLogFault : public testing::TestWithParam<PublishRow>
 {
 };
 
-// The log fails around an operator's publish. Whatever the operator is told must be what the readers fold: "accepted"
-// for a publish that no reader has is a change that never comes; a doubled one could take a colleague's change back.
+// Guards against a publish result that differs from what readers fold while the log fails: "accepted" for a record that
+// no reader has is a change that never takes effect, and a duplicate could revert a later change of another operator.
 TEST_P(PublishWithLogFault, ReportsTheOutcomeThatReadersFold)
 {
     const auto &row = GetParam();
@@ -133,8 +133,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, PublishWithLogFault, testing::ValuesIn(PublishRows));
 
-// The log goes out just as it takes the append: the command cannot know. Run again with the same operation id, it
-// finds the first append and says so, in place of publishing a second time.
+// Guards against publishing twice: the log fails just after it stored the append, so the outcome is unknown. Repeated
+// with the same operation id, the publish finds the first append and reports it instead of appending again.
 TEST(Publisher, RetryWithTheSameOperationIdResolvesAnUnknownOutcome)
 {
     Simulation simulation;
@@ -162,7 +162,8 @@
     EXPECT_EQ(second.counters().appends, 0U);
 }
 
-// Five operators publish the same section at the same moment. One of them wins; each of the others is told so by name.
+// Guards against lost updates: five operators publish the same section concurrently. One is accepted; the refusals of
+// the others name its operation id.
 TEST(Publisher, AcceptsOneOfFiveConcurrentPublishesAndNamesItToTheOthers)
 {
     Simulation simulation;
@@ -198,7 +199,7 @@
     EXPECT_EQ(accepted, 1);
 }
 
-// All records that a newcomer needs have expired; only the snapshots are left.
+// Guards against a new process without state after the records before the snapshot have expired.
 TEST(Snapshots, NewProcessStartsFromTheLastSnapshotAndLaterRecords)
 {
     Simulation simulation;
@@ -218,7 +219,8 @@
     EXPECT_EQ(newProcess.replica.state().digest(), existing.replica.state().digest());
 }
 
-// Two processes notice at once that a snapshot is due, and a third one dies half-way. Newcomers must not care.
+// Guards against new processes that fail on irregular snapshots: two processes write the same snapshot at once, and a
+// third one leaves a damaged part.
 TEST(Snapshots, DuplicatesAreHarmlessAndIncompleteOnesAreSkipped)
 {
     Simulation simulation;
@@ -242,8 +244,8 @@
     EXPECT_EQ(newProcess.replica.state().digest(), one.replica.state().digest());
 }
 
-// The log was out for longer than it keeps records, and every snapshot is gone with them. Running processes still have
-// the state: the first of them writes it back as soon as the log answers.
+// Guards against losing the state when the log is unavailable for longer than it keeps records, so that records and
+// snapshots have expired. Running processes still hold the state; the first one writes a snapshot when the log answers.
 TEST(Snapshots, RunningProcessRewritesTheStateAfterAnOutageBeyondRetention)
 {
     Simulation simulation;
@@ -264,8 +266,8 @@
     EXPECT_EQ(newProcess.replica.state().digest(), running.replica.state().digest());
 }
 
-// A process was paused while records that it needs expired. Without a snapshot nobody can tell what they said: it must
-// keep its state and say so, not guess. An operator's reset brings it back.
+// Guards against a process that skips records which expired while it was paused. Without a snapshot their content is
+// unknown, so the process keeps its state and reports that it is cut off until an operator's reset.
 TEST(Snapshots, ProcessThatMissedExpiredRecordsWaitsForAReset)
 {
     Simulation simulation;
@@ -289,7 +291,7 @@
     EXPECT_NE(paused.replica.state().rules()->find(WorkspaceName("estate")), nullptr);
 }
 
-// Records reach a process from the log and from peers at once: doubled, late, early, and again much later.
+// Records reach a process from the log and from peers concurrently: duplicated, late, early, and repeated much later.
 RC_GTEST_PROP(ReplicaProperty, AnyDeliveryOrderConvergesWithoutReverting, ())
 {
     FakeLog log;
--- a/tests/agreement/membership_test.cpp
+++ b/tests/agreement/membership_test.cpp
@@ -22,7 +22,7 @@
 
 const SignalRow SignalRows[] = {
     {"listed and heard", {.isListed = true, .silentFor = Fresh}, false, Standing::Serving, StandingReason::Healthy},
-    {"live and heard, but in no inventory",
+    {"live and heard, but not in the inventory",
      {.host = HostMark::Live, .silentFor = Fresh},
      false,
      Standing::NoNewWork,
@@ -52,12 +52,12 @@
      false,
      Standing::NoNewWork,
      StandingReason::HostLeaving},
-    {"live for long after a leaving mark",
+    {"live for a long time after a leaving mark",
      {.isListed = true, .host = HostMark::Live, .liveAgainFor = seconds(11), .silentFor = Fresh},
      false,
      Standing::Serving,
      StandingReason::Healthy},
-    {"absent from the lagging list, but heard",
+    {"absent from the host list, which lags, but heard",
      {.isListed = true, .host = HostMark::Absent, .silentFor = Fresh},
      false,
      Standing::Serving,
@@ -67,12 +67,12 @@
      false,
      Standing::NoNewWork,
      StandingReason::OwnRefusal},
-    {"live on the list, but silent",
+    {"live in the host list, but silent",
      {.isListed = true, .host = HostMark::Live, .silentFor = seconds(4)},
      false,
      Standing::Suspect,
      StandingReason::Silent},
-    {"silent, as half of all are",
+    {"silent, as are half of all targets",
      {.isListed = true, .silentFor = seconds(4)},
      true,
      Standing::Serving,
@@ -104,7 +104,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, StandingFromSignals, testing::ValuesIn(SignalRows));
 
-/** Six targets, three a zone, each on its host, all heard at the start. */
+/** Observes six targets, three per zone, each on its own host and all heard at the start. */
 struct Observer
 {
     Observer()
@@ -122,7 +122,7 @@
         advance(seconds(5), 6);
     }
 
-    /** Lets @p span pass, in which the first @p heard targets are heard. */
+    /** Advances time by @p duration, during which the first @p heardTargets targets are heard. */
     void advance(milliseconds duration, int heardTargets)
     {
         for (const auto end = now + duration; now < end; now += milliseconds(500)) {
@@ -157,8 +157,8 @@
     EXPECT_EQ(observer.standing(5).standing, Standing::Serving);
 }
 
-// A zone's switch fails, or the observer's own cable: half of all targets fall silent in one second. Were all of them
-// taken out, the other half would get twice its load and fail as well.
+// Guards against removing half of all targets when they become silent within one second because a zone's switch or the
+// observer's own link failed: the other half would receive twice its load and fail as well.
 TEST(Membership, SimultaneousSilenceOfHalfTheTargetsIsAnObserverFault)
 {
     Observer observer;
@@ -171,8 +171,8 @@
     EXPECT_EQ(observer.standing(4).standing, Standing::NoNewWork);
 }
 
-// While a machine is replaced its name stands in the list twice, once as leaving and once as live; later lists show it
-// as live, leave it out, and show it as leaving again.
+// Guards against sending work to a host that is being replaced. Its name appears in the host list twice, as leaving and
+// as live; later lists show it as live, omit it, and show it as leaving again.
 TEST(Membership, HostListedTwiceOrFlappingCountsAsLeaving)
 {
     Observer observer;
@@ -191,8 +191,8 @@
     EXPECT_EQ(observer.standing(1).reason, StandingReason::Healthy);
 }
 
-// An operator withdraws a target, then takes it back, while a stream runs for minutes; then the process is told to
-// stop.
+// An operator withdraws a target and reverts that while a stream runs for minutes; then the process receives a stop
+// signal.
 TEST(Drain, ReportsOpenRequestsOldestFirstAndKeepsItsCause)
 {
     const SteadyTime begin{seconds(100)};
--- a/tests/agreement/relay_test.cpp
+++ b/tests/agreement/relay_test.cpp
@@ -11,11 +11,11 @@
 {
 
 constexpr std::chrono::milliseconds Step{50};
-constexpr std::chrono::milliseconds LongStep{400}; ///< while nothing is to be measured
+constexpr std::chrono::milliseconds LongStep{400}; ///< for periods whose timing is not checked
 constexpr std::chrono::seconds SettleTime{20};
 constexpr int Zones = 2;
 
-/** Two zones of @p perZone processes each, their log, and a count of what each zone reads from it. */
+/** Two zones of @p perZone processes each, their log, and each zone's counted access to it. */
 struct Fleet
 {
     explicit Fleet(int perZone)
@@ -70,7 +70,7 @@
                                                    .content = DocumentChange{"[workspace.w" + number + "]\n", {}}}));
     }
 
-    /** How many running processes have not folded @p offset. */
+    /** Returns the number of running processes that have not folded @p offset. */
     std::size_t countBehind(LogOffset offset)
     {
         return static_cast<std::size_t>(
@@ -79,7 +79,7 @@
             }));
     }
 
-    /** How many processes read the log now. */
+    /** Returns the number of processes that currently read the log. */
     std::size_t countReaders()
     {
         return static_cast<std::size_t>(
@@ -113,24 +113,24 @@
 {
     const char *description;
     Fault fault;
-    std::chrono::seconds timeLimit; ///< from the publish, which comes right after the fault
+    std::chrono::seconds timeLimit; ///< from the publish, which immediately follows the fault
 };
 
 const FaultRow FaultRows[] = {
-    {"one reader of zone a is killed as a change is published", Fault::OneReaderKilled, std::chrono::seconds(3)},
+    {"one reader of zone a is killed when a change is published", Fault::OneReaderKilled, std::chrono::seconds(3)},
     {"all readers of zone a are killed", Fault::ReadersKilled, std::chrono::seconds(10)},
     {"all readers of both zones are killed", Fault::AllReadersKilled, std::chrono::seconds(4)},
     {"all readers of zone a are paused; their connections stay open", Fault::ReadersPaused, std::chrono::seconds(20)},
-    {"zone a is cut off from the log, not from zone b", Fault::ZoneCutFromLog, std::chrono::seconds(5)},
-    {"every message between processes comes twice", Fault::MessagesDoubled, std::chrono::seconds(3)},
+    {"zone a is cut off from the log but not from zone b", Fault::ZoneCutFromLog, std::chrono::seconds(5)},
+    {"every message between processes is delivered twice", Fault::MessagesDoubled, std::chrono::seconds(3)},
 };
 
 class RelayUnderFault : public testing::TestWithParam<FaultRow>
 {
 };
 
-// The processes that read the log for a zone fail at the moment a change is published. Without a way round them the
-// whole zone would stay on the old configuration, with every process in it believing that it is up to date.
+// Guards against a zone that stays on the old configuration, with all its processes considering themselves up to date,
+// because the processes that read the log for the zone fail when a change is published.
 TEST_P(RelayUnderFault, EveryRunningProcessReceivesTheChange)
 {
     Fleet fleet(20);
@@ -166,8 +166,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, RelayUnderFault, testing::ValuesIn(FaultRows));
 
-// A process is replaced while the log is out. It must come up on the newest state that a peer has, say that nobody has
-// confirmed it, and be confirmed when the log is back.
+// Guards against a process without state when it is replaced during a log outage. It must adopt the newest state that a
+// peer has, report it as unconfirmed, and be confirmed when the log recovers.
 TEST(Relay, ProcessReplacedDuringALogOutageAdoptsPeerStateAsUnconfirmed)
 {
     Fleet fleet(10);
@@ -189,8 +189,8 @@
     EXPECT_EQ(replaced.agent.phase(), ProcessPhase::Ready);
 }
 
-// The log is out for twelve minutes and comes back. If every process met its return with a read, the log would be out
-// again.
+// Guards against overloading the log when it recovers after twelve minutes: if every process read it at once, it would
+// fail again.
 TEST(Relay, LogOutageDoesNotMakeEveryProcessPollTheLog)
 {
     Fleet fleet(40);
@@ -200,7 +200,7 @@
     const auto before = fleet.log.counts.reads;
     fleet.run(std::chrono::minutes(10), LongStep);
     const auto perMinute = (fleet.log.counts.reads - before) / 10;
-    // Four readers at one try in 2.5 s on average make 96; each of the other 76 tries about once a minute.
+    // Four readers with one attempt every 2.5 s on average make 96; each of the other 76 tries about once a minute.
     EXPECT_LT(perMinute, 250);
     fleet.log.isOut = false;
     const auto offset = fleet.publish();
@@ -210,8 +210,8 @@
     EXPECT_EQ(fleet.countReaders(), 4U);
 }
 
-// A zone loses the others and the log for an hour. It must keep what it has, know how old that is, and take up what it
-// missed soon after they meet again.
+// Guards against losing the state, or its age, in a zone that is disconnected from the other zones and from the log for
+// an hour. It must keep its state, report how old it is, and catch up soon after it is reconnected.
 TEST(Relay, ZoneIsolatedForAnHourReportsItsStateAgeAndCatchesUp)
 {
     Fleet fleet(10);
@@ -221,7 +221,7 @@
     fleet.network.passes = [](const ProcessName &a, const ProcessName &b) {
         return (std::stoi(a.text().substr(7)) + std::stoi(b.text().substr(7))) % Zones == 0;
     };
-    fleet.run(std::chrono::seconds(2)); // reads that the log holds open end
+    fleet.run(std::chrono::seconds(2)); // lets the log end the long polls that it holds open
     const auto offset = fleet.publish();
     fleet.run(std::chrono::minutes(60), LongStep);
     EXPECT_EQ(fleet.countBehind(offset), 10U);
@@ -236,8 +236,8 @@
     EXPECT_EQ(fleet.countBehind(offset), 0U);
 }
 
-// A frame of a process's earlier run arrives after its successor has spoken. Taken at its word, it would make a dead
-// run look alive.
+// Guards against treating an ended run of a process as alive because one of its frames arrives after frames of the next
+// run.
 TEST(Relay, MessageFromAnEndedIncarnationIsRejected)
 {
     Fleet fleet(10);
@@ -277,7 +277,7 @@
         reassigned += first[0]->process != second[0]->process ? 1 : 0;
     }
     EXPECT_LT(reassigned, 30);
-    EXPECT_LE(before.depthOf(ZoneName("a")), 4U); // 2 readers times 5^4 is more than 700 rounded up
+    EXPECT_LE(before.depthOf(ZoneName("a")), 4U); // 2 readers times 5^4 exceeds 700
     for (const auto &[process, count] : children) {
         EXPECT_LE(count, 30) << process.text();
     }
