--- a/tests/feed/crashfeed_test.cpp
+++ b/tests/feed/crashfeed_test.cpp
@@ -15,7 +15,7 @@
     return {.kind = CrashReport::Kind::TargetDied, .request = {.low = number}, .target = TargetName("t")};
 }
 
-/** A report log that answers when the test says so. */
+/** A report log whose calls the test answers. */
 class ManualReportLog final : public ReportLog
 {
 public:
@@ -69,7 +69,7 @@
 
 const Error LogUnavailable{.kind = ErrorKind::PlatformUnavailable};
 
-// Guards against a gateway that starts and does not hear what was reported before.
+// Guards against a gateway that starts and misses earlier reports.
 TEST_F(CrashFeedTest, ReadsFromTheFirstRecordAndContinuesAfterTheLast)
 {
     tick(20ms);
@@ -84,7 +84,7 @@
     EXPECT_EQ(m_log.reads[1].from, 3U);
 }
 
-// Guards against asking for ever for records that the log has dropped, or had given out before it came back older.
+// Guards against requesting forever records that the log has dropped, or lost when it was restored from an older copy.
 TEST_F(CrashFeedTest, ContinuesAtTheFirstHeldOffsetWhenItsOwnIsNotHeld)
 {
     tick(20ms);
@@ -96,7 +96,7 @@
     EXPECT_EQ(m_log.reads[1].from, 40U);
 }
 
-// Guards against a report that is lost with a call that failed.
+// Guards against losing a report when an append fails.
 TEST_F(CrashFeedTest, RetriesAReportUntilTheLogAcceptsIt)
 {
     tick(20ms);
@@ -106,7 +106,7 @@
     m_feed.report(makeReport(2));
     m_log.appends[0](LogUnavailable);
     tick(20ms);
-    EXPECT_EQ(m_log.appended.size(), 1U) << "before the pause is over";
+    EXPECT_EQ(m_log.appended.size(), 1U) << "before the retry delay has passed";
     tick(250ms);
     ASSERT_EQ(m_log.appended.size(), 2U);
     EXPECT_EQ(m_log.appended[1], (std::vector{encode(makeReport(1)), encode(makeReport(2))}));
@@ -116,7 +116,7 @@
     EXPECT_EQ(m_failures, std::vector<std::string>{"append"});
 }
 
-// Guards against calls by the hundred, which are paid for, while the log refuses one gateway for long.
+// Guards against hundreds of calls, which are billed, while the log rejects one gateway for a long time.
 TEST_F(CrashFeedTest, BacksOffDuringAnOutageAndReadsAtOnceAfterRecovery)
 {
     for (auto elapsed = 0ms; elapsed < 10s; elapsed += 20ms) {
@@ -133,7 +133,7 @@
     EXPECT_EQ(m_log.reads.size(), 1U);
 }
 
-// Guards against memory that grows without bound while the log is out.
+// Guards against unbounded memory use during a log outage.
 TEST_F(CrashFeedTest, DropsTheOldestReportsWhenTooManyArePending)
 {
     for (std::uint64_t number = 0; number < 5; ++number) {
@@ -144,7 +144,7 @@
     EXPECT_EQ(m_lostCount, 2);
 }
 
-// Guards against a connection that has gone silent while a read waits on it: reports of others would come too late.
+// Guards against a read that waits on a dead connection, so that reports of other gateways arrive too late.
 TEST_F(CrashFeedTest, RestartsTheReadWithAShorterTimeoutAfterAReport)
 {
     tick(20ms);
@@ -154,7 +154,7 @@
     ASSERT_EQ(m_log.reads.size(), 2U);
     EXPECT_EQ(m_log.reads[1].wait, 2s);
     m_log.reads[0].done(ReportPage{.records = {encode(makeReport(9))}, .end = 1});
-    EXPECT_TRUE(m_received.empty()) << "the answer to a read that was given up";
+    EXPECT_TRUE(m_received.empty()) << "the answer to an abandoned read";
     m_feed.report(makeReport(2));
     tick(20ms);
     EXPECT_EQ(m_log.reads.size(), 2U);
@@ -163,7 +163,7 @@
     EXPECT_EQ(m_log.reads.size(), 3U);
 }
 
-// Guards against reports that are gone with what the log had acknowledged last.
+// Guards against losing reports together with the records that the log acknowledged last before a restore.
 TEST_F(CrashFeedTest, ResendsReportsAfterALogRestore)
 {
     tick(20ms);
@@ -174,7 +174,7 @@
     m_feed.report(makeReport(3));
     tick(20ms);
     m_feed.logRestored();
-    m_log.appends[1]({}); // of the m_log before
+    m_log.appends[1]({}); // answers an append from before the restore
     tick(20ms);
     ASSERT_EQ(m_log.appended.size(), 3U);
     EXPECT_EQ(m_log.appended[2], (std::vector{encode(makeReport(1)), encode(makeReport(2)), encode(makeReport(3))}));
--- a/tests/feed/registerfollower_test.cpp
+++ b/tests/feed/registerfollower_test.cpp
@@ -13,7 +13,7 @@
 
 const SteadyTime Start{};
 
-/** A register that answers when it is told to. */
+/** A register whose calls the test answers. */
 class ManualRegister final : public SilentRegisters
 {
 public:
@@ -34,7 +34,7 @@
         calls.push_back({.from = from, .done = std::move(done)});
     }
 
-    /** The call that has waited longest. */
+    /** Removes and returns the oldest unanswered call. */
     Call popOldestCall()
     {
         auto call = std::move(calls.front());
@@ -83,8 +83,8 @@
     EXPECT_EQ(m_changed, std::vector<std::size_t>{2});
 }
 
-// The store drops records that a follower has not read. Read on as if nothing had been there, a key that was taken away
-// or a target that left in the gap would be used for ever.
+// Guards against using a removed key or a departed target forever: if the log drops records that a follower has not
+// read and the follower only continued after the gap, it would miss the removal.
 TEST_F(RegisterFollowerTest, RereadsTheWholeRegisterWhenRecordsWereDeleted)
 {
     m_follower.tick(Start);
@@ -105,7 +105,7 @@
     m_follower.tick(Start + 600ms);
     m_log.popOldestCall().done(Error{.kind = ErrorKind::PlatformUnavailable});
     m_follower.tick(Start + 700ms);
-    EXPECT_TRUE(m_log.calls.empty()) << "it asks again within the pause";
+    EXPECT_TRUE(m_log.calls.empty()) << "read again before the retry delay has passed";
     m_follower.tick(Start + 850ms);
     m_log.popOldestCall().done(Error{.kind = ErrorKind::PlatformUnavailable});
     EXPECT_EQ(m_reachable, (std::vector<bool>{true, false}));
@@ -124,7 +124,7 @@
     EXPECT_EQ(m_log.calls.size(), 1U);
 }
 
-// Guards against records that are never read, since the log has given out again the offsets that were read before.
+// Guards against records that are never read because a restored log assigned already read offsets to them.
 TEST_F(RegisterFollowerTest, RereadsTheWholeRegisterAfterARestart)
 {
     m_follower.tick(Start);
@@ -133,9 +133,9 @@
     const auto staleCall = m_log.popOldestCall();
     m_follower.restart(100ms);
     staleCall.done(RegisterPage{.changes = {RegisterChange{.key = "old"}}, .end = 9});
-    EXPECT_TRUE(m_changed.empty()) << "an answer from before the restart";
+    EXPECT_TRUE(m_changed.empty()) << "the answer to a call from before the restart";
     m_follower.tick(Start + 680ms);
-    EXPECT_TRUE(m_log.calls.empty()) << "before the delay is over";
+    EXPECT_TRUE(m_log.calls.empty()) << "before the delay has passed";
     m_follower.tick(Start + 700ms);
     EXPECT_TRUE(m_log.calls.at(0).isNewest);
     answerNewest(3);
--- a/tests/feed/rulescopies_test.cpp
+++ b/tests/feed/rulescopies_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr int CopyCount = 3;
 
-/** Copies of rules in partitions that can be away; each answers at once. */
+/** Copies of rules in partitions that can be unavailable; every call is answered at once. */
 class RulesCopyLog final : public SilentRegisters
 {
 public:
@@ -56,7 +56,7 @@
     int writes = 0;
 };
 
-/** One process that has a log and no other memory. */
+/** A process whose only persistent state is in the log. */
 class Process
 {
 public:
@@ -111,18 +111,19 @@
 };
 
 const OutageRow OutageRows[] = {
-    {"nothing away", {}, {}, true},
-    {"one partition away while the copies are written", {true, false, false}, {}, true},
-    {"two partitions away when they are read", {}, {true, true, false}, true},
-    {"the only copy that was written is away", {true, true, false}, {false, false, true}, false},
-    {"the whole log away", {}, {true, true, true}, false},
+    {"everything available", {}, {}, true},
+    {"one partition unavailable while the copies are written", {true, false, false}, {}, true},
+    {"two partitions unavailable when the copies are read", {}, {true, true, false}, true},
+    {"the only written copy is unavailable", {true, true, false}, {false, false, true}, false},
+    {"the whole log unavailable", {}, {true, true, true}, false},
 };
 
 class RulesCopiesOutage : public testing::TestWithParam<OutageRow>
 {
 };
 
-// Guards against processes that start without rules, and refuse everything, while only the register of rules is away.
+// Guards against processes that start without rules and reject every request while only the register of rules is
+// unavailable.
 TEST_P(RulesCopiesOutage, RestoresTheNewestRulesToAProcessWithoutRules)
 {
     const auto &row = GetParam();
@@ -141,7 +142,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, RulesCopiesOutage, testing::ValuesIn(OutageRows));
 
-// Guards against copies that grow with each version, and against calls for versions that are kept already.
+// Guards against copies that grow with each version, and against writes of versions that are already stored.
 TEST(RulesCopies, KeepOnlyTheNewestVersionAndAreWrittenOnce)
 {
     RulesCopyLog log;
@@ -158,7 +159,7 @@
     }
 }
 
-// Guards against a process that was paused with an old version and takes the newest one out of the copies.
+// Guards against a process that was paused with an old version and removes the newest one from the copies.
 TEST(RulesCopies, KeepANewerVersionWhenAnOldOneIsWrittenLate)
 {
     RulesCopyLog log;
@@ -175,7 +176,7 @@
     }
 }
 
-// Guards against reads of copies by every process all the time.
+// Guards against every process continuously reading the copies.
 TEST(RulesCopies, AreNotAccessedByProcessesThatHaveRules)
 {
     RulesCopyLog log;
@@ -195,7 +196,7 @@
     EXPECT_LE(reader.failures, CopyCount * 5);
 }
 
-// Guards against copies that stay at an old version, since their writer takes for granted what the log has lost.
+// Guards against copies that stay at an old version because their writer assumes contents that the log has lost.
 TEST(RulesCopies, AreRewrittenAfterALogRestore)
 {
     RulesCopyLog log;
@@ -205,7 +206,7 @@
     const auto olderRules = RegisterChange{.key = "5", .value = "rules"};
     log.records.fill({{5, olderRules}});
     writer.run({.writes = true}, 500ms);
-    EXPECT_FALSE(log.records[0].contains(6)) << "before it is told";
+    EXPECT_FALSE(log.records[0].contains(6)) << "before the writer is notified";
     writer.logRestored();
     writer.run({.writes = true}, 500ms);
     for (const auto &copy : log.records) {
--- a/tests/feed/workshare_test.cpp
+++ b/tests/feed/workshare_test.cpp
@@ -53,7 +53,8 @@
     EXPECT_FALSE(m_share.isMine("a"));
 }
 
-// While the log is out nobody can take over. A keeper that stopped then would leave groups uneven for the whole outage.
+// Guards against groups that stay unbalanced for a whole log outage because their keeper stops, while no other member
+// can take over.
 TEST_F(WorkShareTest, KeepsTheShareUnconfirmedDuringALogOutage)
 {
     m_share.tick(Start);
@@ -76,9 +77,9 @@
 const FractionRow FractionRows[] = {
     {"one of two members", {1}, 0.5, 0.5},
     {"the only member", {0, 1}, 1, 1},
-    // Two gateways of fourteen before twelve parts take a quarter of the room that engines have: with no part, each
-    // goes on to believe that it is one of four.
-    {"one of more members than there are parts", {}, 0, 1.0 / 3},
+    // With fourteen gateways and twelve partitions, the two without a partition would take a quarter of the engines'
+    // capacity if each still assumed that it is one of four.
+    {"one of more members than there are partitions", {}, 0, 1.0 / 3},
 };
 
 class WorkShareFraction : public testing::TestWithParam<FractionRow>
@@ -110,8 +111,8 @@
     EXPECT_EQ(m_log.leaves, 1);
 }
 
-// Guards against a keeper that goes on as confirmed by a log that no longer knows its share, and against a generation
-// of the lost time, which a log that has come back would take for the answer to one that it has not given out yet.
+// Guards against a keeper that stays confirmed although the restored log no longer knows its assignment, and against
+// sending a generation from the lost period, which the restored log would take for one that it has yet to assign.
 TEST_F(WorkShareTest, RequiresANewConfirmationAfterALogRestore)
 {
     m_share.tick(Start);
@@ -121,7 +122,7 @@
     m_share.logRestored();
     staleAnswer(ShareAssignment{.generation = 8, .partitions = {0, 1}});
     EXPECT_FALSE(m_share.isConfirmed(Start + 460ms));
-    EXPECT_TRUE(m_share.isMine("a")) << "work that nobody does is worse than work that two do";
+    EXPECT_TRUE(m_share.isMine("a")) << "work done by nobody is worse than work done twice";
     m_share.tick(Start + 470ms);
     EXPECT_EQ(m_log.joins, 3);
     EXPECT_EQ(m_log.lastGeneration, 0U);
