--- a/tests/restoredlog/logrestoresimulation.cpp
+++ b/tests/restoredlog/logrestoresimulation.cpp
@@ -28,14 +28,14 @@
 
 } // namespace
 
-/** A target as it is in truth. */
+/** The actual state of a target. */
 struct LogRestoreSimulation::Target
 {
     TargetRecord record{};
     bool hasLeft = false;
 };
 
-/** One gateway's end of the log. */
+/** One gateway's client of the simulated log. */
 class LogRestoreSimulation::SimulatedLogClient final : public RegisterLog, public ShareLog, public ReportLog
 {
 public:
@@ -162,17 +162,17 @@
 
 private:
     template<typename T>
-    using Operation = std::function<std::optional<Result<T>>(LogContent &)>; ///< nothing: there is nothing yet
+    using Operation = std::function<std::optional<Result<T>>(LogContent &)>; ///< empty result: no record yet
 
     template<typename T>
     struct Call
     {
-        SteadyTime deadline{}; ///< it is answered then, if nothing has come
+        SteadyTime deadline{}; ///< when it is answered if no record has arrived
         std::optional<std::uint64_t> eraAtCall{};
         std::uint64_t eraAtArrival = 0;
         std::function<void(Result<T>)> done{};
         Operation<T> operation{};
-        Result<T> emptyResult{}; ///< the answer when nothing has come
+        Result<T> emptyResult{}; ///< the answer if no record has arrived
     };
 
     template<typename T>
@@ -234,7 +234,7 @@
     std::shared_ptr<int> m_alive;
 };
 
-/** The control state of one run of a gateway. */
+/** The control state of one run of a gateway process. */
 struct LogRestoreSimulation::Gateway
 {
     explicit Gateway(LogRestoreSimulation &simulation)
@@ -269,8 +269,8 @@
     WorkShare workShare;
     GatewayControl control;
     std::uint64_t highestVersion = 0;
-    std::set<TargetName> withdrawn; ///< targets seen to drain
-    std::set<std::uint64_t> reported; ///< requests that it has reported
+    std::set<TargetName> withdrawn; ///< targets seen draining
+    std::set<std::uint64_t> reported; ///< requests that this run has reported
 };
 
 LogRestoreSimulation::LogRestoreSimulation(std::uint64_t seed, RestoreSafeguards safeguards)
@@ -419,7 +419,7 @@
     m_isLogDown = true;
     schedule(randomDelay(100, 1'500), [this, lostContent] {
         m_isLogDown = false;
-        // The platform drops a target that has left; its operators write their rules again.
+        // The platform removes the records of targets that have left; operators write their rules again.
         std::set<std::string> departed;
         for (const auto &record : lostContent.targets) {
             departed.insert(record.key);
@@ -514,12 +514,12 @@
             for (const auto &id : serving) {
                 text += " serves:" + id.text();
             }
-            recordFailure("other targets are used than those that serve:" + text);
+            recordFailure("the used targets differ from the serving ones:" + text);
         }
     }
     for (const auto &copy : m_log.copies) {
         if (!copy.contains(m_version)) {
-            recordFailure("a copy without the rules in force");
+            recordFailure("a copy lacks the rules in force");
         }
     }
     std::set<std::uint64_t> storedReports;
@@ -529,7 +529,7 @@
     for (const auto &gateway : m_gateways) {
         if (!std::includes(storedReports.begin(), storedReports.end(), gateway->reported.begin(),
                            gateway->reported.end())) {
-            recordFailure("a report that is lost");
+            recordFailure("a crash report was lost");
         }
     }
 }
--- a/tests/restoredlog/logrestoresimulation.h
+++ b/tests/restoredlog/logrestoresimulation.h
@@ -17,16 +17,16 @@
 namespace Heatherridge
 {
 
-/** What guards gateways against a log that comes back older; each can be switched off. */
+/** Safeguards of gateways against a log restored from an older copy; each can be disabled. */
 struct RestoreSafeguards
 {
-    bool checksEras = true; ///< answers from before the log came back are dropped
-    bool rereadsRegisters = true; ///< registers and copies are read again, and what was known of targets is kept
-    bool resendsReports = true; ///< crash reports are written again
-    bool comparesRevisions = true; ///< targets' records are compared by revision
+    bool checksEras = true; ///< answers from before the restore are dropped
+    bool rereadsRegisters = true; ///< registers and copies are read again; known targets are kept
+    bool resendsReports = true; ///< recent crash reports are written again
+    bool comparesRevisions = true; ///< records of targets are compared by revision
 };
 
-/** All that the log holds; copied and put back as a whole. */
+/** The complete content of the log; backed up and restored as a whole. */
 struct LogContent
 {
     std::vector<RegisterChange> rules{};
@@ -36,8 +36,8 @@
 };
 
 /**
- * Gateways' control state before a log that comes back from copies some seconds old, loses answers, and delays calls.
- * Operators and targets write, and write again what was lost. Time is simulated; one thread.
+ * Simulates the control state of gateways whose log is restored from backups some seconds old, loses answers and delays
+ * calls. Operators and targets write records, and write lost ones again. Simulated time; single-threaded.
  */
 class LogRestoreSimulation
 {
@@ -45,7 +45,7 @@
     LogRestoreSimulation(std::uint64_t seed, RestoreSafeguards safeguards);
     ~LogRestoreSimulation();
 
-    /** Plays troubles for a while, then calm. @returns what was wrong, or nothing */
+    /** Runs a phase with faults and one without. @returns a description of the first violation, or an empty string */
     std::string run();
 
 private:
--- a/tests/restoredlog/restoredlog_test.cpp
+++ b/tests/restoredlog/restoredlog_test.cpp
@@ -18,17 +18,17 @@
 };
 
 const ScheduleRow ScheduleRows[] = {
-    // Guards against gateways that revert rules, use withdrawn targets, miss changes or lose reports once the log has
-    // come back from an older copy.
+    // Guards against gateways that revert rules, use withdrawn targets, miss changes or lose reports after the log was
+    // restored from an older copy.
     {"AllSafeguards", {}, true},
-    // The parts themselves drop answers to calls from before the change.
-    {"AnswersOfPassedErasBelieved", {.checksEras = false}, true},
-    {"RegistersNotReadAnew", {.rereadsRegisters = false}, false},
-    {"ReportsNotToldAgain", {.resendsReports = false}, false},
-    {"RevisionsUnknown", {.comparesRevisions = false}, false},
+    // Passes because the components themselves drop answers to calls from before the restore.
+    {"AnswersOfPastErasAccepted", {.checksEras = false}, true},
+    {"RegistersNotReread", {.rereadsRegisters = false}, false},
+    {"ReportsNotResent", {.resendsReports = false}, false},
+    {"RevisionsIgnored", {.comparesRevisions = false}, false},
 };
 
-/** More by hand: RESTORED_SCHEDULES=5000. */
+/** Returns the number of schedules; set RESTORED_SCHEDULES, for example to 5000, for a longer run. */
 std::uint64_t scheduleCount()
 {
     constexpr std::uint64_t defaultCount = 150;
