--- a/modules/heatherridge_coordination/config/configagent.cpp
+++ b/modules/heatherridge_coordination/config/configagent.cpp
@@ -38,7 +38,7 @@
     rebuildPlan();
 }
 
-void ConfigAgent::setListener(FollowerListener *listener)
+void ConfigAgent::setListener(ReplicaListener *listener)
 {
     m_listener = listener;
 }
--- a/modules/heatherridge_coordination/config/configagent.h
+++ b/modules/heatherridge_coordination/config/configagent.h
@@ -27,7 +27,7 @@
  *
  * The service, links, random source and listener must outlive the agent. Single-threaded.
  */
-class ConfigAgent final : private FollowerListener
+class ConfigAgent final : private ReplicaListener
 {
 public:
     ConfigAgent(LogService &service, RelayLinks &links, RandomSource &random, ConfigAgentOptions options);
@@ -36,7 +36,7 @@
     ConfigAgent &operator=(const ConfigAgent &) = delete;
 
     /** Sets the listener that is notified of each change; nullptr removes it. */
-    void setListener(FollowerListener *listener);
+    void setListener(ReplicaListener *listener);
 
     /** Performs the work due at @p now. Must be called every few tens of milliseconds. */
     void tick(SteadyTime now);
@@ -71,7 +71,7 @@
     void rebuildPlan();
 
     /** Notifies the agent of changes received through the relay, which must not be forwarded to the relay again. */
-    class RelayListener final : public FollowerListener
+    class RelayListener final : public ReplicaListener
     {
     public:
         explicit RelayListener(ConfigAgent &agent);
@@ -90,7 +90,7 @@
     ConfigRelay m_relay;
     SnapshotWriter m_snapshotWriter;
     RelayListener m_relayListener;
-    FollowerListener *m_listener = nullptr;
+    ReplicaListener *m_listener = nullptr;
     std::shared_ptr<const RelayPlan> m_plan;
     SteadyTime m_now{}; ///< time of the last tick
     std::uint32_t m_openRequests = 0;
--- a/modules/heatherridge_coordination/config/configrelay.cpp
+++ b/modules/heatherridge_coordination/config/configrelay.cpp
@@ -24,7 +24,7 @@
 {
 }
 
-void ConfigRelay::setListener(FollowerListener *listener)
+void ConfigRelay::setListener(ReplicaListener *listener)
 {
     m_listener = listener;
 }
--- a/modules/heatherridge_coordination/config/configrelay.h
+++ b/modules/heatherridge_coordination/config/configrelay.h
@@ -72,7 +72,7 @@
                 ConfigRelayOptions options = {});
 
     /** Sets the listener notified of records and states received through the relay; nullptr removes it. */
-    void setListener(FollowerListener *listener);
+    void setListener(ReplicaListener *listener);
 
     /** Replaces the plan with @p plan, built from a new inventory. */
     void setPlan(std::shared_ptr<const RelayPlan> plan);
@@ -145,7 +145,7 @@
     ProcessName m_self;
     ZoneName m_zone;
     ConfigRelayOptions m_options;
-    FollowerListener *m_listener = nullptr;
+    ReplicaListener *m_listener = nullptr;
     std::shared_ptr<const RelayPlan> m_plan;
     ImageAssembler m_assembler;
     std::map<ProcessName, RelayPeer> m_peers;
--- a/modules/heatherridge_coordination/config/logfollower.cpp
+++ b/modules/heatherridge_coordination/config/logfollower.cpp
@@ -16,7 +16,7 @@
 {
 }
 
-void LogFollower::setListener(FollowerListener *listener)
+void LogFollower::setListener(ReplicaListener *listener)
 {
     m_listener = listener;
 }
--- a/modules/heatherridge_coordination/config/logfollower.h
+++ b/modules/heatherridge_coordination/config/logfollower.h
@@ -8,10 +8,10 @@
 {
 
 /** Receives the changes of a replica's state. */
-class FollowerListener
+class ReplicaListener
 {
 public:
-    virtual ~FollowerListener() = default;
+    virtual ~ReplicaListener() = default;
 
     /** Called after @p records were folded, in order. */
     virtual void recordsFolded(const std::vector<FoldedRecord> &records) = 0;
@@ -49,7 +49,7 @@
                 const LogFollowerOptions &options = {});
 
     /** Sets the listener, which must outlive the follower; nullptr removes it. */
-    void setListener(FollowerListener *listener);
+    void setListener(ReplicaListener *listener);
 
     /** Sets whether the log is read once the state is confirmed; until then it always is. */
     void setActive(bool active);
@@ -74,7 +74,7 @@
     RandomSource &m_random;
     LogReader m_reader;
     RetryBackoff m_retryBackoff;
-    FollowerListener *m_listener = nullptr;
+    ReplicaListener *m_listener = nullptr;
     std::optional<SnapshotLoader> m_loader;
     bool m_loaderDone = false;
     bool m_needsSnapshot;
--- a/modules/heatherridge_transport/app/controlplane.cpp
+++ b/modules/heatherridge_transport/app/controlplane.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-class ControlPlane::Implementation : public FollowerListener
+class ControlPlane::Implementation : public ReplicaListener
 {
 public:
     Implementation(Options newOptions, Metrics &metrics)
