--- a/modules/heatherridge_coordination/config/snapshotloader.h
+++ b/modules/heatherridge_coordination/config/snapshotloader.h
@@ -9,42 +9,43 @@
 namespace Heatherridge
 {
 
-/** The stream that holds snapshots; only processes that lack the state read it. */
+/** The stream that holds snapshots; only processes without a usable state read it. */
 inline const StreamName SnapshotStream{"control-snapshots"};
 
 /**
- * Finds the newest whole snapshot by reading the snapshot stream backwards, window by window.
+ * Finds the newest complete snapshot by reading the snapshot stream backwards in windows that double in size.
  *
- * One run an object. The service must outlive it; answers that come after its end are dropped. One thread.
+ * Each instance performs one search. The service must outlive it; answers that arrive after its destruction are
+ * dropped. Single-threaded.
  */
 class SnapshotLoader
 {
 public:
-    /** The snapshot, nothing when the stream holds no whole one, or why the log gave no answer. */
-    using Done = std::function<void(Result<std::optional<AssembledImage>>)>;
+    /** Receives the snapshot, empty if the stream holds no complete one, or the error of the log. */
+    using Callback = std::function<void(Result<std::optional<AssembledImage>>)>;
 
-    SnapshotLoader(LogService &service, Done done);
+    SnapshotLoader(LogService &service, Callback callback);
 
-    /** Begins; calls back once. */
+    /** Starts the search; the callback is called once. */
     void start();
 
-    /** Parts read that were damaged. */
+    /** Returns the number of damaged parts read. */
     std::uint64_t damagedParts() const;
 
 private:
-    void read(LogOffset from, std::size_t most);
-    void take(const Result<LogPage> &result);
-    void takeRecords(const LogPage &page);
+    void read(LogOffset from, std::size_t maxRecords);
+    void handleResult(const Result<LogPage> &result);
+    void addRecords(const LogPage &page);
     void finishWindow();
 
     LogService &m_service;
-    Done m_done;
+    Callback m_callback;
     ImageAssembler m_assembler;
     std::optional<AssembledImage> m_best;
-    bool m_probed = false;
-    LogOffset m_first{};
-    LogOffset m_last{};
-    LogOffset m_windowBegin{};
+    bool m_hasBounds = false;
+    LogOffset m_firstOffset{};
+    LogOffset m_lastOffset{};
+    LogOffset m_windowStart{};
     std::size_t m_windowSize;
     std::uint64_t m_damagedParts = 0;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
--- a/tests/agreement/membership_test.cpp
+++ b/tests/agreement/membership_test.cpp
@@ -11,7 +11,7 @@
 
 struct SignalRow
 {
-    const char *story;
+    const char *description;
     TargetSignals signals;
     bool observerFault;
     Standing standing;
@@ -22,7 +22,7 @@
 
 const SignalRow SignalRows[] = {
     {"listed and heard", {.isListed = true, .silentFor = Fresh}, false, Standing::Serving, StandingReason::Healthy},
-    {"live and heard, but in no inventory",
+    {"live and heard, but not in the inventory",
      {.host = HostMark::Live, .silentFor = Fresh},
      false,
      Standing::NoNewWork,
@@ -52,12 +52,12 @@
      false,
      Standing::NoNewWork,
      StandingReason::HostLeaving},
-    {"live for long after a leaving mark",
+    {"live for a long time after a leaving mark",
      {.isListed = true, .host = HostMark::Live, .liveAgainFor = seconds(11), .silentFor = Fresh},
      false,
      Standing::Serving,
      StandingReason::Healthy},
-    {"absent from the lagging list, but heard",
+    {"absent from the host list, which lags, but heard",
      {.isListed = true, .host = HostMark::Absent, .silentFor = Fresh},
      false,
      Standing::Serving,
@@ -67,12 +67,12 @@
      false,
      Standing::NoNewWork,
      StandingReason::OwnRefusal},
-    {"live on the list, but silent",
+    {"live in the host list, but silent",
      {.isListed = true, .host = HostMark::Live, .silentFor = seconds(4)},
      false,
      Standing::Suspect,
      StandingReason::Silent},
-    {"silent, as half of all are",
+    {"silent, as are half of all targets",
      {.isListed = true, .silentFor = seconds(4)},
      true,
      Standing::Serving,
@@ -90,21 +90,21 @@
      StandingReason::Returning},
 };
 
-class Signals : public testing::TestWithParam<SignalRow>
+class StandingFromSignals : public testing::TestWithParam<SignalRow>
 {
 };
 
-TEST_P(Signals, GiveTheStandingOfTheTable)
+TEST_P(StandingFromSignals, MatchesTheExpectedStanding)
 {
     const auto &row = GetParam();
     const TargetStanding expected{row.standing, row.reason};
     const auto actual = standingFrom(row.signals, row.observerFault, {});
-    EXPECT_EQ(actual, expected) << row.story << ": " << toString(actual.reason);
+    EXPECT_EQ(actual, expected) << row.description << ": " << toString(actual.reason);
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, Signals, testing::ValuesIn(SignalRows));
+INSTANTIATE_TEST_SUITE_P(Table, StandingFromSignals, testing::ValuesIn(SignalRows));
 
-/** Six targets, three a zone, each on its host, all heard at the start. */
+/** Observes six targets, three per zone, each on its own host and all heard at the start. */
 struct Observer
 {
     Observer()
@@ -119,14 +119,14 @@
         const auto inventory = Inventory::fromDocument(IniDocument::parse(text));
         membership.follow(std::make_shared<Inventory>(std::get<Inventory>(inventory)), std::make_shared<RuleSet>(),
                           now);
-        pass(seconds(5), 6);
+        advance(seconds(5), 6);
     }
 
-    /** Lets @p span pass, in which the first @p heard targets are heard. */
-    void pass(milliseconds span, int heard)
+    /** Advances time by @p duration, during which the first @p heardTargets targets are heard. */
+    void advance(milliseconds duration, int heardTargets)
     {
-        for (const auto end = now + span; now < end; now += milliseconds(500)) {
-            for (int i = 0; i < heard; ++i) {
+        for (const auto end = now + duration; now < end; now += milliseconds(500)) {
+            for (int i = 0; i < heardTargets; ++i) {
                 membership.noteHeard(target(i), true, now);
             }
         }
@@ -146,23 +146,23 @@
     Membership membership;
 };
 
-TEST(Membership, OneSilentTargetIsSuspectAndServesAgainOnlyAfterAWhile)
+TEST(Membership, SilentTargetIsSuspectUntilHeardForLongEnough)
 {
     Observer observer;
-    observer.pass(seconds(5), 5);
+    observer.advance(seconds(5), 5);
     EXPECT_EQ(observer.standing(5).standing, Standing::Suspect);
-    observer.pass(milliseconds(500), 6);
+    observer.advance(milliseconds(500), 6);
     EXPECT_EQ(observer.standing(5).reason, StandingReason::Returning);
-    observer.pass(seconds(2), 6);
+    observer.advance(seconds(2), 6);
     EXPECT_EQ(observer.standing(5).standing, Standing::Serving);
 }
 
-// A zone's switch fails, or the observer's own cable: half of all targets fall silent in one second. Were all of them
-// taken out, the other half would get twice its load and fail as well.
-TEST(Membership, WhenHalfFallSilentAtOnceTheObserverDoubtsItself)
+// Guards against removing half of all targets when they become silent within one second because a zone's switch or the
+// observer's own link failed: the other half would receive twice its load and fail as well.
+TEST(Membership, SimultaneousSilenceOfHalfTheTargetsIsAnObserverFault)
 {
     Observer observer;
-    observer.pass(seconds(5), 3);
+    observer.advance(seconds(5), 3);
     EXPECT_TRUE(observer.membership.isObserverAtFault(observer.now));
     for (int i = 3; i < 6; ++i) {
         EXPECT_EQ(observer.standing(i), (TargetStanding{Standing::Serving, StandingReason::ObserverFault}));
@@ -171,9 +171,9 @@
     EXPECT_EQ(observer.standing(4).standing, Standing::NoNewWork);
 }
 
-// While a machine is replaced its name stands in the list twice, once as leaving and once as live; later lists show it
-// as live, leave it out, and show it as leaving again.
-TEST(Membership, AHostListedTwiceOrFlappingCountsAsLeaving)
+// Guards against sending work to a host that is being replaced. Its name appears in the host list twice, as leaving and
+// as live; later lists show it as live, omit it, and show it as leaving again.
+TEST(Membership, HostListedTwiceOrFlappingCountsAsLeaving)
 {
     Observer observer;
     auto &membership = observer.membership;
@@ -186,14 +186,14 @@
     EXPECT_EQ(observer.standing(0).reason, StandingReason::HostLeaving);
     membership.noteHostList({}, observer.now);
     EXPECT_EQ(observer.standing(0).reason, StandingReason::HostLeaving);
-    observer.pass(seconds(11), 6);
+    observer.advance(seconds(11), 6);
     EXPECT_EQ(observer.standing(0).reason, StandingReason::Healthy);
     EXPECT_EQ(observer.standing(1).reason, StandingReason::Healthy);
 }
 
-// An operator withdraws a target, then takes it back, while a stream runs for minutes; then the process is told to
-// stop.
-TEST(Drain, TellsWhatIsOpenSinceWhenAndEndsWithItsCause)
+// An operator withdraws a target and reverts that while a stream runs for minutes; then the process receives a stop
+// signal.
+TEST(Drain, ReportsOpenRequestsOldestFirstAndKeepsItsCause)
 {
     const SteadyTime begin{seconds(100)};
     DrainTracker drain;
--- a/tests/agreement/relay_test.cpp
+++ b/tests/agreement/relay_test.cpp
@@ -11,11 +11,11 @@
 {
 
 constexpr std::chrono::milliseconds Step{50};
-constexpr std::chrono::milliseconds LongStep{400}; ///< while nothing is to be measured
-constexpr std::chrono::seconds Settled{20};
+constexpr std::chrono::milliseconds LongStep{400}; ///< for periods whose timing is not checked
+constexpr std::chrono::seconds SettleTime{20};
 constexpr int Zones = 2;
 
-/** Two zones of @p perZone processes each, their log, and a count of what each zone reads from it. */
+/** Two zones of @p perZone processes each, their log, and each zone's counted access to it. */
 struct Fleet
 {
     explicit Fleet(int perZone)
@@ -46,12 +46,12 @@
         return network.add(access.at(index % Zones),
                            {.process = nameOf(index),
                             .zone = zoneOf(index),
-                            .planFor = [shared = plan](const Inventory &) { return shared; }});
+                            .buildPlan = [shared = plan](const Inventory &) { return shared; }});
     }
 
-    void run(std::chrono::milliseconds span, std::chrono::milliseconds step = Step)
+    void run(std::chrono::milliseconds duration, std::chrono::milliseconds step = Step)
     {
-        network.run(span, step, [this] {
+        network.run(duration, step, [this] {
             log.run(network.now());
             for (auto &zone : access) {
                 zone.run();
@@ -70,8 +70,8 @@
                                                    .content = DocumentChange{"[workspace.w" + number + "]\n", {}}}));
     }
 
-    /** How many running processes have not folded @p offset. */
-    std::size_t behind(LogOffset offset)
+    /** Returns the number of running processes that have not folded @p offset. */
+    std::size_t countBehind(LogOffset offset)
     {
         return static_cast<std::size_t>(
             std::count_if(network.nodes().begin(), network.nodes().end(), [offset](const auto &entry) {
@@ -79,12 +79,12 @@
             }));
     }
 
-    /** How many processes read the log now. */
-    std::size_t reading()
+    /** Returns the number of processes that currently read the log. */
+    std::size_t countReaders()
     {
         return static_cast<std::size_t>(
             std::count_if(network.nodes().begin(), network.nodes().end(),
-                          [](const auto &entry) { return entry.second->agent.relay().wantsLog(); }));
+                          [](const auto &entry) { return entry.second->agent.relay().shouldReadLog(); }));
     }
 
     FakeLog log;
@@ -93,14 +93,14 @@
     std::shared_ptr<const RelayPlan> plan;
 };
 
-TEST(Relay, FewReadTheLogAndAllHaveAChangeWithinThreeSeconds)
+TEST(Relay, FewProcessesReadTheLogAndAllApplyAChangeWithinThreeSeconds)
 {
     Fleet fleet(40);
-    fleet.run(Settled);
-    EXPECT_EQ(fleet.reading(), 4U);
+    fleet.run(SettleTime);
+    EXPECT_EQ(fleet.countReaders(), 4U);
     const auto offset = fleet.publish();
     fleet.run(std::chrono::seconds(3));
-    EXPECT_EQ(fleet.behind(offset), 0U);
+    EXPECT_EQ(fleet.countBehind(offset), 0U);
     for (const auto &[name, node] : fleet.network.nodes()) {
         EXPECT_EQ(node->agent.phase(), ProcessPhase::Ready);
         EXPECT_EQ(node->agent.relay().counters().diverged, 0U);
@@ -111,34 +111,34 @@
 
 struct FaultRow
 {
-    const char *story;
+    const char *description;
     Fault fault;
-    std::chrono::seconds within; ///< from the publish, which comes right after the fault
+    std::chrono::seconds timeLimit; ///< from the publish, which immediately follows the fault
 };
 
 const FaultRow FaultRows[] = {
-    {"one reader of zone a is killed as a change is published", Fault::OneReaderKilled, std::chrono::seconds(3)},
+    {"one reader of zone a is killed when a change is published", Fault::OneReaderKilled, std::chrono::seconds(3)},
     {"all readers of zone a are killed", Fault::ReadersKilled, std::chrono::seconds(10)},
     {"all readers of both zones are killed", Fault::AllReadersKilled, std::chrono::seconds(4)},
     {"all readers of zone a are paused; their connections stay open", Fault::ReadersPaused, std::chrono::seconds(20)},
-    {"zone a is cut off from the log, not from zone b", Fault::ZoneCutFromLog, std::chrono::seconds(5)},
-    {"every message between processes comes twice", Fault::MessagesDoubled, std::chrono::seconds(3)},
+    {"zone a is cut off from the log but not from zone b", Fault::ZoneCutFromLog, std::chrono::seconds(5)},
+    {"every message between processes is delivered twice", Fault::MessagesDoubled, std::chrono::seconds(3)},
 };
 
 class RelayUnderFault : public testing::TestWithParam<FaultRow>
 {
 };
 
-// The processes that read the log for a zone fail at the moment a change is published. Without a way round them the
-// whole zone would stay on the old configuration, with every process in it believing that it is up to date.
-TEST_P(RelayUnderFault, EveryRunningProcessGetsTheChange)
+// Guards against a zone that stays on the old configuration, with all its processes considering themselves up to date,
+// because the processes that read the log for the zone fail when a change is published.
+TEST_P(RelayUnderFault, EveryRunningProcessReceivesTheChange)
 {
     Fleet fleet(20);
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     std::vector<ProcessName> readers;
     for (const auto &[name, node] : fleet.network.nodes()) {
-        const bool ofZoneA = Fleet::zoneOf(std::stoi(name.text().substr(7))) == ZoneName("a");
-        if (fleet.plan->isReader(name) && (ofZoneA || GetParam().fault == Fault::AllReadersKilled)) {
+        const bool isInZoneA = Fleet::zoneOf(std::stoi(name.text().substr(7))) == ZoneName("a");
+        if (fleet.plan->isReader(name) && (isInZoneA || GetParam().fault == Fault::AllReadersKilled)) {
             readers.push_back(name);
         }
     }
@@ -157,8 +157,8 @@
     fleet.network.doubleMessages = GetParam().fault == Fault::MessagesDoubled;
     fleet.access[0].isCut = GetParam().fault == Fault::ZoneCutFromLog;
     const auto offset = fleet.publish();
-    fleet.run(GetParam().within);
-    EXPECT_EQ(fleet.behind(offset), 0U) << GetParam().story;
+    fleet.run(GetParam().timeLimit);
+    EXPECT_EQ(fleet.countBehind(offset), 0U) << GetParam().description;
     for (const auto &[name, node] : fleet.network.nodes()) {
         EXPECT_EQ(node->agent.replica().state().skipped(SkipReason::Doubled), 0U);
     }
@@ -166,66 +166,66 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, RelayUnderFault, testing::ValuesIn(FaultRows));
 
-// A process is replaced while the log is out. It must come up on the newest state that a peer has, say that nobody has
-// confirmed it, and be confirmed when the log is back.
-TEST(Relay, AProcessReplacedInAnOutageTakesItsPeersStateUnconfirmed)
+// Guards against a process without state when it is replaced during a log outage. It must adopt the newest state that a
+// peer has, report it as unconfirmed, and be confirmed when the log recovers.
+TEST(Relay, ProcessReplacedDuringALogOutageAdoptsPeerStateAsUnconfirmed)
 {
     Fleet fleet(10);
     for (int i = 0; i < 5; ++i) {
         fleet.publish();
     }
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     fleet.log.isOut = true;
     fleet.run(std::chrono::seconds(5));
     fleet.network.kill(Fleet::nameOf(3));
     auto &replaced = fleet.start(3);
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     EXPECT_EQ(replaced.agent.replica().state().offset(), LogOffset{5});
     EXPECT_EQ(replaced.agent.phase(), ProcessPhase::Unconfirmed);
     fleet.log.isOut = false;
     const auto offset = fleet.publish();
-    fleet.run(Settled);
-    EXPECT_EQ(fleet.behind(offset), 0U);
+    fleet.run(SettleTime);
+    EXPECT_EQ(fleet.countBehind(offset), 0U);
     EXPECT_EQ(replaced.agent.phase(), ProcessPhase::Ready);
 }
 
-// The log is out for twelve minutes and comes back. If every process met its return with a read, the log would be out
-// again.
-TEST(Relay, AnOutageOfTheLogDoesNotTurnEveryProcessIntoAReader)
+// Guards against overloading the log when it recovers after twelve minutes: if every process read it at once, it would
+// fail again.
+TEST(Relay, LogOutageDoesNotMakeEveryProcessPollTheLog)
 {
     Fleet fleet(40);
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     fleet.log.isOut = true;
     fleet.run(std::chrono::minutes(2), LongStep);
     const auto before = fleet.log.counts.reads;
     fleet.run(std::chrono::minutes(10), LongStep);
     const auto perMinute = (fleet.log.counts.reads - before) / 10;
-    // Four readers at one try in 2.5 s on average make 96; each of the other 76 tries about once a minute.
+    // Four readers with one attempt every 2.5 s on average make 96; each of the other 76 tries about once a minute.
     EXPECT_LT(perMinute, 250);
     fleet.log.isOut = false;
     const auto offset = fleet.publish();
     fleet.run(std::chrono::seconds(12));
-    EXPECT_EQ(fleet.behind(offset), 0U);
-    fleet.run(Settled);
-    EXPECT_EQ(fleet.reading(), 4U);
+    EXPECT_EQ(fleet.countBehind(offset), 0U);
+    fleet.run(SettleTime);
+    EXPECT_EQ(fleet.countReaders(), 4U);
 }
 
-// A zone loses the others and the log for an hour. It must keep what it has, know how old that is, and take up what it
-// missed soon after they meet again.
-TEST(Relay, AZoneThatIsCutOffForAnHourKnowsItsAgeAndCatchesUp)
+// Guards against losing the state, or its age, in a zone that is disconnected from the other zones and from the log for
+// an hour. It must keep its state, report how old it is, and catch up soon after it is reconnected.
+TEST(Relay, ZoneIsolatedForAnHourReportsItsStateAgeAndCatchesUp)
 {
     Fleet fleet(10);
     fleet.publish();
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     fleet.access[1].isCut = true;
     fleet.network.passes = [](const ProcessName &a, const ProcessName &b) {
         return (std::stoi(a.text().substr(7)) + std::stoi(b.text().substr(7))) % Zones == 0;
     };
-    fleet.run(std::chrono::seconds(2)); // reads that the log holds open end
+    fleet.run(std::chrono::seconds(2)); // lets the log end the long polls that it holds open
     const auto offset = fleet.publish();
     fleet.run(std::chrono::minutes(60), LongStep);
-    EXPECT_EQ(fleet.behind(offset), 10U);
-    EXPECT_EQ(fleet.behind(LogOffset{1}), 0U);
+    EXPECT_EQ(fleet.countBehind(offset), 10U);
+    EXPECT_EQ(fleet.countBehind(LogOffset{1}), 0U);
     for (int i = 1; i < 2 * 10; i += Zones) {
         const auto age = fleet.network.node(Fleet::nameOf(i)).agent.relay().freshAge(fleet.network.now());
         EXPECT_GE(age, std::chrono::minutes(59));
@@ -233,27 +233,28 @@
     fleet.access[1].isCut = false;
     fleet.network.passes = [](const auto &, const auto &) { return true; };
     fleet.run(std::chrono::seconds(8));
-    EXPECT_EQ(fleet.behind(offset), 0U);
+    EXPECT_EQ(fleet.countBehind(offset), 0U);
 }
 
-// A frame of a process's earlier run arrives after its successor has spoken. Taken at its word, it would make a dead
-// run look alive.
-TEST(Relay, AMessageOfAnEndedRunIsRefused)
+// Guards against treating an ended run of a process as alive because one of its frames arrives after frames of the next
+// run.
+TEST(Relay, MessageFromAnEndedIncarnationIsRejected)
 {
     Fleet fleet(10);
-    fleet.run(Settled);
+    fleet.run(SettleTime);
     auto &node = *fleet.network.nodes().begin()->second;
     const auto peer = node.agent.relay().peers().begin()->first;
-    const auto old = node.agent.relay().peers().begin()->second.incarnation;
+    const auto endedIncarnation = node.agent.relay().peers().begin()->second.incarnation;
     const auto now = fleet.network.now();
     node.agent.relay().receive(peer, {.sender = peer, .incarnation = Incarnation{77}}, Heartbeat{}, now);
-    node.agent.relay().receive(peer, {.sender = peer, .incarnation = old, .offset = LogOffset{99}}, Heartbeat{}, now);
+    node.agent.relay().receive(peer, {.sender = peer, .incarnation = endedIncarnation, .offset = LogOffset{99}},
+                               Heartbeat{}, now);
     EXPECT_EQ(node.agent.relay().counters().oldIncarnation, 1U);
     EXPECT_EQ(node.agent.relay().peers().at(peer).offset, LogOffset{});
-    EXPECT_FALSE(node.agent.replica().missingFrom());
+    EXPECT_FALSE(node.agent.replica().firstMissingOffset());
 }
 
-TEST(RelayPlan, AMemberThatLeavesMovesOnlyThoseThatChoseIt)
+TEST(RelayPlan, RemovingAMemberReassignsOnlyItsSubscribers)
 {
     std::vector<RelayMember> members;
     members.reserve(700);
@@ -263,7 +264,7 @@
     const RelayPlan before(members);
     members.pop_back();
     const RelayPlan after(members);
-    int moved = 0;
+    int reassigned = 0;
     std::map<ProcessName, int> children;
     for (const auto &member : members) {
         const auto first = before.sourcesOf(member.process, member.zone);
@@ -273,10 +274,10 @@
             ++children[first[i]->process];
             EXPECT_NE(first[i]->process, member.process);
         }
-        moved += first[0]->process != second[0]->process ? 1 : 0;
+        reassigned += first[0]->process != second[0]->process ? 1 : 0;
     }
-    EXPECT_LT(moved, 30);
-    EXPECT_LE(before.depthOf(ZoneName("a")), 4U); // 2 readers times 5^4 is more than 700 rounded up
+    EXPECT_LT(reassigned, 30);
+    EXPECT_LE(before.depthOf(ZoneName("a")), 4U); // 2 readers times 5^4 exceeds 700
     for (const auto &[process, count] : children) {
         EXPECT_LE(count, 30) << process.text();
     }
--- a/tests/feed/workshare_test.cpp
+++ b/tests/feed/workshare_test.cpp
@@ -14,7 +14,7 @@
 {
 public:
     void join(const std::string &, std::chrono::milliseconds, std::uint64_t generation,
-              std::function<void(Result<ShareAnswer>)> done) override
+              std::function<void(Result<ShareAssignment>)> done) override
     {
         ++joins;
         lastGeneration = generation;
@@ -29,35 +29,36 @@
     int joins = 0;
     int leaves = 0;
     std::uint64_t lastGeneration = 0;
-    std::function<void(Result<ShareAnswer>)> answer{};
+    std::function<void(Result<ShareAssignment>)> answer{};
 };
 
-class Shares : public testing::Test
+class WorkShareTest : public testing::Test
 {
 protected:
     ManualShareLog m_log;
-    WorkShare m_share{m_log, {.member = "m", .parts = 2, .period = 450ms, .lease = 1'500ms}};
+    WorkShare m_share{m_log, {.member = "m", .partitionCount = 2, .callInterval = 450ms, .lease = 1'500ms}};
 };
 
-TEST_F(Shares, DivideAllWorkAmongTheParts)
+TEST_F(WorkShareTest, OwnsTheWorkOfItsPartitions)
 {
     EXPECT_FALSE(m_share.isMine("a"));
     m_share.tick(Start);
-    m_log.answer(ShareAnswer{.generation = 4, .parts = {0, 1}});
+    m_log.answer(ShareAssignment{.generation = 4, .partitions = {0, 1}});
     for (const auto *work : {"a", "b", "c", "d"}) {
         EXPECT_TRUE(m_share.isMine(work));
     }
     m_share.tick(Start + 450ms);
     EXPECT_EQ(m_log.lastGeneration, 4U);
-    m_log.answer(ShareAnswer{.generation = 5, .parts = {}});
+    m_log.answer(ShareAssignment{.generation = 5, .partitions = {}});
     EXPECT_FALSE(m_share.isMine("a"));
 }
 
-// While the log is out nobody can take over. A keeper that stopped then would leave groups uneven for the whole outage.
-TEST_F(Shares, StandWhileTheLogIsOutButAreNotConfirmed)
+// Guards against groups that stay unbalanced for a whole log outage because their keeper stops, while no other member
+// can take over.
+TEST_F(WorkShareTest, KeepsTheShareUnconfirmedDuringALogOutage)
 {
     m_share.tick(Start);
-    m_log.answer(ShareAnswer{.generation = 1, .parts = {0, 1}});
+    m_log.answer(ShareAssignment{.generation = 1, .partitions = {0, 1}});
     m_share.tick(Start + 500ms);
     m_log.answer(Error{.kind = ErrorKind::PlatformUnavailable});
     EXPECT_TRUE(m_share.isMine("a"));
@@ -65,44 +66,44 @@
     EXPECT_FALSE(m_share.isConfirmed(Start + 1'600ms));
 }
 
-struct PartRow
+struct FractionRow
 {
-    const char *story;
-    std::set<int> parts;
-    double part;
-    double evenPart;
+    const char *description;
+    std::set<int> partitions;
+    double fraction;
+    double nonZeroFraction;
 };
 
-const PartRow PartRows[] = {
+const FractionRow FractionRows[] = {
     {"one of two members", {1}, 0.5, 0.5},
     {"the only member", {0, 1}, 1, 1},
-    // Two gateways of fourteen before twelve parts take a quarter of the room that engines have: with no part, each
-    // goes on to believe that it is one of four.
-    {"one of more members than there are parts", {}, 0, 1.0 / 3},
+    // With fourteen gateways and twelve partitions, the two without a partition would take a quarter of the engines'
+    // capacity if each still assumed that it is one of four.
+    {"one of more members than there are partitions", {}, 0, 1.0 / 3},
 };
 
-class Parts : public testing::TestWithParam<PartRow>
+class WorkShareFraction : public testing::TestWithParam<FractionRow>
 {
 };
 
-TEST_P(Parts, AddUpAndAreNeverNothingWhereAllWorkAlike)
+TEST_P(WorkShareFraction, IsTheShareOfPartitionsAndNeverZeroForEqualWork)
 {
     ManualShareLog log;
-    WorkShare share(log, {.member = "m", .parts = 2});
-    EXPECT_FALSE(share.part());
-    EXPECT_FALSE(share.evenPart());
+    WorkShare share(log, {.member = "m", .partitionCount = 2});
+    EXPECT_FALSE(share.fraction());
+    EXPECT_FALSE(share.nonZeroFraction());
     share.tick(Start);
-    log.answer(ShareAnswer{.generation = 1, .parts = GetParam().parts});
-    EXPECT_DOUBLE_EQ(*share.part(), GetParam().part) << GetParam().story;
-    EXPECT_DOUBLE_EQ(*share.evenPart(), GetParam().evenPart) << GetParam().story;
+    log.answer(ShareAssignment{.generation = 1, .partitions = GetParam().partitions});
+    EXPECT_DOUBLE_EQ(*share.fraction(), GetParam().fraction) << GetParam().description;
+    EXPECT_DOUBLE_EQ(*share.nonZeroFraction(), GetParam().nonZeroFraction) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Parts, testing::ValuesIn(PartRows));
+INSTANTIATE_TEST_SUITE_P(All, WorkShareFraction, testing::ValuesIn(FractionRows));
 
-TEST_F(Shares, EndWhenTheyAreGivenBack)
+TEST_F(WorkShareTest, ReleasesAllWorkOnLeave)
 {
     m_share.tick(Start);
-    m_log.answer(ShareAnswer{.generation = 1, .parts = {0, 1}});
+    m_log.answer(ShareAssignment{.generation = 1, .partitions = {0, 1}});
     m_share.leave();
     m_share.tick(Start + 10s);
     EXPECT_FALSE(m_share.isMine("a"));
@@ -110,22 +111,22 @@
     EXPECT_EQ(m_log.leaves, 1);
 }
 
-// Guards against a keeper that goes on as confirmed by a log that no longer knows its share, and against a generation
-// of the lost time, which a log that has come back would take for the answer to one that it has not given out yet.
-TEST_F(Shares, AreConfirmedAnewOnceTheLogHasComeBackOlder)
+// Guards against a keeper that stays confirmed although the restored log no longer knows its assignment, and against
+// sending a generation from the lost period, which the restored log would take for one that it has yet to assign.
+TEST_F(WorkShareTest, RequiresANewConfirmationAfterALogRestore)
 {
     m_share.tick(Start);
-    m_log.answer(ShareAnswer{.generation = 7, .parts = {0, 1}});
+    m_log.answer(ShareAssignment{.generation = 7, .partitions = {0, 1}});
     m_share.tick(Start + 450ms);
-    const auto late = m_log.answer;
+    const auto staleAnswer = m_log.answer;
     m_share.logRestored();
-    late(ShareAnswer{.generation = 8, .parts = {0, 1}});
+    staleAnswer(ShareAssignment{.generation = 8, .partitions = {0, 1}});
     EXPECT_FALSE(m_share.isConfirmed(Start + 460ms));
-    EXPECT_TRUE(m_share.isMine("a")) << "work that nobody does is worse than work that two do";
+    EXPECT_TRUE(m_share.isMine("a")) << "work done by nobody is worse than work done twice";
     m_share.tick(Start + 470ms);
     EXPECT_EQ(m_log.joins, 3);
     EXPECT_EQ(m_log.lastGeneration, 0U);
-    m_log.answer(ShareAnswer{.generation = 5, .parts = {}});
+    m_log.answer(ShareAssignment{.generation = 5, .partitions = {}});
     EXPECT_FALSE(m_share.isMine("a"));
     EXPECT_TRUE(m_share.isConfirmed(Start + 480ms));
 }
--- a/tests/restoredlog/restoredworld.h
+++ b/tests/restoredlog/logrestoresimulation.h
@@ -17,16 +17,16 @@
 namespace Heatherridge
 {
 
-/** What guards gateways against a log that comes back older; each can be switched off. */
+/** Safeguards of gateways against a log restored from an older copy; each can be disabled. */
 struct RestoreSafeguards
 {
-    bool judgesEras = true; ///< answers from before the log came back are dropped
-    bool readsAnew = true; ///< registers and copies are read again, and what was known of targets is kept
-    bool tellsAgain = true; ///< crash reports are written again
-    bool knowsRevisions = true; ///< targets' records are compared by revision
+    bool checksEras = true; ///< answers from before the restore are dropped
+    bool rereadsRegisters = true; ///< registers and copies are read again; known targets are kept
+    bool resendsReports = true; ///< recent crash reports are written again
+    bool comparesRevisions = true; ///< records of targets are compared by revision
 };
 
-/** All that the log holds; copied and put back as a whole. */
+/** The complete content of the log; backed up and restored as a whole. */
 struct LogContent
 {
     std::vector<RegisterChange> rules{};
@@ -36,41 +36,41 @@
 };
 
 /**
- * Gateways' control state before a log that comes back from copies some seconds old, loses answers, and delays calls.
- * Operators and targets write, and write again what was lost. Time is simulated; one thread.
+ * Simulates the control state of gateways whose log is restored from backups some seconds old, loses answers and delays
+ * calls. Operators and targets write records, and write lost ones again. Simulated time; single-threaded.
  */
-class RestoredWorld
+class LogRestoreSimulation
 {
 public:
-    RestoredWorld(std::uint64_t seed, RestoreSafeguards safeguards);
-    ~RestoredWorld();
+    LogRestoreSimulation(std::uint64_t seed, RestoreSafeguards safeguards);
+    ~LogRestoreSimulation();
 
-    /** Plays troubles for a while, then calm. @returns what was wrong, or nothing */
-    std::string play();
+    /** Runs a phase with faults and one without. @returns a description of the first violation, or an empty string */
+    std::string run();
 
 private:
     struct Target;
     struct Gateway;
-    class LogEnd;
+    class SimulatedLogClient;
 
     void step();
-    void happen();
+    void injectFaults();
     int freePort() const;
     void publish();
     void heartbeat(Target &target);
-    void beatAfter(const Target &target, std::chrono::milliseconds delay);
+    void scheduleHeartbeat(const Target &target, std::chrono::milliseconds delay);
     void restoreLog();
     void writeRules();
     void writeRemoval(const std::string &target);
     static void append(std::vector<RegisterChange> &records, const std::string &key, std::optional<std::string> value);
     void startGateway(std::size_t index);
-    void reportDeath(Gateway &gateway);
-    void check();
-    void checkCalm();
-    void fail(const std::string &what);
-    void after(std::chrono::milliseconds delay, std::function<void()> task);
-    std::chrono::milliseconds drawn(int least, int most);
-    bool happensOnceIn(std::chrono::milliseconds time);
+    void reportTargetDeath(Gateway &gateway);
+    void checkInvariants();
+    void checkFinalState();
+    void recordFailure(const std::string &what);
+    void schedule(std::chrono::milliseconds delay, std::function<void()> task);
+    std::chrono::milliseconds randomDelay(int min, int max);
+    bool occursOnAverageEvery(std::chrono::milliseconds interval);
 
     SeededRandom m_random;
     RestoreSafeguards m_safeguards;
@@ -84,7 +84,7 @@
     int m_targetCount = 0;
     std::vector<std::unique_ptr<Target>> m_targets;
     std::vector<std::unique_ptr<Gateway>> m_gateways;
-    std::string m_fault;
+    std::string m_failure;
 };
 
 } // namespace Heatherridge
