--- a/modules/heatherridge_state/base/clock.h
+++ b/modules/heatherridge_state/base/clock.h
@@ -5,25 +5,25 @@
 namespace Heatherridge
 {
 
-/** A point on this process's own steady time line; not comparable between processes. */
+/** A point in time on the monotonic clock of this process; not comparable between processes. */
 using SteadyTime = std::chrono::steady_clock::time_point;
-/** A point of calendar time, in milliseconds; hosts may disagree by minutes. */
+/** Wall-clock time in milliseconds; the clocks of two hosts may differ by minutes. */
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/** Where a component reads the time from, so that tests can set it. All methods may be called from any thread. */
+/** Source of the current time, which tests can replace. All methods may be called from any thread. */
 class Clock
 {
 public:
     virtual ~Clock() = default;
 
-    /** Steady time, for durations. */
+    /** Returns the monotonic time, for measuring durations. */
     virtual SteadyTime steadyNow() const = 0;
 
-    /** Calendar time, for what people read and for the age of keys. */
+    /** Returns the wall-clock time, for human-readable output and for the age of idempotency keys. */
     virtual WallTime wallNow() const = 0;
 };
 
-/** The machine's clock. */
+/** Clock that reads the clocks of the operating system. */
 class SystemClock final : public Clock
 {
 public:
--- a/modules/heatherridge_state/base/errorkind.h
+++ b/modules/heatherridge_state/base/errorkind.h
@@ -7,17 +7,17 @@
 namespace Heatherridge
 {
 
-/** Whether a request ran, as far as the answering process can prove it. */
+/** Whether a request was executed, as far as the responding process can prove it. */
 enum class ExecutionStatus {
-    No, ///< it did not run and will not run
-    Yes, ///< it ran, wholly or in part
-    Unknown, ///< nobody who could know has said so
+    No, ///< was not executed and will not be
+    Yes, ///< was executed completely or in part
+    Unknown, ///< no process that could know has reported either
 };
 
-/** The word for @p ran as answers carry it: "no", "yes" or "unknown". */
+/** Returns the text for @p ran in responses: "no", "yes" or "unknown". */
 std::string_view toString(ExecutionStatus ran);
 
-/** Every way in which a request can be refused or fail. The list is closed: a new kind needs a row in the table. */
+/** Every reason for which a request can be refused or fail. A new kind also needs a row in the descriptor table. */
 enum class ErrorKind {
     BadRequest,
     BodyTooLarge,
@@ -59,24 +59,24 @@
     Internal,
 };
 
-/** What a caller is told for one kind. */
+/** Describes how one kind of error is reported to the caller. */
 struct ErrorDescriptor
 {
-    ErrorKind kind; ///< the kind this row answers
-    std::string_view name; ///< stable name, part of the problem type and of the counter's label
-    int httpStatus; ///< status towards callers
-    ExecutionStatus ran; ///< what may be claimed when the place that raises the error knows no better
-    bool isRetryable; ///< whether waiting and asking again can succeed; then Retry-After is sent
-    std::string_view summary; ///< one line for the caller
+    ErrorKind kind; ///< the kind that this row describes
+    std::string_view name; ///< stable name; part of the problem type and of the counter's label
+    int httpStatus; ///< status of the response to the caller
+    ExecutionStatus ran; ///< default when the code that raises the error has no better information
+    bool isRetryable; ///< whether a later retry can succeed; if so, Retry-After is sent
+    std::string_view summary; ///< one-line description for the caller
 };
 
-/** The row for @p kind. Never fails: every kind has a row, which a test checks. */
+/** Returns the descriptor of @p kind. Never fails, because every kind has a row; a test checks this. */
 const ErrorDescriptor &errorDescriptorFor(ErrorKind kind);
 
-/** All rows, in the order of the list. */
+/** Returns all descriptors in the order of ErrorKind. */
 std::span<const ErrorDescriptor> allErrorDescriptors();
 
-/** The kind named @p name, or nothing. */
+/** Returns the kind named @p name, or std::nullopt if there is none. */
 std::optional<ErrorKind> errorKindFromName(std::string_view name);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/base/ids.h
+++ b/modules/heatherridge_state/base/ids.h
@@ -10,11 +10,11 @@
 {
 
 /**
- * A name that is not interchangeable with names of another kind.
+ * Strongly typed name that can't be mixed up with names of another kind.
  *
- * Owns its text. Value type: safe to copy to another thread, not to share while changing.
+ * Owns its text. Value type: copies can be passed to other threads; concurrent modification is not safe.
  *
- * @tparam Tag an empty type that tells one kind of name from another
+ * @tparam Tag an empty type that distinguishes one kind of name from another
  */
 template<typename Tag>
 class Name
@@ -22,19 +22,19 @@
 public:
     Name() = default;
 
-    /** Wraps @p text; an empty text is the null name. */
+    /** Constructs a name from @p text; an empty text gives the null name. */
     explicit Name(std::string text)
         : m_text(std::move(text))
     {
     }
 
-    /** The text as written. */
+    /** Returns the text as it was passed to the constructor. */
     const std::string &text() const
     {
         return m_text;
     }
 
-    /** Whether this is the null name. */
+    /** Returns whether this is the null name. */
     bool isEmpty() const
     {
         return m_text.empty();
@@ -47,59 +47,59 @@
     std::string m_text;
 };
 
-/** One machine of the operator's asset register. */
+/** A machine listed in the operator's asset register. */
 using HostName = Name<struct HostTag>;
-/** One availability zone. */
+/** An availability zone. */
 using ZoneName = Name<struct ZoneTag>;
-/** One region; zones belong to regions. */
+/** A region, which consists of availability zones. */
 using RegionName = Name<struct RegionTag>;
-/** One customer of the operator; the unit of fairness. */
+/** A customer of the operator; capacity is shared fairly between workspaces. */
 using WorkspaceName = Name<struct WorkspaceTag>;
-/** One back end: a model engine, or an instance of a plain service. */
+/** A back end: a model engine or an instance of a plain service. */
 using TargetName = Name<struct TargetTag>;
-/** What a set of equal targets serves: a model service or a plain service. */
+/** A model service or plain service that is provided by a set of equivalent targets. */
 using ServiceName = Name<struct ServiceTag>;
-/** One model, adapter or version as callers name it. */
+/** A model, adapter or version, as named by callers. */
 using ModelName = Name<struct ModelTag>;
-/** One lock-step group of ranks; to callers a group is one replica. */
+/** A group of ranks that run in lock step; callers see a group as one replica. */
 using GroupName = Name<struct GroupTag>;
-/** One process of this system, over restarts (its incarnation tells them apart). */
+/** A process of this system. The name stays the same across restarts, which are distinguished by Incarnation. */
 using ProcessName = Name<struct ProcessTag>;
-/** One request, unique over all entries; every answer carries it. */
+/** Id of a request, unique across all entry processes and included in every response. */
 using RequestId = Name<struct RequestTag>;
-/** One publish of an operator; the same over its retries. */
+/** Id of a publish by an operator; retries of the publish use the same id. */
 using OperationId = Name<struct OperationTag>;
-/** A caller's idempotency key. */
+/** Idempotency key sent by a caller. */
 using IdempotencyKey = Name<struct IdempotencyTag>;
 
-/** Position of a record in one stream of the platform's log; the first record has offset 1, 0 means "nothing read". */
+/** Position of a record in a stream of the platform's log. The first record has offset 1; 0 means nothing was read. */
 enum class LogOffset : std::uint64_t {};
 
-/** The number as such, for arithmetic and for printing. */
+/** Returns the numeric value of @p offset, for arithmetic and printing. */
 constexpr std::uint64_t toNumber(LogOffset offset)
 {
     return static_cast<std::uint64_t>(offset);
 }
 
-/** The offset after @p offset. */
+/** Returns the offset that follows @p offset. */
 constexpr LogOffset next(LogOffset offset)
 {
     return static_cast<LogOffset>(toNumber(offset) + 1);
 }
 
-/** One run of a process: drawn at random at its start, so that a restart is seen as such. */
+/** Identifies one run of a process. Chosen at random when the process starts, so that others can detect a restart. */
 enum class Incarnation : std::uint64_t {};
 
-/** The number as such. */
+/** Returns the numeric value of @p incarnation. */
 constexpr std::uint64_t toNumber(Incarnation incarnation)
 {
     return static_cast<std::uint64_t>(incarnation);
 }
 
-/** The log offset of the record by which a role was claimed; of two holders the higher number is the later. */
+/** Log offset of the record that claimed a role. Of two holders, the one with the higher number claimed it later. */
 enum class FencingNumber : std::uint64_t {};
 
-/** The number as such. */
+/** Returns the numeric value of @p number. */
 constexpr std::uint64_t toNumber(FencingNumber number)
 {
     return static_cast<std::uint64_t>(number);
@@ -107,7 +107,7 @@
 
 } // namespace Heatherridge
 
-/** Hashes a name by its text, for unordered containers. */
+/** Hashes the text of a name, for use in unordered containers. */
 template<typename Tag>
 struct std::hash<Heatherridge::Name<Tag>>
 {
--- a/modules/heatherridge_state/base/result.h
+++ b/modules/heatherridge_state/base/result.h
@@ -10,36 +10,36 @@
 namespace Heatherridge
 {
 
-/** Why something did not succeed: one kind of the closed list, and what is known beyond it. */
+/** Describes a failure: its kind and any further details that are known. */
 struct Error
 {
-    ErrorKind kind = ErrorKind::Internal; ///< which row of the table answers it
-    std::string detail{}; ///< for people; no part of any decision
-    std::optional<ExecutionStatus> ran{}; ///< overrides the table's word where the raiser knows better
-    std::optional<std::chrono::milliseconds> retryAfter{}; ///< when asking again can help, where known
+    ErrorKind kind = ErrorKind::Internal; ///< selects the ErrorDescriptor
+    std::string detail{}; ///< human-readable; never used for decisions
+    std::optional<ExecutionStatus> ran{}; ///< overrides the descriptor's default where more is known
+    std::optional<std::chrono::milliseconds> retryAfter{}; ///< when a retry can succeed, if known
 
-    /** Whether the request ran: the raiser's word, else the table's. */
+    /** Returns whether the request was executed: `ran` if set, otherwise the default of the descriptor. */
     ExecutionStatus ranOrDefault() const
     {
         return ran.value_or(errorDescriptorFor(kind).ran);
     }
 };
 
-/** Either a value or the reason why there is none. */
+/** Either a value or the error that prevented it. */
 template<typename T>
 using Result = std::variant<T, Error>;
 
-/** The result of an action without a value. */
+/** The result of an action that returns no value. */
 using Outcome = std::variant<std::monostate, Error>;
 
-/** The error in @p result, or nullptr. */
+/** Returns the error in @p result, or nullptr if it holds a value. */
 template<typename T>
 const Error *errorIn(const std::variant<T, Error> &result)
 {
     return std::get_if<Error>(&result);
 }
 
-/** Builds a visitor for std::visit from lambdas, one an alternative. */
+/** Combines lambdas, one for each alternative, into a visitor for std::visit. */
 template<typename... Handlers>
 struct Visitor : Handlers...
 {
--- a/modules/heatherridge_state/heatherridge_state.h
+++ b/modules/heatherridge_state/heatherridge_state.h
@@ -3,10 +3,11 @@
 /**
  * Module heatherridge_state.
  *
- * Purpose: all that is agreed or decided, as plain values and deterministic functions: names, errors, configuration
- * documents, the fold of the log's records, and the decisions under load. No I/O, no clock, no threads of its own.
+ * Purpose: shared state and decision logic as plain values and deterministic functions: names, errors, configuration
+ * documents, the fold of the log's records, and load-dependent decisions. Performs no I/O, reads no clock and creates
+ * no threads.
  *
- * Dependencies: the C++ standard library and xxHash. Must not include Asio, HTTP, log or codec headers; CI checks it.
+ * Dependencies: the C++ standard library and xxHash. Must not include Asio, HTTP, log or codec headers (checked by CI).
  */
 
 #include "heatherridge_state/base/clock.h"
--- a/modules/heatherridge_state/membership/draintracker.h
+++ b/modules/heatherridge_state/membership/draintracker.h
@@ -11,24 +11,24 @@
 namespace Heatherridge
 {
 
-/** Why a process takes no new work. */
+/** Why a process accepts no new work. */
 enum class DrainCause : std::uint8_t {
-    PlannedStop, ///< a rule; ends when the rule is taken back
-    Withdrawal, ///< the inventory, or a leaving mark; ends when it is taken back
-    Signal, ///< SIGTERM; does not end
+    PlannedStop, ///< set by a rule; ends when the rule is removed
+    Withdrawal, ///< set by the inventory or a leaving host; ends when it is revoked
+    Signal, ///< SIGTERM; never ends
 };
 
-/** The stable name of @p cause. */
+/** Returns the stable name of @p cause. */
 std::string_view toString(DrainCause cause);
 
-/** Where a drain stands. */
+/** Phase of a drain. */
 enum class DrainPhase : std::uint8_t {
-    Accepting, ///< new work is taken
-    Draining, ///< no new work; some is still running
-    Drained, ///< nothing is running
+    Accepting, ///< new work is accepted
+    Draining, ///< no new work is accepted; some requests are still running
+    Drained, ///< no request is running
 };
 
-/** One piece of running work. */
+/** A request that is being executed. */
 struct RunningRequest
 {
     RequestId id{};
@@ -36,39 +36,40 @@
 };
 
 /**
- * Keeps account of a graceful shutdown: which causes hold, what is still running and since when.
+ * Tracks a graceful shutdown: the active causes, and the running requests with their start times.
  *
- * Nothing is ever cut by it; the owner decides what to do once a drain has lasted too long. A drain that was caused by
- * the configuration ends with it, so that a withdrawal taken back brings the target back without a restart. One thread.
+ * It never aborts a request; the owner decides what to do when a drain takes too long. A drain caused by the
+ * configuration ends when the configuration changes back, so that revoking a withdrawal returns the target to service
+ * without a restart. Must be used from one thread.
  */
 class DrainTracker
 {
 public:
-    /** Sets or lifts @p cause; DrainCause::Signal is never lifted. */
+    /** Activates or clears @p cause; DrainCause::Signal can't be cleared. */
     void setCause(DrainCause cause, bool isActive, SteadyTime now);
 
-    /** Running work has begun. */
+    /** Records that request @p id has started. */
     void recordStart(const RequestId &id, SteadyTime now);
 
-    /** Running work has ended, however. */
+    /** Records that request @p id has ended, with any result. */
     void recordEnd(const RequestId &id);
 
-    /** Whether new work may begin. */
+    /** Returns whether new work is accepted. */
     bool acceptsNewWork() const;
 
-    /** Where the drain stands. */
+    /** Returns the phase of the drain. */
     DrainPhase phase() const;
 
-    /** The strongest cause that isActive: signal, then withdrawal, then planned stop. */
+    /** Returns the active cause with the highest precedence: signal, then withdrawal, then planned stop. */
     std::optional<DrainCause> cause() const;
 
-    /** When the drain began. */
+    /** Returns when the drain began, or std::nullopt if no cause is active. */
     std::optional<SteadyTime> drainingSince() const;
 
-    /** What is running, the oldest first, at most @p maxCount. */
+    /** Returns up to @p maxCount running requests, oldest first. */
     std::vector<RunningRequest> runningRequests(std::size_t maxCount) const;
 
-    /** How much is running. */
+    /** Returns the number of running requests. */
     std::size_t runningCount() const;
 
 private:
--- a/modules/heatherridge_state/membership/membership.cpp
+++ b/modules/heatherridge_state/membership/membership.cpp
@@ -38,8 +38,8 @@
     std::map<HostName, HostState> listedStates;
     for (const auto &listing : hosts) {
         auto &state = listedStates.try_emplace(listing.host, listing.state).first->second;
-        // During a replacement the old and the new machine may stand under one name. Work for it could reach the one
-        // that leaves, so leaving wins.
+        // While a machine is being replaced, the old and the new one may be listed under the same name. Work for that
+        // name could reach the leaving machine, so the leaving state takes precedence.
         state = std::max(state, listing.state);
     }
     for (auto &[host, record] : m_hosts) {
--- a/modules/heatherridge_state/membership/membership.h
+++ b/modules/heatherridge_state/membership/membership.h
@@ -14,7 +14,7 @@
 namespace Heatherridge
 {
 
-/** One line of the platform's host list. */
+/** An entry of the platform's host list. */
 struct HostListEntry
 {
     HostName host{};
@@ -22,40 +22,41 @@
 };
 
 /**
- * One observer's view of which targets may be given new work.
+ * One observer's view of which targets may receive new work.
  *
- * Gathers the signals of inventory, host list and the targets' own processes, which disagree and come late, and decides
- * by determineEligibility(). When half of the listed targets or more fall silent, it takes itself to be cut off and
- * goes on offering work to the silent ones; marks by those who have the say still count. No I/O. One thread.
+ * Collects signals from the inventory, the host list and the targets' own processes, which can be delayed and
+ * contradictory, and decides by determineEligibility(). If half or more of the listed targets are silent, the observer
+ * assumes that it is cut off itself and keeps offering work to the silent targets; explicit removals (withdrawal,
+ * planned stop, leaving host, the target's own refusal) still apply. Performs no I/O. Must be used from one thread.
  */
 class Membership
 {
 public:
     explicit Membership(MembershipOptions options = {});
 
-    /** The configuration in force; neither may be null. */
+    /** Sets the current configuration; neither pointer may be null. */
     void updateConfiguration(std::shared_ptr<const Inventory> inventory, std::shared_ptr<const RuleSet> rules,
                              SteadyTime now);
 
-    /** A whole host list, as just read. A host that stands in it twice counts as leaving if any line says so. */
+    /** Applies a complete host list. A host that is listed twice counts as leaving if any of its entries says so. */
     void updateHostList(const std::vector<HostListEntry> &hosts, SteadyTime now);
 
-    /** A sign of life of @p target's process; @p acceptsWork is its own word on new work. */
+    /** Records a heartbeat from the process of @p target; @p acceptsWork is whether it reports to accept new work. */
     void recordHeartbeat(const TargetName &target, bool acceptsWork, SteadyTime now);
 
-    /** The process of @p target has refused new work for itself. */
+    /** Records that the process of @p target has refused new work. */
     void recordRefusal(const TargetName &target, SteadyTime now);
 
-    /** The verdict on @p target at @p now. */
+    /** Returns the eligibility of @p target at @p now. */
     TargetEligibility eligibilityOf(const TargetName &target, SteadyTime now) const;
 
-    /** Whether so many listed targets are silent at @p now that this observer takes the fault to be its own. */
+    /** Returns whether so many listed targets are silent at @p now that the fault is assumed to be this observer's. */
     bool isObserverAtFault(SteadyTime now) const;
 
-    /** The listed targets that stand where they stand for @p reason. */
+    /** Returns the listed targets whose eligibility is decided by @p reason. */
     std::set<TargetName> targetsWithReason(EligibilityReason reason, SteadyTime now) const;
 
-    /** How many listed targets stand for each reason, in the order of EligibilityReason. */
+    /** Returns the number of listed targets for each reason, in the order of EligibilityReason. */
     std::array<std::size_t, EligibilityReasonCount> countByReason(SteadyTime now) const;
 
 private:
--- a/modules/heatherridge_state/membership/targetsignals.cpp
+++ b/modules/heatherridge_state/membership/targetsignals.cpp
@@ -20,7 +20,7 @@
     return std::min(options.maxReturnDelay, options.initialReturnDelay * (1 << doublings));
 }
 
-/** The signals by which somebody who has the say takes a target away. */
+/** Returns the reason if the target has been removed explicitly: by the operator, the platform or its own process. */
 std::optional<EligibilityReason> explicitRemovalReason(const TargetSignals &signals, const MembershipOptions &options)
 {
     if (!signals.isListed) {
@@ -32,8 +32,8 @@
     if (signals.hasPlannedStop) {
         return EligibilityReason::PlannedStop;
     }
-    // The list lags and may go to and fro while hosts are being taken away, so a live mark after a leaving one has
-    // to last before it counts.
+    // The host list is delayed, and the state of a host may flap while it is being removed. A host that is listed as
+    // live again after leaving therefore counts only once it has stayed live for hostReturnDelay.
     const bool stillLeaving = signals.liveAgainFor && *signals.liveAgainFor < options.hostReturnDelay;
     if (signals.host == HostState::Leaving || stillLeaving) {
         return EligibilityReason::HostLeaving;
--- a/modules/heatherridge_state/membership/targetsignals.h
+++ b/modules/heatherridge_state/membership/targetsignals.h
@@ -9,44 +9,44 @@
 namespace Heatherridge
 {
 
-/** What the platform's host list says of a host. */
+/** State of a host in the platform's host list. */
 enum class HostState : std::uint8_t {
-    Unknown, ///< no list has been read yet
+    Unknown, ///< no host list has been read yet
     Absent,
     Live,
-    Leaving, ///< also when the same list names the host as live too
+    Leaving, ///< also if the same list contains the host as live, too
 };
 
-/** What a target's own process has said about new work. */
+/** Whether a target's own process reports to accept new work. */
 enum class SelfReport : std::uint8_t {
-    None, ///< nothing yet, or it was too long ago
+    None, ///< no report yet, or the last one is too old
     Accepting,
-    Refusing, ///< it drains, or it knows itself to be withdrawn
+    Refusing, ///< it is draining or knows that it has been withdrawn
 };
 
-/** All that one observer knows of one target. */
+/** All signals that one observer has about one target. */
 struct TargetSignals
 {
-    bool isListed = false; ///< by the inventory
-    bool isWithdrawn = false; ///< by the inventory
-    bool hasPlannedStop = false; ///< a planned stop names it
+    bool isListed = false; ///< in the inventory
+    bool isWithdrawn = false; ///< in the inventory
+    bool hasPlannedStop = false; ///< a planned stop exists for it
     HostState host = HostState::Unknown;
-    std::optional<std::chrono::milliseconds> liveAgainFor{}; ///< since a leaving mark was taken back
+    std::optional<std::chrono::milliseconds> liveAgainFor{}; ///< since its host was no longer marked as leaving
     SelfReport selfReport = SelfReport::None;
-    std::optional<std::chrono::milliseconds> silentFor{}; ///< since it was last heard; nothing when never
-    std::chrono::milliseconds observedFor{}; ///< since this observer has tried to hear it
-    std::optional<std::chrono::milliseconds> resumedFor{}; ///< since it was heard again after a silence
-    int recentSilences = 0; ///< silences that ended within the last minutes
+    std::optional<std::chrono::milliseconds> silentFor{}; ///< since its last heartbeat; not set if there was none
+    std::chrono::milliseconds observedFor{}; ///< since this observer started to expect heartbeats
+    std::optional<std::chrono::milliseconds> resumedFor{}; ///< since the first heartbeat after a silence
+    int recentSilences = 0; ///< silences that ended within flapWindow
 };
 
-/** What a target may be given. */
+/** Which work a target may receive. */
 enum class Eligibility : std::uint8_t {
-    Serving, ///< new work
-    Suspect, ///< new work only where no target is serving
-    NoNewWork, ///< running work ends; nothing new
+    Serving, ///< receives new work
+    Suspect, ///< receives new work only if no target is Serving
+    NoNewWork, ///< receives no new work; running work completes
 };
 
-/** The signal that decided. */
+/** The signal that decided the eligibility. */
 enum class EligibilityReason : std::uint8_t {
     Healthy,
     NotListed,
@@ -56,16 +56,16 @@
     OwnRefusal,
     NeverHeard,
     Silent,
-    Returning, ///< heard again, but not yet for long enough
-    ObserverFault, ///< too many are silent at once: the fault is assumed to be the observer's
+    Returning, ///< sends heartbeats again, but not yet for long enough
+    ObserverFault, ///< too many are silent at once; the fault is assumed to be the observer's
 };
 
 constexpr std::size_t EligibilityReasonCount = 10;
 
-/** The stable name of @p reason, for counters and operators. */
+/** Returns the stable name of @p reason, for counters and operators. */
 std::string_view toString(EligibilityReason reason);
 
-/** A verdict and what it rests on. */
+/** The eligibility of a target and the reason for it. */
 struct TargetEligibility
 {
     Eligibility eligibility = Eligibility::NoNewWork;
@@ -74,31 +74,32 @@
     bool operator==(const TargetEligibility &) const = default;
 };
 
-/** How fast signals count. */
+/** Delays and thresholds for evaluating signals. */
 struct MembershipOptions
 {
     std::chrono::milliseconds silenceTimeout{3'000}; ///< three heartbeats
-    std::chrono::milliseconds initialReturnDelay{1'000}; ///< heard for so long before it serves again
-    std::chrono::milliseconds maxReturnDelay{30'000}; ///< the same after many silences; doubled each time
-    std::chrono::milliseconds hostReturnDelay{10'000}; ///< live for so long after a leaving mark
-    std::chrono::milliseconds flapWindow{300'000}; ///< silences older than this are forgotten
-    std::size_t minTargetsForObserverFault = 4; ///< with fewer targets the rule says nothing
+    std::chrono::milliseconds initialReturnDelay{1'000}; ///< heartbeats must last this long after a silence
+    std::chrono::milliseconds maxReturnDelay{30'000}; ///< upper bound; the delay doubles with each recent silence
+    std::chrono::milliseconds hostReturnDelay{10'000}; ///< a host must stay live this long after leaving
+    std::chrono::milliseconds flapWindow{300'000}; ///< silences that ended longer ago are ignored
+    std::size_t minTargetsForObserverFault = 4; ///< with fewer targets, no observer fault is assumed
 };
 
 /**
- * Decides from the signals of one target.
+ * Determines the eligibility of one target from its signals.
  *
- * | signal            | adds                        | removes              | how fast                       |
- * | inventory         | yes, it alone               | yes                  | as soon as it is folded        |
- * | planned stop      | no                          | yes                  | as soon as it is folded        |
- * | leaving mark      | no                          | yes                  | with the list that carries it  |
- * | own refusal       | no                          | yes                  | with the refusal               |
- * | host list: live   | no (ends a leaving mark)    | no                   | after hostReturnDelay               |
- * | host list: absent | no                          | no: the list lags    | —                              |
- * | heartbeat         | no (ends a suspicion)       | no                   | after initialReturnDelay, doubled     |
- * | silence           | no                          | only behind others   | after `silence`                |
+ * | signal             | adds a target              | removes a target      | takes effect                       |
+ * |--------------------|----------------------------|-----------------------|------------------------------------|
+ * | inventory          | yes, the only one          | yes                   | as soon as it is folded            |
+ * | planned stop       | no                         | yes                   | as soon as it is folded            |
+ * | host list: leaving | no                         | yes                   | with the list that contains it     |
+ * | own refusal        | no                         | yes                   | with the refusal                   |
+ * | host list: live    | no (ends "leaving")        | no                    | after hostReturnDelay              |
+ * | host list: absent  | no                         | no: the list lags     | —                                  |
+ * | heartbeat          | no (ends a suspicion)      | no                    | after initialReturnDelay, doubled  |
+ * | silence            | no                         | no: becomes Suspect   | after silenceTimeout               |
  *
- * @param observerFault whether so many targets are silent at once that the observer is taken to be at fault
+ * @param observerFault whether so many targets are silent at once that the fault is assumed to be the observer's
  */
 TargetEligibility determineEligibility(const TargetSignals &signals, bool observerFault,
                                        const MembershipOptions &options);
--- a/modules/heatherridge_state/routing/routetable.h
+++ b/modules/heatherridge_state/routing/routetable.h
@@ -10,55 +10,56 @@
 namespace Heatherridge
 {
 
-/** What a configuration says of one request. Points into the table that gave it. */
+/** The route and workspace of a request. Points into the RouteTable that returned it. */
 struct RouteMatch
 {
     const RouteRule *route = nullptr;
-    WorkspaceName workspace{}; ///< holder of the key; null for a public route without a known key
-    int priority = 0; ///< the workspace's, else the route's
+    WorkspaceName workspace{}; ///< owner of the API key; the null name for a public route without a known key
+    int priority = 0; ///< of the workspace if it sets one, otherwise of the route
 };
 
 /**
- * One configuration, indexed for look-ups. Immutable; any thread.
+ * A routing configuration, indexed for lookups. Immutable; can be used from any thread.
  *
- * A request costs one hash look-up for each slash of its path, whatever the number of routes: with 400 routes on one
- * host a scan would be the largest part of an entry's work.
+ * Matching a request takes at most one hash lookup for each slash in its path, independent of the number of routes.
+ * With 400 routes on one host, a linear scan would be the largest part of an entry process's work.
  */
 class RouteTable
 {
 public:
     explicit RouteTable(RoutingConfig config);
 
-    /** The configuration as it came. */
+    /** Returns the configuration that the table was built from. */
     const RoutingConfig &config() const;
 
     /**
-     * The route of @p host with the longest prefix of @p path, and the workspace that holds @p apiKey.
-     * @param host as the caller sent it; case and port don't matter
+     * Finds the route of @p host with the longest matching prefix of @p path, and the workspace that owns @p apiKey.
+     * @param host as sent by the caller; case and port are ignored
      * @param path without the query
-     * @returns an error of kind NotFound without a route, of kind UnknownApiKey without a valid key where one is due
+     * @returns an error of kind NotFound if no route matches, or of kind UnknownApiKey if the route requires an API key
+     *          and @p apiKey is not valid
      */
     Result<RouteMatch> match(std::string_view host, std::string_view path, std::string_view apiKey) const;
 
-    /** The profile of @p service, or nullptr. */
+    /** Returns the profile of @p service, or nullptr if it is not configured. */
     const ServiceProfile *service(const ServiceName &service) const;
 
 private:
     const RouteRule *findRoute(std::string_view host, std::string_view path) const;
 
     RoutingConfig m_config;
-    std::unordered_map<std::string, std::size_t> m_routes; ///< by host, a blank and prefix
-    std::unordered_map<std::string, std::size_t> m_keys; ///< API key to workspace
+    std::unordered_map<std::string, std::size_t> m_routes; ///< key: host, a space and the path prefix
+    std::unordered_map<std::string, std::size_t> m_keys; ///< API key to workspace index
     std::unordered_map<ServiceName, std::size_t> m_services;
 };
 
-/** Taken for the longest pause where no route promises one. */
+/** Used when no route to a service sets maxEventGap. */
 constexpr std::chrono::milliseconds DefaultMaxEventGap{200};
 
-/** The shortest of the longest pauses between events that the routes to @p service promise. */
+/** Returns the smallest maxEventGap of all routes to @p service, or DefaultMaxEventGap if none of them sets one. */
 std::chrono::milliseconds maxEventGapFor(const RoutingConfig &config, const ServiceName &service);
 
-/** Draws a service of @p route by weight; the null name when no service has a weight. */
+/** Selects a service of @p route at random by weight; returns the null name if no service has a positive weight. */
 ServiceName selectWeightedService(const RouteRule &route, RandomSource &random);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/routing/routingconfig.h
+++ b/modules/heatherridge_state/routing/routingconfig.h
@@ -12,86 +12,86 @@
 namespace Heatherridge
 {
 
-/** What may be done again for a request; it follows from its route alone. */
+/** Whether a request may be executed again. Determined by its route alone. */
 enum class RequestKind {
-    Idempotent, ///< may run more than once
-    NonIdempotent, ///< runs at most once for each request id
-    EventStream, ///< answered by a series of events; as NonIdempotent unless the route is resumable
+    Idempotent, ///< may be executed more than once
+    NonIdempotent, ///< is executed at most once for each request id
+    EventStream, ///< answered by a stream of events; treated as NonIdempotent unless the route is resumable
 };
 
-/** One service of a route and its part of the route's requests. */
+/** A service of a route and its share of the route's requests. */
 struct WeightedService
 {
     ServiceName service{};
-    int weight = 1; ///< relative to the other services of the route; 0 gets nothing
+    int weight = 1; ///< relative to the other services of the route; 0 receives no requests
 };
 
-/** Which requests go where, and what is owed to them. */
+/** Selects requests by host and path, and sets their services, deadlines and execution guarantees. */
 struct RouteRule
 {
     std::string name{};
     std::string host{}; ///< lower case, without a port
-    std::string pathPrefix{}; ///< begins and ends with a slash
+    std::string pathPrefix{}; ///< starts and ends with a slash
     RequestKind kind = RequestKind::NonIdempotent;
-    std::chrono::milliseconds timeout{30'000}; ///< a request that is older gets its final answer
-    std::chrono::milliseconds objective{1'000}; ///< to the whole answer, for streams to the first event
-    std::chrono::milliseconds maxEventGap{0}; ///< between the events of a stream that is still on time; 0: unknown
-    int priority = 0; ///< 0 is the most urgent
+    std::chrono::milliseconds timeout{30'000}; ///< age at which a request gets its final response
+    std::chrono::milliseconds objective{1'000}; ///< latency goal: to the whole response or a stream's first event
+    std::chrono::milliseconds maxEventGap{0}; ///< between the events of a stream that is on time; 0: unknown
+    int priority = 0; ///< 0 is the highest
     std::vector<WeightedService> services{};
-    int maxAttempts = 1; ///< targets that one request may run on
-    bool isPublic = false; ///< whether no API key is asked for
-    bool isResumable = false; ///< whether a stream may go on at another target behind its last event
+    int maxAttempts = 1; ///< maximum number of targets that may execute one request
+    bool isPublic = false; ///< whether requests need no API key
+    bool isResumable = false; ///< whether a stream may continue at another target after its last event
 };
 
-/** How a model engine of a service works, as its operator measured it. */
+/** Performance profile of a service's model engine, as measured by the operator. */
 struct EngineProfile
 {
-    std::chrono::duration<double, std::milli> stepTime{}; ///< one token step with nothing else
-    std::chrono::duration<double, std::milli> stepTimePerRequest{}; ///< what each writing request adds to a step
-    int stepsPerPass = 1; ///< token steps of a pass in which something is written
-    std::chrono::duration<double, std::milli> promptTime{}; ///< to read a usual prompt, alone and with an even map
-    double typicalAnswerTokens = 0; ///< tokens
-    int layerSets = 0; ///< sets of layers that share one placement of experts; 0: no expert groups
-    int experts = 0; ///< in each set
-    int expertSlots = 0; ///< experts that fit on one rank, in each set
-    int spareExpertSlots = 0; ///< experts that one order may add to a rank, in each set
-    std::chrono::duration<double, std::milli> expertCopyTime{50}; ///< to copy one expert of one set to a rank
+    std::chrono::duration<double, std::milli> stepTime{}; ///< base time of a token step
+    std::chrono::duration<double, std::milli> stepTimePerRequest{}; ///< added by each generating request
+    int stepsPerPass = 1; ///< token steps in a pass that generates tokens
+    std::chrono::duration<double, std::milli> promptTime{}; ///< for a typical prompt alone, with a balanced map
+    double typicalAnswerTokens = 0; ///< length of a typical answer
+    int layerSets = 0; ///< sets of layers that share an expert placement; 0: no expert groups
+    int experts = 0; ///< in each layer set
+    int expertSlots = 0; ///< experts that fit on one rank, in each layer set
+    int spareExpertSlots = 0; ///< experts that one order may add to a rank, in each layer set
+    std::chrono::duration<double, std::milli> expertCopyTime{50}; ///< to copy one expert of one layer set to a rank
 };
 
-/** A set of equal targets. */
+/** A service, provided by a set of equivalent targets. */
 struct ServiceProfile
 {
     ServiceName name{};
     std::string healthPath{};
-    int maxConnections = 0; ///< that one target takes from all callers together
-    std::optional<EngineProfile> engine{}; ///< nothing for a plain service
+    int maxConnections = 0; ///< accepted by one target from all callers together
+    std::optional<EngineProfile> engine{}; ///< not set for a plain service
 };
 
-/** One workspace and how its callers identify themselves. */
+/** A workspace and the API keys that identify its callers. */
 struct WorkspaceKeys
 {
     WorkspaceName name{};
     std::vector<std::string> apiKeys{};
-    std::optional<int> priority{}; ///< goes before the route's
+    std::optional<int> priority{}; ///< overrides the priority of the route
 };
 
-/** What callers may send. */
+/** Size and time limits for requests and connections of callers. */
 struct ClientLimits
 {
-    std::size_t maxHeaderBytes = 16UL << 10U; ///< all headers of one request together
+    std::size_t maxHeaderBytes = 16UL << 10U; ///< total size of all headers of one request
     std::size_t maxBodyBytes = 4UL << 20U;
     std::chrono::milliseconds headerTimeout{10'000}; ///< from the first byte of a request to the end of its headers
-    std::chrono::milliseconds idleTimeout{60'000}; ///< a kept connection without a request
+    std::chrono::milliseconds idleTimeout{60'000}; ///< for a kept-alive connection without a request
 };
 
-/** One configuration in whole. Immutable once published. */
+/** A complete routing configuration. Immutable once published. */
 struct RoutingConfig
 {
-    std::uint64_t version = 0; ///< grows with each configuration; never goes back in the life of a process
+    std::uint64_t version = 0; ///< increases with each configuration; never decreases while a process runs
     std::vector<RouteRule> routes{};
     std::vector<ServiceProfile> services{};
     ClientLimits bounds{};
-    std::vector<WorkspaceKeys> workspaces{}; ///< empty: no keys are asked for
+    std::vector<WorkspaceKeys> workspaces{}; ///< empty: no API keys are required
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/routing/targetdirectory.cpp
+++ b/modules/heatherridge_state/routing/targetdirectory.cpp
@@ -30,7 +30,7 @@
 void TargetDirectory::noteRegisterRestored(SteadyTime now)
 {
     m_restoredAt = now;
-    // Targets that registered since the copy was made are missing until they write again.
+    // Targets that registered after the copy was made are missing until they write their entries again.
     m_hadOutage = true;
     m_readableSince = now;
 }
@@ -41,7 +41,7 @@
         return;
     }
     const auto &entry = record.entry;
-    // A target that starts anew takes another id; its last run stays registered until its heartbeats are missed.
+    // A restarted target registers under a new id; its previous run stays registered until it misses heartbeats.
     for (auto known = m_entries.begin(); known != m_entries.end();) {
         const auto next = std::next(known);
         if (known->second.entry.address == entry.address && known->first != entry.id) {
@@ -88,7 +88,7 @@
         return false;
     }
     for (const auto &id : std::exchange(m_lapsed, {})) {
-        // Nothing is there when its address has been taken over meanwhile.
+        // The entry is already removed if another target has registered at its address in the meantime.
         if (const auto found = m_entries.find(id); found != m_entries.end()) {
             markDeparted(found, now);
         }
--- a/modules/heatherridge_state/routing/targetdirectory.h
+++ b/modules/heatherridge_state/routing/targetdirectory.h
@@ -13,56 +13,56 @@
 {
 
 /**
- * Which targets there are, from registrations that lag, lapse and can be malformed.
+ * Set of known targets, built from registrations that can be delayed, lapse or be malformed.
  *
- * A registration that goes while the register cannot be read, or just after, says little: the register drops entries
- * whose heartbeats it could not take, and their targets still serve. Taken at its word it would leave a service without
- * targets for seconds after each outage. So such a removal counts only once the register has been readable for the
- * grace; a removal in calm times counts at once. An entry that says it drains counts at once in both.
+ * The removal of a registration during an outage of the register, or shortly after one, is not reliable: the register
+ * drops entries whose heartbeats it could not receive, although their targets still serve. Applying such removals would
+ * leave a service without targets for seconds after each outage. They are therefore applied only once the register has
+ * been readable for LapseGrace. Removals at other times, and removals of draining entries, are applied immediately.
  *
- * After the register has come back from an older copy, an entry counts only when it is later than the last one known of
- * the same run of its target: the copy may still show a target that has left as ready. One thread.
+ * After the register was restored from an older copy, an entry is accepted only if it is newer than the last known one
+ * of the same run of its target: the copy may still list a departed target as ready. Must be used from one thread.
  */
 class TargetDirectory
 {
 public:
-    /** How long after an outage a missing entry may still come back: heartbeats resume within 2 s of it. */
+    /** How long after an outage missing entries are kept; heartbeats resume within 2 s of its end. */
     static constexpr std::chrono::milliseconds LapseGrace{2'300};
-    /** How long after the register has come back entries may be older than what is known; targets write theirs again
-     * with their next heartbeat. */
+    /** How long after a restore of the register its entries may be older than the known ones. Targets write their
+     * entries again with their next heartbeat. */
     static constexpr std::chrono::milliseconds RestoreGrace{5'000};
-    /** How long a target that has left is remembered; a copy of the register is some seconds old. */
+    /** How long departed targets are remembered; a copy of the register is some seconds old. */
     static constexpr std::chrono::milliseconds DepartureRetention{120'000};
 
-    /** The register answered at @p now. */
+    /** Records that the register could be read at @p now. */
     void noteRegisterReadable(SteadyTime now);
 
-    /** A call to the register failed at @p now. */
+    /** Records that a call to the register failed at @p now. */
     void noteRegisterUnreadable(SteadyTime now);
 
-    /** The register has come back from an older copy; what was known still holds. */
+    /** Records that the register was restored from an older copy. Known entries stay valid. */
     void noteRegisterRestored(SteadyTime now);
 
-    /** @p record is registered, later than all before it. Whoever was registered at its address is gone. */
+    /** Adds or updates @p record, the latest registration. Removes any other target registered at the same address. */
     void put(const TargetRecord &record, SteadyTime now);
 
-    /** The entry of @p id is gone, or names no usable target any more. */
+    /** Called when the entry of @p id was removed or no longer describes a usable target. */
     void remove(const TargetName &id, SteadyTime now);
 
-    /** Takes @p records, in the order in which they were registered, for the whole register: all others are gone. */
+    /** Replaces all entries by @p records, given in the order of registration. Entries not listed count as removed. */
     void replaceAll(const std::vector<TargetRecord> &records, SteadyTime now);
 
-    /** Lets go of lapsed entries whose grace is over. @returns whether any went */
+    /** Removes lapsed entries whose grace period is over. @returns whether any were removed */
     bool expireLapsed(SteadyTime now);
 
-    /** All targets, draining and lapsed ones included. */
+    /** Returns all targets, including draining and lapsed ones. */
     std::vector<TargetEntry> targets() const;
 
-    /** Entries that are missing but still used. */
+    /** Returns the number of lapsed entries: missing from the register but still in use. */
     std::size_t lapsedCount() const;
 
 private:
-    /** The last record of a target that has left. */
+    /** The last known record of a departed target. */
     struct Departure
     {
         TargetRecord record{};
@@ -79,7 +79,7 @@
     bool m_isRegisterReadable = false;
     std::optional<SteadyTime> m_readableSince;
     std::optional<SteadyTime> m_restoredAt;
-    bool m_hadOutage = false; ///< the present readable span follows an outage
+    bool m_hadOutage = false; ///< whether the current readable period follows an outage or restore
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/routing/targetentry.h
+++ b/modules/heatherridge_state/routing/targetentry.h
@@ -9,26 +9,26 @@
 namespace Heatherridge
 {
 
-/** One target as it registered itself. A value. */
+/** A target as registered by itself. Value type. */
 struct TargetEntry
 {
-    TargetName id{}; ///< of this run of the target, mostly
+    TargetName id{}; ///< usually identifies this run of the target
     ServiceName service{};
     Endpoint address{};
     ZoneName zone{};
-    int slots = 1; ///< requests that it runs at once
-    bool isDraining = false; ///< takes nothing new
+    int slots = 1; ///< number of requests that it executes concurrently
+    bool isDraining = false; ///< whether it accepts no new requests
     std::chrono::milliseconds remainingWarmUp{0}; ///< how much longer it is slow after its start
 
     bool operator==(const TargetEntry &) const = default;
 };
 
-/** A target's entry as it stands in the register. */
+/** A target's entry as stored in the register. */
 struct TargetRecord
 {
     TargetEntry entry{};
-    std::chrono::sys_time<std::chrono::milliseconds> startedAt{}; ///< of this run by its own clock; null when not told
-    std::uint64_t revision = 0; ///< rises each time that this run writes the entry
+    std::chrono::sys_time<std::chrono::milliseconds> startedAt{}; ///< of this run by its own clock; zero: unknown
+    std::uint64_t revision = 0; ///< increases each time this run writes the entry
 };
 
 } // namespace Heatherridge
