--- a/modules/heatherridge_state/config/inidocument.cpp
+++ b/modules/heatherridge_state/config/inidocument.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view WhiteSpace = " \t\r";
 
-/** Splits the inside of `[kind.name]` at its first dot. */
+/** Splits the text between the brackets of `[kind.name]` at the first dot. */
 IniSection sectionFrom(std::string_view header, int line)
 {
     const auto dot = header.find('.');
--- a/modules/heatherridge_state/config/inidocument.h
+++ b/modules/heatherridge_state/config/inidocument.h
@@ -9,14 +9,14 @@
 namespace Heatherridge
 {
 
-/** One thing wrong in a document, with the line it stands on (1-based; 0 for the document as a whole). */
+/** A fault in a document and its line number (1-based; 0 for the document as a whole). */
 struct ConfigFault
 {
     int line = 0;
     std::string reason{};
 };
 
-/** One `key = value` line. */
+/** A `key = value` line. */
 struct IniEntry
 {
     std::string key{};
@@ -24,7 +24,7 @@
     int line = 0;
 };
 
-/** One `[kind.name]` section; the name is empty for `[kind]`. */
+/** A `[kind.name]` section; the name is empty for `[kind]`. */
 struct IniSection
 {
     std::string kind{};
@@ -32,32 +32,32 @@
     int line = 0;
     std::vector<IniEntry> entries{};
 
-    /** The entry for @p key, or nullptr. The section keeps ownership. */
+    /** Returns the entry for @p key, or nullptr if there is none. The section retains ownership. */
     const IniEntry *find(std::string_view key) const;
 };
 
 /**
- * An INI text as sections and entries with their line numbers.
+ * Parsed INI text: sections and entries with their line numbers.
  *
- * Boost's readers keep no line numbers and stop at the first fault; operators are to see all faults in one go
- * with file and line, so the split into lines is done here. Value type, no I/O.
+ * Has its own parser because Boost's readers keep no line numbers and stop at the first fault, whereas operators need
+ * to see all faults at once with file and line. Value type, no I/O.
  */
 class IniDocument
 {
 public:
-    /** Longest text that is read, in bytes. A longer one yields one fault and no sections. */
+    /** Maximum size of the text in bytes. A larger text yields one fault and no sections. */
     static constexpr std::size_t MaxBytes = 4UL << 20U;
 
     /**
-     * Splits @p text. `#` and `;` begin a comment line. Faults (a line that is none of section, entry and comment;
-     * a doubled section or key) are kept in faults(); the remaining lines are still read.
+     * Parses @p text. `#` and `;` start a comment line. Faults (a line that is no section, entry or comment; a
+     * duplicate section or key) are reported by faults(); the remaining lines are still parsed.
      */
     static IniDocument parse(std::string_view text);
 
-    /** All sections in the order of the text. */
+    /** Returns all sections in the order of the text. */
     const std::vector<IniSection> &sections() const;
 
-    /** What was wrong with the text as INI. */
+    /** Returns the INI syntax faults of the text. */
     const std::vector<ConfigFault> &faults() const;
 
 private:
@@ -65,19 +65,19 @@
     std::vector<ConfigFault> m_faults;
 };
 
-/** @p text without white space at either end. */
+/** Returns @p text without leading and trailing white space. */
 std::string_view trimmed(std::string_view text);
 
-/** Splits @p text at commas, trims each part and leaves empty ones out. */
+/** Splits @p text at commas, trims each part and omits empty parts. */
 std::vector<std::string> splitList(std::string_view text);
 
-/** @p text as a whole number from @p lowest to @p highest, or nothing. */
+/** Parses @p text as an integer from @p lowest to @p highest; std::nullopt if it is not one. */
 std::optional<long long> parseNumber(std::string_view text, long long lowest, long long highest);
 
-/** @p text as a decimal fraction, or nothing. */
+/** Parses @p text as a decimal fraction; std::nullopt if it is not one. */
 std::optional<double> parseFraction(std::string_view text);
 
-/** @p text as yes or no (also true/false, on/off), or nothing. */
+/** Parses @p text as a boolean (yes/no, true/false or on/off); std::nullopt if it is not one. */
 std::optional<bool> parseBool(std::string_view text);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/config/inventory.cpp
+++ b/modules/heatherridge_state/config/inventory.cpp
@@ -17,7 +17,8 @@
 constexpr int MaxConcurrency = 1'000'000;
 constexpr std::chrono::milliseconds MaxZoneDelay{10'000};
 
-/** Whether @p address is made of the characters of an IP number; the sockets' own parser has the last word. */
+/** Returns whether @p address consists of characters that are valid in an IP address. The full check is left to the
+ * parser of the sockets. */
 bool hasOnlyIpAddressCharacters(std::string_view address)
 {
     return !address.empty() && address.find_first_not_of("0123456789abcdefABCDEF.:") == std::string_view::npos;
@@ -56,7 +57,7 @@
     return Endpoint{.address = std::string(text.substr(0, colon)), .port = static_cast<int>(*port)};
 }
 
-/** Builds one inventory from one document, section by section. */
+/** Builds an inventory from a document, section by section. */
 class InventoryReader
 {
 public:
--- a/modules/heatherridge_state/config/inventory.h
+++ b/modules/heatherridge_state/config/inventory.h
@@ -13,49 +13,49 @@
 namespace Heatherridge
 {
 
-/** What kind of back end a target is. */
+/** The kind of a back end. */
 enum class TargetKind {
     Engine, ///< a model engine; answers chat completions as a stream of tokens
     Plain, ///< an instance of a plain service, such as bookings
 };
 
-/** Where a TCP service listens: an IP number and a port. */
+/** The IP address and port on which a TCP service listens. */
 struct Endpoint
 {
-    std::string address{}; ///< IP number, no host name
+    std::string address{}; ///< IP address, not a host name
     int port = 0; ///< 1 to 65535
 
     auto operator<=>(const Endpoint &) const = default;
 };
 
-/** The text form of @p endpoint, "address:port". */
+/** Returns @p endpoint as "address:port". */
 std::string toString(const Endpoint &endpoint);
 
-/** @p text as "address:port", or nothing. */
+/** Parses "address:port"; std::nullopt if @p text is not valid. */
 std::optional<Endpoint> parseEndpoint(std::string_view text);
 
-/** One back end as the operator's asset register lists it. */
+/** A back end as listed in the operator's asset register. */
 struct Target
 {
     TargetName name{};
     HostName host{};
     ZoneName zone{};
-    ServiceName service{}; ///< what it serves; all targets of a service are equal but for models
+    ServiceName service{}; ///< all targets of a service are equivalent except for their models
     TargetKind kind = TargetKind::Engine;
-    Endpoint gate{}; ///< where the process of this system beside the target listens
-    Endpoint backend{}; ///< where the target itself listens, reached by its gate alone
-    std::vector<ModelName> models{}; ///< models, adapters and versions it serves; empty for plain services
-    bool checksOrders = false; ///< whether it refuses orders that carry an old fencing number
-    GroupName group{}; ///< lock-step group it is a rank of; empty when alone
-    int rank = 0; ///< its place in the group
-    int expertSlots = 0; ///< how many experts a layer fit into a rank's memory; 0 when alone
-    int concurrency = 0; ///< upper bound of requests at a time; 0 leaves it to the adaptive limit
-    bool withdrawn = false; ///< the owners take it away: no new work
+    Endpoint gate{}; ///< where this system's process next to the target listens
+    Endpoint backend{}; ///< where the target itself listens; only its gate connects to it
+    std::vector<ModelName> models{}; ///< models, adapters and versions that it serves; empty for plain services
+    bool checksOrders = false; ///< whether it refuses orders with an outdated fencing number
+    GroupName group{}; ///< the lock-step group that it belongs to; empty if it runs alone
+    int rank = 0; ///< its index in the group
+    int expertSlots = 0; ///< experts per layer that fit into a rank's memory; 0 if it runs alone
+    int concurrency = 0; ///< maximum concurrent requests; 0: only the adaptive limit applies
+    bool withdrawn = false; ///< being removed by its owners; receives no new work
 
     bool operator==(const Target &) const = default;
 };
 
-/** One availability zone. */
+/** An availability zone. */
 struct Zone
 {
     ZoneName name{};
@@ -65,39 +65,39 @@
 };
 
 /**
- * What the operator holds, where it sits and what it serves.
+ * The operator's targets and zones: which targets exist, where they run and what they serve.
  *
- * A value: built from a document in one go, then not changed. Safe to read from any thread.
+ * Immutable value type, built from a document in one step. Can be read from any thread.
  */
 class Inventory
 {
 public:
-    /** An inventory without targets. */
+    /** Constructs an inventory without targets. */
     Inventory() = default;
 
     /**
-     * Reads @p document. All faults are reported in one go, in the order of their lines.
-     * @returns the inventory, or every fault in the document
+     * Builds an inventory from @p document. All faults are reported at once, ordered by line.
+     * @returns the inventory, or all faults in the document
      */
     static std::variant<Inventory, std::vector<ConfigFault>> fromDocument(const IniDocument &document);
 
-    /** All targets by name. */
+    /** Returns all targets by name. */
     const std::map<TargetName, Target> &targets() const;
 
-    /** All zones by name. */
+    /** Returns all zones by name. */
     const std::map<ZoneName, Zone> &zones() const;
 
-    /** The target named @p name, or nullptr. */
+    /** Returns the target named @p name, or nullptr if there is none. */
     const Target *find(const TargetName &name) const;
 
-    /** The targets of @p service in the order of their names; withdrawn ones too. The inventory keeps ownership. */
+    /** Returns the targets of @p service ordered by name, including withdrawn ones. The inventory retains ownership. */
     std::vector<const Target *> targetsOf(const ServiceName &service) const;
 
-    /** The targets of @p group ordered by rank. The inventory keeps ownership. */
+    /** Returns the targets of @p group ordered by rank. The inventory retains ownership. */
     std::vector<const Target *> ranksOf(const GroupName &group) const;
 
-    /** The one-way delay between two zones: none within one, the deployment's zone delay within a region, else the
-     * regions'. */
+    /** Returns the one-way delay between two zones: zero within a zone, the deployment's zone delay within a region,
+     * and its region delay between regions. */
     std::chrono::microseconds delayBetween(const ZoneName &from, const ZoneName &to) const;
 
     bool operator==(const Inventory &) const = default;
--- a/modules/heatherridge_state/config/ruleset.cpp
+++ b/modules/heatherridge_state/config/ruleset.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-/** Builds one rule set from one document, section by section. */
+/** Builds a rule set from a document, section by section. */
 class RuleSetReader
 {
 public:
--- a/modules/heatherridge_state/config/ruleset.h
+++ b/modules/heatherridge_state/config/ruleset.h
@@ -13,18 +13,18 @@
 namespace Heatherridge
 {
 
-/** One customer and its due share. */
+/** A customer and its share of the capacity. */
 struct Workspace
 {
     WorkspaceName name{};
-    double weight = 1; ///< share relative to the others
-    std::string key{}; ///< bearer key that maps to it; empty for none
-    int priority = 0; ///< added to the request's own; -10 to 10, higher first
+    double weight = 1; ///< share relative to other workspaces
+    std::string key{}; ///< bearer key that identifies it; empty for none
+    int priority = 0; ///< added to the priority of a request; -10 to 10, higher is served first
 
     bool operator==(const Workspace &) const = default;
 };
 
-/** One pattern of calls that may be repeated: a method and a path, where a final `*` stands for any rest. */
+/** Pattern for calls that may be repeated: a method and a path; a trailing `*` in the path matches any suffix. */
 struct RepeatableCall
 {
     std::string method{};
@@ -33,17 +33,17 @@
     bool operator==(const RepeatableCall &) const = default;
 };
 
-/** Rules of one service. */
+/** The rules of one service. */
 struct ServiceRules
 {
     ServiceName name{};
-    std::vector<RepeatableCall> repeatable{}; ///< calls that are idempotent; all others are not
-    std::chrono::milliseconds timeout{30'000}; ///< deadline of a request that names none
+    std::vector<RepeatableCall> repeatable{}; ///< idempotent calls; all others are not idempotent
+    std::chrono::milliseconds timeout{30'000}; ///< deadline of a request that doesn't set one
 
     bool operator==(const ServiceRules &) const = default;
 };
 
-/** A planned stop: from its acceptance on, the target drains. */
+/** A planned stop of a target, which drains as soon as the rule is accepted. */
 struct PlannedStop
 {
     std::string name{};
@@ -52,57 +52,57 @@
     bool operator==(const PlannedStop &) const = default;
 };
 
-/** What the operator weighs when expert maps are changed. */
+/** The operator's weights for deciding whether to change expert maps. */
 struct BalanceWeights
 {
-    double skew = 1; ///< price of step-time skew
-    double cost = 1; ///< price of moving weights
+    double skew = 1; ///< weight of step-time skew
+    double cost = 1; ///< weight of moving model weights
 
     bool operator==(const BalanceWeights &) const = default;
 };
 
 /**
- * The rules that the operator adds on top of the inventory.
+ * The operator's rules, which complement the inventory.
  *
- * A value: built from a document in one go, then not changed. Safe to read from any thread.
+ * Immutable value type, built from a document in one step. Can be read from any thread.
  */
 class RuleSet
 {
 public:
-    /** A rule set without workspaces, under which no request is let in. */
+    /** Constructs a rule set without workspaces, with which no request is admitted. */
     RuleSet() = default;
 
     /**
-     * Reads @p document. All faults are reported in one go, in the order of their lines.
-     * @returns the rule set, or every fault in the document
+     * Builds a rule set from @p document. All faults are reported at once, ordered by line.
+     * @returns the rule set, or all faults in the document
      */
     static std::variant<RuleSet, std::vector<ConfigFault>> fromDocument(const IniDocument &document);
 
-    /** All workspaces by name. */
+    /** Returns all workspaces by name. */
     const std::map<WorkspaceName, Workspace> &workspaces() const;
 
-    /** The workspace named @p name, or nullptr. */
+    /** Returns the workspace named @p name, or nullptr if there is none. */
     const Workspace *find(const WorkspaceName &name) const;
 
-    /** The workspace whose bearer key is @p key, or nullptr; an empty key finds nothing. */
+    /** Returns the workspace whose bearer key is @p key, or nullptr. An empty key matches no workspace. */
     const Workspace *findByKey(std::string_view key) const;
 
-    /** The rules of @p service; defaults when the rule set has none for it. */
+    /** Returns the rules of @p service, or the defaults if the rule set contains none for it. */
     ServiceRules serviceRules(const ServiceName &service) const;
 
-    /** Whether a call may be executed twice without harm. What no rule names may not. */
+    /** Returns whether a call can safely be executed twice. Calls that match no rule can't. */
     bool isRepeatable(const ServiceName &service, std::string_view method, std::string_view path) const;
 
-    /** All planned stops. */
+    /** Returns all planned stops. */
     const std::vector<PlannedStop> &plannedStops() const;
 
-    /** Whether a planned stop names @p target. */
+    /** Returns whether there is a planned stop for @p target. */
     bool hasPlannedStop(const TargetName &target) const;
 
-    /** The weights of skew against the cost of rebalancing. */
+    /** Returns the weights of skew and of the cost of rebalancing. */
     const BalanceWeights &balance() const;
 
-    /** How entries choose targets. */
+    /** Returns how entry processes select targets. */
     const PlacementRules &placement() const;
 
     bool operator==(const RuleSet &) const = default;
--- a/modules/heatherridge_state/config/sectionreader.h
+++ b/modules/heatherridge_state/config/sectionreader.h
@@ -12,51 +12,52 @@
 {
 
 /**
- * Takes typed values out of one section and collects what is wrong with them.
+ * Reads typed values from a section and collects faults.
  *
- * Keys that were not asked for by the time of reportUnknownKeys() are reported as unknown. Holds references to the
- * section and to the list of faults, which must outlive it. One thread.
+ * Keys that have not been read when reportUnknownKeys() is called are reported as unknown. Holds references to the
+ * section and to the list of faults, which must outlive it. Must be used from one thread.
  */
 class SectionReader
 {
 public:
-    /** Reads @p section and appends to @p faults. */
+    /** Constructs a reader for @p section that appends to @p faults. */
     SectionReader(const IniSection &section, std::vector<ConfigFault> &faults);
 
-    /** The text of @p key, or @p fallback when absent. */
+    /** Returns the text of @p key, or @p fallback if it is absent. */
     std::string text(std::string_view key, std::string_view fallback = {});
 
-    /** The text of @p key; a fault when absent or empty. */
+    /** Returns the text of @p key; reports a fault if it is absent or empty. */
     std::string requiredText(std::string_view key);
 
-    /** The whole number of @p key within [@p lowest, @p highest], or @p fallback when absent; a fault when out of
-     * range. */
+    /** Returns the integer of @p key within [@p lowest, @p highest], or @p fallback if it is absent; reports a fault if
+     * it is out of range. */
     long long number(std::string_view key, long long fallback, long long lowest, long long highest);
 
-    /** The fraction of @p key within [@p lowest, @p highest], or @p fallback when absent; a fault when out of range. */
+    /** Returns the fraction of @p key within [@p lowest, @p highest], or @p fallback if it is absent; reports a fault
+     * if it is out of range. */
     double fraction(std::string_view key, double fallback, double lowest, double highest);
 
-    /** The switch of @p key, or @p fallback when absent. */
+    /** Returns the boolean of @p key, or @p fallback if it is absent. */
     bool flag(std::string_view key, bool fallback);
 
-    /** The duration of @p key in milliseconds within [@p lowest, @p highest], or @p fallback when absent. */
+    /** Returns the duration of @p key in milliseconds within [@p lowest, @p highest], or @p fallback if absent. */
     std::chrono::milliseconds duration(std::string_view key, std::chrono::milliseconds fallback,
                                        std::chrono::milliseconds lowest, std::chrono::milliseconds highest);
 
-    /** The comma-separated list of @p key; empty when absent. */
+    /** Returns the comma-separated list of @p key; empty if it is absent. */
     std::vector<std::string> list(std::string_view key);
 
-    /** The place in @p choices of the word that @p key holds, or @p fallback when absent; a fault for any other word.
-     */
+    /** Returns the index in @p choices of the text of @p key, or @p fallback if it is absent; reports a fault for any
+     * other text. */
     std::size_t choice(std::string_view key, const std::vector<std::string_view> &choices, std::size_t fallback);
 
-    /** The line of @p key, or of the section when the key is absent. */
+    /** Returns the line of @p key, or of the section if the key is absent. */
     int lineOf(std::string_view key) const;
 
-    /** Reports @p reason at the line of @p key. */
+    /** Adds a fault with @p reason at the line of @p key. */
     void addFault(std::string_view key, std::string reason);
 
-    /** Reports every key that was never asked for. */
+    /** Adds a fault for every key that has not been read. */
     void reportUnknownKeys();
 
 private:
--- a/modules/heatherridge_state/fold/configdocument.h
+++ b/modules/heatherridge_state/fold/configdocument.h
@@ -11,63 +11,64 @@
 namespace Heatherridge
 {
 
-/** One section of a folded document. */
+/** A section of a folded document. */
 struct FoldedSection
 {
-    std::string body{}; ///< its lines "key = value", ordered by key
-    LogOffset changedAt{}; ///< the record that last changed it
+    std::string body{}; ///< lines "key = value", ordered by key
+    LogOffset changedAt{}; ///< offset of the record that last changed it
 
     bool operator==(const FoldedSection &) const = default;
 };
 
-/** All that a folded document consists of; a plain value for snapshots and digests. */
+/** The complete contents of a folded document, as a plain value for snapshots and digests. */
 struct DocumentImage
 {
-    LogOffset changedAt{}; ///< the last accepted record; 0 when there was none
-    LogOffset removalsPrunedBelow{}; ///< removals before this offset are no longer known one by one
+    LogOffset changedAt{}; ///< offset of the last accepted record; 0 if there was none
+    LogOffset removalsPrunedBelow{}; ///< individual removals before this offset are no longer known
     std::map<std::string, FoldedSection> sections{}; ///< by header
-    std::map<std::string, LogOffset> removed{}; ///< removed sections and the record that removed them
+    std::map<std::string, LogOffset> removed{}; ///< by header; the record that removed the section
 
     bool operator==(const DocumentImage &) const = default;
 };
 
 /**
- * One of the operators' documents as the fold keeps it: section by section, each with the offset of its last change.
+ * One of the operators' documents in the folded state, stored by section with the offset of each section's last change.
  *
- * Two publishes conflict only where they touch the same section, so operators who work on different targets do not
- * refuse one another. A whole document touches all. Value type, deterministic.
+ * Two publishes conflict only if they change the same section, so operators who work on different targets don't block
+ * each other. A publish of a whole document changes all sections. Value type, deterministic.
  */
 class ConfigDocument
 {
 public:
-    /** Removed headers that are remembered for conflicts; older ones are folded into one bound. */
+    /** Number of removed headers tracked for conflict detection; older removals are covered by removalsPrunedBelow. */
     static constexpr std::size_t MaxTrackedRemovals = 1024;
 
     ConfigDocument() = default;
 
-    /** Takes up @p image. */
+    /** Restores a document from @p image. */
     explicit ConfigDocument(DocumentImage image);
 
     /**
-     * The record that changed, after @p basedOn, something that @p content touches; nothing when there is no conflict.
-     * A change based on an offset before the remembered removals counts as in conflict with the newest forgotten one.
+     * Returns the offset of a record after @p basedOn that changed a section which @p content changes too, or
+     * std::nullopt if there is no conflict. A change based on an offset before the tracked removals conflicts with the
+     * newest pruned removal.
      */
     std::optional<LogOffset> findConflict(const DocumentContent &content, LogOffset basedOn) const;
 
     /**
-     * This document with @p content applied by the record at @p offset.
-     * @returns the new document, or the faults of the text as INI
+     * Returns a copy of this document with @p content applied by the record at @p offset.
+     * @returns the new document, or the INI syntax faults of the text
      */
     std::variant<ConfigDocument, std::vector<ConfigFault>> withContent(const DocumentContent &content,
                                                                        LogOffset offset) const;
 
-    /** The canonical text: sections ordered by header. */
+    /** Returns the canonical text, with sections ordered by header. */
     std::string text() const;
 
-    /** What it consists of. */
+    /** Returns the contents as a plain value. */
     const DocumentImage &image() const;
 
-    /** The sections that turn this document into @p text, or nothing when @p text is no INI. */
+    /** Returns the change that turns this document into @p text, or std::nullopt if @p text is not valid INI. */
     std::optional<DocumentChange> diffTo(std::string_view text) const;
 
 private:
--- a/modules/heatherridge_state/fold/configimage.h
+++ b/modules/heatherridge_state/fold/configimage.h
@@ -8,29 +8,29 @@
 namespace Heatherridge
 {
 
-/** Why a publish was refused, and by what. */
+/** Why a publish was refused, and which operation it conflicts with. */
 struct Refusal
 {
     RefusalReason reason = RefusalReason::Conflict;
-    OperationId conflictsWith{}; ///< the operation that came first; empty when it is no longer known
-    LogOffset conflictOffset{}; ///< the record that came first; 0 when the reason is no conflict
-    std::string detail{}; ///< for people
+    OperationId conflictsWith{}; ///< the earlier operation; empty if it is no longer known
+    LogOffset conflictOffset{}; ///< the earlier record; 0 unless the reason is a conflict
+    std::string detail{}; ///< human-readable
 
     bool operator==(const Refusal &) const = default;
 };
 
-/** What the fold decided about one operation. */
+/** The decision of the fold about one operation. */
 struct OperationOutcome
 {
     OperationId operation{};
-    LogOffset decidedAt{}; ///< the record that decided it; for an accepted one its place in the order
+    LogOffset decidedAt{}; ///< the record that decided it; gives the order of accepted operations
     std::uint64_t contentHash = 0;
-    std::optional<Refusal> refusal{}; ///< nothing when accepted
+    std::optional<Refusal> refusal{}; ///< not set if the operation was accepted
 
     bool operator==(const OperationOutcome &) const = default;
 };
 
-/** Who holds a role. */
+/** The process that holds a role. */
 struct RoleHolder
 {
     ProcessName holder{};
@@ -40,23 +40,23 @@
     bool operator==(const RoleHolder &) const = default;
 };
 
-/** All that a folded state consists of: what a snapshot carries and what the digest covers. */
+/** The complete folded state, as contained in a snapshot and covered by the digest. */
 struct ConfigImage
 {
     LogOffset offset{}; ///< the last record folded
     DocumentImage inventory{};
     DocumentImage rules{};
-    std::vector<OperationOutcome> operations{}; ///< the newest ones, ordered by offset
-    LogOffset operationsPrunedBelow{}; ///< outcomes at or before this offset are no longer known
+    std::vector<OperationOutcome> operations{}; ///< the latest operations, ordered by offset
+    LogOffset operationsPrunedBelow{}; ///< outcomes at or before this offset are no longer stored
     std::map<RoleName, RoleHolder> roles{};
-    SnapshotTaken snapshot{}; ///< the newest snapshot announced
-    std::array<std::uint64_t, SkipReasonCount> skipped{}; ///< records skipped, by reason
-    std::array<std::uint64_t, RefusalReasonCount> refused{}; ///< records refused, by reason
+    SnapshotTaken snapshot{}; ///< the latest announced snapshot
+    std::array<std::uint64_t, SkipReasonCount> skipped{}; ///< number of skipped records by reason
+    std::array<std::uint64_t, RefusalReasonCount> refused{}; ///< number of refused records by reason
 
     bool operator==(const ConfigImage &) const = default;
 };
 
-/** The digest of @p image. */
+/** Returns the digest of @p image. */
 Digest digestOf(const ConfigImage &image);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/fold/configstate.cpp
+++ b/modules/heatherridge_state/fold/configstate.cpp
@@ -53,8 +53,9 @@
 
 std::optional<ConfigState> ConfigState::fromReset(LogOffset offset, const ResetFold &reset)
 {
-    // A reset names the offset right before its own. So whether it counts depends on nothing but its place in the
-    // stream: readers that lost records decide alike, and a doubled or late copy, which stands elsewhere, is refused.
+    // A reset names the offset directly before its own, so whether it is valid depends only on its position in the
+    // stream. Readers that have lost records decide the same way, and a duplicate or delayed copy, which has a
+    // different offset, is refused.
     if (next(reset.basedOn) != offset) {
         return std::nullopt;
     }
@@ -109,8 +110,8 @@
 FoldEffect ConfigState::fold(const ClaimRole &claim)
 {
     const auto *holder = holderOf(claim.role);
-    // Two claims may race, and a claim whose reply was lost may be appended twice. Both name the number they replace,
-    // so only the first of them finds it still in place.
+    // Two claims may race, and a claim whose reply was lost may be appended twice. Each claim names the fencing number
+    // that it replaces, so only the first one still matches the current number.
     if ((holder != nullptr ? holder->number : FencingNumber{}) != claim.replaces) {
         return refuse(RefusalReason::RoleTaken);
     }
@@ -118,7 +119,8 @@
                                  .incarnation = claim.incarnation,
                                  .number = static_cast<FencingNumber>(toNumber(offset()))};
     if (m_image.roles.size() > MaxRoles) {
-        // Forgetting a holder is safe: whoever claims the role next gets a higher number, which gates hold against it.
+        // Dropping a holder is safe: the next process to claim the role gets a higher fencing number, and gates refuse
+        // the lower number of the dropped holder.
         m_image.roles.erase(
             std::min_element(m_image.roles.begin(), m_image.roles.end(),
                              [](const auto &a, const auto &b) { return a.second.number < b.second.number; }));
@@ -158,8 +160,8 @@
     if (publish.basedOn >= offset()) {
         return Refusal{.reason = RefusalReason::BasedOnFuture};
     }
-    // A copy of a record whose outcome is forgotten must not be decided a second time. It is based on an offset
-    // before that outcome, which this bound refuses.
+    // A duplicate of a record whose outcome has been pruned must not be decided again. It is based on an offset before
+    // that outcome, so this bound refuses it.
     if (publish.basedOn < m_image.operationsPrunedBelow) {
         return Refusal{.reason = RefusalReason::BasisTooOld};
     }
--- a/modules/heatherridge_state/fold/configstate.h
+++ b/modules/heatherridge_state/fold/configstate.h
@@ -9,88 +9,90 @@
 namespace Heatherridge
 {
 
-/** What one record did to the state. */
+/** The effect of one record on the state. */
 enum class FoldEffect : std::uint8_t {
     InventoryChanged,
     RulesChanged,
     RoleChanged,
     SnapshotRecorded,
-    Reset, ///< everything may have changed
-    Refused, ///< readable, but decided against
-    Skipped, ///< without any effect but a count
+    Reset, ///< all parts of the state may have changed
+    Refused, ///< readable, but not accepted
+    Skipped, ///< only counted
 };
 
 /**
  * The agreed configuration: a deterministic fold of the control stream's records in the order of their offsets.
  *
- * Every process folds the same records and so reaches the same state, byte for byte; digest() shows it. Of two
- * records in conflict the one with the lower offset wins at every reader, and the other is refused by name. What it
- * keeps is bounded, however long the stream runs. Value type; the documents are shared and immutable. One thread.
+ * All processes fold the same records and therefore reach the same state, byte for byte; digest() allows comparing it.
+ * Of two conflicting records, the one with the lower offset wins at every reader, and the other is refused with the
+ * operation that it conflicts with. The size of the state is bounded, independent of the length of the stream. Value
+ * type; the documents are shared and immutable. Must be used from one thread.
  */
 class ConfigState
 {
 public:
-    /** Outcomes of operations that are remembered, accepted and refused together. */
+    /** Maximum number of stored operation outcomes, accepted and refused together. */
     static constexpr std::size_t MaxOperations = 1024;
-    /** Roles that are remembered; beyond it the one claimed longest ago counts as held by nobody. */
+    /** Maximum number of stored roles; beyond it, the role claimed longest ago is dropped and has no holder. */
     static constexpr std::size_t MaxRoles = 4096;
 
-    /** The state before the first record. */
+    /** Constructs the state before the first record. */
     ConfigState();
 
-    /** Takes up @p image, as from a snapshot; nothing when its documents do not read as an inventory and rules. */
+    /** Restores the state from @p image, as from a snapshot; std::nullopt if its inventory or rules are not valid. */
     static std::optional<ConfigState> fromImage(ConfigImage image);
 
-    /** The state right after the reset at @p offset, whatever came before; nothing when the reset is refused. */
+    /** Returns the state directly after the reset at @p offset, independent of earlier records; std::nullopt if the
+     * reset is refused. */
     static std::optional<ConfigState> fromReset(LogOffset offset, const ResetFold &reset);
 
-    /** Folds the record at @p offset, which must be the one after offset(). */
+    /** Folds the record at @p offset, which must directly follow offset(). */
     FoldEffect apply(LogOffset offset, const ControlRecord &record);
 
-    /** Folds a record that nobody can read: only counted. @p offset as for apply(). */
+    /** Folds a record that can't be read, which is only counted. For @p offset, see apply(). */
     FoldEffect applyUnreadable(LogOffset offset, SkipReason reason);
 
-    /** The last record folded; 0 before the first. */
+    /** Returns the offset of the last folded record; 0 before the first. */
     LogOffset offset() const;
 
-    /** The inventory in force. */
+    /** Returns the current inventory. */
     const std::shared_ptr<const Inventory> &inventory() const;
 
-    /** The rules in force. */
+    /** Returns the current rules. */
     const std::shared_ptr<const RuleSet> &rules() const;
 
-    /** The record that last changed the inventory. */
+    /** Returns the offset of the record that last changed the inventory. */
     LogOffset inventoryOffset() const;
 
-    /** The record that last changed the rules. */
+    /** Returns the offset of the record that last changed the rules. */
     LogOffset rulesOffset() const;
 
-    /** The folded document of @p kind. */
+    /** Returns the folded document of @p kind. */
     const ConfigDocument &document(DocumentKind kind) const;
 
-    /** What was decided about @p operation, or nullptr when no remembered record carries it. */
+    /** Returns the outcome of @p operation, or nullptr if none is stored. */
     const OperationOutcome *outcomeOf(const OperationId &operation) const;
 
-    /** Who holds @p role, or nullptr. */
+    /** Returns the holder of @p role, or nullptr if there is none. */
     const RoleHolder *holderOf(const RoleName &role) const;
 
-    /** The newest snapshot announced; covers offset 0 when there is none. */
+    /** Returns the latest announced snapshot; its `covers` is 0 if there is none. */
     const SnapshotTaken &snapshot() const;
 
-    /** Records skipped for @p reason. */
+    /** Returns the number of records skipped for @p reason. */
     std::uint64_t skipped(SkipReason reason) const;
 
-    /** Records refused for @p reason. */
+    /** Returns the number of records refused for @p reason. */
     std::uint64_t refused(RefusalReason reason) const;
 
-    /** Targets that rules name and the inventory lacks. Such rules are accepted and have no effect, so that a target
-     * can leave the inventory without anybody having to change the rules first. */
+    /** Returns targets that are named by rules but missing from the inventory. Such rules are accepted and have no
+     * effect, so that a target can be removed from the inventory without changing the rules first. */
     std::vector<TargetName> missingTargets() const;
 
-    /** The digest of the whole state; computed once a record. */
+    /** Returns the digest of the whole state; computed at most once per record. */
     Digest digest() const;
 
-    /** A copy of all that the state consists of. */
+    /** Returns a copy of the complete state. */
     ConfigImage image() const;
 
 private:
@@ -107,7 +109,7 @@
     void recordOutcome(OperationOutcome outcome);
     void advanceTo(LogOffset offset);
 
-    ConfigImage m_image; ///< without the two documents, which stand below
+    ConfigImage m_image; ///< without the two documents, which are stored in m_documents
     std::array<ConfigDocument, 2> m_documents;
     std::shared_ptr<const Inventory> m_inventory;
     std::shared_ptr<const RuleSet> m_rules;
--- a/modules/heatherridge_state/fold/controlrecord.h
+++ b/modules/heatherridge_state/fold/controlrecord.h
@@ -11,28 +11,28 @@
 namespace Heatherridge
 {
 
-/** Name of a role that one process at a time holds, such as the leader of a group. */
+/** Name of a role that is held by one process at a time, such as the leader of a group. */
 using RoleName = Name<struct RoleTag>;
 
-/** Hash over the canonical form of a folded state; equal states have equal digests. */
+/** Hash of the canonical form of a folded state; equal states have equal digests. */
 enum class Digest : std::uint64_t {};
 
-/** The number as such. */
+/** Returns the numeric value of @p digest. */
 constexpr std::uint64_t toNumber(Digest digest)
 {
     return static_cast<std::uint64_t>(digest);
 }
 
-/** Which of the operators' two documents a publish changes; each has a history of its own. */
+/** Identifies one of the operators' two documents; each has its own history. */
 enum class DocumentKind : std::uint8_t {
     Inventory = 0,
     Rules = 1,
 };
 
-/** "inventory" or "rules". */
+/** Returns "inventory" or "rules". */
 std::string_view toString(DocumentKind kind);
 
-/** A document as a whole, in INI. */
+/** A complete document in INI format. */
 struct WholeDocument
 {
     std::string text{};
@@ -40,10 +40,10 @@
     bool operator==(const WholeDocument &) const = default;
 };
 
-/** Some sections of a document; the others stay as they are. Its size follows the change, not the fleet. */
+/** Changes to sections of a document; other sections are kept. Its size depends on the change, not on the fleet. */
 struct DocumentChange
 {
-    std::string put{}; ///< sections to add or to replace whole, in INI
+    std::string put{}; ///< sections to add or replace completely, in INI format
     std::vector<std::string> removed{}; ///< headers of sections to remove, without brackets
 
     bool operator==(const DocumentChange &) const = default;
@@ -51,47 +51,47 @@
 
 using DocumentContent = std::variant<WholeDocument, DocumentChange>;
 
-/** An operator publishes an inventory or a rule set. */
+/** Record of an operator that publishes an inventory or a rule set. */
 struct Publish
 {
     DocumentKind document = DocumentKind::Inventory;
-    OperationId operation{}; ///< the same over all tries of one publish
-    LogOffset basedOn{}; ///< the publisher had seen the stream up to here
+    OperationId operation{}; ///< the same for all attempts of one publish
+    LogOffset basedOn{}; ///< the publisher had read the stream up to this offset
     DocumentContent content{};
 
     bool operator==(const Publish &) const = default;
 };
 
-/** A process claims a role. Accepted only while the role's number is still the one named, like a compare-and-swap. */
+/** Record of a process that claims a role. Accepted only if `replaces` is still current, like a compare-and-swap. */
 struct ClaimRole
 {
     RoleName role{};
     ProcessName claimant{};
     Incarnation incarnation{};
-    FencingNumber replaces{}; ///< number of the holder it takes over from; 0 for none
+    FencingNumber replaces{}; ///< fencing number of the previous holder; 0 for none
 
     bool operator==(const ClaimRole &) const = default;
 };
 
-/** All parts of a snapshot have been appended to the snapshot stream. */
+/** Announces that all parts of a snapshot have been appended to the snapshot stream. */
 struct SnapshotTaken
 {
-    LogOffset covers{}; ///< the fold up to and including this offset
+    LogOffset covers{}; ///< the snapshot includes records up to and including this offset
     Digest digest{}; ///< of the state at that offset
 
     bool operator==(const SnapshotTaken &) const = default;
 };
 
 /**
- * An operator starts the fold anew from whole documents, whatever came before.
+ * Record of an operator that restarts the fold from complete documents, independent of all earlier records.
  *
- * The way out when records expired that no process has folded: readers with and without the lost records reach
- * the same state again.
+ * Used for recovery when records have expired before any process folded them: readers with and without the lost
+ * records reach the same state again.
  */
 struct ResetFold
 {
     OperationId operation{};
-    LogOffset basedOn{}; ///< the offset right before its own; anywhere else in the stream it is refused
+    LogOffset basedOn{}; ///< must be the offset directly before its own; otherwise refused
     std::string inventory{};
     std::string rules{};
 
@@ -100,38 +100,38 @@
 
 using ControlRecord = std::variant<Publish, ClaimRole, SnapshotTaken, ResetFold>;
 
-/** Why a record of the stream is skipped by all readers alike. */
+/** Why all readers skip a record of the stream. */
 enum class SkipReason : std::uint8_t {
-    Malformed, ///< no record of ours, or a field missing or out of range
-    Oversized, ///< larger than any record that is read
-    UnknownVersion, ///< written by a later release
-    Doubled, ///< its operation has been decided before
-    OperationReused, ///< its operation id was used for other content
+    Malformed, ///< not a known record, or a field is missing or out of range
+    Oversized, ///< exceeds the maximum size of a record
+    UnknownVersion, ///< written by a newer release
+    Doubled, ///< its operation has already been decided
+    OperationReused, ///< its operation id was already used for other content
 };
 
 constexpr std::size_t SkipReasonCount = 5;
 
-/** The stable name of @p reason, for counters. */
+/** Returns the stable name of @p reason, for counters. */
 std::string_view toString(SkipReason reason);
 
-/** Why the fold refuses a record that can be read. */
+/** Why the fold refuses a readable record. */
 enum class RefusalReason : std::uint8_t {
-    Conflict, ///< what it changes was changed after the offset that it is based on
+    Conflict, ///< a section that it changes was changed after its base offset
     InvalidContent, ///< the resulting document has faults
-    BasedOnFuture, ///< based on an offset that is not before its own
-    BasisTooOld, ///< based on an offset before which outcomes are no longer remembered
-    RoleTaken, ///< the role was claimed by another first
+    BasedOnFuture, ///< its base offset is not before its own offset
+    BasisTooOld, ///< its base offset is before the oldest stored outcome
+    RoleTaken, ///< another process has claimed the role first
 };
 
 constexpr std::size_t RefusalReasonCount = 5;
 
-/** The stable name of @p reason, for counters and operators. */
+/** Returns the stable name of @p reason, for counters and operators. */
 std::string_view toString(RefusalReason reason);
 
-/** Hash of what @p publish would do, without its operation id: tells a repeated record from a reused id. */
+/** Returns the hash of @p publish without its operation id; distinguishes a repeated record from a reused id. */
 std::uint64_t contentHash(const Publish &publish);
 
-/** As above, for a reset. */
+/** Returns the hash of @p reset without its operation id. */
 std::uint64_t contentHash(const ResetFold &reset);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_state/fold/digestbuilder.h
+++ b/modules/heatherridge_state/fold/digestbuilder.h
@@ -11,8 +11,8 @@
 {
 
 /**
- * Hashes typed fields in a canonical form: numbers as eight little-endian bytes, texts with their length before them,
- * so that no two different sequences of fields feed the same bytes. One thread.
+ * Hashes typed fields in a canonical form: numbers as eight little-endian bytes, and texts preceded by their length, so
+ * that different sequences of fields never produce the same bytes. Must be used from one thread.
  */
 class DigestBuilder
 {
@@ -22,13 +22,13 @@
     DigestBuilder(const DigestBuilder &) = delete;
     DigestBuilder &operator=(const DigestBuilder &) = delete;
 
-    /** Feeds @p value. */
+    /** Adds @p value. */
     DigestBuilder &add(std::uint64_t value);
 
-    /** Feeds @p text and its length. */
+    /** Adds the length of @p text and its bytes. */
     DigestBuilder &add(std::string_view text);
 
-    /** The hash of all that was fed so far. */
+    /** Returns the hash of all fields added so far. */
     std::uint64_t finish() const;
 
 private:
--- a/modules/heatherridge_state/fold/fencinggate.cpp
+++ b/modules/heatherridge_state/fold/fencinggate.cpp
@@ -35,7 +35,7 @@
         ++m_counters.superseded;
         return Error{.kind = ErrorKind::FencedOff, .ran = ExecutionStatus::No};
     }
-    // A number beyond the folded ones is not taken on trust: a made-up one would lock the true holder out.
+    // A number higher than all folded ones is not trusted: an invalid number would lock out the actual holder.
     if (number > m_holder.number) {
         ++m_counters.unknownClaim;
         return Error{.kind = ErrorKind::StaleOffset, .ran = ExecutionStatus::No};
--- a/modules/heatherridge_state/fold/fencinggate.h
+++ b/modules/heatherridge_state/fold/fencinggate.h
@@ -6,47 +6,49 @@
 namespace Heatherridge
 {
 
-/** Orders that a gate has let pass and refused, by reason. */
+/** Number of orders that a gate has accepted and refused, by reason. */
 struct FencingCounters
 {
     std::uint64_t accepted = 0;
-    std::uint64_t unconfirmed = 0; ///< the gate does not know yet which numbers exist
-    std::uint64_t superseded = 0; ///< a later holder has claimed the role
-    std::uint64_t unknownClaim = 0; ///< a number whose claim has not been folded here
-    std::uint64_t wrongHolder = 0; ///< the right number from a process or run that did not claim it
+    std::uint64_t unconfirmed = 0; ///< the gate is still closed and doesn't know the current number
+    std::uint64_t superseded = 0; ///< a newer holder has claimed the role
+    std::uint64_t unknownClaim = 0; ///< the claim with this number has not been folded here yet
+    std::uint64_t wrongHolder = 0; ///< the current number, but from a process or run that didn't claim it
 };
 
 /**
- * Lets orders of one role's present holder pass, and none of any earlier one.
+ * Accepts orders from the current holder of a role and refuses those of all earlier holders.
  *
- * The failure: a holder is paused, its role is claimed by another, and it wakes up believing that it still holds it.
- * No lease or clock can prevent its next order, so the receiving side refuses it by its number. A gate that restarts
- * has forgotten every number; if it took the first one it hears, a paused holder could win. So it takes none until it
- * has folded the stream up to a point that the log held after the restart: every number that its earlier run had
- * accepted stands in those records. Value type. One thread.
+ * Guards against this failure: a holder is paused, another process claims its role, and the paused holder resumes and
+ * still believes that it holds the role. No lease or clock can prevent its next order, so the receiver refuses it by
+ * its fencing number. A restarted gate knows no number; if it trusted the first one that it receives, a paused holder
+ * could be accepted. It therefore refuses all orders until it has folded the stream up to an offset that the log had
+ * reached after the restart, since these records contain every number that its previous run had accepted. Value type.
+ * Must be used from one thread.
  */
 class FencingGate
 {
 public:
-    /** A closed gate: every order is refused as unconfirmed. */
+    /** Constructs a closed gate, which refuses every order as unconfirmed. */
     FencingGate() = default;
 
-    /** The folded stream says that @p holder holds the role; an older claim than the newest known has no effect. */
+    /** Sets the holder read from the folded stream. A claim that is older than the latest known one has no effect. */
     void updateHolder(const RoleHolder &holder);
 
-    /** The stream has been folded up to a point that the log held after this process started. */
+    /** Opens the gate; called once the stream is folded up to an offset that the log reached after this process
+     * started. */
     void open();
 
-    /** Whether orders can pass at all. */
+    /** Returns whether the gate is open. */
     bool isOpen() const;
 
-    /** The newest claim known; number 0 when there is none. */
+    /** Returns the latest known claim; its number is 0 if there is none. */
     const RoleHolder &holder() const;
 
-    /** Lets an order pass or refuses it: Unconfirmed, FencedOff, or StaleOffset when its claim is still to come. */
+    /** Accepts an order, or refuses it as Unconfirmed, FencedOff, or StaleOffset if its claim is not folded yet. */
     Outcome check(const ProcessName &process, Incarnation incarnation, FencingNumber number);
 
-    /** Counters since the start. */
+    /** Returns the counters since the start of the process. */
     const FencingCounters &counters() const;
 
 private:
