--- a/tests/routing/routetable_test.cpp
+++ b/tests/routing/routetable_test.cpp
@@ -29,7 +29,7 @@
     const char *host;
     const char *path;
     const char *key;
-    const char *route; ///< null when it is refused
+    const char *route; ///< nullptr if the request is refused
     ErrorKind refusal = ErrorKind::Internal;
     const char *workspace = "";
     int priority = 3;
@@ -37,18 +37,24 @@
 
 const MatchRow MatchRows[] = {
     {"the longest prefix wins", "a.example", "/x/y/z", "k1", "deep", {}, "buyers"},
-    {"a prefix ends at a slash", "a.example", "/x/yz", "k1", "shallow", {}, "buyers"},
-    {"the prefix itself without its slash is the one above", "a.example", "/x/y", "k1", "shallow", {}, "buyers"},
-    {"the root takes the rest", "a.example", "/q", "k2", "root", {}, "buyers"},
-    {"host without case and port", "A.Example:80", "/x/y/z", "k1", "deep", {}, "buyers"},
-    {"a workspace's priority goes first", "a.example", "/x/", "k3", "shallow", {}, "agents", 0},
-    {"another host", "b.example", "/q", "k1", nullptr, ErrorKind::NotFound},
+    {"a prefix matches up to a slash", "a.example", "/x/yz", "k1", "shallow", {}, "buyers"},
+    {"the path of a prefix without its slash matches the shorter prefix",
+     "a.example",
+     "/x/y",
+     "k1",
+     "shallow",
+     {},
+     "buyers"},
+    {"the root prefix matches all other paths", "a.example", "/q", "k2", "root", {}, "buyers"},
+    {"case and port of the host are ignored", "A.Example:80", "/x/y/z", "k1", "deep", {}, "buyers"},
+    {"the priority of the workspace overrides that of the route", "a.example", "/x/", "k3", "shallow", {}, "agents", 0},
+    {"no route for this path of the host", "b.example", "/q", "k1", nullptr, ErrorKind::NotFound},
     {"an unknown host", "c.example", "/x/", "k1", nullptr, ErrorKind::NotFound},
     {"an unknown key", "a.example", "/x/", "zz", nullptr, ErrorKind::UnknownApiKey},
     {"no key", "a.example", "/x/", "", nullptr, ErrorKind::UnknownApiKey},
-    {"no route goes before no key", "c.example", "/x/", "", nullptr, ErrorKind::NotFound},
+    {"a missing route is reported before a missing key", "c.example", "/x/", "", nullptr, ErrorKind::NotFound},
     {"a public route without a key", "b.example", "/open/1", "", "open", {}, "", 0},
-    {"a public route with a key names its holder", "b.example", "/open/1", "k1", "open", {}, "buyers", 0},
+    {"a public route with a key returns the owner of the key", "b.example", "/open/1", "k1", "open", {}, "buyers", 0},
 };
 
 class RouteMatches : public testing::TestWithParam<MatchRow>
--- a/tests/routing/targetdirectory_test.cpp
+++ b/tests/routing/targetdirectory_test.cpp
@@ -38,21 +38,21 @@
 {
     const char *description;
     std::function<void(TargetDirectory &)> action;
-    const char *expectedIds; ///< ids that are used afterwards
+    const char *expectedIds; ///< ids in use afterwards
 };
 
 const DirectoryRow DirectoryRows[] = {
-    {"an entry that goes in calm times goes at once",
+    {"an entry removed while the register is stable is dropped immediately",
      [](auto &directory) { directory.remove(TargetName("a"), Start + 1s); }, "b "},
-    // The register cannot take heartbeats while it is down, so it drops targets that serve. Taken at its word, a
-    // service has no target for two seconds after each outage, and callers are refused.
-    {"an entry that goes during an outage stays",
+    // Guards against a service without targets for two seconds after each outage of the register, in which callers are
+    // refused: the register receives no heartbeats while it is down, so it drops targets that still serve.
+    {"an entry removed during an outage is kept",
      [](auto &directory) {
          directory.noteRegisterUnreadable(Start + 1s);
          directory.remove(TargetName("a"), Start + 2s);
      },
      "a b "},
-    {"and just after it",
+    {"an entry removed shortly after an outage is kept",
      [](auto &directory) {
          directory.noteRegisterUnreadable(Start + 1s);
          directory.noteRegisterReadable(Start + 5s);
@@ -60,7 +60,7 @@
          directory.expireLapsed(Start + 6s);
      },
      "a b "},
-    {"until it has not come back for the grace",
+    {"an entry that is still missing after the grace period is dropped",
      [](auto &directory) {
          directory.noteRegisterUnreadable(Start + 1s);
          directory.noteRegisterReadable(Start + 5s);
@@ -68,7 +68,7 @@
          directory.expireLapsed(Start + 5s + TargetDirectory::LapseGrace);
      },
      "b "},
-    {"one that comes back in time stays",
+    {"an entry that returns within the grace period is kept",
      [](auto &directory) {
          directory.noteRegisterUnreadable(Start + 1s);
          directory.noteRegisterReadable(Start + 5s);
@@ -77,68 +77,68 @@
          directory.expireLapsed(Start + 20s);
      },
      "a b "},
-    {"one that drains goes at once, outage or not",
+    {"a draining entry is dropped immediately, even during an outage",
      [](auto &directory) {
          directory.noteRegisterUnreadable(Start + 1s);
          directory.put(makeRecord("a", 1, true), Start + 2s);
          directory.remove(TargetName("a"), Start + 2s);
      },
      "b "},
-    // A target that lost its power comes back under another id while its last run is still registered. Requests and
-    // orders to the last run are refused, a third of all after a loss of power.
-    {"an address belongs to who registered there last",
+    // Guards against requests and orders to a previous run, which are refused (a third of all after a power loss): a
+    // target that lost power returns under a new id while its previous run is still registered.
+    {"an address belongs to the target that registered there last",
      [](auto &directory) { directory.put(makeRecord("c", 1), Start + 2s); }, "b c "},
-    {"also in the order of a whole register",
+    {"the order of records in a complete register decides as well",
      [](auto &directory) {
          directory.replaceAll({makeRecord("d", 2), makeRecord("a", 1), makeRecord("b", 2)}, Start + 1s);
      },
      "a b "},
-    // Guards against new work for a target that has left, since a copy of the register still shows it as ready.
-    {"one that has left stays away",
+    // Guards against new work for a departed target that a restored copy of the register still lists as ready.
+    {"a departed target stays removed after a restore",
      [](auto &directory) {
          directory.remove(TargetName("a"), Start + 1s);
          directory.noteRegisterRestored(Start + 2s);
          directory.replaceAll({withRevision(makeRecord("a", 1), 8), withRevision(makeRecord("b", 2), 9)}, Start + 3s);
      },
      "b "},
-    {"one that drains goes on draining",
+    {"a draining target stays draining after a restore",
      [](auto &directory) {
          directory.put(withRevision(makeRecord("a", 1, true), 10), Start + 1s);
          directory.noteRegisterRestored(Start + 2s);
          directory.put(withRevision(makeRecord("a", 1), 9), Start + 3s);
-         directory.remove(TargetName("a"), Start + 3s); // only one that drains goes at once
+         directory.remove(TargetName("a"), Start + 3s); // only a draining target is dropped immediately
      },
      "b "},
-    {"one that writes again is back",
+    {"a departed target that writes its entry again is added",
      [](auto &directory) {
          directory.remove(TargetName("a"), Start + 1s);
          directory.noteRegisterRestored(Start + 2s);
          directory.put(withRevision(makeRecord("a", 1), 11), Start + 3s);
      },
      "a b "},
-    {"so is another run under the same id",
+    {"a new run under the id of a departed target is added",
      [](auto &directory) {
          directory.remove(TargetName("a"), Start + 1s);
          directory.noteRegisterRestored(Start + 2s);
          directory.put(withRevision(makeRecord("a", 1), 1, 5'000ms), Start + 3s);
      },
      "a b "},
-    // Guards against losing the targets that registered after the copy was made.
-    {"one that the copy does not know stays until it has had time to write",
+    // Guards against dropping targets that registered after the copy was made.
+    {"a target that is missing in the copy is kept until it has had time to write its entry",
      [](auto &directory) {
          directory.noteRegisterRestored(Start + 2s);
          directory.replaceAll({withRevision(makeRecord("b", 2), 9)}, Start + 3s);
          directory.expireLapsed(Start + 4s);
      },
      "a b "},
-    {"an earlier run at its address does not take its place",
+    {"an earlier run at the same address does not replace the current one",
      [](auto &directory) {
          directory.put(withRevision(makeRecord("c", 1), 1), Start + 1s); // takes the address of a
          directory.noteRegisterRestored(Start + 2s);
          directory.put(withRevision(makeRecord("a", 1), 9), Start + 3s);
      },
      "b c "},
-    {"later the register is believed again",
+    {"after the restore grace period, all entries are accepted again",
      [](auto &directory) {
          directory.remove(TargetName("a"), Start + 1s);
          directory.noteRegisterRestored(Start + 2s);
--- a/tests/state/config_test.cpp
+++ b/tests/state/config_test.cpp
@@ -20,12 +20,12 @@
     {"empty document", "", {}},
     {"entry before any section", "a = 1\n", {1}},
     {"unknown section and key", "[zone.a]\nregion = r\ncolour = red\n[mill.x]\n", {3, 4}},
-    {"target lacks nearly all", "[target.t]\nhost = h\n", {1, 1, 1, 1, 1}},
+    {"target without most required keys", "[target.t]\nhost = h\n", {1, 1, 1, 1, 1}},
     {"port out of range",
      "[zone.a]\nregion = r\n[target.t]\nhost = h\nzone = a\nservice = s\nkind = plain\n"
      "gate = 127.0.0.1:70000\nbackend = 127.0.0.1:1\n",
      {8}},
-    {"host name in place of an IP number",
+    {"host name instead of an IP address",
      "[zone.a]\nregion = r\n[target.t]\nhost = h\nzone = a\nservice = s\nkind = plain\n"
      "gate = localhost:7000\nbackend = 127.0.0.1:1\n",
      {8}},
--- a/tests/state/fold_test.cpp
+++ b/tests/state/fold_test.cpp
@@ -27,7 +27,7 @@
             .content = std::move(content)};
 }
 
-/** Applies @p record after all that @p state has folded. */
+/** Applies @p record at the offset after the last one that @p state has folded. */
 FoldEffect append(ConfigState &state, const ControlRecord &record)
 {
     return state.apply(next(state.offset()), record);
@@ -36,32 +36,32 @@
 struct PublishRow
 {
     const char *description;
-    Publish second; ///< after "first", which put mill = 1 and yard = 1 at offset 1
+    Publish second; ///< follows the publish "first", which set the weights mill = 1 and yard = 1 at offset 1
     std::optional<RefusalReason> refusal;
 };
 
 const PublishRow PublishRows[] = {
-    {"two operators replace the whole from the same basis",
+    {"both publishes replace the whole document, based on the same offset",
      publishRules("second", 0, WholeDocument{workspaceSection("mill", 2)}), RefusalReason::Conflict},
-    {"a change to a section that the first one changed",
+    {"changes a section that the first publish changed",
      publishRules("second", 0, DocumentChange{workspaceSection("mill", 2), {}}), RefusalReason::Conflict},
-    {"a removal of a section that the first one changed",
+    {"removes a section that the first publish changed",
      publishRules("second", 0, DocumentChange{"", {"workspace.yard"}}), RefusalReason::Conflict},
-    {"a change elsewhere, based on an old offset",
+    {"changes another section, based on an old offset",
      publishRules("second", 0, DocumentChange{workspaceSection("estate", 2), {}}), std::nullopt},
-    {"a change that has seen the first one", publishRules("second", 1, DocumentChange{workspaceSection("mill", 2), {}}),
+    {"is based on the first publish", publishRules("second", 1, DocumentChange{workspaceSection("mill", 2), {}}),
      std::nullopt},
-    {"based on its own offset", publishRules("second", 2, DocumentChange{workspaceSection("mill", 2), {}}),
+    {"is based on its own offset", publishRules("second", 2, DocumentChange{workspaceSection("mill", 2), {}}),
      RefusalReason::BasedOnFuture},
-    {"a fault in the text", publishRules("second", 1, DocumentChange{"[workspace.mill]\ncolour = red\n", {}}),
+    {"text has a fault", publishRules("second", 1, DocumentChange{"[workspace.mill]\ncolour = red\n", {}}),
      RefusalReason::InvalidContent},
-    {"a fault that only the merged document has",
+    {"only the merged document has a fault",
      publishRules("second", 1,
                   DocumentChange{"[workspace.estate]\nkey = shared\n[workspace.mill]\nkey = shared\n", {}}),
      RefusalReason::InvalidContent},
-    {"a rule that names a target which is gone",
+    {"rule names a target that is not in the inventory",
      publishRules("second", 1, DocumentChange{"[planned-stop.x]\ntarget = gone\n", {}}), std::nullopt},
-    {"another document, based on an old offset",
+    {"changes the other document, based on an old offset",
      {.document = DocumentKind::Inventory, .operation = OperationId("second"), .content = WholeDocument{}},
      std::nullopt},
 };
@@ -70,8 +70,9 @@
 {
 };
 
-// Two operators publish close together, each without having seen the other's. Both are told that their publish was
-// taken by the log; only the fold can say which of them is in force, and it must say the same to everybody.
+// Guards against readers that disagree when two operators publish at almost the same time, without having read each
+// other's publish. The log accepts both records; only the fold decides which one takes effect, and all readers must
+// decide the same way.
 TEST_P(RacingPublish, LowerOffsetWinsAndTheOtherPublishIsRefused)
 {
     ConfigState state;
@@ -96,8 +97,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, RacingPublish, testing::ValuesIn(PublishRows));
 
-// An operator's append takes effect, its reply is lost, and the command appends again. In between another operator
-// has published. If the copy counted, it would take the other's change back.
+// Guards against a duplicate record that reverts another operator's change: an append succeeds, its reply is lost, and
+// the command appends the record again after another operator has published.
 TEST(Fold, DuplicateRecordIsAppliedOnceEvenAfterItsOutcomeIsPruned)
 {
     ConfigState state;
@@ -127,8 +128,8 @@
     EXPECT_EQ(state.outcomeOf(OperationId("op"))->decidedAt, logOffset(1));
 }
 
-// A record that was lost to some readers leaves them with different states. The operator's reset must bring all of
-// them to the same one, and a late copy of the reset must not take later changes back.
+// Guards against readers that stay diverged after some of them lost a record. A reset by the operator must bring all
+// readers to the same state, and a delayed duplicate of the reset must not revert later changes.
 TEST(Fold, ResetConvergesDivergedReadersAndAppliesOnlyAtItsOffset)
 {
     ConfigState one;
@@ -153,7 +154,7 @@
     }());
 }
 
-/** Any record, out of few names, so that many of them race. */
+/** Generates an arbitrary record from a small set of names, so that many records conflict. */
 ControlRecord arbitraryRecord(std::uint64_t offset)
 {
     const auto basedOn = *rc::gen::inRange<std::uint64_t>(0, offset + 1);
