--- a/modules/heatherridge_state/config/inidocument.cpp
+++ b/modules/heatherridge_state/config/inidocument.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view WhiteSpace = " \t\r";
 
-/** Splits the inside of `[kind.name]` at its first dot. */
+/** Splits the text between the brackets of `[kind.name]` at the first dot. */
 IniSection sectionFrom(std::string_view header, int line)
 {
     const auto dot = header.find('.');
@@ -137,7 +137,7 @@
     return number;
 }
 
-std::optional<bool> parseSwitch(std::string_view text)
+std::optional<bool> parseBool(std::string_view text)
 {
     if (text == "yes" || text == "true" || text == "on") {
         return true;
--- a/tests/agreement/fencing_test.cpp
+++ b/tests/agreement/fencing_test.cpp
@@ -25,7 +25,7 @@
         while (toNumber(state.offset()) < upTo) {
             state.apply(next(state.offset()), log[toNumber(state.offset())]);
             if (const auto *holder = state.holderOf(Leader)) {
-                gate.learn(*holder);
+                gate.updateHolder(*holder);
             }
         }
         if (toNumber(state.offset()) >= confirmationOffset) {
@@ -109,8 +109,8 @@
 TEST_P(FencedOrder, IsAcceptedOrRejectedWithTheExpectedError)
 {
     FencingGate gate;
-    gate.learn({ProcessName("b"), Incarnation{2}, FencingNumber{7}});
-    gate.learn({ProcessName("a"), Incarnation{1}, FencingNumber{3}});
+    gate.updateHolder({ProcessName("b"), Incarnation{2}, FencingNumber{7}});
+    gate.updateHolder({ProcessName("a"), Incarnation{1}, FencingNumber{3}});
     if (GetParam().isOpen) {
         gate.open();
     }
@@ -120,7 +120,7 @@
     ASSERT_EQ(error != nullptr, GetParam().refusal.has_value()) << GetParam().description;
     if (error != nullptr) {
         EXPECT_EQ(error->kind, *GetParam().refusal) << GetParam().description;
-        EXPECT_EQ(error->ranOrDefault(), Ran::No) << GetParam().description;
+        EXPECT_EQ(error->ranOrDefault(), ExecutionStatus::No) << GetParam().description;
     }
 }
 
--- a/tests/routing/routetable_test.cpp
+++ b/tests/routing/routetable_test.cpp
@@ -25,11 +25,11 @@
 
 struct MatchRow
 {
-    const char *story;
+    const char *description;
     const char *host;
     const char *path;
     const char *key;
-    const char *route; ///< null when it is refused
+    const char *route; ///< nullptr if the request is refused
     ErrorKind refusal = ErrorKind::Internal;
     const char *workspace = "";
     int priority = 3;
@@ -37,58 +37,64 @@
 
 const MatchRow MatchRows[] = {
     {"the longest prefix wins", "a.example", "/x/y/z", "k1", "deep", {}, "buyers"},
-    {"a prefix ends at a slash", "a.example", "/x/yz", "k1", "shallow", {}, "buyers"},
-    {"the prefix itself without its slash is the one above", "a.example", "/x/y", "k1", "shallow", {}, "buyers"},
-    {"the root takes the rest", "a.example", "/q", "k2", "root", {}, "buyers"},
-    {"host without case and port", "A.Example:80", "/x/y/z", "k1", "deep", {}, "buyers"},
-    {"a workspace's priority goes first", "a.example", "/x/", "k3", "shallow", {}, "agents", 0},
-    {"another host", "b.example", "/q", "k1", nullptr, ErrorKind::NotFound},
+    {"a prefix matches up to a slash", "a.example", "/x/yz", "k1", "shallow", {}, "buyers"},
+    {"the path of a prefix without its slash matches the shorter prefix",
+     "a.example",
+     "/x/y",
+     "k1",
+     "shallow",
+     {},
+     "buyers"},
+    {"the root prefix matches all other paths", "a.example", "/q", "k2", "root", {}, "buyers"},
+    {"case and port of the host are ignored", "A.Example:80", "/x/y/z", "k1", "deep", {}, "buyers"},
+    {"the priority of the workspace overrides that of the route", "a.example", "/x/", "k3", "shallow", {}, "agents", 0},
+    {"no route for this path of the host", "b.example", "/q", "k1", nullptr, ErrorKind::NotFound},
     {"an unknown host", "c.example", "/x/", "k1", nullptr, ErrorKind::NotFound},
     {"an unknown key", "a.example", "/x/", "zz", nullptr, ErrorKind::UnknownApiKey},
     {"no key", "a.example", "/x/", "", nullptr, ErrorKind::UnknownApiKey},
-    {"no route goes before no key", "c.example", "/x/", "", nullptr, ErrorKind::NotFound},
+    {"a missing route is reported before a missing key", "c.example", "/x/", "", nullptr, ErrorKind::NotFound},
     {"a public route without a key", "b.example", "/open/1", "", "open", {}, "", 0},
-    {"a public route with a key names its holder", "b.example", "/open/1", "k1", "open", {}, "buyers", 0},
+    {"a public route with a key returns the owner of the key", "b.example", "/open/1", "k1", "open", {}, "buyers", 0},
 };
 
 class RouteMatches : public testing::TestWithParam<MatchRow>
 {
 };
 
-TEST_P(RouteMatches, GiveRouteAndWorkspace)
+TEST_P(RouteMatches, ReturnsRouteAndWorkspace)
 {
     const auto &row = GetParam();
     const RouteTable table(sampleConfig());
     const auto match = table.match(row.host, row.path, row.key);
     if (row.route == nullptr) {
-        ASSERT_NE(errorIn(match), nullptr) << row.story;
-        EXPECT_EQ(errorIn(match)->kind, row.refusal) << row.story;
+        ASSERT_NE(errorIn(match), nullptr) << row.description;
+        EXPECT_EQ(errorIn(match)->kind, row.refusal) << row.description;
         return;
     }
-    ASSERT_EQ(errorIn(match), nullptr) << row.story;
+    ASSERT_EQ(errorIn(match), nullptr) << row.description;
     const auto &found = std::get<RouteMatch>(match);
-    EXPECT_EQ(found.route->name, row.route) << row.story;
-    EXPECT_EQ(found.workspace.text(), row.workspace) << row.story;
-    EXPECT_EQ(found.priority, row.priority) << row.story;
+    EXPECT_EQ(found.route->name, row.route) << row.description;
+    EXPECT_EQ(found.workspace.text(), row.workspace) << row.description;
+    EXPECT_EQ(found.priority, row.priority) << row.description;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, RouteMatches, testing::ValuesIn(MatchRows));
 
-TEST(DrawService, FollowsTheWeights)
+TEST(SelectWeightedService, MatchesTheWeights)
 {
     RouteRule route;
     route.services = {{.service = ServiceName("a"), .weight = 90},
                       {.service = ServiceName("b"), .weight = 10},
                       {.service = ServiceName("c"), .weight = 0}};
     SeededRandom random(1);
-    std::map<std::string, int> drawn;
-    constexpr int draws = 10'000;
-    for (int i = 0; i < draws; ++i) {
-        ++drawn[drawService(route, random).text()];
+    std::map<std::string, int> counts;
+    constexpr int drawCount = 10'000;
+    for (int i = 0; i < drawCount; ++i) {
+        ++counts[selectWeightedService(route, random).text()];
     }
-    EXPECT_NEAR(drawn["a"], draws * 0.9, draws * 0.02);
-    EXPECT_EQ(drawn["c"], 0);
-    EXPECT_TRUE(drawService(RouteRule{}, random).isEmpty());
+    EXPECT_NEAR(counts["a"], drawCount * 0.9, drawCount * 0.02);
+    EXPECT_EQ(counts["c"], 0);
+    EXPECT_TRUE(selectWeightedService(RouteRule{}, random).isEmpty());
 }
 
 } // namespace
