--- a/tests/gateway/crashing_test.cpp
+++ b/tests/gateway/crashing_test.cpp
@@ -16,12 +16,12 @@
 
 constexpr auto CrashingBody = "crashes";
 constexpr auto BrokenBody = "breaks";
-/** Deaths of targets under one request after which it reaches no target any more. */
+/** Target deaths under one request after which it is blocked from all targets. */
 constexpr std::ptrdiff_t MaxCrashes = 3;
-/** What one gateway has seen is known to the others within this. */
+/** Time within which a report of one gateway reaches the others. */
 constexpr auto ReportPropagationTime = 500ms;
 
-/** A target that ends when it begins to run one request, breaks off another, and answers all others. */
+/** A script that crashes on one request, resets the connection of another, and answers all others. */
 Actions answerOrCrash(const std::string &request, int)
 {
     if (request.ends_with(CrashingBody)) {
@@ -33,7 +33,7 @@
     return {{.bytes = answerTo(request, "id: 1\ndata: good\n\n")}};
 }
 
-/** A group of targets, each of its own port. */
+/** A set of targets, each with its own port. */
 class CrashableTargets
 {
 public:
@@ -68,7 +68,7 @@
     std::vector<std::unique_ptr<ScriptedTarget>> m_targets;
 };
 
-/** Sends a request and waits for its answer. @returns the status */
+/** Sends a request and waits for its answer. @returns the status of the answer */
 int sendRequest(const GatewayFixture &gateway, const std::string &path, const std::string &id, const std::string &body)
 {
     RawCaller caller(gateway.callerEndpoint());
@@ -99,7 +99,7 @@
 {
 };
 
-// Guards against one request that ends every target that runs it and comes again, with another id, at any gateway.
+// Guards against a request that crashes every target that runs it and is sent again, with another id, to any gateway.
 TEST_P(CrashingRequests, AreBlockedAfterThreeTargetDeaths)
 {
     const auto &testCase = GetParam();
@@ -121,7 +121,7 @@
 
 INSTANTIATE_TEST_SUITE_P(All, CrashingRequests, testing::ValuesIn(CrashCases), caseName);
 
-// Guards against a gateway that starts anew and sends out again what the others have found to end targets.
+// Guards against a newly started gateway that forwards a request known to the others to crash targets.
 TEST(LaterGateways, RefuseRequestsKnownToCrashTargets)
 {
     const CrashableTargets targets(12);
@@ -139,7 +139,7 @@
     EXPECT_EQ(targets.requestCount(), before);
 }
 
-// Guards against a copy that waits in a target's queue, and ends that target too once its turn comes.
+// Guards against a copy of the request that waits in a target's queue and crashes that target too when it runs.
 TEST(WaitingCopies, AreCancelledOnceTheyAreBlocked)
 {
     const auto script = [](const std::string &request, int number) {
@@ -160,7 +160,7 @@
     EXPECT_LE(targets.crashedCount(), MaxCrashes);
 }
 
-// Guards against refusing a request whose connections broke while the targets lived on.
+// Guards against blocking a request whose connections broke although the targets stayed alive.
 TEST(BrokenRequests, AreStillSentToLiveTargets)
 {
     const CrashableTargets targets(3);
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -44,7 +44,7 @@
           "chunked\r\n\r\n";
 }
 
-/** A target that always answers well. */
+/** A script that answers every request successfully. */
 Actions answerGood(const std::string &request, int)
 {
     return {sendBytes(answerTo(request, "good"))};
@@ -59,18 +59,18 @@
 struct AnswerCase
 {
     const char *description;
-    ScriptedTarget::Script first; ///< what the target does that is asked first; the next one is good
-    const char *path; ///< path that is asked for
+    ScriptedTarget::Script first; ///< of the target that receives the first request; the other answers successfully
+    const char *path; ///< of the request
     int status;
     const char *body;
-    std::size_t requests = 1; ///< that arrive at both targets together
+    std::size_t requests = 1; ///< received by both targets together
 };
 
 const AnswerCase AnswerCases[] = {
-    {"a whole answer", answerGood, "/look/1", 200, "good"},
-    {"a failure of the target's own, for a booking",
+    {"a complete answer", answerGood, "/look/1", 200, "good"},
+    {"an error answer of the target, for a booking",
      [](const auto &request, int) { return Actions{sendBytes(answerTo(request, "bad", 500))}; }, "/book/1", 500, "bad"},
-    {"an answer that ends with its connection",
+    {"an answer delimited by the end of its connection",
      [](const auto &request, int) {
          return Actions{
              sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
@@ -78,20 +78,20 @@
              {.kind = Kind::Close}};
      },
      "/look/1", 200, "good"},
-    {"a refusal is asked elsewhere, also for a booking",
+    {"a refused request is sent to another target, even a booking",
      [](const auto &request, int) { return Actions{sendBytes(refusalTo(request))}; }, "/book/1", 200, "good", 2},
-    // The target ran the booking and its answer was lost. Asked elsewhere, it would be made twice.
-    {"a booking whose connection is reset is not asked elsewhere",
+    // The target executed the booking and its answer was lost: sent to another target, it would be made twice.
+    {"a booking whose connection is reset is not retried",
      [](const auto &, int) { return Actions{{.kind = Kind::Reset}}; }, "/book/1", 502, nullptr},
-    {"a look-up whose connection is reset is", [](const auto &, int) { return Actions{{.kind = Kind::Reset}}; },
+    {"a look-up whose connection is reset is retried", [](const auto &, int) { return Actions{{.kind = Kind::Reset}}; },
      "/look/1", 200, "good", 2},
-    {"an answer that is cut off is not passed on as whole",
+    {"a truncated answer is not forwarded as complete",
      [](const auto &request, int) {
          const auto whole = answerTo(request, "a longer answer");
          return Actions{sendBytes(whole.substr(0, whole.size() - 4)), {.kind = Kind::Close}};
      },
      "/look/1", 200, "good", 2},
-    {"an answer without length that is reset is not whole",
+    {"an answer without length whose connection is reset is not complete",
      [](const auto &request, int) {
          return Actions{
              sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
@@ -100,10 +100,10 @@
              {.kind = Kind::Reset}};
      },
      "/look/1", 200, "good", 2},
-    {"another request's answer", [](const auto &, int) { return Actions{sendBytes(answerTo("", "stolen"))}; },
-     "/look/1", 200, "good", 2},
-    {"bytes that are no answer", [](const auto &, int) { return Actions{sendBytes("garbage garbage\r\n\r\n")}; },
+    {"an answer to another request", [](const auto &, int) { return Actions{sendBytes(answerTo("", "stolen"))}; },
      "/look/1", 200, "good", 2},
+    {"bytes that are not an HTTP response",
+     [](const auto &, int) { return Actions{sendBytes("garbage garbage\r\n\r\n")}; }, "/look/1", 200, "good", 2},
     {"an answer without a signature",
      [](const auto &request, int) {
          return Actions{
@@ -111,17 +111,17 @@
                        + "\r\nContent-Length: 5\r\n\r\nfalse")};
      },
      "/look/1", 200, "good", 2},
-    {"a body in an encoding that nobody asked for",
+    {"a body with a content encoding that was not requested",
      [](const auto &request, int) {
          return Actions{sendBytes(answerTo(request, "zip", 200, "Content-Encoding: gzip\r\n"))};
      },
      "/look/1", 200, "good", 2},
-    // The status says that the booking has not run, and its target does not say so: the caller would book again.
-    {"a status that promises without the target's word",
+    // The status implies that the booking has not run, but the target does not confirm it: the caller would book again.
+    {"a status that implies no execution, without the target's confirmation",
      [](const auto &request, int) { return Actions{sendBytes(answerTo(request, "", 503))}; }, "/book/1", 502, nullptr},
-    {"a look-up that gets no answer is asked elsewhere within its objective",
+    {"a look-up without an answer is retried within its objective",
      [](const auto &, int) { return Actions{{.kind = Kind::AwaitClose}}; }, "/look/1", 200, "good", 2},
-    {"a booking that gets no answer is given up at its timeout",
+    {"a booking without an answer fails at its timeout",
      [](const auto &, int) { return Actions{{.kind = Kind::AwaitClose}}; }, "/book/1", 504, nullptr},
     {"a path without a route", answerGood, "/none/1", 404, nullptr, 0},
 };
@@ -133,7 +133,7 @@
 TEST_P(TargetResponses, AreForwardedCompleteOrNotAtAll)
 {
     const auto &testCase = GetParam();
-    // Whichever of the two is asked first does as the row says.
+    // Whichever target receives the first request runs the script of the test case.
     std::atomic<int> requestCount = 0;
     const auto script = [&](const std::string &request, int number) {
         return requestCount++ == 0 ? testCase.first(request, number) : answerGood(request, number);
@@ -154,8 +154,8 @@
 
 INSTANTIATE_TEST_SUITE_P(All, TargetResponses, testing::ValuesIn(AnswerCases));
 
-// A target sends a second answer after a whole one. On a kept connection it would be taken for the answer to the next
-// request, which another caller sent.
+// Guards against a target that sends a second answer after a complete one: on a kept connection it would be taken for
+// the answer to the next request, which another caller sent.
 TEST(KeepAliveConnections, AreNotReusedAfterUnsolicitedBytes)
 {
     const ScriptedTarget target([](const std::string &request, int) {
@@ -211,27 +211,27 @@
 {
     const char *description;
     std::string bytes;
-    int status; ///< 0: closed without an answer
+    int status; ///< 0 if the connection is closed without an answer
 };
 
 const BadRequestCase BadRequestCases[] = {
     {"not HTTP", "hello there\r\n\r\n", 400},
-    {"headers beyond the bound", "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Big: " + std::string(5'000, 'x') + "\r\n\r\n",
-     431},
-    {"a body beyond the bound", "POST /book/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 200000\r\n\r\n", 413},
-    {"a chunked body beyond the bound",
+    {"headers larger than the limit",
+     "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Big: " + std::string(5'000, 'x') + "\r\n\r\n", 431},
+    {"a body larger than the limit", "POST /book/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 200000\r\n\r\n", 413},
+    {"a chunked body larger than the limit",
      "POST /book/1 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n" + std::string(200'000, 'x'),
      413},
-    {"two lengths that differ",
+    {"two different content lengths",
      "POST /book/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde", 400},
-    {"a length and chunks",
+    {"a content length with chunked encoding",
      "POST /book/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
     {"a head that never ends", "GET /look/1 HTTP/1.1\r\nHost: h\r\n", 408},
     {"no request id", "GET /look/1 HTTP/1.1\r\nHost: h\r\n\r\n", 400},
-    {"a deadline that is none",
+    {"a deadline that is not a number",
      "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Heatherridge-Request-Id: r\r\nX-Heatherridge-Deadline-Ms: soon\r\n\r\n",
      400},
-    {"a tunnel", "CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", 400},
+    {"a CONNECT request", "CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 };
 
 class BadRequests : public testing::TestWithParam<BadRequestCase>
@@ -250,8 +250,9 @@
 
 INSTANTIATE_TEST_SUITE_P(All, BadRequests, testing::ValuesIn(BadRequestCases));
 
-// A caller leaves while its booking runs. The target works on for nobody, and a hundred such callers fill it. The
-// connection is reset: closed in order, a request that lies before a frozen host reached its target seconds later.
+// Guards against a target that keeps working for a caller that disconnected while its booking ran: a hundred such
+// callers fill it. The connection is reset because after an orderly close, a request that is queued at a frozen host
+// still reaches its target seconds later.
 TEST(CallerDisconnects, ResetTheTargetConnection)
 {
     const ScriptedTarget target([](const std::string &, int) { return Actions{{.kind = Kind::AwaitClose}}; });
@@ -269,8 +270,8 @@
     EXPECT_EQ(target.resetByPeer(), 1);
 }
 
-// A target dies in the midst of an event. The caller's answer goes on at another target behind the last whole event,
-// and neither the torn one nor a second copy of one is seen.
+// Guards against a torn or duplicate event when a target dies in the middle of one. The stream must resume at another
+// target after the last complete event.
 TEST(EventStreams, ResumeAtAnotherTargetAfterTheLastCompleteEvent)
 {
     std::atomic<int> requestCount = 0;
@@ -293,8 +294,8 @@
     EXPECT_EQ(answer.body, event(1) + event(2) + event(3) + event(4));
 }
 
-// A group of engines stands still for a second and a half and goes on. Its callers' answers are cut off in the middle:
-// their gateway has given them up at the silent engine, and no other takes them.
+// Guards against a gateway that abandons streams at a silent engine although no other engine can take them: a group of
+// engines stalls for a second and a half and then continues, but its callers' answers have been cut off.
 TEST(EventStreams, StayAtASilentTargetWithoutAnAlternative)
 {
     const ScriptedTarget target([](const std::string &request, int) {
@@ -326,8 +327,8 @@
     EXPECT_EQ(answer.body, event(1));
 }
 
-// A planned stop: requests that run get their answers, new callers are still served, kept connections end after an
-// answer, and the balancer is told at once.
+// During a planned stop, running requests get their answers, new callers are still served, kept connections are closed
+// after an answer, and the readiness check fails at once.
 TEST(PlannedStops, CompleteOpenAndNewRequests)
 {
     const ScriptedTarget target([](const std::string &request, int) {
--- a/tests/gateway/gatewayfixture.cpp
+++ b/tests/gateway/gatewayfixture.cpp
@@ -19,7 +19,7 @@
 
 constexpr auto Service = "s";
 
-/** A port that nobody listens on at the moment. */
+/** Returns a port on which nothing listens at present. */
 int freePort()
 {
     asio::io_context loop;
@@ -27,7 +27,7 @@
     return acceptor.local_endpoint().port();
 }
 
-/** A division of work that stays as it is, or that nobody tells. */
+/** A log that always assigns the same partitions, or never answers if there are none. */
 class FixedShares final : public ShareLog
 {
 public:
@@ -54,7 +54,7 @@
 
 } // namespace
 
-/** Registers that hold still: one configuration, and the targets given. */
+/** Registers that never change: one configuration and the given targets. */
 class GatewayFixture::FixedRegisters final : public SilentRegisters
 {
 public:
@@ -127,7 +127,8 @@
                                                                       .balancerDetectionTime = milliseconds(200)},
                                                std::move(adapter));
     m_callerEndpoint = std::get<std::vector<Endpoint>>(m_server->start()).front();
-    // The registers are read by the control thread; callers before that are told that there is no configuration.
+    // Waits until the control thread has read the registers; before that, callers are refused for want of a
+    // configuration.
     constexpr int maxTries = 500;
     for (int i = 0; i < maxTries; ++i) {
         RawCaller caller(m_readinessEndpoint);
@@ -203,7 +204,7 @@
 
 void RawCaller::send(const std::string &bytes)
 {
-    asio::error_code ignored; // seen by the read that follows
+    asio::error_code ignored; // the following read reports it
     asio::write(m_socket, asio::buffer(bytes), ignored);
 }
 
@@ -262,7 +263,7 @@
 
 void RawCaller::close()
 {
-    asio::error_code ignored; // it is gone either way
+    asio::error_code ignored; // the socket is closed in any case
     m_socket.close(ignored);
 }
 
--- a/tests/gateway/gatewayfixture.h
+++ b/tests/gateway/gatewayfixture.h
@@ -15,18 +15,18 @@
 namespace Heatherridge
 {
 
-/** A gateway on loopback before scripted targets, with registers that the test writes. */
+/** A gateway on the loopback interface in front of scripted targets, with registers defined by the test. */
 class GatewayFixture
 {
 public:
     struct Options
     {
         std::shared_ptr<SharedRecords> reports = std::make_shared<SharedRecords>(); ///< shared with other gateways
-        std::set<int> partitions{}; ///< of the log's partitions that belong to this gateway; none: the log does not say
+        std::set<int> partitions{}; ///< partitions of the log assigned to this gateway; if empty, the log never answers
         int logPartitions = 1;
     };
 
-    /** @param targets all serve the one service */
+    /** @param targets all serve the same service */
     explicit GatewayFixture(const std::vector<const ScriptedTarget *> &targets)
         : GatewayFixture(targets, Options{})
     {
@@ -37,19 +37,19 @@
     GatewayFixture(const GatewayFixture &) = delete;
     GatewayFixture &operator=(const GatewayFixture &) = delete;
 
-    /** Look-ups at /look/, bookings at /book/ and resumable streams at /stream/ of host "h", without keys. */
+    /** Routes of host "h" without API keys: look-ups at /look/, bookings at /book/, resumable streams at /stream/. */
     static RoutingConfig defaultConfig();
 
-    /** Where callers connect. */
+    /** The endpoint for callers. */
     Endpoint callerEndpoint() const;
 
-    /** Where the balancer asks. */
+    /** The endpoint for the load balancer's readiness checks. */
     Endpoint readinessEndpoint() const;
 
-    /** Begins the graceful shutdown on a thread of its own. */
+    /** Starts the graceful shutdown on a separate thread. */
     void beginStop();
 
-    /** Waits until the gateway has ended. */
+    /** Waits until the gateway has shut down. */
     void awaitStop();
 
 private:
@@ -62,29 +62,27 @@
     std::thread m_stopThread;
 };
 
-/** A caller's connection. */
+/** A plain TCP connection of a caller, for sending arbitrary bytes. */
 class RawCaller
 {
 public:
     explicit RawCaller(const Endpoint &endpoint);
 
-    /** Writes @p bytes. */
     void send(const std::string &bytes);
 
-    /** Reads one answer: head and body as delimited, chunks taken apart; what came when it was cut off before. */
+    /** Reads one answer and decodes its framing, chunked encoding included; returns what arrived if it is cut off. */
     struct Answer
     {
-        int status = 0; ///< 0: the connection ended without a head
+        int status = 0; ///< 0 if the connection ended before a head
         std::string head{};
         std::string body{};
         bool isWhole = false;
     };
     Answer receive(bool isHeadRequest = false);
 
-    /** Whether the other side has closed, waiting up to @p timeout. */
+    /** Returns whether the other side closes the connection within @p timeout. */
     bool isClosedWithin(std::chrono::milliseconds timeout);
 
-    /** Closes. */
     void close();
 
 private:
@@ -95,7 +93,7 @@
     std::string m_buffered;
 };
 
-/** A request of id @p id. */
+/** Returns the text of a request with the request id @p id. */
 std::string requestText(const std::string &method, const std::string &target, const std::string &id,
                         const std::string &body = {}, const std::string &extraHeaders = {});
 
--- a/tests/gateway/limit_test.cpp
+++ b/tests/gateway/limit_test.cpp
@@ -14,13 +14,13 @@
 
 using Actions = std::vector<TargetAct>;
 
-/** What the users promise of a target that names a limit. */
+/** What the users require for a target that names a limit. */
 constexpr auto LimitWindow = 4s;
 constexpr auto LimitSettlingTime = 3s;
 constexpr double LimitTolerance = 1.5;
 constexpr double LimitSlack = 5;
 
-/** A target that names a limit in its answers, and when it got requests. */
+/** A target that names a limit in its answers and records when requests arrive. */
 class LimitedTarget
 {
 public:
@@ -35,7 +35,8 @@
         return m_target;
     }
 
-    /** The most requests in any LimitWindow that begins TimeToKeepLimit after the first answer. */
+    /** Returns the largest number of requests in any LimitWindow that begins at least LimitSettlingTime after the first
+     * answer. */
     std::ptrdiff_t maxRequestsInWindow() const
     {
         const std::lock_guard lock(m_mutex);
@@ -63,7 +64,8 @@
     ScriptedTarget m_target;
 };
 
-// Guards against a target in need that names its limit and gets as much as before, from each gateway for itself.
+// Guards against an overloaded target that names its limit but receives as many requests as before, because each
+// gateway applies the limit on its own.
 TEST(TargetLimits, HoldAcrossAllGateways)
 {
     constexpr double limit = 1;
@@ -89,7 +91,7 @@
         std::this_thread::sleep_for(100ms);
     }
     EXPECT_LE(limited.maxRequestsInWindow(), LimitTolerance * limit * LimitWindow / 1s + LimitSlack);
-    EXPECT_EQ(served, rounds * gateways) << "the other target takes what is left";
+    EXPECT_EQ(served, rounds * gateways) << "the other target serves the rest";
 }
 
 } // namespace
