--- a/modules/heatherridge_transport/direct/crashguard.h
+++ b/modules/heatherridge_transport/direct/crashguard.h
@@ -11,24 +11,26 @@
 {
 
 /**
- * What a gateway does about requests that end the targets which run them: takes what it and the other gateways see,
- * tells what it sees, logs and counts. On the traffic thread alone.
+ * Protects targets from requests that crash the targets which run them.
+ *
+ * Collects the crash reports of this gateway and the others, publishes its own, and logs and counts them. Used on the
+ * traffic thread only.
  */
 class CrashGuard
 {
 public:
     struct Events
     {
-        /** To be told to the other gateways. */
+        /** A report to publish to the other gateways. */
         std::function<void(const CrashReport &)> reportCreated{};
-        /** @p request is not to be sent to targets any more. */
+        /** @p request must not be sent to targets any more. */
         std::function<void(const RequestFingerprint &request)> requestBlocked{};
     };
 
-    /** @p metrics must outlive it. */
+    /** @param metrics must outlive this object */
     CrashGuard(Events events, Metrics &metrics);
 
-    /** Whether nothing is suspected of any request, so that no fingerprint need be worked out. */
+    /** Returns whether no request is under suspicion, so that no fingerprint needs to be computed. */
     bool isIdle() const;
 
     /** @see CrashSuspects::isSuspect */
@@ -37,22 +39,22 @@
     /** @see CrashSuspects::isBlocked */
     bool isBlocked(const RequestFingerprint &request) const;
 
-    /** @p target has died under @p request, which came as @p id. */
+    /** Records that @p target died while running @p request, which arrived with the request id @p id. */
     void recordTargetDeath(const RequestId &id, const RequestFingerprint &request, const TargetName &target);
 
-    /** A target has run the suspect @p request to an answer. */
+    /** Records that a target answered the suspect @p request. */
     void recordAnswer(const RequestFingerprint &request);
 
-    /** The blocked @p request has come again and was refused. */
+    /** Records that the blocked @p request arrived again and was refused. */
     void recordRefusal(const RequestFingerprint &request);
 
-    /** What gateways, this one among them, have told. */
+    /** Applies the reports of all gateways, including this one. */
     void applyReports(const std::vector<CrashReport> &reports);
 
-    /** Targets that have suspects of this gateway. */
+    /** Returns the targets that hold a suspect request of this gateway and have not sent a body byte for it. */
     SuspectTargets &suspectPlaces();
 
-    /** Forgets what is old. Called about once a second. */
+    /** Removes expired suspicions. Called about once a second. */
     void tick(SteadyTime now);
 
 private:
--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -15,14 +15,14 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/** When to ask again after a refusal for want of a target: entries learn of a new one within a second. */
+/** Retry delay for callers refused because there is no target: entries learn of a new target within a second. */
 constexpr milliseconds NoTargetRetryAfter{500};
-/** When to ask again after all engines were found full: a third of the time that one takes for an answer. */
+/** Retry delay for callers refused because all engines are full: a third of an engine's usual answer time. */
 constexpr milliseconds EnginesFullRetryAfter{500};
-/** When to ask again after the targets refused: a slot of a plain service comes free within this. */
+/** Retry delay for callers after the targets refused: a slot of a plain service becomes free within this time. */
 constexpr milliseconds TargetsFullRetryAfter{300};
 
-/** From sending a stream to its first event, before any was seen: two passes that keep the usual pauses. */
+/** Assumed time from sending a stream to its first event, before any was measured: two passes of usual length. */
 constexpr milliseconds DefaultFirstEventDelay{200};
 
 SteadyTime now()
@@ -61,7 +61,7 @@
         return;
     }
     if (isStream() && m_traffic.m_queue.hasOnTimeStream(m_service, m_arrivedAt)) {
-        enqueue(); // behind those that came before it
+        enqueue(); // behind the streams that arrived earlier
     } else {
         startAttempt();
     }
@@ -96,12 +96,12 @@
         return;
     }
     const auto choice = chooseTarget();
-    // An attempt that never left puts no load on anybody: what follows it is the first.
+    // An attempt that never reached a target adds no load, so the next one does not count as a retry.
     const bool isRetry = m_possibleArrivals > 0;
     if (choice.target != nullptr && isRetry && !m_traffic.retryBudgetFor(m_service).tryTake(now())) {
         m_traffic.m_counters.retriesDenied.add();
         waitForTarget({.kind = m_possibleExecutions > 0 ? ErrorKind::BackendFailed : ErrorKind::Overloaded,
-                       .detail = "no repeat left in the budget",
+                       .detail = "retry budget exhausted",
                        .retryAfter = TargetsFullRetryAfter});
         return;
     }
@@ -133,8 +133,8 @@
 
 Urgency GatewayCall::urgency() const
 {
-    // What an engine has worked on goes on: its caller may have the beginning. What was refused unread has lost
-    // nothing.
+    // A stream that an engine may have started takes precedence, since its caller may have received a part of it. One
+    // that was refused before it ran has lost nothing.
     if (m_possibleExecutions > 0 || m_stream.hasBegun()) {
         return Urgency::InProgress;
     }
@@ -143,7 +143,7 @@
 
 SteadyTime GatewayCall::timelyUntil() const
 {
-    // A caller that comes again has waited before: it says how much of its patience is left.
+    // A caller that retries has already waited: the timeout that it sends is the rest of its total.
     const auto timeWaitedBefore =
         std::max(m_route.timeout - m_callerFields.patience.value_or(m_route.timeout), milliseconds(0));
     const auto firstEventDelay = m_traffic.firstEventDelayFor(m_service).mean().value_or(DefaultFirstEventDelay);
@@ -159,7 +159,8 @@
                                .service = m_service,
                                .hasStarted = urgency() == Urgency::InProgress,
                                .onTimeUntil = timelyUntil()};
-    // Asked when it joins and when it falls behind the timely ones: at other times it has moved up.
+    // The wait is estimated only when the stream joins the queue and when it becomes late and falls behind the
+    // on-time streams; at other times it can only have moved forward.
     const bool isLate = stream.onTimeUntil < now();
     const bool needsWaitEstimate = !stream.hasStarted && m_isQueuedAsLate != isLate;
     const auto expectedWait = needsWaitEstimate ? m_traffic.m_queue.expectedWait(stream, now()) : milliseconds(0);
@@ -181,7 +182,7 @@
         fail(std::move(error));
         return;
     }
-    // A target that refused it a moment ago may be the one that takes it now.
+    // A target that refused the request earlier may accept it now.
     m_tried.clear();
     m_isWaiting = true;
     if (isStream()) {
@@ -254,7 +255,7 @@
 
 void GatewayCall::updateTargetLimit(GatewayTarget &target)
 {
-    // A refusal may name a limit, but does not end one by naming none.
+    // An unsigned response, such as a refusal, may set a limit, but does not lift one by naming none.
     const bool isAuthoritative =
         m_responseFields.id == m_callerFields.id && (m_responseFields.isSigned || m_responseFields.requestsPerSecond);
     const auto limit = m_responseFields.requestsPerSecond;
@@ -312,7 +313,8 @@
     const bool impliesNotExecuted =
         m_responseStatus == 408 || m_responseStatus == 421 || m_responseStatus == 429 || m_responseStatus == 503;
     if (impliesNotExecuted) {
-        return AttemptResult::InvalidAnswer; // the status says that it has not run, and the target does not
+        return AttemptResult::InvalidAnswer; // the status implies that it has not run, but the target does not confirm
+                                             // it
     }
     return m_responseStatus >= 500 ? AttemptResult::FailedAtTarget : AttemptResult::Answered;
 }
@@ -454,7 +456,7 @@
 void GatewayCall::onStreamComplete()
 {
     if (m_stream.isBroken()) {
-        finishAttempt(AttemptResult::Interrupted, "the stream ended within an event");
+        finishAttempt(AttemptResult::Interrupted, "the stream ended in the middle of an event");
         return;
     }
     releaseTarget(true);
@@ -518,7 +520,7 @@
 void GatewayCall::retry(AttemptResult end, std::string_view reason)
 {
     if (end == AttemptResult::FailedAtTarget && m_traffic.retryBudgetFor(m_service).remaining(now()) < 1) {
-        deliver(); // the target's own answer says more than one of this process's
+        deliver(); // the target's own error is more useful to the caller than one made here
         return;
     }
     logEvent(Severity::Info, "repeat",
@@ -560,7 +562,7 @@
 void GatewayCall::fail(Error error)
 {
     if (m_stream.hasBegun()) {
-        m_exchange->abort(); // the head has left: only a cut says that the rest does not come
+        m_exchange->abort(); // the head has been sent: only closing the connection shows that the answer is incomplete
         finish("stream-broken", 200);
         return;
     }
@@ -640,14 +642,14 @@
         m_route.kind == RequestKind::Idempotent && m_responseStatus == 0 && now() - m_sentAt > m_route.objective;
     const bool mayRetry = m_possibleExecutions + 1 < m_route.maxAttempts && timeLeft() > MinAttemptTime * 2;
     if ((isSilentStream || isSilentCall) && mayRetry && canContinueElsewhere()) {
-        finishAttempt(AttemptResult::TimedOut, "no sign of life");
+        finishAttempt(AttemptResult::TimedOut, "target sent nothing in time");
     }
 }
 
 bool GatewayCall::canContinueElsewhere()
 {
-    // A group that stands still mostly goes on, and all its streams fall silent at once: one that finds no repeat in
-    // the budget or no other engine is better left where it is.
+    // A stalled group usually recovers, and all its streams fall silent at once. A stream without retry budget or
+    // another engine is better left where it is.
     return m_traffic.retryBudgetFor(m_service).remaining(now()) >= 1
         && m_traffic.m_targets.choose(m_service, m_tried, urgency(), now(), m_traffic.m_random).target != nullptr;
 }
--- a/modules/heatherridge_transport/direct/gatewaycall.h
+++ b/modules/heatherridge_transport/direct/gatewaycall.h
@@ -15,42 +15,46 @@
 {
 
 /**
- * One request of a caller from its arrival to its answer, over as many attempts as are allowed. On the traffic thread;
- * lives as long as GatewayTraffic or one of its operations holds it.
+ * Handles one request of a caller from its arrival to its answer, over as many attempts as its route allows.
+ *
+ * Used on the traffic thread only. Kept alive by GatewayTraffic and by its own pending operations.
  */
 class GatewayCall : public std::enable_shared_from_this<GatewayCall>
 {
 public:
-    /** @param number names it among the calls of @p traffic; later ones have higher numbers */
+    /** @param number identifies the call within @p traffic; later calls have higher numbers */
     GatewayCall(GatewayTraffic &traffic, std::uint64_t number, std::shared_ptr<HttpExchange> exchange,
                 CallerFields fields, std::shared_ptr<const RouteTable> table, const RouteMatch &match);
 
-    /** Sends it to a first target, or refuses it. */
+    /** Starts the first attempt, queues the call, or refuses it. */
     void start();
 
-    /** Looks for an engine again, while it waits for one. */
+    /** Tries again to find an engine, if the call waits for one. */
     void retryPlacement();
 
     std::uint64_t number() const;
 
-    /** @p request is not to be sent to targets any more: ends this call if it is one of these and has not begun. */
+    /**
+     * Called when @p request is blocked from all targets. Ends this call if it has that fingerprint and no body bytes
+     * of a response have arrived in the current attempt.
+     */
     void cancelIfBlocked(const RequestFingerprint &request);
 
-    /** Drops it without an answer. */
+    /** Aborts the call without an answer. */
     void drop();
 
 private:
-    /** Bytes of an answer that wait for a slow caller before its target is held back. */
+    /** Unsent bytes of an answer to a slow caller above which reading from its target is paused. */
     static constexpr std::size_t MaxUnsentBytes = 256UL << 10U;
-    /** Largest answer of a plain service that is held until it is whole. */
+    /** Largest answer of a plain service that is buffered; it is sent only once it is complete. */
     static constexpr std::size_t MaxBufferedBodyBytes = 8UL << 20U;
-    /** An attempt with less time is not worth its target's work: the shortest answers take about this long. */
+    /** With less time left, no further attempt is made: the shortest answers take about this long. */
     static constexpr std::chrono::milliseconds MinAttemptTime{60};
-    /** How often a stream is looked at for silence. */
+    /** How often a stream or an idempotent request is checked for a silent target. */
     static constexpr std::chrono::milliseconds SilenceCheckPeriod{200};
-    /** How often a request that waits for a target looks for one: half of a pass. */
+    /** How often a waiting plain request looks for a target: half of an engine pass. */
     static constexpr std::chrono::milliseconds PlacementRetryPeriod{25};
-    /** A stream whose target stands still for so long goes on elsewhere; callers leave after 2 s of silence. */
+    /** A stream whose target is silent for longer resumes at another one; callers disconnect after 2 s of silence. */
     static constexpr std::chrono::milliseconds SilenceTimeout{1'100};
 
     void startAttempt();
@@ -102,34 +106,34 @@
     SteadyTime m_deadline;
     asio::steady_timer m_timer;
     bool m_isDone = false;
-    std::optional<SteadyTime> m_waitDeadline; ///< since it first found no target
+    std::optional<SteadyTime> m_waitDeadline; ///< for finding a target; set when none was found for the first time
     bool m_isWaiting = false;
-    std::optional<bool> m_isQueuedAsLate; ///< it waits among late streams; nothing before it waits
+    std::optional<bool> m_isQueuedAsLate; ///< whether it was queued among the late streams; empty until it is queued
 
-    std::shared_ptr<TargetConnection> m_connection; ///< of the present attempt
+    std::shared_ptr<TargetConnection> m_connection; ///< of the current attempt
     TargetName m_target;
     SteadyTime m_sentAt{};
-    double m_loadAtSend = 0; ///< requests that the target was thought to have, for the log
-    std::chrono::milliseconds m_passTimeAtSend{0}; ///< of the group, for the log
-    GroupName m_group{}; ///< the target's expert group; null when it is in none
+    double m_loadAtSend = 0; ///< estimated number of requests at the target, for the log
+    std::chrono::milliseconds m_passTimeAtSend{0}; ///< of the expert group, for the log
+    GroupName m_group{}; ///< the target's expert group; empty if it has none
     std::set<TargetName> m_tried;
     int m_attempts = 0;
-    int m_possibleExecutions = 0;
+    int m_possibleExecutions = 0; ///< attempts that may have executed the request
     int m_possibleArrivals = 0; ///< attempts that may have reached a target
 
-    int m_responseStatus = 0; ///< of the present attempt's answer; 0 before its head
+    int m_responseStatus = 0; ///< of the current attempt's response; 0 before its head
     std::vector<HttpHeader> m_responseHeaders;
     TargetAnswerFields m_responseFields;
     std::string m_responseBody;
-    bool m_isResponseUnusable = false; ///< what has come is not an answer to this request
-    bool m_hasBodyBegun = false; ///< the present attempt's target has answered with a part of a body
-    bool m_isProbingTarget = false; ///< the present attempt broke off, and its target is asked whether it lives
-    std::optional<TargetName> m_suspectTarget; ///< the target that has this call as a suspect
-    std::optional<RequestFingerprint> m_fingerprint; ///< once it was asked for
+    bool m_isResponseUnusable = false; ///< the received bytes are not a valid response to this request
+    bool m_hasBodyBegun = false; ///< body bytes have arrived in the current attempt
+    bool m_isProbingTarget = false; ///< the current attempt failed, and its target is being probed
+    std::optional<TargetName> m_suspectTarget; ///< the target at which this call is listed as a suspect
+    std::optional<RequestFingerprint> m_fingerprint; ///< computed on first use
 
     StreamProgress m_stream;
     std::size_t m_unsentBytes = 0;
-    std::chrono::milliseconds m_placementWait{0}; ///< for a target, up to the last attempt, for the log
+    std::chrono::milliseconds m_placementWait{0}; ///< from arrival to the start of the last attempt, for the log
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaycontrol.h
+++ b/modules/heatherridge_transport/direct/gatewaycontrol.h
@@ -15,65 +15,70 @@
 {
 
 /**
- * The control state of a gateway: follows rules and targets and says what is in force. On the control thread alone.
+ * The control state of a gateway: follows the registers of rules and targets and publishes what is in force. Used on
+ * the control thread only.
  *
- * A configuration with a lower version than one seen is never put in force, whatever the register answers. A record
- * that cannot be read names nothing and changes nothing else.
+ * A configuration with a lower version than one already seen is never put in force, whatever the register returns. A
+ * record that cannot be decoded is ignored and does not affect other records.
  */
 class GatewayControl
 {
 public:
-    /** What is promised of changes; how often the registers are read follows from it. */
+    /** Time limits for changes to take effect; the read periods of the registers are derived from them. */
     struct Options
     {
-        /** A target that has said that it leaves gets nothing new after so long. */
+        /** Time after which a target that announced its withdrawal receives no new requests. */
         std::chrono::milliseconds withdrawalTime{2'000};
-        /** Connections that have gone silent are noticed within this. */
+        /** Time within which silent connections are detected. */
         std::chrono::milliseconds silenceTime{3'000};
-        int rulesCopies = 1; ///< copies of the rules, each in a partition of the log of its own
+        int rulesCopies = 1; ///< copies of the rules, each in its own partition of the log
     };
 
-    /** Part of the time for a withdrawal from one read for targets to the next; a read, its repeat after a failure and
-     * the way to the traffic thread take the rest. Targets' heartbeats make a read that waits return at once. */
+    /** Period of reading the targets, as a fraction of withdrawalTime. The rest covers one read, its retry after a
+     * failure and the hand-over to the traffic thread. Reads are periodic because targets' heartbeats would end a
+     * waiting read at once. */
     static constexpr double TargetsReadPeriodFraction = 0.425;
-    /** Time over which all gateways read the registers anew, for each target in it: larger registers take longer to
-     * read, and belong to deployments with more gateways. */
+    /** Time over which all gateways spread re-reading the registers, per registered target: larger registers take
+     * longer to read and belong to deployments with more gateways. */
     static constexpr std::chrono::microseconds RereadSpreadPerTarget{1'250};
-    /** Part of the time for silence that a read for rules waits. Longer saves calls; a log that hangs is noticed after
-     * it. */
+    /** Longest wait of a read of the rules, as a fraction of silenceTime. A longer wait saves calls, but a log that
+     * hangs is detected only when the wait is over. */
     static constexpr double RulesWaitFraction = 0.6;
 
     struct Events
     {
         std::function<void(std::shared_ptr<const RouteTable>)> rulesChanged{};
         std::function<void(std::vector<TargetEntry>)> targetsChanged{};
-        std::function<void(bool isReachable)> reachabilityChanged{}; ///< a register has been lost or regained
+        std::function<void(bool isReachable)>
+            reachabilityChanged{}; ///< a register became unreachable or reachable again
     };
 
-    /** How long a read that waits for rules waits at most. */
+    /** Returns how long a read of the rules waits for a change at most. */
     static std::chrono::milliseconds rulesWait(const Options &options);
 
-    /** @p log and @p metrics must outlive it. */
+    /** @p log and @p metrics must outlive this object. */
     GatewayControl(RegisterLog &log, Options options, Events events, Metrics &metrics);
 
-    /** Does what is due. Called every few tens of milliseconds. @param writesRulesCopies of the rules, for all gateways
+    /**
+     * Performs the work that is due. Called every few tens of milliseconds.
+     * @param writesRulesCopies whether this gateway writes the copies of the rules for all gateways
      */
     void tick(SteadyTime now, bool writesRulesCopies);
 
     /**
-     * The log has come back from an older copy. What is in force stays; the registers are read anew, each at a time
-     * drawn from @p random, since all gateways notice at once.
+     * Called when the log was restored from an older copy. What is in force stays in force. Each register is read again
+     * after a delay drawn from @p random, since all gateways detect the restore at the same time.
      */
     void onLogRestored(RandomSource &random);
 
-    /** All targets as they are believed to be. */
+    /** Returns all targets in their current state, as far as known. */
     std::vector<TargetEntry> targets() const;
 
-    /** The rules in force; null before the first. */
+    /** Returns the rules in force; null before the first. */
     std::shared_ptr<const RouteTable> rules() const;
 
 private:
-    /** Where a record of rules was read. */
+    /** The source of a rules record. */
     enum class Source {
         Register,
         Copy,
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -20,23 +20,24 @@
 
 using std::chrono::milliseconds;
 
-/** How often the control thread looks for due work. */
+/** How often the control thread performs the work that is due. */
 constexpr milliseconds ControlTick{20};
-/** How often the traffic thread closes what it no longer needs. */
+/** How often the traffic thread closes idle connections and removes expired state. */
 constexpr milliseconds TrafficTick{1'000};
-/** How often a stopping gateway looks whether it is done. */
+/** How often a gateway that shuts down checks whether all requests have finished. */
 constexpr milliseconds DrainTick{50};
-/** Idle connections to engines and the processes beside them that are kept, for each target: a status or counts and an
- * order to either. One that is closed is opened again at the next round, and handshakes are paid for. */
+/** Idle connections to engines and their sidecars that are kept, per target: to each of both, one for a status or
+ * counts and one for an order. A closed one would be opened again in the next round, at the cost of a handshake. */
 constexpr long KeptConnectionsPerTarget = 4;
-/** The same beside them, for the platform's log and targets that come and go. */
+/** Further idle connections that are kept, for the platform's log and for targets that come and go. */
 constexpr long ExtraKeptConnections = 64;
-/** Before the grace is over the process ends by itself, so that its log says what was cut. */
+/** The process exits this long before the end of the grace period, so that it can log the number of aborted requests.
+ */
 constexpr milliseconds GraceMargin{250};
-/** Names the work of keeping copies of the rules, which one gateway does. */
+/** Name of the task of writing the copies of the rules, which is assigned to one gateway. */
 constexpr std::string_view RulesCopiesTask = "copies-of-rules";
 
-/** Copies of the rules; with three, an outage of a third of the log's partitions seldom hides them all. */
+/** With three copies, an outage of a third of the log's partitions seldom makes all of them unreachable. */
 constexpr int MaxRulesCopies = 3;
 
 GatewayControl::Options controlOptions(const GatewayServer::Options &options)
@@ -128,7 +129,7 @@
         m_isStopping = true;
         m_controlLoop.post([this] { m_workShare.leave(); });
         m_trafficLoop.post([this] { m_callers.beginDrain(); });
-        // By half of the time few callers still pick a kept connection.
+        // After half of the time, few callers still choose a kept connection.
         m_trafficLoop.after(m_options.balancerDetectionTime / 2, [this] { m_callers.closeIdle(); });
         m_trafficLoop.after(m_options.balancerDetectionTime, [this] { m_traffic.refuseStreams(); });
         waitUntilDrained(drainStart);
@@ -208,7 +209,7 @@
         }
     }
 
-    /** Divides the slack for repeats among the gateways as the log divides work among them. */
+    /** Divides the retry slack among the gateways in the same way as the log divides the work. */
     void updateShares()
     {
         const auto share = m_workShare.fraction();
@@ -220,7 +221,7 @@
         m_trafficLoop.post([this, share = *share, evenShare] { m_traffic.setShares(share, evenShare); });
     }
 
-    /** Tells the keepers of services with expert groups which targets there are. */
+    /** Passes the current targets to the rebalancers of services with expert groups. */
     void updateRebalancers()
     {
         const auto rules = m_control.rules();
@@ -319,11 +320,11 @@
     EventLoop m_trafficLoop;
     EventLoop m_controlLoop;
     std::atomic<bool> m_isStopping{false};
-    GatewayTraffic m_traffic; ///< on the traffic thread, as the servers
+    GatewayTraffic m_traffic; ///< on the traffic thread, like the servers below
     CallerServer m_callers;
     CallerServer m_readiness;
     CallerServer m_metricsServer;
-    HttpClient m_client; ///< on the control thread, as what follows
+    HttpClient m_client; ///< on the control thread, like the members below
     LogClients m_logClients;
     SidecarRanks m_ranks;
     std::random_device m_entropy;
@@ -337,8 +338,8 @@
     CrashFeed m_crashFeed;
     GatewayControl m_control;
     std::map<ServiceName, std::unique_ptr<ExpertRebalancer>> m_rebalancers;
-    std::optional<double> m_budgetShare; ///< as the traffic thread was told
-    std::set<ServiceName> m_activeRebalancers; ///< services whose groups this gateway keeps even
+    std::optional<double> m_budgetShare; ///< last share posted to the traffic thread
+    std::set<ServiceName> m_activeRebalancers; ///< services whose groups this gateway rebalances
 };
 
 GatewayServer::GatewayServer(Options options, Adapter adapter)
--- a/modules/heatherridge_transport/direct/gatewayserver.h
+++ b/modules/heatherridge_transport/direct/gatewayserver.h
@@ -16,9 +16,9 @@
 {
 
 /**
- * The whole of a gateway: an entry that sends to targets itself. One thread for traffic, one for control state.
+ * A complete gateway: an entry that sends to targets itself. One thread serves traffic, one maintains control state.
  *
- * What the platform spells comes in through makers, so that nothing here knows it.
+ * The parts that depend on the platform are created by factories, so that nothing here depends on it.
  */
 class GatewayServer
 {
@@ -28,30 +28,30 @@
         ProcessName process{};
         ZoneName zone{};
         Endpoint listen{}; ///< for callers
-        Endpoint readyListen{}; ///< for the balancer in front
-        std::string readyPath{}; ///< what it asks
-        Endpoint metricsListen{}; ///< port 0: no metrics are served
+        Endpoint readyListen{}; ///< for readiness checks by the load balancer in front
+        std::string readyPath{}; ///< path of its readiness checks
+        Endpoint metricsListen{}; ///< no metrics are served if the port is 0
         FleetRetryBudgetOptions retryBudget{};
         ExpertRebalancerOptions groups{};
-        int sidecarPort = 0; ///< where the processes beside model engines listen; 0: there are none
+        int sidecarPort = 0; ///< port of the sidecars beside model engines; 0 if there are none
         GatewayControl::Options control{};
-        int logPartitions = 1; ///< partitions of a topic of the platform's log
+        int logPartitions = 1; ///< partitions of each topic of the platform's log
         std::size_t maxConnections = 1'000; ///< of callers
-        std::chrono::milliseconds gracePeriod{8'000}; ///< from the signal to stop until the process is killed
-        /** The balancer leaves a gateway out after two failed questions, a second apart; until then connections come.
-         */
+        std::chrono::milliseconds gracePeriod{8'000}; ///< from the stop signal until the process is killed
+        /** Time during which new connections still arrive after shutdown has begun: the balancer drops a gateway after
+         * two failed readiness checks, a second apart. */
         std::chrono::milliseconds balancerDetectionTime{3'000};
     };
 
-    /** What a gateway uses of the platform's log. */
+    /** The interfaces to the platform's log that a gateway uses. */
     struct LogClients
     {
         std::unique_ptr<RegisterLog> registers{};
         std::unique_ptr<ShareLog> shares{};
-        std::unique_ptr<ReportLog> reports{}; ///< on requests that end targets
+        std::unique_ptr<ReportLog> reports{}; ///< on requests that crash targets
     };
 
-    /** Makes what is spelled by the platform. Called on construction. */
+    /** Creates the platform-specific parts. The factories are called on construction. */
     struct Adapter
     {
         std::shared_ptr<const TrafficCodec> trafficCodec{};
@@ -65,13 +65,14 @@
     GatewayServer(const GatewayServer &) = delete;
     GatewayServer &operator=(const GatewayServer &) = delete;
 
-    /** Starts all threads. @returns where callers are served, or why not */
+    /** Starts all threads. @returns the endpoints that serve callers, or the error */
     Result<std::vector<Endpoint>> start();
 
-    /** Takes over what may change while it runs: the bounds of repeats. Any thread. */
+    /** Applies the options that may change at run time: the bounds of retries. Callable from any thread. */
     void reload(const Options &options);
 
-    /** Graceful shutdown: not ready, new connections still answered, open requests finish. Blocks until then. */
+    /** Shuts down gracefully: reports not ready, still serves new connections, finishes open requests. Blocks until
+     * done. */
     void drainAndStop();
 
 private:
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -11,13 +11,13 @@
 namespace
 {
 
-/** Nothing is sent to a target that has refused a request for as long; a slot of a plain service comes free in it. */
+/** How long nothing is sent to a target after it refused a request; a plain service frees a slot within this time. */
 constexpr std::chrono::milliseconds RefusalBackoff{100};
-/** Part of the promised pause between events that a pass may take; the rest is for the ways between engine and caller.
- */
+/** Fraction of the promised pause between events that a pass may take; the rest covers the transport from the engine to
+ * the caller. */
 constexpr double PassFractionOfPause = 0.9;
 
-/** What other entries have at each of @p targets on average, by what these told of late. */
+/** Returns the average load that other entries put on each of @p targets, weighted by how recent the reports are. */
 double averageOtherLoad(const std::vector<GatewayTarget *> &targets, SteadyTime now)
 {
     double sum = 0;
@@ -82,12 +82,12 @@
         && std::any_of(m_targets.begin(), m_targets.end(),
                        [&](const auto &entry) { return entry.second.engine && isUsable(entry.second, service); });
     for (auto &[id, target] : m_targets) {
-        // An engine that has not said which group it is in has just come, and takes part in no pass yet.
+        // An engine that has not reported its group has just started and takes part in no pass yet.
         if (isUsable(target, service) && (!hasEngineGroups || target.engine)) {
             targets.push_back(&target);
         }
     }
-    // Plain services tell their load with each answer; one that has not answered for long is idle.
+    // Plain services report their load in each response; one that has not responded for long is idle.
     const double averageOthers = hasEngineGroups ? averageOtherLoad(targets, now) : 0;
     candidates.reserve(targets.size());
     for (const auto *target : targets) {
@@ -201,7 +201,8 @@
 void GatewayTargets::setShares(double limitShare, double capacityShare)
 {
     m_limitShare = limitShare;
-    // Without a share this process has lost the log for a while; the last one says better how many others there are.
+    // A share of 0 means that this process has lost the log for a while; the last known share is then the better
+    // estimate of the number of gateways.
     m_capacityShare = capacityShare > 0 ? capacityShare : m_capacityShare;
 }
 
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -16,84 +16,86 @@
 namespace Heatherridge
 {
 
-/** What one gateway believes of one target. */
+/** The state of one target as estimated by one gateway. */
 struct GatewayTarget
 {
     TargetEntry entry{};
     LoadEstimate load{};
-    SteadyTime lastReceivedAt{}; ///< when bytes of any answer last came from it
-    std::optional<EngineView> engine{}; ///< of an engine in an expert group, its own last word
-    int sentSinceReport = 0; ///< requests of this gateway since the engine's last word
-    SteadyTime refusedUntil{}; ///< it has refused a request; nothing is sent before
-    TargetRateLimit limit{}; ///< of the requests that it takes from all entries together
+    SteadyTime lastReceivedAt{}; ///< when bytes of any response last arrived from it
+    std::optional<EngineView> engine{}; ///< last report of an engine in an expert group
+    int sentSinceReport = 0; ///< requests sent by this gateway since the engine's last report
+    SteadyTime refusedUntil{}; ///< set when it refused a request; nothing is sent before this time
+    TargetRateLimit limit{}; ///< on the requests that it accepts from all entries together
 };
 
 /**
- * The targets of a gateway with load and health. On the traffic thread alone.
+ * The targets of a gateway with their load and health. Used on the traffic thread only.
  *
- * Targets that left the register stay until their last request has ended, but get nothing new.
+ * A target that left the register is kept until its last request has ended, but receives no new requests.
  */
 class GatewayTargets
 {
 public:
-    /** A target with open requests that says nothing for so long stands still, and its whole group with it. */
+    /** A target with open requests that sends nothing for longer is stalled, and its whole group with it. */
     static constexpr std::chrono::milliseconds StallTimeout{700};
 
     explicit GatewayTargets(ZoneName zone);
 
-    /** The register as it now is. @returns the targets that are gone */
+    /** Replaces the registered targets. @returns the targets that are no longer registered */
     std::vector<TargetName> setEntries(const std::vector<TargetEntry> &entries);
 
-    /** How the engines of each service work. */
+    /** Sets the pass time model of each service with expert groups. */
     void setEngineProfiles(const RoutingConfig &config);
 
-    /** What the engines of expert groups say of themselves. */
+    /** Applies the latest reports of engines in expert groups. */
     void updateEngines(const std::vector<EngineView> &engines);
 
-    /** The target @p id, or nullptr once it is gone. */
+    /** Returns the target @p id, or nullptr once it has been removed. */
     GatewayTarget *find(const TargetName &id);
 
     /**
-     * This gateway's part of what all gateways do.
-     * @param limitShare of the limits that targets name; those of all gateways add up to 1
-     * @param capacityShare of the room that engines report, over 0; what is left is for the other gateways
+     * Sets this gateway's share of the resources that all gateways use.
+     * @param limitShare of the limits that targets name; the shares of all gateways add up to 1
+     * @param capacityShare of the free capacity that engines report; the rest is for the other gateways. 0 leaves the
+     *        last share in force
      */
     void setShares(double limitShare, double capacityShare);
 
-    /** Where a request goes. */
+    /** The target chosen for a request. */
     struct Choice
     {
-        GatewayTarget *target = nullptr; ///< null for nowhere
-        double load = 0; ///< that the target is believed to have
-        bool isFull = false; ///< there are targets, but all have as much as they should
+        GatewayTarget *target = nullptr; ///< null if no target can take the request
+        double load = 0; ///< estimated load of the target
+        bool isFull = false; ///< there are targets, but all are at capacity
         std::optional<std::chrono::milliseconds>
-            limitWait{}; ///< until a target may get more by the limit that it names
+            limitWait{}; ///< time until the limit that a target names allows another request
     };
 
     /**
-     * Where to send a request for @p service that @p tried have failed or refused.
-     * @param urgency of a stream
+     * Chooses a target for a request for @p service.
+     * @param tried targets that have failed or refused the request
+     * @param urgency of the request, if it is a stream
      */
     Choice choose(const ServiceName &service, const std::set<TargetName> &tried, Urgency urgency, SteadyTime now,
                   RandomSource &random);
 
-    /** A stream was sent to an engine of @p group. */
+    /** Records that a stream was sent to an engine of @p group. */
     void recordSend(const GroupName &group, SteadyTime now);
 
-    /** A stream of @p group had @p pause between two events: a pass of the group took as long. */
+    /** Records the @p pause between two events of a stream of @p group: the time of one pass of the group. */
     void recordPause(const GroupName &group, std::chrono::milliseconds pause, SteadyTime now);
 
-    /** What an answer of @p target says of its limit. @returns whether it is another one than before */
+    /** Sets the limit that a response of @p target names, or none. @returns whether the limit has changed */
     bool updateLimit(GatewayTarget &target, std::optional<double> requestsPerSecond, SteadyTime now,
                      RandomSource &random) const;
 
-    /** @p id has refused a request. */
+    /** Records that the target @p id refused a request. */
     void recordRefusal(const TargetName &id, SteadyTime now);
 
-    /** An attempt at @p id ended; tells of its health. */
+    /** Records the end of an attempt at the target @p id, as a sample of its health. */
     void recordAttempt(const TargetName &id, AttemptOutcome attempt, SteadyTime now);
 
-    /** Whether @p target has open requests and has said nothing for StallTime. */
+    /** Returns whether @p target has open requests and has sent nothing for longer than StallTimeout. */
     static bool isStalled(const GatewayTarget &target, SteadyTime now);
 
 private:
@@ -109,11 +111,10 @@
 
     ZoneName m_zone;
     double m_limitShare = 0;
-    double m_capacityShare =
-        0.25; ///< of the room that engines report, until the share of the work is known: four gateways
+    double m_capacityShare = 0.25; ///< of the free capacity of engines; assumes four gateways until the share is known
     std::map<GroupName, GroupAdmission> m_groups;
     std::map<TargetName, GatewayTarget> m_targets;
-    std::set<TargetName> m_unregistered; ///< left the register, with requests open
+    std::set<TargetName> m_unregistered; ///< targets that left the register with requests open
     std::map<ServiceName, HealthTracker> m_health;
     std::map<ServiceName, PassTimeModel> m_passBudgetRules; ///< of services with expert groups
 };
--- a/modules/heatherridge_transport/direct/gatewaytraffic.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.cpp
@@ -12,11 +12,11 @@
 namespace
 {
 
-/** When to ask again while there is no configuration: one read of the log. */
+/** Retry delay for callers while there is no configuration: the time of one read of the log. */
 constexpr std::chrono::milliseconds UnconfiguredRetryAfter{200};
-/** How often streams that wait look for room: half of a short pass. */
+/** How often waiting streams look for an engine with free capacity: half of a short pass. */
 constexpr std::chrono::milliseconds QueuePeriod{20};
-/** When to ask again at another entry while this one stops. */
+/** Delay after which callers retry at another entry while this one shuts down. */
 constexpr std::chrono::milliseconds StoppingRetryAfter{50};
 
 } // namespace
@@ -186,7 +186,7 @@
             dequeue(stream.number);
             continue;
         }
-        // What finds no room leaves none for those behind it.
+        // If a stream finds no free engine, neither do the streams of the same service behind it.
         if (fullServices.contains(stream.service)) {
             continue;
         }
@@ -235,12 +235,13 @@
         return match;
     }
     if (fields.id.isEmpty() || !fields.isWellFormed) {
-        return Error{.kind = ErrorKind::BadRequest, .detail = "request id or deadline cannot be read", .ran = Ran::No};
+        return Error{
+            .kind = ErrorKind::BadRequest, .detail = "request id or deadline is missing or malformed", .ran = Ran::No};
     }
     const auto &route = *std::get<RouteMatch>(match).route;
     if (m_refusesStreams && route.kind == RequestKind::EventStream) {
         return Error{.kind = ErrorKind::Draining,
-                     .detail = "this entry stops",
+                     .detail = "this entry is shutting down",
                      .ran = Ran::No,
                      .retryAfter = StoppingRetryAfter};
     }
--- a/modules/heatherridge_transport/direct/gatewaytraffic.h
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.h
@@ -23,12 +23,12 @@
 class GatewayCall;
 
 /**
- * The traffic thread's state of a gateway: takes callers' requests, sends them to targets and passes the answers back.
+ * The state of a gateway's traffic thread: accepts callers' requests, sends them to targets and returns the answers.
  *
- * A gateway is an entry that sends to targets itself, for platforms where nothing of this project runs beside a target.
- * What a target's process would see to is done here as far as one of several senders can: placement by estimated load,
- * repeats within a budget that needs no exchange, no repeat of what may not run twice without proof.
- * All methods on the loop's thread.
+ * A gateway is an entry that sends to targets itself, for platforms where no process of this project runs beside a
+ * target. It does the work of such a process as far as one of several senders can: it places requests by estimated
+ * load, retries within a budget that needs no coordination, and does not retry a request that must not run twice unless
+ * it is proven that it has not run. All methods are called on the loop's thread.
  */
 class GatewayTraffic
 {
@@ -37,56 +37,57 @@
     {
         ZoneName zone{};
         FleetRetryBudgetOptions retryBudget{};
-        std::chrono::milliseconds connectTimeout{300}; ///< 100 round trips; a lost opening packet is sent after 1 s
-        /** Told what this gateway has seen of requests that end targets, for the other gateways. */
+        std::chrono::milliseconds connectTimeout{300}; ///< 100 round trips; TCP resends a lost SYN only after 1 s
+        /** Called with this gateway's reports on requests that crash targets, to publish to the other gateways. */
         std::function<void(const CrashReport &)> reportCrash{};
     };
 
-    /** @p codec and @p metrics must outlive it. */
+    /** @p codec and @p metrics must outlive this object. */
     GatewayTraffic(asio::io_context &loop, Options options, const TrafficCodec &codec, Metrics &metrics);
     ~GatewayTraffic();
 
     GatewayTraffic(const GatewayTraffic &) = delete;
     GatewayTraffic &operator=(const GatewayTraffic &) = delete;
 
-    /** A new configuration is in force. */
+    /** Puts a new configuration in force. */
     void setTable(std::shared_ptr<const RouteTable> table);
 
-    /** The register of targets as it now is. */
+    /** Replaces the registered targets. */
     void setTargets(const std::vector<TargetEntry> &entries);
 
-    /** Bounds of repeats, from now on. Keeps this gateway's part of the slack. */
+    /** Sets new bounds for retries. Keeps this gateway's share of the slack. */
     void setRetryBudget(FleetRetryBudgetOptions options);
 
     /**
-     * This gateway's part of what all gateways do.
-     * @param budgetShare of the slack for repeats and of targets' limits, which must not add up to more than these
-     * @param evenShare of the streams, as if all had alike
+     * Sets this gateway's share of the resources that all gateways use.
+     * @param budgetShare of the retry slack and of targets' limits; the shares of all gateways must not add up to more
+     *        than the whole
+     * @param evenShare of the streams, assuming that all gateways have equally many
      */
     void setShares(double budgetShare, double evenShare);
 
-    /** From now on nothing is taken that could outlast the process. */
+    /** Refuses new streams from now on, since they could outlast the process. */
     void refuseStreams();
 
-    /** What the engines of expert groups say of themselves. */
+    /** Applies the latest reports of engines in expert groups. */
     void updateEngines(const std::vector<EngineView> &engines);
 
-    /** What gateways, this one among them, have seen of requests that end targets. */
+    /** Applies the reports of all gateways, including this one, on requests that crash targets. */
     void applyCrashReports(const std::vector<CrashReport> &reports);
 
-    /** Takes a request. */
+    /** Accepts or refuses a new request. */
     void handle(const std::shared_ptr<HttpExchange> &exchange);
 
-    /** Closes what is no longer needed. Called about once a second. */
+    /** Closes idle connections and removes expired crash suspicions. Called about once a second. */
     void tick(SteadyTime now);
 
-    /** Whether there is a configuration and a target. */
+    /** Returns whether a configuration is in force and a target has been registered. */
     bool isReady() const;
 
-    /** Requests without a whole answer. */
+    /** Returns the number of requests whose answer is not complete. */
     std::size_t openCallCount() const;
 
-    /** Drops all calls. */
+    /** Aborts all calls without an answer. */
     void stop();
 
 private:
@@ -130,8 +131,8 @@
     SeededRandom m_random;
     std::map<ServiceName, FleetRetryBudget> m_retryBudgets;
     std::map<ServiceName, RunningEstimate> m_firstEventDelays; ///< from sending a stream to its first event
-    StreamQueue m_queue; ///< streams that wait for an engine
-    std::map<std::uint64_t, std::weak_ptr<GatewayCall>> m_waitingCalls; ///< their calls
+    StreamQueue m_queue; ///< streams waiting for an engine
+    std::map<std::uint64_t, std::weak_ptr<GatewayCall>> m_waitingCalls; ///< the calls of the streams in m_queue
     asio::steady_timer m_queueTimer;
     bool m_isQueueTimerArmed = false;
     std::uint64_t m_callCount = 0;
--- a/modules/heatherridge_transport/direct/streamprogress.cpp
+++ b/modules/heatherridge_transport/direct/streamprogress.cpp
@@ -26,7 +26,7 @@
         }
         const bool isDuplicate = event.id && m_lastEventId && *event.id <= *m_lastEventId;
         if (isDuplicate) {
-            continue; // the caller has it from an earlier target
+            continue; // received from an earlier target
         }
         m_isBroken = event.id && m_lastEventId && hasBegun && *event.id != *m_lastEventId + 1;
         if (m_isBroken) {
--- a/modules/heatherridge_transport/direct/streamprogress.h
+++ b/modules/heatherridge_transport/direct/streamprogress.h
@@ -12,39 +12,44 @@
 namespace Heatherridge
 {
 
-/** How far a caller's stream has come, over all targets that have had a part in it, and how evenly. One thread. */
+/**
+ * Tracks the progress of a caller's stream across all targets that serve parts of it, and the pauses between its
+ * events. Single-threaded.
+ */
 class StreamProgress
 {
 public:
-    /** @param lastEventId that the caller has already */
+    /** @param lastEventId last event that the caller has already received */
     explicit StreamProgress(std::optional<std::uint64_t> lastEventId);
 
-    /** A target begins to send, behind lastEvent(). */
+    /** Called when a new attempt starts; its target sends the events after lastEventId(). */
     void beginAttempt();
 
-    /** The events in @p bytes that the caller does not have. An event that is missing before one breaks the stream. */
+    /** Returns the events in @p bytes that the caller does not have. A gap in the event ids breaks the stream. */
     std::vector<StreamEvent> feed(std::string_view bytes);
 
-    /** An event goes to the caller @p age after its request came. @returns the pause before it; nothing for the first
+    /**
+     * Records that an event is forwarded to the caller, @p age after the request arrived.
+     * @returns the pause before the event; nothing for the first one
      */
     std::optional<std::chrono::milliseconds> recordForwarded(SteadyTime now, std::chrono::milliseconds age);
 
-    /** Whether the caller has a part of the stream. */
+    /** Returns whether an event has been forwarded to the caller. */
     bool hasBegun() const;
 
-    /** Whether an event is missing, or the present attempt has stopped within one. */
+    /** Returns whether an event is missing, or the data of the current attempt ends in the middle of one. */
     bool isBroken() const;
 
-    /** The caller has the stream up to here. */
+    /** Returns the id of the last event that the caller has. */
     std::optional<std::uint64_t> lastEventId() const;
 
-    /** When the last event went to the caller. */
+    /** Returns when the last event was forwarded to the caller. */
     SteadyTime lastEventAt() const;
 
-    /** From the request to the first event. */
+    /** Returns the time from the request's arrival to the first event. */
     std::chrono::milliseconds timeToFirstEvent() const;
 
-    /** Between two events. */
+    /** Returns the longest pause between two events. */
     std::chrono::milliseconds longestPause() const;
 
 private:
