--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -138,10 +138,10 @@
     if (m_possibleExecutions > 0 || m_stream.hasBegun()) {
         return Urgency::InProgress;
     }
-    return now() <= timelyUntil() ? Urgency::OnTime : Urgency::Late;
+    return now() <= onTimeUntil() ? Urgency::OnTime : Urgency::Late;
 }
 
-SteadyTime GatewayCall::timelyUntil() const
+SteadyTime GatewayCall::onTimeUntil() const
 {
     // A caller that retries has already waited: the timeout that it sends is the rest of its total.
     const auto timeWaitedBefore =
@@ -158,7 +158,7 @@
     const WaitingStream stream{.number = m_number,
                                .service = m_service,
                                .hasStarted = urgency() == Urgency::InProgress,
-                               .onTimeUntil = timelyUntil()};
+                               .onTimeUntil = onTimeUntil()};
     // The wait is estimated only when the stream joins the queue and when it becomes late and falls behind the
     // on-time streams; at other times it can only have moved forward.
     const bool isLate = stream.onTimeUntil < now();
--- a/modules/heatherridge_transport/direct/gatewaycall.h
+++ b/modules/heatherridge_transport/direct/gatewaycall.h
@@ -60,7 +60,7 @@
     void startAttempt();
     void waitForTarget(Error error);
     Urgency urgency() const;
-    SteadyTime timelyUntil() const;
+    SteadyTime onTimeUntil() const;
     void enqueue();
     void send(GatewayTarget &target, double load);
     void onResponseHead(const HttpMessageHead &head);
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -77,8 +77,8 @@
     std::vector<GatewayTarget *> targets;
     std::vector<DirectCandidate> candidates;
     const auto &health = m_health[service];
-    const auto rules = m_passBudgetRules.find(service);
-    const bool hasEngineGroups = rules != m_passBudgetRules.end()
+    const auto passTimeModel = m_passTimeModels.find(service);
+    const bool hasEngineGroups = passTimeModel != m_passTimeModels.end()
         && std::any_of(m_targets.begin(), m_targets.end(),
                        [&](const auto &entry) { return entry.second.engine && isUsable(entry.second, service); });
     for (auto &[id, target] : m_targets) {
@@ -94,7 +94,7 @@
         candidates.push_back(makeCandidate(*target, averageOthers, health, tried, now));
     }
     if (hasEngineGroups) {
-        return chooseEngine(targets, candidates, rules->second, urgency, now, random);
+        return chooseEngine(targets, candidates, passTimeModel->second, urgency, now, random);
     }
     const auto chosen = placeDirectly(candidates, random);
     if (chosen) {
@@ -133,7 +133,7 @@
 
 GatewayTargets::Choice GatewayTargets::chooseEngine(const std::vector<GatewayTarget *> &targets,
                                                     const std::vector<DirectCandidate> &candidates,
-                                                    const PassTimeModel &rules, Urgency urgency, SteadyTime now,
+                                                    const PassTimeModel &passTimeModel, Urgency urgency, SteadyTime now,
                                                     RandomSource &random)
 {
     std::vector<EngineCandidate> engines;
@@ -156,7 +156,7 @@
     }
     std::vector<EngineGroup> groups;
     for (std::size_t group = 0; group < groupWork.size(); ++group) {
-        groups.push_back(m_groups[groupNames[group]].evaluate(groupWork[group], rules, m_capacityShare, now));
+        groups.push_back(m_groups[groupNames[group]].evaluate(groupWork[group], passTimeModel, m_capacityShare, now));
     }
     const auto choice = placeStream(engines, groups, {.urgency = urgency, .share = m_capacityShare}, random);
     if (choice.index) {
@@ -223,13 +223,13 @@
 
 void GatewayTargets::setEngineProfiles(const RoutingConfig &config)
 {
-    m_passBudgetRules.clear();
+    m_passTimeModels.clear();
     for (const auto &service : config.services) {
         if (!service.engine || service.engine->layerSets == 0) {
             continue;
         }
         const auto &engine = *service.engine;
-        m_passBudgetRules.emplace(
+        m_passTimeModels.emplace(
             service.name,
             PassTimeModel{.baseTime = engine.step * engine.stepsPerPass,
                           .timePerRequest = engine.stepPerRequest * engine.stepsPerPass,
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -107,7 +107,7 @@
     std::optional<std::chrono::milliseconds> shortestLimitWait(const std::vector<GatewayTarget *> &targets,
                                                                SteadyTime now) const;
     Choice chooseEngine(const std::vector<GatewayTarget *> &targets, const std::vector<DirectCandidate> &candidates,
-                        const PassTimeModel &rules, Urgency urgency, SteadyTime now, RandomSource &random);
+                        const PassTimeModel &passTimeModel, Urgency urgency, SteadyTime now, RandomSource &random);
 
     ZoneName m_zone;
     double m_limitShare = 0;
@@ -116,7 +116,7 @@
     std::map<TargetName, GatewayTarget> m_targets;
     std::set<TargetName> m_unregistered; ///< targets that left the register with requests open
     std::map<ServiceName, HealthTracker> m_health;
-    std::map<ServiceName, PassTimeModel> m_passBudgetRules; ///< of services with expert groups
+    std::map<ServiceName, PassTimeModel> m_passTimeModels; ///< of services with expert groups
 };
 
 } // namespace Heatherridge
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -59,7 +59,8 @@
 struct AnswerCase
 {
     const char *description;
-    ScriptedTarget::Script first; ///< of the target that receives the first request; the other answers successfully
+    ScriptedTarget::Script
+        firstScript; ///< of the target that receives the first request; the other answers successfully
     const char *path; ///< of the request
     int status;
     const char *body;
@@ -136,7 +137,7 @@
     // Whichever target receives the first request runs the script of the test case.
     std::atomic<int> requestCount = 0;
     const auto script = [&](const std::string &request, int number) {
-        return requestCount++ == 0 ? testCase.first(request, number) : answerGood(request, number);
+        return requestCount++ == 0 ? testCase.firstScript(request, number) : answerGood(request, number);
     };
     const ScriptedTarget first(script);
     const ScriptedTarget second(script);
