--- a/modules/heatherridge_transport/direct/gatewaycontrol.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycontrol.cpp
@@ -79,7 +79,7 @@
     }
 }
 
-void GatewayControl::onLogRestored(RandomSource &random)
+void GatewayControl::logRestored(RandomSource &random)
 {
     const auto spread = RereadSpreadPerTarget * m_directory.targets().size();
     const auto randomDelay = [&] {
--- a/modules/heatherridge_transport/direct/gatewaycontrol.h
+++ b/modules/heatherridge_transport/direct/gatewaycontrol.h
@@ -69,7 +69,7 @@
      * Called when the log was restored from an older copy. What is in force stays in force. Each register is read again
      * after a delay drawn from @p random, since all gateways detect the restore at the same time.
      */
-    void onLogRestored(RandomSource &random);
+    void logRestored(RandomSource &random);
 
     /** Returns all targets in their current state, as far as known. */
     std::vector<TargetEntry> targets() const;
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -286,7 +286,7 @@
                   {"read-again", "rules targets copies-of-rules crash-reports"},
                   {"unconfirmed", "share-of-work"}});
         SeededRandom random(m_entropy());
-        m_control.onLogRestored(random);
+        m_control.logRestored(random);
         m_workShare.logRestored();
         m_crashFeed.logRestored();
     }
