--- a/modules/heatherridge_transport/direct/gatewaycontrol.h
+++ b/modules/heatherridge_transport/direct/gatewaycontrol.h
@@ -49,8 +49,7 @@
     {
         std::function<void(std::shared_ptr<const RouteTable>)> rulesChanged{};
         std::function<void(std::vector<TargetEntry>)> targetsChanged{};
-        std::function<void(bool isReachable)>
-            reachabilityChanged{}; ///< a register became unreachable or reachable again
+        std::function<void(bool isReachable)> reachabilityChanged{}; ///< of one of the two registers
     };
 
     /** Returns how long a read of the rules waits for a change at most. */
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -31,8 +31,7 @@
 constexpr long KeptConnectionsPerTarget = 4;
 /** Further idle connections that are kept, for the platform's log and for targets that come and go. */
 constexpr long ExtraKeptConnections = 64;
-/** The process exits this long before the end of the grace period, so that it can log the number of aborted requests.
- */
+/** The process exits this long before the grace period ends, to log the number of aborted requests. */
 constexpr milliseconds GraceMargin{250};
 /** Name of the task of writing the copies of the rules, which is assigned to one gateway. */
 constexpr std::string_view RulesCopiesTask = "copies-of-rules";
@@ -209,7 +208,8 @@
         }
     }
 
-    /** Divides the retry slack among the gateways in the same way as the log divides the work. */
+    /** Divides the retry slack and the targets' limits among the gateways in the same way as the log divides the work.
+     */
     void updateShares()
     {
         const auto share = m_workShare.fraction();
--- a/modules/heatherridge_transport/direct/gatewaytargets.h
+++ b/modules/heatherridge_transport/direct/gatewaytargets.h
@@ -67,8 +67,7 @@
         GatewayTarget *target = nullptr; ///< null if no target can take the request
         double load = 0; ///< estimated load of the target
         bool isFull = false; ///< there are targets, but all are at capacity
-        std::optional<std::chrono::milliseconds>
-            limitWait{}; ///< time until the limit that a target names allows another request
+        std::optional<std::chrono::milliseconds> limitWait{}; ///< until a limit allows another request
     };
 
     /**
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -59,8 +59,7 @@
 struct AnswerCase
 {
     const char *description;
-    ScriptedTarget::Script
-        firstScript; ///< of the target that receives the first request; the other answers successfully
+    ScriptedTarget::Script firstScript; ///< runs for the first request; later ones are answered successfully
     const char *path; ///< of the request
     int status;
     const char *body;
