--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -208,8 +208,7 @@
         }
     }
 
-    /** Divides the retry slack and the targets' limits among the gateways in the same way as the log divides the work.
-     */
+    /** Divides the retry slack and the targets' limits among the gateways as the log divides the work. */
     void updateShares()
     {
         const auto share = m_workShare.fraction();
