--- a/modules/heatherridge_transport/direct/crashguard.cpp
+++ b/modules/heatherridge_transport/direct/crashguard.cpp
@@ -68,9 +68,9 @@
     }
 }
 
-SuspectTargets &CrashGuard::suspectPlaces()
+SuspectTargets &CrashGuard::suspectTargets()
 {
-    return m_suspectPlaces;
+    return m_suspectTargets;
 }
 
 void CrashGuard::tick(SteadyTime now)
--- a/modules/heatherridge_transport/direct/crashguard.h
+++ b/modules/heatherridge_transport/direct/crashguard.h
@@ -52,7 +52,7 @@
     void applyReports(const std::vector<CrashReport> &reports);
 
     /** Returns the targets that hold a suspect request of this gateway and have not sent a body byte for it. */
-    SuspectTargets &suspectPlaces();
+    SuspectTargets &suspectTargets();
 
     /** Removes expired suspicions. Called about once a second. */
     void tick(SteadyTime now);
@@ -65,7 +65,7 @@
     Counter &m_targetDeaths;
     Counter &m_blockedRequests;
     CrashSuspects m_suspects;
-    SuspectTargets m_suspectPlaces;
+    SuspectTargets m_suspectTargets;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -122,7 +122,7 @@
 {
     auto &targets = m_traffic.m_targets;
     if (isSuspect()) {
-        const auto avoided = m_traffic.m_crashGuard.suspectPlaces().targetsToAvoid(m_tried);
+        const auto avoided = m_traffic.m_crashGuard.suspectTargets().targetsToAvoid(m_tried);
         const auto unsuspectedChoice = targets.choose(m_service, avoided, urgency(), now(), m_traffic.m_random);
         if (unsuspectedChoice.target != nullptr) {
             return unsuspectedChoice;
@@ -299,10 +299,10 @@
         onStreamComplete();
         return;
     }
-    finishAttempt(plainAttemptEnd(), {});
+    finishAttempt(plainAttemptResult(), {});
 }
 
-AttemptResult GatewayCall::plainAttemptEnd() const
+AttemptResult GatewayCall::plainAttemptResult() const
 {
     if (m_responseFields.isNotRun && m_responseFields.id == m_callerFields.id) {
         return AttemptResult::RefusedAtTarget;
@@ -396,7 +396,7 @@
 {
     if (isSuspect()) {
         m_suspectTarget = target;
-        m_traffic.m_crashGuard.suspectPlaces().add(target);
+        m_traffic.m_crashGuard.suspectTargets().add(target);
     }
 }
 
@@ -405,7 +405,7 @@
     if (!m_suspectTarget) {
         return;
     }
-    m_traffic.m_crashGuard.suspectPlaces().remove(*m_suspectTarget);
+    m_traffic.m_crashGuard.suspectTargets().remove(*m_suspectTarget);
     m_suspectTarget.reset();
 }
 
@@ -471,26 +471,26 @@
     finish("delivered", m_responseStatus);
 }
 
-void GatewayCall::finishAttempt(AttemptResult end, std::string_view reason)
+void GatewayCall::finishAttempt(AttemptResult result, std::string_view reason)
 {
-    releaseTarget(end == AttemptResult::Answered || end == AttemptResult::FailedAtTarget
-                  || end == AttemptResult::RefusedAtTarget);
-    if (end == AttemptResult::RefusedAtTarget) {
+    releaseTarget(result == AttemptResult::Answered || result == AttemptResult::FailedAtTarget
+                  || result == AttemptResult::RefusedAtTarget);
+    if (result == AttemptResult::RefusedAtTarget) {
         m_traffic.m_targets.recordRefusal(m_target, now());
     }
-    if (end == AttemptResult::Answered) {
+    if (result == AttemptResult::Answered) {
         m_traffic.m_targets.recordAttempt(m_target, AttemptOutcome::Succeeded, now());
-    } else if (end != AttemptResult::RefusedAtTarget) {
+    } else if (result != AttemptResult::RefusedAtTarget) {
         m_traffic.m_targets.recordAttempt(
-            m_target, end == AttemptResult::TimedOut ? AttemptOutcome::TimedOut : AttemptOutcome::Failed, now());
+            m_target, result == AttemptResult::TimedOut ? AttemptOutcome::TimedOut : AttemptOutcome::Failed, now());
     }
-    const bool hasCompleted = end == AttemptResult::Answered || end == AttemptResult::FailedAtTarget;
+    const bool hasCompleted = result == AttemptResult::Answered || result == AttemptResult::FailedAtTarget;
     if (hasCompleted && isSuspect()) {
         m_traffic.m_crashGuard.recordAnswer(fingerprint());
     }
-    m_possibleExecutions += mayHaveRun(end) ? 1 : 0;
-    m_possibleArrivals += end != AttemptResult::NeverSent ? 1 : 0;
-    const auto step = nextStep(end,
+    m_possibleExecutions += mayHaveRun(result) ? 1 : 0;
+    m_possibleArrivals += result != AttemptResult::NeverSent ? 1 : 0;
+    const auto step = nextStep(result,
                                {.kind = m_route.kind,
                                 .isResumable = m_route.isResumable,
                                 .possibleRuns = m_possibleExecutions,
@@ -502,30 +502,30 @@
         deliver();
         return;
     case NextStep::Retry:
-        retry(end, reason);
+        retry(result, reason);
         return;
     case NextStep::Fail:
         break;
     }
     Error error{.kind = m_possibleExecutions > 0 ? ErrorKind::BackendFailed : ErrorKind::Overloaded,
-                .detail = std::string(toString(end)) + " at " + m_target.text() + " " + std::string(reason),
+                .detail = std::string(toString(result)) + " at " + m_target.text() + " " + std::string(reason),
                 .retryAfter = TargetsFullRetryAfter};
-    if (mayHaveRun(end)) {
+    if (mayHaveRun(result)) {
         fail(std::move(error));
     } else {
         waitForTarget(std::move(error));
     }
 }
 
-void GatewayCall::retry(AttemptResult end, std::string_view reason)
+void GatewayCall::retry(AttemptResult result, std::string_view reason)
 {
-    if (end == AttemptResult::FailedAtTarget && m_traffic.retryBudgetFor(m_service).remaining(now()) < 1) {
+    if (result == AttemptResult::FailedAtTarget && m_traffic.retryBudgetFor(m_service).remaining(now()) < 1) {
         deliver(); // the target's own error is more useful to the caller than one made here
         return;
     }
     logEvent(Severity::Info, "repeat",
              {{"request", m_callerFields.id.text()},
-              {"after", std::string(toString(end))},
+              {"after", std::string(toString(result))},
               {"target", m_target.text()},
               {"reason", std::string(reason)},
               {"tries", std::to_string(m_attempts)},
--- a/modules/heatherridge_transport/direct/gatewaycall.h
+++ b/modules/heatherridge_transport/direct/gatewaycall.h
@@ -68,12 +68,12 @@
     void onResponseBody(std::string_view bytes);
     void onResponseComplete();
     void onExchangeFailed(const ExchangeFailure &failure);
-    AttemptResult plainAttemptEnd() const;
+    AttemptResult plainAttemptResult() const;
     void forwardEvents(std::string_view bytes);
     void forwardEvent(const StreamEvent &event);
     void write(const std::string &text);
     void onStreamComplete();
-    void finishAttempt(AttemptResult end, std::string_view reason);
+    void finishAttempt(AttemptResult result, std::string_view reason);
     void probeTargetAfterFailure(const std::string &reason);
     const RequestFingerprint &fingerprint();
     bool isSuspect();
@@ -82,7 +82,7 @@
     void markSuspectAt(const TargetName &target);
     void unmarkSuspect();
     void releaseTarget(bool keepConnection);
-    void retry(AttemptResult end, std::string_view reason);
+    void retry(AttemptResult result, std::string_view reason);
     void deliver();
     void fail(Error error);
     void finish(std::string_view outcome, int status);
