--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -15,14 +15,14 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/** When to ask again after a refusal for want of a target: entries learn of a new one within a second. */
+/** Retry delay for callers refused because there is no target: entries learn of a new target within a second. */
 constexpr milliseconds NoTargetRetryAfter{500};
-/** When to ask again after all engines were found full: a third of the time that one takes for an answer. */
+/** Retry delay for callers refused because all engines are full: a third of an engine's usual answer time. */
 constexpr milliseconds EnginesFullRetryAfter{500};
-/** When to ask again after the targets refused: a slot of a plain service comes free within this. */
+/** Retry delay for callers after the targets refused: a slot of a plain service becomes free within this time. */
 constexpr milliseconds TargetsFullRetryAfter{300};
 
-/** From sending a stream to its first event, before any was seen: two passes that keep the usual pauses. */
+/** Assumed time from sending a stream to its first event, before any was measured: two passes of usual length. */
 constexpr milliseconds DefaultFirstEventDelay{200};
 
 SteadyTime now()
@@ -61,7 +61,7 @@
         return;
     }
     if (isStream() && m_traffic.m_queue.hasOnTimeStream(m_service, m_arrivedAt)) {
-        enqueue(); // behind those that came before it
+        enqueue(); // behind the streams that arrived earlier
     } else {
         startAttempt();
     }
@@ -96,12 +96,12 @@
         return;
     }
     const auto choice = chooseTarget();
-    // An attempt that never left puts no load on anybody: what follows it is the first.
+    // An attempt that never reached a target adds no load, so the next one does not count as a retry.
     const bool isRetry = m_possibleArrivals > 0;
     if (choice.target != nullptr && isRetry && !m_traffic.retryBudgetFor(m_service).tryTake(now())) {
         m_traffic.m_counters.retriesDenied.add();
         waitForTarget({.kind = m_possibleExecutions > 0 ? ErrorKind::BackendFailed : ErrorKind::Overloaded,
-                       .detail = "no repeat left in the budget",
+                       .detail = "retry budget exhausted",
                        .retryAfter = TargetsFullRetryAfter});
         return;
     }
@@ -122,7 +122,7 @@
 {
     auto &targets = m_traffic.m_targets;
     if (isSuspect()) {
-        const auto avoided = m_traffic.m_crashGuard.suspectPlaces().targetsToAvoid(m_tried);
+        const auto avoided = m_traffic.m_crashGuard.suspectTargets().targetsToAvoid(m_tried);
         const auto unsuspectedChoice = targets.choose(m_service, avoided, urgency(), now(), m_traffic.m_random);
         if (unsuspectedChoice.target != nullptr) {
             return unsuspectedChoice;
@@ -133,17 +133,17 @@
 
 Urgency GatewayCall::urgency() const
 {
-    // What an engine has worked on goes on: its caller may have the beginning. What was refused unread has lost
-    // nothing.
+    // A stream that an engine may have started takes precedence, since its caller may have received a part of it. One
+    // that was refused before it ran has lost nothing.
     if (m_possibleExecutions > 0 || m_stream.hasBegun()) {
         return Urgency::InProgress;
     }
-    return now() <= timelyUntil() ? Urgency::OnTime : Urgency::Late;
+    return now() <= onTimeUntil() ? Urgency::OnTime : Urgency::Late;
 }
 
-SteadyTime GatewayCall::timelyUntil() const
+SteadyTime GatewayCall::onTimeUntil() const
 {
-    // A caller that comes again has waited before: it says how much of its patience is left.
+    // A caller that retries has already waited: the timeout that it sends is the rest of its total.
     const auto timeWaitedBefore =
         std::max(m_route.timeout - m_callerFields.patience.value_or(m_route.timeout), milliseconds(0));
     const auto firstEventDelay = m_traffic.firstEventDelayFor(m_service).mean().value_or(DefaultFirstEventDelay);
@@ -158,8 +158,9 @@
     const WaitingStream stream{.number = m_number,
                                .service = m_service,
                                .hasStarted = urgency() == Urgency::InProgress,
-                               .onTimeUntil = timelyUntil()};
-    // Asked when it joins and when it falls behind the timely ones: at other times it has moved up.
+                               .onTimeUntil = onTimeUntil()};
+    // The wait is estimated only when the stream joins the queue and when it becomes late and falls behind the
+    // on-time streams; at other times it can only have moved forward.
     const bool isLate = stream.onTimeUntil < now();
     const bool needsWaitEstimate = !stream.hasStarted && m_isQueuedAsLate != isLate;
     const auto expectedWait = needsWaitEstimate ? m_traffic.m_queue.expectedWait(stream, now()) : milliseconds(0);
@@ -181,7 +182,7 @@
         fail(std::move(error));
         return;
     }
-    // A target that refused it a moment ago may be the one that takes it now.
+    // A target that refused the request earlier may accept it now.
     m_tried.clear();
     m_isWaiting = true;
     if (isStream()) {
@@ -254,7 +255,7 @@
 
 void GatewayCall::updateTargetLimit(GatewayTarget &target)
 {
-    // A refusal may name a limit, but does not end one by naming none.
+    // An unsigned response, such as a refusal, may set a limit, but does not lift one by naming none.
     const bool isAuthoritative =
         m_responseFields.id == m_callerFields.id && (m_responseFields.isSigned || m_responseFields.requestsPerSecond);
     const auto limit = m_responseFields.requestsPerSecond;
@@ -298,10 +299,10 @@
         onStreamComplete();
         return;
     }
-    finishAttempt(plainAttemptEnd(), {});
+    finishAttempt(plainAttemptResult(), {});
 }
 
-AttemptResult GatewayCall::plainAttemptEnd() const
+AttemptResult GatewayCall::plainAttemptResult() const
 {
     if (m_responseFields.isNotRun && m_responseFields.id == m_callerFields.id) {
         return AttemptResult::RefusedAtTarget;
@@ -312,7 +313,8 @@
     const bool impliesNotExecuted =
         m_responseStatus == 408 || m_responseStatus == 421 || m_responseStatus == 429 || m_responseStatus == 503;
     if (impliesNotExecuted) {
-        return AttemptResult::InvalidAnswer; // the status says that it has not run, and the target does not
+        return AttemptResult::InvalidAnswer; // the status implies that it has not run, but the target does not confirm
+                                             // it
     }
     return m_responseStatus >= 500 ? AttemptResult::FailedAtTarget : AttemptResult::Answered;
 }
@@ -394,7 +396,7 @@
 {
     if (isSuspect()) {
         m_suspectTarget = target;
-        m_traffic.m_crashGuard.suspectPlaces().add(target);
+        m_traffic.m_crashGuard.suspectTargets().add(target);
     }
 }
 
@@ -403,7 +405,7 @@
     if (!m_suspectTarget) {
         return;
     }
-    m_traffic.m_crashGuard.suspectPlaces().remove(*m_suspectTarget);
+    m_traffic.m_crashGuard.suspectTargets().remove(*m_suspectTarget);
     m_suspectTarget.reset();
 }
 
@@ -454,7 +456,7 @@
 void GatewayCall::onStreamComplete()
 {
     if (m_stream.isBroken()) {
-        finishAttempt(AttemptResult::Interrupted, "the stream ended within an event");
+        finishAttempt(AttemptResult::Interrupted, "the stream ended in the middle of an event");
         return;
     }
     releaseTarget(true);
@@ -469,26 +471,26 @@
     finish("delivered", m_responseStatus);
 }
 
-void GatewayCall::finishAttempt(AttemptResult end, std::string_view reason)
+void GatewayCall::finishAttempt(AttemptResult result, std::string_view reason)
 {
-    releaseTarget(end == AttemptResult::Answered || end == AttemptResult::FailedAtTarget
-                  || end == AttemptResult::RefusedAtTarget);
-    if (end == AttemptResult::RefusedAtTarget) {
+    releaseTarget(result == AttemptResult::Answered || result == AttemptResult::FailedAtTarget
+                  || result == AttemptResult::RefusedAtTarget);
+    if (result == AttemptResult::RefusedAtTarget) {
         m_traffic.m_targets.recordRefusal(m_target, now());
     }
-    if (end == AttemptResult::Answered) {
+    if (result == AttemptResult::Answered) {
         m_traffic.m_targets.recordAttempt(m_target, AttemptOutcome::Succeeded, now());
-    } else if (end != AttemptResult::RefusedAtTarget) {
+    } else if (result != AttemptResult::RefusedAtTarget) {
         m_traffic.m_targets.recordAttempt(
-            m_target, end == AttemptResult::TimedOut ? AttemptOutcome::TimedOut : AttemptOutcome::Failed, now());
+            m_target, result == AttemptResult::TimedOut ? AttemptOutcome::TimedOut : AttemptOutcome::Failed, now());
     }
-    const bool hasCompleted = end == AttemptResult::Answered || end == AttemptResult::FailedAtTarget;
+    const bool hasCompleted = result == AttemptResult::Answered || result == AttemptResult::FailedAtTarget;
     if (hasCompleted && isSuspect()) {
         m_traffic.m_crashGuard.recordAnswer(fingerprint());
     }
-    m_possibleExecutions += mayHaveRun(end) ? 1 : 0;
-    m_possibleArrivals += end != AttemptResult::NeverSent ? 1 : 0;
-    const auto step = nextStep(end,
+    m_possibleExecutions += mayHaveRun(result) ? 1 : 0;
+    m_possibleArrivals += result != AttemptResult::NeverSent ? 1 : 0;
+    const auto step = nextStep(result,
                                {.kind = m_route.kind,
                                 .isResumable = m_route.isResumable,
                                 .possibleRuns = m_possibleExecutions,
@@ -500,30 +502,30 @@
         deliver();
         return;
     case NextStep::Retry:
-        retry(end, reason);
+        retry(result, reason);
         return;
     case NextStep::Fail:
         break;
     }
     Error error{.kind = m_possibleExecutions > 0 ? ErrorKind::BackendFailed : ErrorKind::Overloaded,
-                .detail = std::string(toString(end)) + " at " + m_target.text() + " " + std::string(reason),
+                .detail = std::string(toString(result)) + " at " + m_target.text() + " " + std::string(reason),
                 .retryAfter = TargetsFullRetryAfter};
-    if (mayHaveRun(end)) {
+    if (mayHaveRun(result)) {
         fail(std::move(error));
     } else {
         waitForTarget(std::move(error));
     }
 }
 
-void GatewayCall::retry(AttemptResult end, std::string_view reason)
+void GatewayCall::retry(AttemptResult result, std::string_view reason)
 {
-    if (end == AttemptResult::FailedAtTarget && m_traffic.retryBudgetFor(m_service).remaining(now()) < 1) {
-        deliver(); // the target's own answer says more than one of this process's
+    if (result == AttemptResult::FailedAtTarget && m_traffic.retryBudgetFor(m_service).remaining(now()) < 1) {
+        deliver(); // the target's own error is more useful to the caller than one made here
         return;
     }
     logEvent(Severity::Info, "repeat",
              {{"request", m_callerFields.id.text()},
-              {"after", std::string(toString(end))},
+              {"after", std::string(toString(result))},
               {"target", m_target.text()},
               {"reason", std::string(reason)},
               {"tries", std::to_string(m_attempts)},
@@ -560,7 +562,7 @@
 void GatewayCall::fail(Error error)
 {
     if (m_stream.hasBegun()) {
-        m_exchange->abort(); // the head has left: only a cut says that the rest does not come
+        m_exchange->abort(); // the head has been sent: only closing the connection shows that the answer is incomplete
         finish("stream-broken", 200);
         return;
     }
@@ -640,14 +642,14 @@
         m_route.kind == RequestKind::Idempotent && m_responseStatus == 0 && now() - m_sentAt > m_route.objective;
     const bool mayRetry = m_possibleExecutions + 1 < m_route.maxAttempts && timeLeft() > MinAttemptTime * 2;
     if ((isSilentStream || isSilentCall) && mayRetry && canContinueElsewhere()) {
-        finishAttempt(AttemptResult::TimedOut, "no sign of life");
+        finishAttempt(AttemptResult::TimedOut, "target sent nothing in time");
     }
 }
 
 bool GatewayCall::canContinueElsewhere()
 {
-    // A group that stands still mostly goes on, and all its streams fall silent at once: one that finds no repeat in
-    // the budget or no other engine is better left where it is.
+    // A stalled group usually recovers, and all its streams fall silent at once. A stream without retry budget or
+    // another engine is better left where it is.
     return m_traffic.retryBudgetFor(m_service).remaining(now()) >= 1
         && m_traffic.m_targets.choose(m_service, m_tried, urgency(), now(), m_traffic.m_random).target != nullptr;
 }
--- a/modules/heatherridge_transport/direct/gatewaytargets.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytargets.cpp
@@ -11,13 +11,13 @@
 namespace
 {
 
-/** Nothing is sent to a target that has refused a request for as long; a slot of a plain service comes free in it. */
+/** How long nothing is sent to a target after it refused a request; a plain service frees a slot within this time. */
 constexpr std::chrono::milliseconds RefusalBackoff{100};
-/** Part of the promised pause between events that a pass may take; the rest is for the ways between engine and caller.
- */
+/** Fraction of the promised pause between events that a pass may take; the rest covers the transport from the engine to
+ * the caller. */
 constexpr double PassFractionOfPause = 0.9;
 
-/** What other entries have at each of @p targets on average, by what these told of late. */
+/** Returns the average load that other entries put on each of @p targets, weighted by how recent the reports are. */
 double averageOtherLoad(const std::vector<GatewayTarget *> &targets, SteadyTime now)
 {
     double sum = 0;
@@ -77,24 +77,24 @@
     std::vector<GatewayTarget *> targets;
     std::vector<DirectCandidate> candidates;
     const auto &health = m_health[service];
-    const auto rules = m_passBudgetRules.find(service);
-    const bool hasEngineGroups = rules != m_passBudgetRules.end()
+    const auto passTimeModel = m_passTimeModels.find(service);
+    const bool hasEngineGroups = passTimeModel != m_passTimeModels.end()
         && std::any_of(m_targets.begin(), m_targets.end(),
                        [&](const auto &entry) { return entry.second.engine && isUsable(entry.second, service); });
     for (auto &[id, target] : m_targets) {
-        // An engine that has not said which group it is in has just come, and takes part in no pass yet.
+        // An engine that has not reported its group has just started and takes part in no pass yet.
         if (isUsable(target, service) && (!hasEngineGroups || target.engine)) {
             targets.push_back(&target);
         }
     }
-    // Plain services tell their load with each answer; one that has not answered for long is idle.
+    // Plain services report their load in each response; one that has not responded for long is idle.
     const double averageOthers = hasEngineGroups ? averageOtherLoad(targets, now) : 0;
     candidates.reserve(targets.size());
     for (const auto *target : targets) {
         candidates.push_back(makeCandidate(*target, averageOthers, health, tried, now));
     }
     if (hasEngineGroups) {
-        return chooseEngine(targets, candidates, rules->second, urgency, now, random);
+        return chooseEngine(targets, candidates, passTimeModel->second, urgency, now, random);
     }
     const auto chosen = placeDirectly(candidates, random);
     if (chosen) {
@@ -133,7 +133,7 @@
 
 GatewayTargets::Choice GatewayTargets::chooseEngine(const std::vector<GatewayTarget *> &targets,
                                                     const std::vector<DirectCandidate> &candidates,
-                                                    const PassTimeModel &rules, Urgency urgency, SteadyTime now,
+                                                    const PassTimeModel &passTimeModel, Urgency urgency, SteadyTime now,
                                                     RandomSource &random)
 {
     std::vector<EngineCandidate> engines;
@@ -156,7 +156,7 @@
     }
     std::vector<EngineGroup> groups;
     for (std::size_t group = 0; group < groupWork.size(); ++group) {
-        groups.push_back(m_groups[groupNames[group]].evaluate(groupWork[group], rules, m_capacityShare, now));
+        groups.push_back(m_groups[groupNames[group]].evaluate(groupWork[group], passTimeModel, m_capacityShare, now));
     }
     const auto choice = placeStream(engines, groups, {.urgency = urgency, .share = m_capacityShare}, random);
     if (choice.index) {
@@ -201,7 +201,8 @@
 void GatewayTargets::setShares(double limitShare, double capacityShare)
 {
     m_limitShare = limitShare;
-    // Without a share this process has lost the log for a while; the last one says better how many others there are.
+    // A share of 0 means that this process has lost the log for a while; the last known share is then the better
+    // estimate of the number of gateways.
     m_capacityShare = capacityShare > 0 ? capacityShare : m_capacityShare;
 }
 
@@ -222,13 +223,13 @@
 
 void GatewayTargets::setEngineProfiles(const RoutingConfig &config)
 {
-    m_passBudgetRules.clear();
+    m_passTimeModels.clear();
     for (const auto &service : config.services) {
         if (!service.engine || service.engine->layerSets == 0) {
             continue;
         }
         const auto &engine = *service.engine;
-        m_passBudgetRules.emplace(
+        m_passTimeModels.emplace(
             service.name,
             PassTimeModel{.baseTime = engine.stepTime * engine.stepsPerPass,
                           .timePerRequest = engine.stepTimePerRequest * engine.stepsPerPass,
