--- a/tests/restoredlog/logrestoresimulation.cpp
+++ b/tests/restoredlog/logrestoresimulation.cpp
@@ -250,7 +250,7 @@
     void restored(LogRestoreSimulation &simulation)
     {
         if (simulation.m_safeguards.rereadsRegisters) {
-            control.onLogRestored(simulation.m_random);
+            control.logRestored(simulation.m_random);
         }
         if (simulation.m_safeguards.resendsReports) {
             crashFeed.logRestored();
