--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -100,7 +100,7 @@
         }
         m_view = view;
         m_links->follow(LinkPlan::choose(*view->inventory, m_options.links));
-        m_book.follow(*view->inventory);
+        m_tracker.follow(*view->inventory);
     });
 }
 
@@ -130,7 +130,7 @@
             statuses.push_back({.target = name,
                                 .isLinked = m_links->isWanted(name),
                                 .isUp = m_links->isUp(name),
-                                .report = m_book.reportOf(name)});
+                                .report = m_tracker.reportOf(name)});
         }
     });
     return statuses;
@@ -228,7 +228,7 @@
     call->target = target;
     call->sent = std::chrono::steady_clock::now();
     ++call->attempts;
-    m_book.recordSent(target, submit, call->request.prefixChain, call->sent);
+    m_tracker.recordSent(target, submit, call->request.prefixChain, call->sent);
     call->request.submit.timeLeft = left;
     call->request.submit.attempt = call->attempts;
     call->request.submit.id = attemptId(call->id, call->attempts);
@@ -278,7 +278,7 @@
 std::vector<TargetView> EntryTraffic::viewsOf(const std::vector<const Target *> &targets, const EntryCall &call,
                                               SteadyTime now) const
 {
-    auto views = m_book.viewsOf(targets, call.request.prefixChain, now);
+    auto views = m_tracker.viewsOf(targets, call.request.prefixChain, now);
     for (std::size_t index = 0; index < targets.size(); ++index) {
         const bool reachable = isUsable(*targets[index], call);
         views[index].zoneDelay = m_view->inventory->delayBetween(m_options.zone, targets[index]->zone);
@@ -291,7 +291,7 @@
 void EntryTraffic::received(const TargetName &target, const TrafficMessage &message)
 {
     if (const auto *report = std::get_if<LoadReport>(&message)) {
-        m_book.takeReport(*report, std::chrono::steady_clock::now());
+        m_tracker.takeReport(*report, std::chrono::steady_clock::now());
         return;
     }
     const auto id = std::visit(
@@ -329,7 +329,7 @@
 
 void EntryTraffic::linkDown(const TargetName &target)
 {
-    m_book.recordDown(target);
+    m_tracker.recordDown(target);
     std::vector<Call> lost;
     for (const auto &[id, call] : m_calls) {
         if (call->target == target) {
@@ -428,7 +428,7 @@
     if (call.target.isEmpty()) {
         return;
     }
-    m_book.recordLeft(call.target, static_cast<double>(call.request.submit.cost), attempt,
+    m_tracker.recordLeft(call.target, static_cast<double>(call.request.submit.cost), attempt,
                       std::chrono::steady_clock::now());
     call.target = TargetName();
     if (call.timer) {
--- a/modules/heatherridge_transport/entry/entrytraffic.h
+++ b/modules/heatherridge_transport/entry/entrytraffic.h
@@ -4,7 +4,7 @@
 #include "heatherridge_transport/app/eventloop.h"
 #include "heatherridge_transport/entry/callerrequest.h"
 #include "heatherridge_transport/entry/requestjournal.h"
-#include "heatherridge_transport/entry/targetbook.h"
+#include "heatherridge_transport/entry/targettracker.h"
 #include "heatherridge_transport/entry/targetlinks.h"
 #include "heatherridge_transport/http/httpserver.h"
 
@@ -104,7 +104,7 @@
     SeededRandom m_random;
     RetryPolicy m_retries;
     std::unique_ptr<Placement> m_placement;
-    TargetBook m_book;
+    TargetTracker m_tracker;
     std::unordered_map<RequestId, Call> m_calls;
     std::atomic<std::size_t> m_openCalls{0};
     Counter &m_requests;
--- a/modules/heatherridge_transport/entry/targetbook.cpp
+++ b/modules/heatherridge_transport/entry/targettracker.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_transport/entry/targetbook.h"
+#include "heatherridge_transport/entry/targettracker.h"
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void TargetBook::follow(const Inventory &inventory)
+void TargetTracker::follow(const Inventory &inventory)
 {
     std::erase_if(m_known, [&](const auto &entry) {
         const bool gone = inventory.find(entry.first) == nullptr;
@@ -29,7 +29,7 @@
     }
 }
 
-void TargetBook::takeReport(const LoadReport &report, SteadyTime now)
+void TargetTracker::takeReport(const LoadReport &report, SteadyTime now)
 {
     auto &target = known(report.target);
     target.report = report;
@@ -40,13 +40,13 @@
     }
 }
 
-LoadReport TargetBook::reportOf(const TargetName &target) const
+LoadReport TargetTracker::reportOf(const TargetName &target) const
 {
     const auto entry = m_known.find(target);
     return entry == m_known.end() ? LoadReport{} : entry->second.report;
 }
 
-void TargetBook::recordSent(const TargetName &target, const SubmitRequest &request,
+void TargetTracker::recordSent(const TargetName &target, const SubmitRequest &request,
                             std::span<const std::uint64_t> chain, SteadyTime now)
 {
     auto &entry = known(target);
@@ -56,7 +56,7 @@
     m_prefixes.insert(entry.slot, chain, now);
 }
 
-void TargetBook::recordLeft(const TargetName &target, double cost, AttemptOutcome attempt, SteadyTime now)
+void TargetTracker::recordLeft(const TargetName &target, double cost, AttemptOutcome attempt, SteadyTime now)
 {
     auto &entry = known(target);
     entry.ownLoad = std::max(0.0, entry.ownLoad - cost);
@@ -64,7 +64,7 @@
     m_health.record(target, attempt, now);
 }
 
-void TargetBook::recordDown(const TargetName &target)
+void TargetTracker::recordDown(const TargetName &target)
 {
     auto &entry = known(target);
     entry.reportedAt.reset();
@@ -72,7 +72,7 @@
     m_slowness.reset(static_cast<std::size_t>(entry.slot));
 }
 
-std::vector<TargetView> TargetBook::viewsOf(std::span<const Target *const> targets,
+std::vector<TargetView> TargetTracker::viewsOf(std::span<const Target *const> targets,
                                             std::span<const std::uint64_t> chain, SteadyTime now) const
 {
     const auto matches = m_prefixes.match(chain, now);
@@ -104,7 +104,7 @@
     return views;
 }
 
-TargetBook::Known &TargetBook::known(const TargetName &target)
+TargetTracker::Known &TargetTracker::known(const TargetName &target)
 {
     const auto [entry, isNew] = m_known.try_emplace(target);
     if (isNew) {
--- a/modules/heatherridge_transport/entry/targetbook.h
+++ b/modules/heatherridge_transport/entry/targettracker.h
@@ -16,7 +16,7 @@
  *
  * Owned by EntryTraffic and used on its thread alone.
  */
-class TargetBook
+class TargetTracker
 {
 public:
     /** The inventory has changed: targets that it no longer lists are forgotten. */
