--- a/extras/heatherridge-entry/main.cpp
+++ b/extras/heatherridge-entry/main.cpp
@@ -80,7 +80,7 @@
             .targetsPerKind = static_cast<std::size_t>(settings.number("targets-per-kind")),
             .limits = {.maxBodyBytes = static_cast<std::size_t>(settings.number("max-body-bytes")),
                        .maxHeaderBytes = static_cast<std::size_t>(settings.number("max-header-bytes")),
-                       .longestTimeout = settings.duration("longest-timeout")},
+                       .maxTimeout = settings.duration("longest-timeout")},
             .callerTimeout = settings.duration("caller-timeout"),
             .sendTimeout = settings.duration("send-timeout"),
             .drainTimeout = settings.duration("drain-timeout")};
--- a/modules/heatherridge_transport/entry/callerrequest.cpp
+++ b/modules/heatherridge_transport/entry/callerrequest.cpp
@@ -16,46 +16,46 @@
 constexpr std::string_view ChatPath = "/v1/chat/completions";
 constexpr std::string_view ServicesPrefix = "/services/";
 constexpr std::string_view BearerPrefix = "Bearer ";
-constexpr int PriorityBound = 10;
+constexpr int MaxPriority = 10;
 /** English text runs at about four bytes a token; the estimate steers shares and placement, no promise rests on it. */
 constexpr double BytesPerToken = 4;
 constexpr std::uint64_t DefaultAnswerTokens = 256;
-constexpr std::uint64_t MostAnswerTokens = 1'000'000;
+constexpr std::uint64_t MaxAnswerTokens = 1'000'000;
 /** Prompts that begin alike for so many bytes share a place in a prefix cache: about one cache block of 256 tokens. */
-constexpr std::size_t AffinityBytes = 1024;
+constexpr std::size_t AffinityPrefixBytes = 1024;
 /** Longest idempotency key; a UUID has 36 characters. */
-constexpr std::size_t MostKeyBytes = 128;
+constexpr std::size_t MaxIdempotencyKeyBytes = 128;
 
 /** Headers that concern one connection or are set anew at each hop; they are not passed on. */
-constexpr std::array<std::string_view, 14> HopHeaders{"Connection",
-                                                      "Keep-Alive",
-                                                      "Proxy-Authenticate",
-                                                      "Proxy-Authorization",
-                                                      "TE",
-                                                      "Trailer",
-                                                      "Transfer-Encoding",
-                                                      "Upgrade",
-                                                      "Content-Length",
-                                                      "Host",
-                                                      "Authorization",
-                                                      "X-Request-Id",
-                                                      "Expect",
-                                                      "X-Priority"};
+constexpr std::array<std::string_view, 14> HopByHopHeaders{"Connection",
+                                                           "Keep-Alive",
+                                                           "Proxy-Authenticate",
+                                                           "Proxy-Authorization",
+                                                           "TE",
+                                                           "Trailer",
+                                                           "Transfer-Encoding",
+                                                           "Upgrade",
+                                                           "Content-Length",
+                                                           "Host",
+                                                           "Authorization",
+                                                           "X-Request-Id",
+                                                           "Expect",
+                                                           "X-Priority"};
 
-Error fault(ErrorKind kind, std::string detail)
+Error makeError(ErrorKind kind, std::string detail)
 {
     return Error{.kind = kind, .detail = std::move(detail), .ran = ExecutionStatus::No};
 }
 
-std::vector<HeaderField> passedOnHeaders(const std::vector<HttpHeader> &headers)
+std::vector<HeaderField> forwardedHeaders(const std::vector<HttpHeader> &headers)
 {
-    std::vector<HeaderField> passed;
+    std::vector<HeaderField> forwarded;
     for (const auto &header : headers) {
-        if (!isOneOf(HopHeaders, header.name)) {
-            passed.push_back({.name = header.name, .value = header.value});
+        if (!isOneOf(HopByHopHeaders, header.name)) {
+            forwarded.push_back({.name = header.name, .value = header.value});
         }
     }
-    return passed;
+    return forwarded;
 }
 
 /** Checks one request step by step; each step returns the error that ends it. */
@@ -86,11 +86,11 @@
     Outcome readSizes()
     {
         if (m_request.body.size() > m_limits.maxBodyBytes) {
-            return fault(ErrorKind::BodyTooLarge, "at most " + std::to_string(m_limits.maxBodyBytes) + " bytes");
+            return makeError(ErrorKind::BodyTooLarge, "at most " + std::to_string(m_limits.maxBodyBytes) + " bytes");
         }
         for (const auto &header : m_request.headers) {
             if (header.value.size() > m_limits.maxHeaderBytes) {
-                return fault(ErrorKind::HeaderTooLarge, header.name);
+                return makeError(ErrorKind::HeaderTooLarge, header.name);
             }
         }
         return {};
@@ -111,7 +111,7 @@
             }
         }
         if (workspace == nullptr) {
-            return fault(ErrorKind::UnknownWorkspace, name.empty() ? "no workspace named" : std::string(name));
+            return makeError(ErrorKind::UnknownWorkspace, name.empty() ? "no workspace named" : std::string(name));
         }
         m_result.submit.workspace = workspace->name;
         m_result.submit.priority = workspace->priority;
@@ -125,9 +125,9 @@
         if (text.empty()) {
             return {};
         }
-        const auto priority = parseNumber(text, -PriorityBound, PriorityBound);
+        const auto priority = parseNumber(text, -MaxPriority, MaxPriority);
         if (!priority) {
-            return fault(ErrorKind::BadRequest, "X-Priority must be a whole number from -10 to 10");
+            return makeError(ErrorKind::BadRequest, "X-Priority must be a whole number from -10 to 10");
         }
         m_result.submit.priority += static_cast<int>(*priority);
         return {};
@@ -136,8 +136,9 @@
     Outcome readKey()
     {
         const auto key = m_request.header("Idempotency-Key");
-        if (key.size() > MostKeyBytes) {
-            return fault(ErrorKind::BadIdempotencyKey, "at most " + std::to_string(MostKeyBytes) + " bytes");
+        if (key.size() > MaxIdempotencyKeyBytes) {
+            return makeError(ErrorKind::BadIdempotencyKey,
+                             "at most " + std::to_string(MaxIdempotencyKeyBytes) + " bytes");
         }
         m_result.submit.key = IdempotencyKey(std::string(key));
         return {};
@@ -147,7 +148,7 @@
     {
         m_result.submit.method = m_request.method;
         m_result.submit.query = m_request.query;
-        m_result.submit.headers = passedOnHeaders(m_request.headers);
+        m_result.submit.headers = forwardedHeaders(m_request.headers);
         m_result.submit.body = Bytes(m_request.body.begin(), m_request.body.end());
         if (m_request.path == ChatPath) {
             return readChat();
@@ -155,26 +156,26 @@
         if (m_request.path.substr(0, ServicesPrefix.size()) == ServicesPrefix) {
             return readPlainCall();
         }
-        return fault(ErrorKind::NotFound, m_request.path);
+        return makeError(ErrorKind::NotFound, m_request.path);
     }
 
     Outcome readChat()
     {
         if (m_request.method != "POST") {
-            return fault(ErrorKind::MethodNotAllowed, m_request.method);
+            return makeError(ErrorKind::MethodNotAllowed, m_request.method);
         }
         const auto body = nlohmann::json::parse(m_request.body, nullptr, false);
         if (!body.is_object()) {
-            return fault(ErrorKind::BadRequest, "the body is no JSON object");
+            return makeError(ErrorKind::BadRequest, "the body is no JSON object");
         }
         const auto model = body.find("model");
         const auto messages = body.find("messages");
         if (model == body.end() || !model->is_string() || messages == body.end() || !messages->is_array()) {
-            return fault(ErrorKind::BadRequest, "'model' must be a text and 'messages' a list");
+            return makeError(ErrorKind::BadRequest, "'model' must be a text and 'messages' a list");
         }
         m_result.model = ModelName(model->get<std::string>());
         const auto stream = body.find("stream");
-        m_result.streams = stream != body.end() && stream->is_boolean() && stream->get<bool>();
+        m_result.wantsStream = stream != body.end() && stream->is_boolean() && stream->get<bool>();
         readCost(body, messages->dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
         m_result.submit.path = ChatPath;
         // A chat answer has no effect beside itself, so running it twice does no harm.
@@ -185,13 +186,13 @@
     void readCost(const nlohmann::json &body, const std::string &prompt)
     {
         const auto tokens = body.find("max_tokens");
-        const bool given = tokens != body.end() && tokens->is_number_unsigned();
+        const bool hasLimit = tokens != body.end() && tokens->is_number_unsigned();
         const auto answerTokens =
-            std::min(given ? tokens->get<std::uint64_t>() : DefaultAnswerTokens, MostAnswerTokens);
+            std::min(hasLimit ? tokens->get<std::uint64_t>() : DefaultAnswerTokens, MaxAnswerTokens);
         m_result.promptTokens = static_cast<double>(prompt.size()) / BytesPerToken;
         m_result.submit.cost =
             static_cast<std::uint64_t>(requestCost(m_result.promptTokens, static_cast<double>(answerTokens)) + 1);
-        m_result.affinityKey = XXH3_64bits(prompt.data(), std::min(prompt.size(), AffinityBytes));
+        m_result.affinityKey = XXH3_64bits(prompt.data(), std::min(prompt.size(), AffinityPrefixBytes));
         m_result.prefixChain = PrefixIndex::hashChain(prompt);
     }
 
@@ -203,20 +204,20 @@
                 return {};
             }
         }
-        return fault(ErrorKind::UnknownModel, m_result.model.text());
+        return makeError(ErrorKind::UnknownModel, m_result.model.text());
     }
 
     Outcome readPlainCall()
     {
-        const auto rest = std::string_view(m_request.path).substr(ServicesPrefix.size());
-        const auto slash = rest.find('/');
-        const ServiceName service(std::string(rest.substr(0, slash)));
+        const auto servicePath = std::string_view(m_request.path).substr(ServicesPrefix.size());
+        const auto slash = servicePath.find('/');
+        const ServiceName service(std::string(servicePath.substr(0, slash)));
         const auto targets = m_config.inventory->targetsOf(service);
         if (targets.empty() || targets.front()->kind != TargetKind::Plain) {
-            return fault(ErrorKind::UnknownService, service.text());
+            return makeError(ErrorKind::UnknownService, service.text());
         }
         m_result.submit.service = service;
-        m_result.submit.path = slash == std::string_view::npos ? "/" : std::string(rest.substr(slash));
+        m_result.submit.path = slash == std::string_view::npos ? "/" : std::string(servicePath.substr(slash));
         m_result.submit.mayRepeat = m_config.rules->isRepeatable(service, m_request.method, m_result.submit.path);
         return {};
     }
@@ -228,11 +229,11 @@
         if (text.empty()) {
             return {};
         }
-        const auto deadline = parseNumber(text, 1, m_limits.longestTimeout.count());
+        const auto deadline = parseNumber(text, 1, m_limits.maxTimeout.count());
         if (!deadline) {
-            return fault(ErrorKind::BadDeadline,
-                         "X-Deadline-Ms must be a whole number from 1 to "
-                             + std::to_string(m_limits.longestTimeout.count()));
+            return makeError(ErrorKind::BadDeadline,
+                             "X-Deadline-Ms must be a whole number from 1 to "
+                                 + std::to_string(m_limits.maxTimeout.count()));
         }
         m_result.timeout = std::chrono::milliseconds(*deadline);
         return {};
--- a/modules/heatherridge_transport/entry/callerrequest.h
+++ b/modules/heatherridge_transport/entry/callerrequest.h
@@ -17,7 +17,7 @@
     std::vector<std::uint64_t> prefixChain{}; ///< hashes of the prompt's blocks, as PrefixIndex counts them
     double promptTokens = 0; ///< estimate
     std::chrono::milliseconds timeout{}; ///< until its deadline, from its arrival
-    bool streams = false; ///< the answer is a stream of events
+    bool wantsStream = false; ///< the answer is a stream of events
 };
 
 /** Bounds of what callers may send. */
@@ -25,7 +25,7 @@
 {
     std::size_t maxBodyBytes = 1UL << 20U;
     std::size_t maxHeaderBytes = 8UL << 10U; ///< of one header's value
-    std::chrono::milliseconds longestTimeout{600'000};
+    std::chrono::milliseconds maxTimeout{600'000};
 };
 
 /**
--- a/modules/heatherridge_transport/entry/callerstream.cpp
+++ b/modules/heatherridge_transport/entry/callerstream.cpp
@@ -17,46 +17,46 @@
     if (m_closed) {
         return;
     }
-    m_waiting += bytes;
-    if (!m_writing && !m_waiting.empty()) {
+    m_buffer += bytes;
+    if (!m_writing && !m_buffer.empty()) {
         flush();
     }
 }
 
 void CallerStream::end()
 {
-    flushRest();
+    flushRemaining();
     m_exchange->end();
 }
 
 void CallerStream::abort()
 {
-    flushRest();
+    flushRemaining();
     m_exchange->abort();
 }
 
-std::size_t CallerStream::waitingBytes() const
+std::size_t CallerStream::bufferedBytes() const
 {
-    return m_waiting.size();
+    return m_buffer.size();
 }
 
 void CallerStream::flush()
 {
     m_writing = true;
-    const auto bytes = m_waiting.size();
-    m_exchange->write(std::exchange(m_waiting, {}), [self = shared_from_this(), bytes](bool sent) {
-        self->m_loop.post([self, bytes, sent] { self->takeWritten(bytes, sent); });
+    const auto bytes = m_buffer.size();
+    m_exchange->write(std::exchange(m_buffer, {}), [self = shared_from_this(), bytes](bool sent) {
+        self->m_loop.post([self, bytes, sent] { self->handleWritten(bytes, sent); });
     });
 }
 
-void CallerStream::flushRest()
+void CallerStream::flushRemaining()
 {
-    if (!std::exchange(m_closed, true) && !m_waiting.empty()) {
-        m_exchange->write(std::exchange(m_waiting, {}), [](bool) {});
+    if (!std::exchange(m_closed, true) && !m_buffer.empty()) {
+        m_exchange->write(std::exchange(m_buffer, {}), [](bool) {});
     }
 }
 
-void CallerStream::takeWritten(std::size_t bytes, bool sent)
+void CallerStream::handleWritten(std::size_t bytes, bool sent)
 {
     m_writing = false;
     if (m_closed) {
@@ -64,14 +64,14 @@
     }
     if (!sent) {
         m_closed = true;
-        m_events.gone();
+        m_events.disconnected();
         return;
     }
-    m_unreported += bytes;
-    if (m_unreported >= ReportBytes) {
-        m_events.written(std::exchange(m_unreported, 0));
+    m_unreportedBytes += bytes;
+    if (m_unreportedBytes >= ReportThresholdBytes) {
+        m_events.written(std::exchange(m_unreportedBytes, 0));
     }
-    if (!m_waiting.empty()) {
+    if (!m_buffer.empty()) {
         flush();
     }
 }
--- a/modules/heatherridge_transport/entry/callerstream.h
+++ b/modules/heatherridge_transport/entry/callerstream.h
@@ -22,13 +22,13 @@
 {
 public:
     /** Bytes that leave until they are reported: an eighth of the window that a target may be ahead. */
-    static constexpr std::size_t ReportBytes = 32UL << 10U;
+    static constexpr std::size_t ReportThresholdBytes = 32UL << 10U;
 
     /** What the owner is told. */
     struct Events
     {
         std::function<void(std::size_t bytes)> written{}; ///< so many more bytes have left
-        std::function<void()> gone{}; ///< the caller has left; nothing follows
+        std::function<void()> disconnected{}; ///< the caller has left; nothing follows
     };
 
     /** Writes to @p exchange, whose answer has begun. @p loop must outlive it. */
@@ -44,18 +44,18 @@
     void abort();
 
     /** Bytes that wait for the write under way. */
-    std::size_t waitingBytes() const;
+    std::size_t bufferedBytes() const;
 
 private:
     void flush();
-    void flushRest();
-    void takeWritten(std::size_t bytes, bool sent);
+    void flushRemaining();
+    void handleWritten(std::size_t bytes, bool sent);
 
     std::shared_ptr<HttpExchange> m_exchange;
     EventLoop &m_loop;
     Events m_events;
-    std::string m_waiting;
-    std::size_t m_unreported = 0;
+    std::string m_buffer;
+    std::size_t m_unreportedBytes = 0;
     bool m_writing = false;
     bool m_closed = false;
 };
--- a/modules/heatherridge_transport/entry/entrycall.h
+++ b/modules/heatherridge_transport/entry/entrycall.h
@@ -27,10 +27,10 @@
     SteadyTime deadline{};
     std::unique_ptr<asio::steady_timer> timer{}; ///< the deadline, or the pause before a retry
     TargetName target{}; ///< where the current attempt is; empty between attempts
-    SteadyTime sent{}; ///< when the current attempt began
-    std::set<TargetName> tried{}; ///< targets that have refused or failed it
+    SteadyTime attemptStarted{}; ///< when the current attempt began
+    std::set<TargetName> triedTargets{}; ///< targets that have refused or failed it
     int attempts = 0;
-    bool answerBegun = false; ///< the caller has the head
+    bool answerStarted = false; ///< the caller has the head
     bool mayHaveRun = false; ///< an earlier attempt ended without proof that it did not run
     std::optional<Uuid7> key{}; ///< set when gates see to it that it runs at most once, however often it is tried
     TargetName askAt{}; ///< where the last gate that was asked sent the call
--- a/modules/heatherridge_transport/entry/entryserver.cpp
+++ b/modules/heatherridge_transport/entry/entryserver.cpp
@@ -14,9 +14,9 @@
 
 using nlohmann::ordered_json;
 
-constexpr std::chrono::milliseconds DrainPoll{20};
+constexpr std::chrono::milliseconds DrainPollInterval{20};
 /** Room above the product's own limits, so that an oversized request gets a reason instead of a closed connection. */
-constexpr std::size_t BackstopFactor = 4;
+constexpr std::size_t HttpLimitFactor = 4;
 
 } // namespace
 
@@ -47,8 +47,8 @@
     m_server = std::make_unique<HttpServer>(
         HttpServer::Options{.listen = m_options.listen,
                             .threads = m_options.httpThreads,
-                            .maxBodyBytes = BackstopFactor * m_options.limits.maxBodyBytes,
-                            .maxHeaderBytes = BackstopFactor * m_options.limits.maxHeaderBytes,
+                            .maxBodyBytes = HttpLimitFactor * m_options.limits.maxBodyBytes,
+                            .maxHeaderBytes = HttpLimitFactor * m_options.limits.maxHeaderBytes,
                             .readTimeout = m_options.sendTimeout,
                             .writeTimeout = m_options.callerTimeout},
         [this](const std::shared_ptr<HttpExchange> &exchange) { handle(exchange); });
@@ -65,11 +65,11 @@
         traffic->start();
     }
     m_control.start();
-    const auto bound = m_server->start();
-    if (const auto *error = errorIn(bound)) {
+    const auto endpoint = m_server->start();
+    if (const auto *error = errorIn(endpoint)) {
         return *error;
     }
-    return std::vector{std::get<Endpoint>(bound)};
+    return std::vector{std::get<Endpoint>(endpoint)};
 }
 
 void EntryServer::drainAndStop()
@@ -77,9 +77,9 @@
     m_draining = true;
     m_control.beginDrain();
     logEvent(Severity::Info, "drain-begun", {{"open", std::to_string(openCalls())}});
-    const auto latest = std::chrono::steady_clock::now() + m_options.drainTimeout;
-    while (openCalls() > 0 && std::chrono::steady_clock::now() < latest) {
-        std::this_thread::sleep_for(DrainPoll);
+    const auto drainDeadline = std::chrono::steady_clock::now() + m_options.drainTimeout;
+    while (openCalls() > 0 && std::chrono::steady_clock::now() < drainDeadline) {
+        std::this_thread::sleep_for(DrainPollInterval);
     }
     logEvent(Severity::Info, "drain-ended", {{"open", std::to_string(openCalls())}});
     stopThreads();
@@ -112,40 +112,40 @@
     } else if (request.path == "/metrics") {
         exchange->respond(metricsAnswer(m_metrics));
     } else if (request.path.rfind("/admin/", 0) == 0) {
-        exchange->respond(answerAdmin(request));
+        exchange->respond(handleAdmin(request));
     } else {
-        handleCaller(exchange);
+        handleCallerRequest(exchange);
     }
 }
 
-void EntryServer::handleCaller(const std::shared_ptr<HttpExchange> &exchange)
+void EntryServer::handleCallerRequest(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto id = newRequestId();
-    const auto refuse = [&](const Error &error) {
+    const auto rejectRequest = [&](const Error &error) {
         m_metrics.errors(error.kind).add();
-        m_journal.note(id, "refused", {}, std::string(errorDescriptorFor(error.kind).name));
+        m_journal.record(id, "refused", {}, std::string(errorDescriptorFor(error.kind).name));
         m_journal.finish(id, std::string(errorDescriptorFor(error.kind).name));
         exchange->respond(problemResponse(error, id));
     };
     if (m_draining) {
-        refuse(Error{.kind = ErrorKind::Draining});
+        rejectRequest(Error{.kind = ErrorKind::Draining});
         return;
     }
     const auto view = m_control.view();
     if (toNumber(view->offset) == 0) {
-        refuse(Error{.kind = ErrorKind::Unconfirmed, .detail = "no configuration yet"});
+        rejectRequest(Error{.kind = ErrorKind::Unconfirmed, .detail = "no configuration yet"});
         return;
     }
     auto request = readCallerRequest(exchange->request(), id, *view, m_options.limits);
     if (const auto *error = errorIn(request)) {
-        refuse(*error);
+        rejectRequest(*error);
         return;
     }
     const auto thread = std::hash<RequestId>{}(id) % m_traffic.size();
     m_traffic[thread]->submit(std::get<CallerRequest>(std::move(request)), exchange);
 }
 
-HttpResponse EntryServer::answerAdmin(const HttpRequest &request)
+HttpResponse EntryServer::handleAdmin(const HttpRequest &request)
 {
     if (request.path == "/admin/status") {
         return status();
@@ -154,7 +154,7 @@
         return targets();
     }
     if (request.path == "/admin/explain") {
-        return explain(request);
+        return explainRequest(request);
     }
     return notFoundAnswer(request.path);
 }
@@ -202,7 +202,7 @@
     return jsonAnswer({{"targets", list}});
 }
 
-HttpResponse EntryServer::explain(const HttpRequest &request) const
+HttpResponse EntryServer::explainRequest(const HttpRequest &request) const
 {
     const RequestId id(request.queryParameter("request"));
     const auto entry = m_journal.find(id);
@@ -211,7 +211,7 @@
     }
     auto steps = ordered_json::array();
     for (const auto &step : entry->steps) {
-        steps.push_back({{"ms", step.since.count()},
+        steps.push_back({{"ms", step.elapsed.count()},
                          {"event", step.event},
                          {"target", step.target.text()},
                          {"reason", step.reason}});
@@ -231,7 +231,7 @@
 
 RequestId EntryServer::newRequestId()
 {
-    return RequestId(hexText(toNumber(m_options.incarnation)) + "-" + std::to_string(++m_lastRequest));
+    return RequestId(hexText(toNumber(m_options.incarnation)) + "-" + std::to_string(++m_lastRequestNumber));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/entry/entryserver.h
+++ b/modules/heatherridge_transport/entry/entryserver.h
@@ -54,11 +54,11 @@
 private:
     void stopThreads();
     void handle(const std::shared_ptr<HttpExchange> &exchange);
-    void handleCaller(const std::shared_ptr<HttpExchange> &exchange);
-    HttpResponse answerAdmin(const HttpRequest &request);
+    void handleCallerRequest(const std::shared_ptr<HttpExchange> &exchange);
+    HttpResponse handleAdmin(const HttpRequest &request);
     HttpResponse status();
     HttpResponse targets();
-    HttpResponse explain(const HttpRequest &request) const;
+    HttpResponse explainRequest(const HttpRequest &request) const;
     std::size_t openCalls() const;
     RequestId newRequestId();
 
@@ -68,7 +68,7 @@
     ControlPlane m_control;
     std::vector<std::unique_ptr<EntryTraffic>> m_traffic;
     std::unique_ptr<HttpServer> m_server;
-    std::atomic<std::uint64_t> m_lastRequest{0};
+    std::atomic<std::uint64_t> m_lastRequestNumber{0};
     std::atomic<bool> m_draining{false};
 };
 
--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -15,38 +15,38 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds LinkTick{10};
+constexpr std::chrono::milliseconds LinkTickInterval{10};
 /** Gates of one service agree on a shard's holder within seconds; more hops than this are no way to find it. */
-constexpr int MostRedirects = 3;
+constexpr int MaxRedirects = 3;
 /** An attempt is worth making when about this much time is left for it. */
-constexpr std::chrono::milliseconds ShortestAttempt{5};
+constexpr std::chrono::milliseconds MinAttemptTime{5};
 
 /** Headers of a back end's answer that concern its own connection to the target's process. */
-constexpr std::array<std::string_view, 5> HopHeaders{"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length",
-                                                     "X-Request-Id"};
+constexpr std::array<std::string_view, 5> HopByHopHeaders{"Connection", "Keep-Alive", "Transfer-Encoding",
+                                                          "Content-Length", "X-Request-Id"};
 
-std::vector<HttpHeader> passedBackHeaders(const AnswerHead &head)
+std::vector<HttpHeader> answerHeaders(const AnswerHead &head)
 {
     std::vector<HttpHeader> headers{{.name = std::string(RequestIdHeader), .value = requestOfAttempt(head.id).text()}};
     for (const auto &header : head.headers) {
-        if (!isOneOf(HopHeaders, header.name)) {
+        if (!isOneOf(HopByHopHeaders, header.name)) {
             headers.push_back({.name = header.name, .value = header.value});
         }
     }
     return headers;
 }
 
-std::chrono::microseconds microsecondsSince(SteadyTime begin)
+std::chrono::microseconds elapsedSince(SteadyTime begin)
 {
     return std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - begin);
 }
 
 /** The failure of an attempt whose target went away: nobody who could know has said whether it ran. */
-Error lostAnswer(const EntryCall &call)
+Error connectionLostError(const EntryCall &call)
 {
-    return Error{.kind = call.answerBegun ? ErrorKind::StreamBroken : ErrorKind::OutcomeUnknown,
+    return Error{.kind = call.answerStarted ? ErrorKind::StreamBroken : ErrorKind::OutcomeUnknown,
                  .detail = "the connection to target " + call.target.text() + " was lost",
-                 .ran = call.answerBegun ? ExecutionStatus::Yes : ExecutionStatus::Unknown};
+                 .ran = call.answerStarted ? ExecutionStatus::Yes : ExecutionStatus::Unknown};
 }
 
 } // namespace
@@ -62,17 +62,17 @@
     , m_requests(metrics.counter("heatherridge_requests_total"))
     , m_answers(metrics.counter("heatherridge_answers_total"))
     , m_strayFrames(metrics.counter("heatherridge_stray_frames_total"))
-    , m_firstByte(metrics.histogram("heatherridge_first_byte_seconds"))
-    , m_whole(metrics.histogram("heatherridge_answer_seconds"))
+    , m_timeToFirstByte(metrics.histogram("heatherridge_first_byte_seconds"))
+    , m_answerDuration(metrics.histogram("heatherridge_answer_seconds"))
 {
     m_links = std::make_unique<TargetLinks>(
         m_loop, m_encoder, metrics,
-        TargetLinkEvents{
-            .received = [this](const TargetName &target, const TrafficMessage &message) { received(target, message); },
-            .control = [](const TargetName &, const Envelope &) {},
-            .up = [](const TargetName &) {},
-            .down = [this](const TargetName &target) { linkDown(target); },
-            .isBusy = [this](const TargetName &target) { return isBusy(target); }});
+        TargetLinkEvents{.received = [this](const TargetName &target,
+                                            const TrafficMessage &message) { handleMessage(target, message); },
+                         .control = [](const TargetName &, const Envelope &) {},
+                         .up = [](const TargetName &) {},
+                         .down = [this](const TargetName &target) { handleLinkDown(target); },
+                         .isBusy = [this](const TargetName &target) { return isBusy(target); }});
 }
 
 EntryTraffic::~EntryTraffic()
@@ -82,7 +82,7 @@
 
 void EntryTraffic::start()
 {
-    m_loop.every(LinkTick, [this] { m_links->tick(std::chrono::steady_clock::now()); });
+    m_loop.every(LinkTickInterval, [this] { m_links->tick(std::chrono::steady_clock::now()); });
     m_loop.start();
 }
 
@@ -99,8 +99,8 @@
             m_placement = std::make_unique<Placement>(view->rules->placement());
         }
         m_view = view;
-        m_links->follow(LinkPlan::choose(*view->inventory, m_options.links));
-        m_tracker.follow(*view->inventory);
+        m_links->setTargets(LinkPlan::choose(*view->inventory, m_options.links));
+        m_tracker.updateInventory(*view->inventory);
     });
 }
 
@@ -114,7 +114,7 @@
     call->id = request.submit.id;
     call->request = std::move(request);
     call->exchange = std::move(exchange);
-    m_loop.post([this, call] { begin(call); });
+    m_loop.post([this, call] { startCall(call); });
 }
 
 std::size_t EntryTraffic::openCalls() const
@@ -130,38 +130,38 @@
             statuses.push_back({.target = name,
                                 .isLinked = m_links->isWanted(name),
                                 .isUp = m_links->isUp(name),
-                                .report = m_tracker.reportOf(name)});
+                                .report = m_tracker.lastReport(name)});
         }
     });
     return statuses;
 }
 
-void EntryTraffic::begin(const Call &call)
+void EntryTraffic::startCall(const Call &call)
 {
     m_calls.emplace(call->id, call);
-    m_journal.note(call->id, "arrived", {}, call->request.submit.service.text());
-    call->exchange->onClosed([this, id = call->id] { m_loop.post([this, id] { callerGone(id); }); });
-    if (!readKey(*call)) {
+    m_journal.record(call->id, "arrived", {}, call->request.submit.service.text());
+    call->exchange->onClosed([this, id = call->id] { m_loop.post([this, id] { handleCallerDisconnect(id); }); });
+    if (!parseKey(*call)) {
         fail(call, Error{.kind = ErrorKind::BadIdempotencyKey, .detail = "a UUID of version 7 is needed"});
         return;
     }
-    attempt(call);
+    startAttempt(call);
 }
 
-void EntryTraffic::attempt(const Call &call)
+void EntryTraffic::startAttempt(const Call &call)
 {
     const auto now = std::chrono::steady_clock::now();
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(call->deadline - now);
-    if (left < ShortestAttempt) {
+    const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(call->deadline - now);
+    if (remaining < MinAttemptTime) {
         fail(call, Error{.kind = ErrorKind::DeadlineExceeded, .ran = ExecutionStatus::No});
         return;
     }
     const auto targets = candidates(*call);
-    if (const auto *holder = holderFor(*call, targets)) {
-        place(call, holder->name, left);
+    if (const auto *holder = findKeyHolder(*call, targets)) {
+        dispatchAttempt(call, holder->name, remaining);
         return;
     }
-    const auto views = viewsOf(targets, *call, now);
+    const auto views = makeViews(targets, *call, now);
     const auto &submit = call->request.submit;
     const auto choice = m_placement->choose(views,
                                             {.cost = static_cast<double>(submit.cost),
@@ -173,13 +173,13 @@
         fail(call, *error);
         return;
     }
-    const double fresh = call->request.promptTokens - views[std::get<std::size_t>(choice)].prefixTokens;
-    call->request.submit.freshTokens = static_cast<std::uint64_t>(std::max(0.0, fresh));
-    place(call, targets[std::get<std::size_t>(choice)]->name, left);
+    const double uncachedTokens = call->request.promptTokens - views[std::get<std::size_t>(choice)].prefixTokens;
+    call->request.submit.freshTokens = static_cast<std::uint64_t>(std::max(0.0, uncachedTokens));
+    dispatchAttempt(call, targets[std::get<std::size_t>(choice)]->name, remaining);
 }
 
 /** Whether @p call may go on: a call that may not be repeated has no key, or one that gates can date. */
-bool EntryTraffic::readKey(EntryCall &call) const
+bool EntryTraffic::parseKey(EntryCall &call) const
 {
     const auto &submit = call.request.submit;
     const auto targets = candidates(call);
@@ -192,14 +192,14 @@
 }
 
 /** Where a call with a key goes: where a gate has sent it, else to the likely holder of its shard. */
-const Target *EntryTraffic::holderFor(const EntryCall &call, const std::vector<const Target *> &targets) const
+const Target *EntryTraffic::findKeyHolder(const EntryCall &call, const std::vector<const Target *> &targets) const
 {
     if (!call.key) {
         return nullptr;
     }
-    const auto *asked = m_view->inventory->find(call.askAt);
-    if (asked != nullptr && m_links->takesNew(asked->name)) {
-        return asked; // withdrawn or not: it knows the key's past, and takes no new work by itself
+    const auto *redirectTarget = m_view->inventory->find(call.askAt);
+    if (redirectTarget != nullptr && m_links->acceptsNewRequests(redirectTarget->name)) {
+        return redirectTarget; // withdrawn or not: it knows the key's past, and takes no new work by itself
     }
     const auto ranked = holdersOf(*m_view->inventory, call.request.submit.service, shardOf(*call.key));
     const auto usable = std::find_if(ranked.begin(), ranked.end(), [&](const Target *target) {
@@ -211,25 +211,25 @@
 /** Tries the call at once where a gate has sent it; false when that leads nowhere. */
 bool EntryTraffic::followRedirect(const Call &call, const TargetName &askAt)
 {
-    if (!call->key || askAt.isEmpty() || !m_links->takesNew(askAt) || call->redirects >= MostRedirects) {
+    if (!call->key || askAt.isEmpty() || !m_links->acceptsNewRequests(askAt) || call->redirects >= MaxRedirects) {
         return false;
     }
     ++call->redirects;
-    m_journal.note(call->id, "redirected", askAt);
-    leaveTarget(*call, AttemptOutcome::Succeeded);
+    m_journal.record(call->id, "redirected", askAt);
+    endAttempt(*call, AttemptOutcome::Succeeded);
     call->askAt = askAt;
-    attempt(call);
+    startAttempt(call);
     return true;
 }
 
-void EntryTraffic::place(const Call &call, const TargetName &target, std::chrono::milliseconds left)
+void EntryTraffic::dispatchAttempt(const Call &call, const TargetName &target, std::chrono::milliseconds remaining)
 {
     const auto &submit = call->request.submit;
     call->target = target;
-    call->sent = std::chrono::steady_clock::now();
+    call->attemptStarted = std::chrono::steady_clock::now();
     ++call->attempts;
-    m_tracker.recordSent(target, submit, call->request.prefixChain, call->sent);
-    call->request.submit.timeLeft = left;
+    m_tracker.recordSent(target, submit, call->request.prefixChain, call->attemptStarted);
+    call->request.submit.timeLeft = remaining;
     call->request.submit.attempt = call->attempts;
     call->request.submit.id = attemptId(call->id, call->attempts);
     call->timer = std::make_unique<asio::steady_timer>(m_loop.context(), call->deadline);
@@ -237,14 +237,14 @@
     // beyond the server itself.
     call->timer->async_wait([this, id = call->id](const asio::error_code &error) {
         if (!error) {
-            deadlinePassed(id);
+            handleDeadline(id);
         }
     });
-    m_journal.note(call->id, "placed", target);
+    m_journal.record(call->id, "placed", target);
     m_links->send(target, call->request.submit);
 }
 
-void EntryTraffic::deadlinePassed(const RequestId &id)
+void EntryTraffic::handleDeadline(const RequestId &id)
 {
     const auto entry = m_calls.find(id);
     if (entry == m_calls.end()) {
@@ -253,7 +253,7 @@
     const auto call = entry->second;
     cancelAtTarget(call);
     fail(call,
-         Error{.kind = call->answerBegun ? ErrorKind::StreamBroken : ErrorKind::DeadlineExceeded,
+         Error{.kind = call->answerStarted ? ErrorKind::StreamBroken : ErrorKind::DeadlineExceeded,
                .detail = "the deadline passed"});
 }
 
@@ -272,13 +272,14 @@
 
 bool EntryTraffic::isUsable(const Target &target, const EntryCall &call) const
 {
-    return m_view->takesWork(target) && m_links->takesNew(target.name) && !call.tried.contains(target.name);
+    return m_view->takesWork(target) && m_links->acceptsNewRequests(target.name)
+        && !call.triedTargets.contains(target.name);
 }
 
-std::vector<TargetView> EntryTraffic::viewsOf(const std::vector<const Target *> &targets, const EntryCall &call,
-                                              SteadyTime now) const
+std::vector<TargetView> EntryTraffic::makeViews(const std::vector<const Target *> &targets, const EntryCall &call,
+                                                SteadyTime now) const
 {
-    auto views = m_tracker.viewsOf(targets, call.request.prefixChain, now);
+    auto views = m_tracker.makeViews(targets, call.request.prefixChain, now);
     for (std::size_t index = 0; index < targets.size(); ++index) {
         const bool reachable = isUsable(*targets[index], call);
         views[index].zoneDelay = m_view->inventory->delayBetween(m_options.zone, targets[index]->zone);
@@ -288,10 +289,10 @@
     return views;
 }
 
-void EntryTraffic::received(const TargetName &target, const TrafficMessage &message)
+void EntryTraffic::handleMessage(const TargetName &target, const TrafficMessage &message)
 {
     if (const auto *report = std::get_if<LoadReport>(&message)) {
-        m_tracker.takeReport(*report, std::chrono::steady_clock::now());
+        m_tracker.recordReport(*report, std::chrono::steady_clock::now());
         return;
     }
     const auto id = std::visit(
@@ -304,18 +305,18 @@
         return;
     }
     const auto call = entry->second;
-    std::visit(Visitor{[&](const AnswerHead &head) { takeHead(call, head); },
-                       [&](const AnswerChunk &chunk) { takeChunk(call, chunk); },
-                       [&](const AnswerEnd &end) { takeEnd(call, end); },
+    std::visit(Visitor{[&](const AnswerHead &head) { handleHead(call, head); },
+                       [&](const AnswerChunk &chunk) { handleChunk(call, chunk); },
+                       [&](const AnswerEnd &end) { handleEnd(call, end); },
                        [&](const AnswerError &error) {
                            if (followRedirect(call, error.askAt)) {
                                return;
                            }
-                           attemptFailed(call,
-                                         Error{.kind = error.kind,
-                                               .detail = error.detail,
-                                               .ran = error.ran,
-                                               .retryAfter = error.retryAfter});
+                           handleAttemptFailure(call,
+                                                Error{.kind = error.kind,
+                                                      .detail = error.detail,
+                                                      .ran = error.ran,
+                                                      .retryAfter = error.retryAfter});
                        },
                        [&](const auto &) { m_strayFrames.add(); }},
                message);
@@ -327,41 +328,41 @@
                        [&target](const auto &entry) { return entry.second->target == target; });
 }
 
-void EntryTraffic::linkDown(const TargetName &target)
+void EntryTraffic::handleLinkDown(const TargetName &target)
 {
-    m_tracker.recordDown(target);
-    std::vector<Call> lost;
+    m_tracker.recordDisconnect(target);
+    std::vector<Call> affected;
     for (const auto &[id, call] : m_calls) {
         if (call->target == target) {
-            lost.push_back(call);
+            affected.push_back(call);
         }
     }
-    for (const auto &call : lost) {
-        attemptFailed(call, lostAnswer(*call));
+    for (const auto &call : affected) {
+        handleAttemptFailure(call, connectionLostError(*call));
     }
 }
 
-void EntryTraffic::takeHead(const Call &call, const AnswerHead &head)
+void EntryTraffic::handleHead(const Call &call, const AnswerHead &head)
 {
-    if (call->answerBegun) {
+    if (call->answerStarted) {
         if (call->resume && !isEventStream(head)) {
             cancelAtTarget(call);
-            attemptFailed(call, Error{.kind = ErrorKind::StreamBroken, .detail = "the stream was not resumed"});
+            handleAttemptFailure(call, Error{.kind = ErrorKind::StreamBroken, .detail = "the stream was not resumed"});
         }
         return;
     }
-    call->answerBegun = true;
-    if (call->request.streams && call->request.submit.mayRepeat && isEventStream(head)) {
+    call->answerStarted = true;
+    if (call->request.wantsStream && call->request.submit.mayRepeat && isEventStream(head)) {
         call->resume.emplace();
     }
-    m_firstByte.record(microsecondsSince(call->arrived));
-    call->exchange->beginStream(head.status, passedBackHeaders(head));
+    m_timeToFirstByte.record(elapsedSince(call->arrived));
+    call->exchange->beginStream(head.status, answerHeaders(head));
     beginBody(call);
 }
 
-void EntryTraffic::takeChunk(const Call &call, const AnswerChunk &chunk)
+void EntryTraffic::handleChunk(const Call &call, const AnswerChunk &chunk)
 {
-    auto ready = call->answerBegun
+    auto ready = call->answerStarted
         ? call->assembler.addFrame(chunk.sequence, chunk.bytes)
         : Result<Bytes>(Error{.kind = ErrorKind::StreamBroken, .detail = "chunk before the head"});
     if (const auto *error = errorIn(ready)) {
@@ -370,29 +371,30 @@
         return;
     }
     if (call->resume) {
-        auto events = call->resume->take(std::get<Bytes>(ready));
+        auto events = call->resume->append(std::get<Bytes>(ready));
         if (const auto *error = errorIn(events)) {
             cancelAtTarget(call);
             fail(call, *error);
             return;
         }
-        const auto &taken = std::get<StreamBytes>(events);
-        if (taken.repeated > 0) {
-            m_links->send(call->target, GrantCredit{.id = call->request.submit.id, .bytes = taken.repeated});
+        const auto &accepted = std::get<ResumedBytes>(events);
+        if (accepted.duplicateBytes > 0) {
+            m_links->send(call->target, GrantCredit{.id = call->request.submit.id, .bytes = accepted.duplicateBytes});
         }
-        passOn(call, taken.passOn);
+        forwardBytes(call, accepted.newEvents);
     } else {
-        passOn(call, std::get<Bytes>(ready));
+        forwardBytes(call, std::get<Bytes>(ready));
     }
     if (call->assembler.isComplete()) {
         finish(call, "answered");
     }
 }
 
-void EntryTraffic::takeEnd(const Call &call, const AnswerEnd &end)
+void EntryTraffic::handleEnd(const Call &call, const AnswerEnd &end)
 {
-    auto outcome = call->answerBegun ? call->assembler.setFrameCount(end.chunks)
-                                     : Outcome(Error{.kind = ErrorKind::StreamBroken, .detail = "end before the head"});
+    auto outcome = call->answerStarted
+        ? call->assembler.setFrameCount(end.chunks)
+        : Outcome(Error{.kind = ErrorKind::StreamBroken, .detail = "end before the head"});
     if (const auto *error = errorIn(outcome)) {
         cancelAtTarget(call);
         fail(call, *error);
@@ -414,51 +416,52 @@
         }
     };
     call->stream = std::make_shared<CallerStream>(
-        call->exchange, m_loop,
-        CallerStream::Events{.written = written, .gone = [this, id = call->id] { callerGone(id); }});
+        call->exchange, m_loop, CallerStream::Events{.written = written, .disconnected = [this, id = call->id] {
+                                                         handleCallerDisconnect(id);
+                                                     }});
 }
 
-void EntryTraffic::passOn(const Call &call, const Bytes &bytes)
+void EntryTraffic::forwardBytes(const Call &call, const Bytes &bytes)
 {
     call->stream->write({reinterpret_cast<const char *>(bytes.data()), bytes.size()});
 }
 
-void EntryTraffic::leaveTarget(EntryCall &call, AttemptOutcome attempt)
+void EntryTraffic::endAttempt(EntryCall &call, AttemptOutcome attempt)
 {
     if (call.target.isEmpty()) {
         return;
     }
-    m_tracker.recordLeft(call.target, static_cast<double>(call.request.submit.cost), attempt,
-                      std::chrono::steady_clock::now());
+    m_tracker.recordAttemptEnd(call.target, static_cast<double>(call.request.submit.cost), attempt,
+                               std::chrono::steady_clock::now());
     call.target = TargetName();
     if (call.timer) {
         call.timer->cancel();
     }
 }
 
-void EntryTraffic::attemptFailed(const Call &call, const Error &error)
+void EntryTraffic::handleAttemptFailure(const Call &call, const Error &error)
 {
     call->mayHaveRun = call->mayHaveRun || error.ranOrDefault() != ExecutionStatus::No;
-    m_journal.note(call->id, "attempt-failed", call->target, std::string(errorDescriptorFor(error.kind).name));
-    call->tried.insert(call->target);
-    const bool targetLost = !m_links->isUp(call->target);
+    m_journal.record(call->id, "attempt-failed", call->target, std::string(errorDescriptorFor(error.kind).name));
+    call->triedTargets.insert(call->target);
+    const bool isTargetLost = !m_links->isUp(call->target);
     call->askAt = TargetName();
     const bool refused = error.ranOrDefault() == ExecutionStatus::No;
     const auto now = std::chrono::steady_clock::now();
     const bool unreachable = error.kind == ErrorKind::TargetUnreachable;
-    leaveTarget(*call, refused && !unreachable ? AttemptOutcome::Succeeded : AttemptOutcome::Failed);
+    endAttempt(*call, refused && !unreachable ? AttemptOutcome::Succeeded : AttemptOutcome::Failed);
     const auto others = candidates(*call);
     const FailedAttempt failed{
         .error = error,
         .idempotent = call->request.submit.mayRepeat || call->key.has_value(),
-        .answerStarted = call->answerBegun,
-        .targetLost = targetLost,
+        .answerStarted = call->answerStarted,
+        .targetLost = isTargetLost,
         .canResume = call->resume.has_value(),
         .hasOtherTargets =
             std::any_of(others.begin(), others.end(), [&](const Target *target) { return isUsable(*target, *call); }),
         .previousAttempts = call->attempts - 1,
         .deadline = call->deadline,
-        .expectedDuration = ShortestAttempt};
+        .expectedDuration = MinAttemptTime};
     const auto decision = m_retries.decide(failed, now, m_random);
     const std::string verdict(textFor(decision.verdict).name);
     m_metrics.counter("heatherridge_retry_verdicts_total", "verdict=\"" + verdict + "\"").add();
@@ -466,30 +469,30 @@
         fail(call, error);
         return;
     }
-    m_journal.note(call->id, "retry", {}, call->resume ? "resumed" : verdict);
+    m_journal.record(call->id, "retry", {}, call->resume ? "resumed" : verdict);
     if (call->resume) {
         m_metrics.counter("heatherridge_streams_resumed_total").add();
         call->beginResume();
     }
     if (!failed.hasOtherTargets) {
-        call->tried.clear();
+        call->triedTargets.clear();
     }
     call->timer = std::make_unique<asio::steady_timer>(m_loop.context(), decision.delay);
     call->timer->async_wait([this, id = call->id](const asio::error_code &cancelled) {
         const auto entry = m_calls.find(id);
         if (!cancelled && entry != m_calls.end()) {
-            attempt(entry->second);
+            startAttempt(entry->second);
         }
     });
 }
 
 void EntryTraffic::finish(const Call &call, const std::string &outcome)
 {
-    leaveTarget(*call, AttemptOutcome::Succeeded);
+    endAttempt(*call, AttemptOutcome::Succeeded);
     m_retries.recordSuccess();
     call->stream->end();
     m_answers.add();
-    m_whole.record(microsecondsSince(call->arrived));
+    m_answerDuration.record(elapsedSince(call->arrived));
     m_journal.finish(call->id, outcome);
     m_calls.erase(call->id);
     m_openCalls.fetch_sub(1);
@@ -501,7 +504,7 @@
     if (call->mayHaveRun && error.ranOrDefault() == ExecutionStatus::No) {
         error.ran = ExecutionStatus::Unknown;
     }
-    leaveTarget(*call, AttemptOutcome::TimedOut);
+    endAttempt(*call, AttemptOutcome::TimedOut);
     m_metrics.errors(error.kind).add();
     const std::string kind(errorDescriptorFor(error.kind).name);
     logEvent(Severity::Info, "request-failed",
@@ -509,10 +512,10 @@
               {"kind", kind},
               {"ran", std::string(toString(error.ranOrDefault()))},
               {"detail", error.detail}});
-    if (!call->answerBegun) {
+    if (!call->answerStarted) {
         call->exchange->respond(problemResponse(error, call->id));
     } else {
-        if (call->request.streams) {
+        if (call->request.wantsStream) {
             call->stream->write(problemEvent(error, call->id));
         }
         call->stream->abort();
@@ -529,7 +532,7 @@
     }
 }
 
-void EntryTraffic::callerGone(const RequestId &id)
+void EntryTraffic::handleCallerDisconnect(const RequestId &id)
 {
     const auto entry = m_calls.find(id);
     if (entry == m_calls.end()) {
@@ -537,7 +540,7 @@
     }
     const auto call = entry->second;
     cancelAtTarget(call);
-    leaveTarget(*call, AttemptOutcome::Succeeded);
+    endAttempt(*call, AttemptOutcome::Succeeded);
     m_metrics.errors(ErrorKind::CallerGone).add();
     m_journal.finish(id, std::string(errorDescriptorFor(ErrorKind::CallerGone).name));
     m_calls.erase(id);
--- a/modules/heatherridge_transport/entry/entrytraffic.h
+++ b/modules/heatherridge_transport/entry/entrytraffic.h
@@ -4,8 +4,8 @@
 #include "heatherridge_transport/app/eventloop.h"
 #include "heatherridge_transport/entry/callerrequest.h"
 #include "heatherridge_transport/entry/requestjournal.h"
-#include "heatherridge_transport/entry/targettracker.h"
 #include "heatherridge_transport/entry/targetlinks.h"
+#include "heatherridge_transport/entry/targettracker.h"
 #include "heatherridge_transport/http/httpserver.h"
 
 #include <memory>
@@ -68,31 +68,31 @@
 private:
     using Call = std::shared_ptr<EntryCall>;
 
-    void begin(const Call &call);
-    void attempt(const Call &call);
-    void deadlinePassed(const RequestId &id);
+    void startCall(const Call &call);
+    void startAttempt(const Call &call);
+    void handleDeadline(const RequestId &id);
     std::vector<const Target *> candidates(const EntryCall &call) const;
-    std::vector<TargetView> viewsOf(const std::vector<const Target *> &targets, const EntryCall &call,
-                                    SteadyTime now) const;
+    std::vector<TargetView> makeViews(const std::vector<const Target *> &targets, const EntryCall &call,
+                                      SteadyTime now) const;
     bool isUsable(const Target &target, const EntryCall &call) const;
-    void received(const TargetName &target, const TrafficMessage &message);
+    void handleMessage(const TargetName &target, const TrafficMessage &message);
     bool isBusy(const TargetName &target) const;
-    void linkDown(const TargetName &target);
-    void takeHead(const Call &call, const AnswerHead &head);
-    void takeChunk(const Call &call, const AnswerChunk &chunk);
-    void takeEnd(const Call &call, const AnswerEnd &end);
+    void handleLinkDown(const TargetName &target);
+    void handleHead(const Call &call, const AnswerHead &head);
+    void handleChunk(const Call &call, const AnswerChunk &chunk);
+    void handleEnd(const Call &call, const AnswerEnd &end);
     void beginBody(const Call &call);
-    void passOn(const Call &call, const Bytes &bytes);
-    void attemptFailed(const Call &call, const Error &error);
-    bool readKey(EntryCall &call) const;
-    const Target *holderFor(const EntryCall &call, const std::vector<const Target *> &targets) const;
+    void forwardBytes(const Call &call, const Bytes &bytes);
+    void handleAttemptFailure(const Call &call, const Error &error);
+    bool parseKey(EntryCall &call) const;
+    const Target *findKeyHolder(const EntryCall &call, const std::vector<const Target *> &targets) const;
     bool followRedirect(const Call &call, const TargetName &askAt);
-    void place(const Call &call, const TargetName &target, std::chrono::milliseconds left);
+    void dispatchAttempt(const Call &call, const TargetName &target, std::chrono::milliseconds left);
     void finish(const Call &call, const std::string &outcome);
     void fail(const Call &call, Error error);
     void cancelAtTarget(const Call &call);
-    void callerGone(const RequestId &id);
-    void leaveTarget(EntryCall &call, AttemptOutcome attempt);
+    void handleCallerDisconnect(const RequestId &id);
+    void endAttempt(EntryCall &call, AttemptOutcome attempt);
 
     Options m_options;
     Metrics &m_metrics;
@@ -110,8 +110,8 @@
     Counter &m_requests;
     Counter &m_answers;
     Counter &m_strayFrames;
-    DurationHistogram &m_firstByte;
-    DurationHistogram &m_whole;
+    DurationHistogram &m_timeToFirstByte;
+    DurationHistogram &m_answerDuration;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/entry/requestjournal.cpp
+++ b/modules/heatherridge_transport/entry/requestjournal.cpp
@@ -3,12 +3,12 @@
 namespace Heatherridge
 {
 
-void RequestJournal::note(const RequestId &id, std::string event, const TargetName &target, std::string reason)
+void RequestJournal::record(const RequestId &id, std::string event, const TargetName &target, std::string reason)
 {
     const auto now = std::chrono::steady_clock::now();
     const std::lock_guard lock(m_mutex);
-    auto [entry, fresh] = m_entries.try_emplace(id, JournalEntry{.arrived = now});
-    if (fresh) {
+    auto [entry, isNew] = m_entries.try_emplace(id, JournalEntry{.arrived = now});
+    if (isNew) {
         m_order.push_back(id);
         if (m_order.size() > MaxRequests) {
             m_entries.erase(m_order.front());
@@ -18,7 +18,7 @@
     }
     auto &steps = entry->second.steps;
     if (steps.size() < MaxSteps) {
-        steps.push_back({.since = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry->second.arrived),
+        steps.push_back({.elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry->second.arrived),
                          .event = std::move(event),
                          .target = target,
                          .reason = std::move(reason)});
--- a/modules/heatherridge_transport/entry/requestjournal.h
+++ b/modules/heatherridge_transport/entry/requestjournal.h
@@ -14,7 +14,7 @@
 /** One thing that happened to a request. */
 struct JournalStep
 {
-    std::chrono::milliseconds since{}; ///< since the request arrived
+    std::chrono::milliseconds elapsed{}; ///< since the request arrived
     std::string event{}; ///< stable name: arrived, placed, refused, retried, answered, ...
     TargetName target{};
     std::string reason{};
@@ -40,7 +40,7 @@
     static constexpr std::size_t MaxSteps = 16;
 
     /** Notes a step of @p id; the first one makes the request known. */
-    void note(const RequestId &id, std::string event, const TargetName &target = {}, std::string reason = {});
+    void record(const RequestId &id, std::string event, const TargetName &target = {}, std::string reason = {});
 
     /** Notes how @p id ended. */
     void finish(const RequestId &id, std::string outcome);
--- a/modules/heatherridge_transport/entry/streamresume.cpp
+++ b/modules/heatherridge_transport/entry/streamresume.cpp
@@ -19,34 +19,35 @@
 } // namespace
 
 StreamResume::StreamResume()
-    : m_point(ResumePoint::Options{})
+    : m_resumePoint(ResumePoint::Options{})
 {
 }
 
-Result<StreamBytes> StreamResume::take(const Bytes &bytes)
+Result<ResumedBytes> StreamResume::append(const Bytes &bytes)
 {
-    StreamBytes result;
-    m_pending.append(bytes.begin(), bytes.end());
+    ResumedBytes result;
+    m_partialEvent.append(bytes.begin(), bytes.end());
     std::size_t begin = 0;
-    for (auto end = m_pending.find(EndOfEvent); end != std::string::npos; end = m_pending.find(EndOfEvent, begin)) {
+    for (auto end = m_partialEvent.find(EndOfEvent); end != std::string::npos;
+         end = m_partialEvent.find(EndOfEvent, begin)) {
         end += EndOfEvent.size();
-        Bytes event(m_pending.begin() + static_cast<std::ptrdiff_t>(begin),
-                    m_pending.begin() + static_cast<std::ptrdiff_t>(end));
+        Bytes event(m_partialEvent.begin() + static_cast<std::ptrdiff_t>(begin),
+                    m_partialEvent.begin() + static_cast<std::ptrdiff_t>(end));
         const auto size = event.size();
         begin = end;
-        auto taken = m_point.acceptToken(m_position++, std::move(event));
-        if (const auto *error = errorIn(taken)) {
+        auto accepted = m_resumePoint.acceptToken(m_nextEvent++, std::move(event));
+        if (const auto *error = errorIn(accepted)) {
             return *error;
         }
-        const auto &next = std::get<std::optional<Bytes>>(taken);
+        const auto &next = std::get<std::optional<Bytes>>(accepted);
         if (next) {
-            result.passOn.insert(result.passOn.end(), next->begin(), next->end());
+            result.newEvents.insert(result.newEvents.end(), next->begin(), next->end());
         } else {
-            result.repeated += size;
+            result.duplicateBytes += size;
         }
     }
-    m_pending.erase(0, begin);
-    if (m_pending.size() > MostEventBytes) {
+    m_partialEvent.erase(0, begin);
+    if (m_partialEvent.size() > MaxEventBytes) {
         return Error{.kind = ErrorKind::StreamBroken, .detail = "an event of the stream is too large"};
     }
     return result;
@@ -54,9 +55,9 @@
 
 std::uint64_t StreamResume::beginResume()
 {
-    m_pending.clear();
-    m_position = m_point.beginResume();
-    return m_position;
+    m_partialEvent.clear();
+    m_nextEvent = m_resumePoint.beginResume();
+    return m_nextEvent;
 }
 
 Bytes withResumeFrom(const Bytes &body, std::uint64_t token)
--- a/modules/heatherridge_transport/entry/streamresume.h
+++ b/modules/heatherridge_transport/entry/streamresume.h
@@ -9,10 +9,10 @@
 {
 
 /** What may go to the caller now. */
-struct StreamBytes
+struct ResumedBytes
 {
-    Bytes passOn{}; ///< whole events, in order
-    std::size_t repeated = 0; ///< bytes that the caller has already and that are dropped
+    Bytes newEvents{}; ///< whole events, in order
+    std::size_t duplicateBytes = 0; ///< bytes that the caller has already and that are dropped
 };
 
 /**
@@ -26,21 +26,21 @@
 {
 public:
     /** Largest event; a longer one breaks the stream. */
-    static constexpr std::size_t MostEventBytes = 1UL << 20U;
+    static constexpr std::size_t MaxEventBytes = 1UL << 20U;
 
     /** The start of an answer. */
     StreamResume();
 
     /** Takes the next bytes of the answer, which may end within an event. @returns StreamBroken when they don't fit. */
-    Result<StreamBytes> take(const Bytes &bytes);
+    Result<ResumedBytes> append(const Bytes &bytes);
 
     /** The answer begins anew at another target. @returns the token from which that target is to start. */
     std::uint64_t beginResume();
 
 private:
-    ResumePoint m_point;
-    std::uint64_t m_position = 0; ///< number of the next event within the whole answer
-    std::string m_pending; ///< the begin of an event
+    ResumePoint m_resumePoint;
+    std::uint64_t m_nextEvent = 0; ///< number of the next event within the whole answer
+    std::string m_partialEvent; ///< the begin of an event
 };
 
 /** @p body, a chat request, with the token at which the engine is to start; unchanged when it is no JSON object. */
--- a/modules/heatherridge_transport/entry/targetlinks.cpp
+++ b/modules/heatherridge_transport/entry/targetlinks.cpp
@@ -11,12 +11,12 @@
 {
 
 /** A restarted target process is back within a second; a host that is gone is asked every two seconds. */
-constexpr std::chrono::milliseconds FirstPause{50};
-constexpr int MostDoublings = 5;
+constexpr std::chrono::milliseconds FirstReconnectDelay{50};
+constexpr int MaxDelayDoublings = 5;
 
-std::chrono::milliseconds pauseAfter(int failures)
+std::chrono::milliseconds reconnectDelay(int failures)
 {
-    return FirstPause * (1 << std::min(failures, MostDoublings));
+    return FirstReconnectDelay * (1 << std::min(failures, MaxDelayDoublings));
 }
 
 } // namespace
@@ -25,19 +25,19 @@
     : m_encoder(encoder)
     , m_events(std::move(events))
     , m_connector(loop.context(), MaxFrameBytes)
-    , m_malformed(metrics.errors(ErrorKind::MalformedFrame))
-    , m_lost(metrics.counter("heatherridge_links_lost_total"))
+    , m_malformedFrames(metrics.errors(ErrorKind::MalformedFrame))
+    , m_linksLost(metrics.counter("heatherridge_links_lost_total"))
 {
 }
 
-void TargetLinks::follow(const std::map<TargetName, Endpoint> &endpoints)
+void TargetLinks::setTargets(const std::map<TargetName, Endpoint> &endpoints)
 {
-    m_wanted = endpoints;
-    m_retired = 0;
+    m_endpoints = endpoints;
+    m_retiredCount = 0;
     for (auto &[name, link] : m_links) {
-        const auto wanted = m_wanted.find(name);
-        link.isRetired = wanted == m_wanted.end() || wanted->second != link.endpoint;
-        m_retired += link.isRetired ? 1 : 0;
+        const auto wanted = m_endpoints.find(name);
+        link.isRetired = wanted == m_endpoints.end() || wanted->second != link.endpoint;
+        m_retiredCount += link.isRetired ? 1 : 0;
     }
     closeRetired();
     addMissing();
@@ -45,14 +45,14 @@
 
 void TargetLinks::tick(SteadyTime now)
 {
-    if (m_retired > 0) {
+    if (m_retiredCount > 0) {
         closeRetired();
         addMissing();
     }
     std::vector<TargetName> due;
     for (const auto &name : m_unconnected) {
         const auto &link = m_links.at(name);
-        if (!link.isRetired && now >= link.notBefore) {
+        if (!link.isRetired && now >= link.reconnectAt) {
             due.push_back(name);
         }
     }
@@ -61,7 +61,7 @@
     }
 }
 
-bool TargetLinks::isDone(const TargetName &target, const Link &link) const
+bool TargetLinks::canClose(const TargetName &target, const Link &link) const
 {
     return link.isRetired && (!link.isUp || !m_events.isBusy || !m_events.isBusy(target));
 }
@@ -71,14 +71,14 @@
 void TargetLinks::closeRetired()
 {
     for (auto entry = m_links.begin(); entry != m_links.end();) {
-        if (!isDone(entry->first, entry->second)) {
+        if (!canClose(entry->first, entry->second)) {
             ++entry;
             continue;
         }
         const auto socket = entry->second.socket;
         m_unconnected.erase(entry->first);
         entry = m_links.erase(entry);
-        --m_retired;
+        --m_retiredCount;
         if (socket) {
             socket->close();
         }
@@ -87,7 +87,7 @@
 
 void TargetLinks::addMissing()
 {
-    for (const auto &[name, endpoint] : m_wanted) {
+    for (const auto &[name, endpoint] : m_endpoints) {
         if (m_links.try_emplace(name, Link{.endpoint = endpoint}).second) {
             m_unconnected.insert(name);
         }
@@ -106,21 +106,21 @@
         entry->second.failures = 0;
         m_events.up(target);
     };
-    const auto received = [this, target](const auto & /*socket*/, const Bytes &frame) { take(target, frame); };
-    const auto closed = [this, target](const std::shared_ptr<PeerSocket> &socket) { lost(target, socket); };
+    const auto received = [this, target](const auto & /*socket*/, const Bytes &frame) { handleFrame(target, frame); };
+    const auto closed = [this, target](const std::shared_ptr<PeerSocket> &socket) { handleClosed(target, socket); };
     m_unconnected.erase(target);
     link.socket = m_connector.connect(link.endpoint.address, link.endpoint.port, {opened, received, closed});
     if (!link.socket) { // no event will come for it
-        link.notBefore = std::chrono::steady_clock::now() + pauseAfter(link.failures++);
+        link.reconnectAt = std::chrono::steady_clock::now() + reconnectDelay(link.failures++);
         m_unconnected.insert(target);
     }
 }
 
-void TargetLinks::take(const TargetName &target, const Bytes &frame)
+void TargetLinks::handleFrame(const TargetName &target, const Bytes &frame)
 {
     auto envelope = decodeEnvelope(frame);
     if (errorIn(envelope) != nullptr) {
-        m_malformed.add();
+        m_malformedFrames.add();
         return;
     }
     const auto &outer = std::get<Envelope>(envelope);
@@ -130,31 +130,31 @@
     }
     auto message = decodeTrafficMessage(outer.payload);
     if (errorIn(message) != nullptr) {
-        m_malformed.add();
+        m_malformedFrames.add();
         return;
     }
     m_events.received(target, std::get<TrafficMessage>(std::move(message)));
 }
 
-void TargetLinks::lost(const TargetName &target, const std::shared_ptr<PeerSocket> &socket)
+void TargetLinks::handleClosed(const TargetName &target, const std::shared_ptr<PeerSocket> &socket)
 {
     const auto entry = m_links.find(target);
-    const bool current = entry != m_links.end() && entry->second.socket == socket;
-    if (current) {
+    const bool isCurrent = entry != m_links.end() && entry->second.socket == socket;
+    if (isCurrent) {
         auto &link = entry->second;
         link.socket.reset();
         link.isUp = false;
-        link.notBefore = std::chrono::steady_clock::now() + pauseAfter(link.failures++);
+        link.reconnectAt = std::chrono::steady_clock::now() + reconnectDelay(link.failures++);
         m_unconnected.insert(target);
     }
-    m_lost.add();
+    m_linksLost.add();
     logEvent(Severity::Debug, "link-down", {{"target", target.text()}});
     m_events.down(target);
 }
 
 bool TargetLinks::isWanted(const TargetName &target) const
 {
-    return m_wanted.contains(target);
+    return m_endpoints.contains(target);
 }
 
 bool TargetLinks::isUp(const TargetName &target) const
@@ -163,7 +163,7 @@
     return entry != m_links.end() && entry->second.isUp;
 }
 
-bool TargetLinks::takesNew(const TargetName &target) const
+bool TargetLinks::acceptsNewRequests(const TargetName &target) const
 {
     const auto entry = m_links.find(target);
     return entry != m_links.end() && entry->second.isUp && !entry->second.isRetired;
--- a/modules/heatherridge_transport/entry/targetlinks.h
+++ b/modules/heatherridge_transport/entry/targetlinks.h
@@ -40,7 +40,7 @@
      * Connects to the targets of @p endpoints that have no link yet, and retires links to all others: nothing new goes
      * over a retired link, and it is closed once nothing is open on it.
      */
-    void follow(const std::map<TargetName, Endpoint> &endpoints);
+    void setTargets(const std::map<TargetName, Endpoint> &endpoints);
 
     /** Connects again where the pause is over, and closes retired links that are done. Called every few milliseconds.
      */
@@ -53,7 +53,7 @@
     bool isUp(const TargetName &target) const;
 
     /** Whether @p target is connected and may be sent something new. */
-    bool takesNew(const TargetName &target) const;
+    bool acceptsNewRequests(const TargetName &target) const;
 
     /** Sends @p message; false when @p target is not connected, and then nothing was sent. */
     bool send(const TargetName &target, const TrafficMessage &message);
@@ -69,25 +69,25 @@
         bool isUp = false;
         bool isRetired = false; ///< no longer wanted; lives on for what is open on it
         int failures = 0;
-        SteadyTime notBefore{};
+        SteadyTime reconnectAt{};
     };
 
-    bool isDone(const TargetName &target, const Link &link) const;
+    bool canClose(const TargetName &target, const Link &link) const;
     void closeRetired();
     void addMissing();
     void connect(const TargetName &target, Link &link);
-    void take(const TargetName &target, const Bytes &frame);
-    void lost(const TargetName &target, const std::shared_ptr<PeerSocket> &socket);
+    void handleFrame(const TargetName &target, const Bytes &frame);
+    void handleClosed(const TargetName &target, const std::shared_ptr<PeerSocket> &socket);
 
     const FrameEncoder &m_encoder;
     TargetLinkEvents m_events;
     PeerConnector m_connector;
-    std::map<TargetName, Endpoint> m_wanted;
+    std::map<TargetName, Endpoint> m_endpoints;
     std::map<TargetName, Link> m_links;
     std::set<TargetName> m_unconnected; ///< links without a socket, which alone need looking after
-    std::size_t m_retired = 0;
-    Counter &m_malformed;
-    Counter &m_lost;
+    std::size_t m_retiredCount = 0;
+    Counter &m_malformedFrames;
+    Counter &m_linksLost;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/entry/targettracker.cpp
+++ b/modules/heatherridge_transport/entry/targettracker.cpp
@@ -8,30 +8,30 @@
 namespace
 {
 
-constexpr std::chrono::hours NoReportAge{1};
+constexpr std::chrono::hours AgeWithoutReport{1};
 /** Bytes of a prompt to one token, on average; engines' own tokenizers are not at hand here. */
 constexpr std::size_t BytesPerToken = 4;
 constexpr auto TokensPerBlock = static_cast<std::uint32_t>(PrefixIndex::BlockBytes / BytesPerToken);
 
 } // namespace
 
-void TargetTracker::follow(const Inventory &inventory)
+void TargetTracker::updateInventory(const Inventory &inventory)
 {
-    std::erase_if(m_known, [&](const auto &entry) {
-        const bool gone = inventory.find(entry.first) == nullptr;
-        if (gone) {
+    std::erase_if(m_states, [&](const auto &entry) {
+        const bool removed = inventory.find(entry.first) == nullptr;
+        if (removed) {
             m_health.remove(entry.first);
         }
-        return gone;
+        return removed;
     });
     for (const auto &[name, target] : inventory.targets()) {
-        known(name);
+        stateOf(name);
     }
 }
 
-void TargetTracker::takeReport(const LoadReport &report, SteadyTime now)
+void TargetTracker::recordReport(const LoadReport &report, SteadyTime now)
 {
-    auto &target = known(report.target);
+    auto &target = stateOf(report.target);
     target.report = report;
     target.reportedAt = now;
     target.promptSent = 0;
@@ -40,73 +40,73 @@
     }
 }
 
-LoadReport TargetTracker::reportOf(const TargetName &target) const
+LoadReport TargetTracker::lastReport(const TargetName &target) const
 {
-    const auto entry = m_known.find(target);
-    return entry == m_known.end() ? LoadReport{} : entry->second.report;
+    const auto entry = m_states.find(target);
+    return entry == m_states.end() ? LoadReport{} : entry->second.report;
 }
 
 void TargetTracker::recordSent(const TargetName &target, const SubmitRequest &request,
-                            std::span<const std::uint64_t> chain, SteadyTime now)
+                               std::span<const std::uint64_t> chain, SteadyTime now)
 {
-    auto &entry = known(target);
+    auto &entry = stateOf(target);
     entry.ownLoad += static_cast<double>(request.cost);
     entry.promptSent += static_cast<double>(request.freshTokens);
     ++entry.ownInFlight;
     m_prefixes.insert(entry.slot, chain, now);
 }
 
-void TargetTracker::recordLeft(const TargetName &target, double cost, AttemptOutcome attempt, SteadyTime now)
+void TargetTracker::recordAttemptEnd(const TargetName &target, double cost, AttemptOutcome attempt, SteadyTime now)
 {
-    auto &entry = known(target);
+    auto &entry = stateOf(target);
     entry.ownLoad = std::max(0.0, entry.ownLoad - cost);
     entry.ownInFlight -= entry.ownInFlight > 0 ? 1 : 0;
     m_health.record(target, attempt, now);
 }
 
-void TargetTracker::recordDown(const TargetName &target)
+void TargetTracker::recordDisconnect(const TargetName &target)
 {
-    auto &entry = known(target);
+    auto &entry = stateOf(target);
     entry.reportedAt.reset();
     m_prefixes.removeTarget(entry.slot);
     m_slowness.reset(static_cast<std::size_t>(entry.slot));
 }
 
-std::vector<TargetView> TargetTracker::viewsOf(std::span<const Target *const> targets,
-                                            std::span<const std::uint64_t> chain, SteadyTime now) const
+std::vector<TargetView> TargetTracker::makeViews(std::span<const Target *const> targets,
+                                                 std::span<const std::uint64_t> chain, SteadyTime now) const
 {
     const auto matches = m_prefixes.match(chain, now);
     std::vector<TargetView> views;
     views.reserve(targets.size());
     for (const auto *target : targets) {
-        const auto entry = m_known.find(target->name);
-        const Known unknown;
-        const auto &known = entry == m_known.end() ? unknown : entry->second;
+        const auto entry = m_states.find(target->name);
+        const TargetState noState;
+        const auto &state = entry == m_states.end() ? noState : entry->second;
         const auto health = m_health.healthOf(target->name, now);
-        const auto age = known.reportedAt ? now - *known.reportedAt : NoReportAge;
-        const auto held = std::find_if(matches.begin(), matches.end(),
-                                       [&known](const PrefixMatch &match) { return match.target == known.slot; });
+        const auto age = state.reportedAt ? now - *state.reportedAt : AgeWithoutReport;
+        const auto cached = std::find_if(matches.begin(), matches.end(),
+                                         [&state](const PrefixMatch &match) { return match.target == state.slot; });
         views.push_back({.key = targetKey(target->name),
-                         .reportedLoad = known.report.load,
+                         .reportedLoad = state.report.load,
                          .reportAge = std::chrono::duration_cast<std::chrono::microseconds>(age),
-                         .ownAtReport = known.report.ofEntry,
-                         .reportedCapacity = known.report.capacity,
-                         .reportedPressure = known.report.pressure,
-                         .pendingPromptTokens = known.report.pendingPrompt + known.promptSent,
-                         .ownLoad = known.ownLoad,
-                         .ownInFlight = known.ownInFlight,
-                         .prefixTokens = held == matches.end() ? 0 : held->blocks * TokensPerBlock,
-                         .slowness = m_slowness.slowness(static_cast<std::size_t>(known.slot)),
-                         .warmth = known.reportedAt ? known.report.warmth : 1,
-                         .usable = health == Health::Healthy && !known.report.draining,
-                         .awaitsProbe = health == Health::Probing && !known.report.draining});
+                         .ownAtReport = state.report.ofEntry,
+                         .reportedCapacity = state.report.capacity,
+                         .reportedPressure = state.report.pressure,
+                         .pendingPromptTokens = state.report.pendingPrompt + state.promptSent,
+                         .ownLoad = state.ownLoad,
+                         .ownInFlight = state.ownInFlight,
+                         .prefixTokens = cached == matches.end() ? 0 : cached->blocks * TokensPerBlock,
+                         .slowness = m_slowness.slowness(static_cast<std::size_t>(state.slot)),
+                         .warmth = state.reportedAt ? state.report.warmth : 1,
+                         .usable = health == Health::Healthy && !state.report.draining,
+                         .awaitsProbe = health == Health::Probing && !state.report.draining});
     }
     return views;
 }
 
-TargetTracker::Known &TargetTracker::known(const TargetName &target)
+TargetTracker::TargetState &TargetTracker::stateOf(const TargetName &target)
 {
-    const auto [entry, isNew] = m_known.try_emplace(target);
+    const auto [entry, isNew] = m_states.try_emplace(target);
     if (isNew) {
         entry->second.slot = static_cast<TargetSlot>(m_nextSlot++);
         m_health.add(target);
--- a/modules/heatherridge_transport/entry/targettracker.h
+++ b/modules/heatherridge_transport/entry/targettracker.h
@@ -20,33 +20,33 @@
 {
 public:
     /** The inventory has changed: targets that it no longer lists are forgotten. */
-    void follow(const Inventory &inventory);
+    void updateInventory(const Inventory &inventory);
 
     /** A report of @p report.target has come. */
-    void takeReport(const LoadReport &report, SteadyTime now);
+    void recordReport(const LoadReport &report, SteadyTime now);
 
     /** The last report of @p target; an empty one when none has come. */
-    LoadReport reportOf(const TargetName &target) const;
+    LoadReport lastReport(const TargetName &target) const;
 
     /** @p request, whose prompt has the blocks @p chain, is sent to @p target. */
     void recordSent(const TargetName &target, const SubmitRequest &request, std::span<const std::uint64_t> chain,
                     SteadyTime now);
 
     /** A request of @p cost has ended at @p target, in the way @p attempt. */
-    void recordLeft(const TargetName &target, double cost, AttemptOutcome attempt, SteadyTime now);
+    void recordAttemptEnd(const TargetName &target, double cost, AttemptOutcome attempt, SteadyTime now);
 
     /** The connection to @p target is gone: its cache may be, too. */
-    void recordDown(const TargetName &target);
+    void recordDisconnect(const TargetName &target);
 
     /**
      * One view for each of @p targets, in their order, for a request whose prompt has the blocks @p chain. Whether a
      * target is reachable and takes work is the caller's to add.
      */
-    std::vector<TargetView> viewsOf(std::span<const Target *const> targets, std::span<const std::uint64_t> chain,
-                                    SteadyTime now) const;
+    std::vector<TargetView> makeViews(std::span<const Target *const> targets, std::span<const std::uint64_t> chain,
+                                      SteadyTime now) const;
 
 private:
-    struct Known
+    struct TargetState
     {
         TargetSlot slot{}; ///< number for the classes that count targets
         LoadReport report{};
@@ -56,9 +56,9 @@
         std::uint32_t ownInFlight = 0;
     };
 
-    Known &known(const TargetName &target);
+    TargetState &stateOf(const TargetName &target);
 
-    std::map<TargetName, Known> m_known;
+    std::map<TargetName, TargetState> m_states;
     std::uint32_t m_nextSlot = 0;
     HealthTracker m_health;
     SlownessTracker m_slowness;
--- a/modules/heatherridge_transport/target/keyedcalls.cpp
+++ b/modules/heatherridge_transport/target/keyedcalls.cpp
@@ -70,7 +70,7 @@
             others[other->name] = other->gate;
         }
     }
-    m_links.follow(others);
+    m_links.setTargets(others);
     place();
 }
 
