--- a/modules/heatherridge_transport/target/drainstatus.cpp
+++ b/modules/heatherridge_transport/target/drainstatus.cpp
@@ -10,29 +10,29 @@
 
 constexpr std::array<std::string_view, 3> PhaseNames{"open", "draining", "drained"};
 
-std::chrono::milliseconds since(SteadyTime begin, SteadyTime now)
+std::chrono::milliseconds elapsed(SteadyTime begin, SteadyTime now)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(now - begin);
 }
 
 } // namespace
 
-void followConfig(DrainTracker &drain, const ConfigView &view, const TargetName &target, SteadyTime now)
+void updateDrainCauses(DrainTracker &drain, const ConfigView &view, const TargetName &target, SteadyTime now)
 {
-    const auto *listed = view.inventory->find(target);
-    const bool withdrawn = listed == nullptr || listed->withdrawn || view.leaving.contains(target);
+    const auto *entry = view.inventory->find(target);
+    const bool withdrawn = entry == nullptr || entry->withdrawn || view.leaving.contains(target);
     drain.setCause(DrainCause::Withdrawal, withdrawn, now);
     drain.setCause(DrainCause::PlannedStop, view.rules->hasPlannedStop(target), now);
 }
 
-DrainReport reportOn(const DrainTracker &drain, SteadyTime now)
+DrainReport makeDrainReport(const DrainTracker &drain, SteadyTime now)
 {
     DrainReport report{.phase = drain.phase(), .cause = drain.cause(), .openCount = drain.runningCount()};
     if (const auto begin = drain.drainingSince()) {
-        report.lasting = since(*begin, now);
+        report.duration = elapsed(*begin, now);
     }
-    for (const auto &work : drain.runningRequests(MostOpenNamed)) {
-        report.open.emplace_back(work.id, since(work.since, now));
+    for (const auto &work : drain.runningRequests(MaxListedRequests)) {
+        report.open.emplace_back(work.id, elapsed(work.since, now));
     }
     return report;
 }
@@ -47,7 +47,7 @@
                                 {"open_count", report.openCount},
                                 {"open", open}};
     json["cause"] = report.cause ? nlohmann::ordered_json(toString(*report.cause)) : nullptr;
-    json["lasting_ms"] = report.lasting ? nlohmann::ordered_json(report.lasting->count()) : nullptr;
+    json["lasting_ms"] = report.duration ? nlohmann::ordered_json(report.duration->count()) : nullptr;
     return json;
 }
 
--- a/modules/heatherridge_transport/target/groupagent.cpp
+++ b/modules/heatherridge_transport/target/groupagent.cpp
@@ -17,16 +17,16 @@
 
 /** Silence of the leader after which the lowest rank claims the role; each further rank waits ClaimStagger longer, so
  * that one claim is made and not one a rank. */
-constexpr std::chrono::seconds ClaimAfter{4};
+constexpr std::chrono::seconds LeaderSilenceTimeout{4};
 constexpr std::chrono::seconds ClaimStagger{1};
 constexpr std::chrono::milliseconds ReadWait{5000};
-constexpr std::chrono::milliseconds ReadPause{500};
+constexpr std::chrono::milliseconds ReadRetryDelay{500};
 constexpr std::size_t ReadRecords = 64;
 constexpr std::chrono::milliseconds OrderTimeout{5000};
 /** What the weight store is taken to give one group, until it says so itself. */
-constexpr double StoreBytesPerSecond = 2e9;
+constexpr double WeightStoreBytesPerSecond = 2e9;
 /** Maps kept that the leader had loaded, so that this process knows their placement when it comes to lead. */
-constexpr std::size_t MapsKept = 8;
+constexpr std::size_t MaxKnownMaps = 8;
 
 } // namespace
 
@@ -46,7 +46,7 @@
         m_http = std::make_unique<HttpClient>(m_loop.context(), HttpClient::Options{});
         m_log = std::make_unique<HttpLogService>(*m_http, HttpLogService::Options{.endpoint = m_options.logService});
         m_links = std::make_unique<RankLinks>(m_loop.context());
-        enterGroup();
+        joinGroup();
         tick();
     }
 
@@ -61,7 +61,7 @@
     void setView(const std::shared_ptr<const ConfigView> &view)
     {
         m_view = view;
-        enterGroup();
+        joinGroup();
         if (m_planner) {
             m_planner->setRanks(plannedRanks());
             m_planner->setWeights(m_view->rules->balance());
@@ -80,7 +80,7 @@
         if (!m_gate || group != m_group || sender == nullptr || sender->group != m_group) {
             return;
         }
-        take(message, sender->rank, envelope.incarnation);
+        handleMessage(message, sender->rank, envelope.incarnation);
     }
 
     nlohmann::ordered_json status() const
@@ -109,7 +109,7 @@
 
 private:
     /** Takes up work once the inventory lists this target in a group. */
-    void enterGroup()
+    void joinGroup()
     {
         const auto *self = m_view->inventory->find(m_options.target);
         if (m_gate || self == nullptr || self->group.isEmpty() || !m_http) {
@@ -143,12 +143,12 @@
         }
         if (m_gate) {
             perform(m_gate->tick());
-            showCounters();
-            m_leaderSilent += m_options.tick;
+            updateMetrics();
+            m_leaderSilence += m_options.tick;
             if (m_leader) {
-                lead();
-            } else if (m_leaderSilent > ClaimAfter + m_rank * ClaimStagger) {
-                claim();
+                runLeader();
+            } else if (m_leaderSilence > LeaderSilenceTimeout + m_rank * ClaimStagger) {
+                claimLeadership();
             }
         }
         m_loop.after(m_options.tick, [weak = weak_from_this()] {
@@ -160,35 +160,35 @@
 
     /** Shows the state machines' counters as metrics; they start anew with the process, and the leader's with the role.
      */
-    void showCounters()
+    void updateMetrics()
     {
-        const auto show = [this](const char *name, std::uint64_t value) {
+        const auto setGauge = [this](const char *name, std::uint64_t value) {
             m_metrics.gauge(std::string("heatherridge_group_") + name).set(static_cast<std::int64_t>(value));
         };
         const auto &gate = m_gate->counters();
-        show("agreed", gate.agreed);
-        show("refused_not_ready", gate.refusedNotReady);
-        show("refused_fenced", gate.refusedFenced);
-        show("refused_undecided", gate.refusedUndecided);
-        show("refused_cancelled", gate.refusedCancelled);
-        show("fenced_messages", gate.fencedMessages);
-        show("committed", gate.committed);
-        show("aborted", gate.aborted);
-        show("epochs_entered", gate.epochsEntered);
-        show("undecided_ticks", gate.undecidedTicks);
+        setGauge("agreed", gate.agreed);
+        setGauge("refused_not_ready", gate.refusedNotReady);
+        setGauge("refused_fenced", gate.refusedFenced);
+        setGauge("refused_undecided", gate.refusedUndecided);
+        setGauge("refused_cancelled", gate.refusedCancelled);
+        setGauge("fenced_messages", gate.fencedMessages);
+        setGauge("committed", gate.committed);
+        setGauge("aborted", gate.aborted);
+        setGauge("epochs_entered", gate.epochsEntered);
+        setGauge("undecided_ticks", gate.undecidedTicks);
         if (m_leader) {
             const auto &leader = m_leader->counters();
-            show("leader_switches_committed", leader.switchesCommitted);
-            show("leader_switches_aborted", leader.switchesAborted);
-            show("leader_cancelled_restart", leader.cancelledRestart);
-            show("leader_cancelled_load", leader.cancelledLoad);
-            show("leader_epochs_composed", leader.epochsComposed);
-            show("leader_epochs_lost", leader.epochsSuperseded);
-            show("leader_appends_repeated", leader.appendsRepeated);
+            setGauge("leader_switches_committed", leader.switchesCommitted);
+            setGauge("leader_switches_aborted", leader.switchesAborted);
+            setGauge("leader_cancelled_restart", leader.cancelledRestart);
+            setGauge("leader_cancelled_load", leader.cancelledLoad);
+            setGauge("leader_epochs_composed", leader.epochsComposed);
+            setGauge("leader_epochs_lost", leader.epochsSuperseded);
+            setGauge("leader_appends_repeated", leader.appendsRepeated);
         }
     }
 
-    void lead()
+    void runLeader()
     {
         for (const auto *rank : m_view->inventory->ranksOf(m_group)) {
             // Regular word from the leader keeps the others from claiming.
@@ -198,7 +198,7 @@
         const auto &engine = m_gate->engineState();
         if (!m_planner && engine && engine->model.layers > 0) {
             m_planner = std::make_unique<GroupPlanner>(
-                GroupPlanner::Options{.model = engine->model, .storeBytesPerSecond = StoreBytesPerSecond},
+                GroupPlanner::Options{.model = engine->model, .storeBytesPerSecond = WeightStoreBytesPerSecond},
                 plannedRanks());
             m_planner->setWeights(m_view->rules->balance());
             for (const auto &[number, map] : m_maps) {
@@ -226,9 +226,9 @@
         return ranks;
     }
 
-    void claim()
+    void claimLeadership()
     {
-        m_leaderSilent = {};
+        m_leaderSilence = {};
         const GroupClaim claim{.rank = m_rank,
                                .incarnation = m_run,
                                .replaces = m_claims.current() ? m_claims.current()->fencing : FencingNumber{}};
@@ -246,17 +246,18 @@
         if (m_stopped) {
             return;
         }
-        m_log->read(stream(), m_from, ReadRecords, ReadWait, [weak = weak_from_this()](const Result<LogPage> &page) {
-            if (const auto self = weak.lock(); self && !self->m_stopped) {
-                self->takePage(page);
-            }
-        });
+        m_log->read(stream(), m_nextOffset, ReadRecords, ReadWait,
+                    [weak = weak_from_this()](const Result<LogPage> &page) {
+                        if (const auto self = weak.lock(); self && !self->m_stopped) {
+                            self->handlePage(page);
+                        }
+                    });
     }
 
-    void takePage(const Result<LogPage> &result)
+    void handlePage(const Result<LogPage> &result)
     {
         if (errorIn(result) != nullptr) {
-            m_loop.after(ReadPause, [weak = weak_from_this()] {
+            m_loop.after(ReadRetryDelay, [weak = weak_from_this()] {
                 if (const auto self = weak.lock()) {
                     self->readStream();
                 }
@@ -266,19 +267,19 @@
         const auto &page = std::get<LogPage>(result);
         for (const auto &record : page.records) {
             const auto decoded = decodeGroupRecord(record.payload);
-            if (const auto *typed = std::get_if<GroupRecord>(&decoded)) {
-                takeRecord(record.offset, *typed);
+            if (const auto *groupRecord = std::get_if<GroupRecord>(&decoded)) {
+                handleRecord(record.offset, *groupRecord);
             }
-            m_from = next(record.offset);
+            m_nextOffset = next(record.offset);
         }
-        m_from = std::max(m_from, page.first);
-        if (m_leader && m_from > page.last) {
+        m_nextOffset = std::max(m_nextOffset, page.first);
+        if (m_leader && m_nextOffset > page.last) {
             m_leader->setCaughtUp();
         }
         readStream();
     }
 
-    void takeRecord(LogOffset offset, const GroupRecord &record)
+    void handleRecord(LogOffset offset, const GroupRecord &record)
     {
         std::visit(Visitor{
                        [&](const GroupClaim &claim) {
@@ -286,12 +287,12 @@
                                changeLeader();
                            }
                        },
-                       [&](const GroupEpoch &epoch) { takeEpoch(epoch); },
+                       [&](const GroupEpoch &epoch) { handleEpochRecord(epoch); },
                    },
                    record);
     }
 
-    void takeEpoch(const GroupEpoch &epoch)
+    void handleEpochRecord(const GroupEpoch &epoch)
     {
         m_epochs.apply(epoch);
         perform(m_gate->handleEpoch(epoch));
@@ -302,35 +303,35 @@
 
     void changeLeader()
     {
-        const auto &present = *m_claims.current();
-        m_gate->handleClaim(present.fencing);
-        m_leaderSilent = {};
+        const auto &currentClaim = *m_claims.current();
+        m_gate->handleClaim(currentClaim.fencing);
+        m_leaderSilence = {};
         m_leader.reset();
         m_planner.reset();
-        if (present.claim.rank != m_rank || present.claim.incarnation != m_run) {
+        if (currentClaim.claim.rank != m_rank || currentClaim.claim.incarnation != m_run) {
             return;
         }
         std::vector<int> ranks;
         for (const auto *target : m_view->inventory->ranksOf(m_group)) {
             ranks.push_back(target->rank);
         }
-        m_leader = std::make_unique<GroupLeader>(present.fencing, ranks);
+        m_leader = std::make_unique<GroupLeader>(currentClaim.fencing, ranks);
         if (m_epochs.current()) {
             perform(m_leader->handleEpoch(*m_epochs.current()));
         }
         logEvent(Severity::Info, "group-leader",
-                 {{"group", m_group.text()}, {"fencing", std::to_string(toNumber(present.fencing))}});
+                 {{"group", m_group.text()}, {"fencing", std::to_string(toNumber(currentClaim.fencing))}});
     }
 
-    void take(const GroupMessage &message, int from, Incarnation run)
+    void handleMessage(const GroupMessage &message, int from, Incarnation run)
     {
         const int leader = m_claims.current() ? m_claims.current()->claim.rank : -1;
         if (from == leader) {
-            m_leaderSilent = {};
+            m_leaderSilence = {};
         }
         if (const auto *load = std::get_if<LoadMap>(&message)) {
             m_maps.insert_or_assign(load->map.number(), load->map);
-            if (m_maps.size() > MapsKept) {
+            if (m_maps.size() > MaxKnownMaps) {
                 m_maps.erase(m_maps.begin());
             }
         }
@@ -392,7 +393,7 @@
             // Later and not here: the sender may be in the midst of handling another message.
             m_loop.post([weak = weak_from_this(), message] {
                 if (const auto self = weak.lock(); self && !self->m_stopped) {
-                    self->take(message, self->m_rank, self->m_run);
+                    self->handleMessage(message, self->m_rank, self->m_run);
                 }
             });
             return;
@@ -421,13 +422,13 @@
                       .timeout = OrderTimeout},
                      [weak = weak_from_this()](const std::variant<HttpResponse, HttpClient::Failure> &reply) {
                          if (const auto agent = weak.lock(); agent && !agent->m_stopped) {
-                             agent->m_orders.finishCurrent([&](Incarnation run) { agent->takeReply(reply, run); });
+                             agent->m_orders.finishCurrent([&](Incarnation run) { agent->handleReply(reply, run); });
                          }
                      });
         return true;
     }
 
-    void takeReply(const std::variant<HttpResponse, HttpClient::Failure> &reply, Incarnation run)
+    void handleReply(const std::variant<HttpResponse, HttpClient::Failure> &reply, Incarnation run)
     {
         const auto *response = std::get_if<HttpResponse>(&reply);
         if (response == nullptr || run != m_run) {
@@ -435,11 +436,11 @@
         }
         const auto state = decodeEngineState(Bytes(response->body.begin(), response->body.end()));
         if (const auto *known = std::get_if<EngineState>(&state)) {
-            takeState(*known);
+            handleEngineStateReply(*known);
         }
     }
 
-    void takeState(const EngineState &state)
+    void handleEngineStateReply(const EngineState &state)
     {
         if (state.load && state.load->window > m_lastWindow) {
             m_lastWindow = state.load->window;
@@ -471,8 +472,8 @@
     GroupEpochTracker m_epochs;
     std::map<MapNumber, ExpertMap> m_maps;
     OrderQueue m_orders{[this](const OrderEngine &order) { return sendOrder(order); }};
-    std::chrono::milliseconds m_leaderSilent{};
-    LogOffset m_from{1};
+    std::chrono::milliseconds m_leaderSilence{};
+    LogOffset m_nextOffset{1};
     std::uint64_t m_lastWindow = 0;
     bool m_stopped = false;
 };
--- a/modules/heatherridge_transport/target/heldrequests.cpp
+++ b/modules/heatherridge_transport/target/heldrequests.cpp
@@ -3,7 +3,7 @@
 namespace Heatherridge
 {
 
-bool HeldRequests::hold(HeldRequest request)
+bool HeldRequests::add(HeldRequest request)
 {
     if (m_requests.size() >= MaxRequests) {
         return false;
@@ -12,29 +12,29 @@
     return true;
 }
 
-HeldRequests::Released HeldRequests::release(LogOffset offset, SteadyTime latest)
+HeldRequests::Released HeldRequests::release(LogOffset offset, SteadyTime arrivalCutoff)
 {
     Released released;
-    std::vector<HeldRequest> waiting;
+    std::vector<HeldRequest> remaining;
     for (auto &request : m_requests) {
-        if (request.needs <= offset) {
+        if (request.requiredOffset <= offset) {
             released.ready.push_back(std::move(request));
-        } else if (request.arrived <= latest) {
-            released.late.push_back(std::move(request));
+        } else if (request.arrived <= arrivalCutoff) {
+            released.expired.push_back(std::move(request));
         } else {
-            waiting.push_back(std::move(request));
+            remaining.push_back(std::move(request));
         }
     }
-    m_requests = std::move(waiting);
+    m_requests = std::move(remaining);
     return released;
 }
 
-void HeldRequests::forget(const RequestId &id)
+void HeldRequests::remove(const RequestId &id)
 {
     std::erase_if(m_requests, [&id](const auto &held) { return held.request.id == id; });
 }
 
-void HeldRequests::forget(const std::shared_ptr<PeerSocket> &entry)
+void HeldRequests::remove(const std::shared_ptr<PeerSocket> &entry)
 {
     std::erase_if(m_requests, [&entry](const auto &held) { return held.entry == entry; });
 }
--- a/modules/heatherridge_transport/target/heldrequests.h
+++ b/modules/heatherridge_transport/target/heldrequests.h
@@ -14,7 +14,7 @@
 {
     SubmitRequest request{};
     std::shared_ptr<PeerSocket> entry{};
-    LogOffset needs{}; ///< what its entry had folded when it sent it
+    LogOffset requiredOffset{}; ///< what its entry had folded when it sent it
     SteadyTime arrived{};
 };
 
@@ -35,20 +35,20 @@
     struct Released
     {
         std::vector<HeldRequest> ready{}; ///< their configuration has come
-        std::vector<HeldRequest> late{}; ///< it has not come in time
+        std::vector<HeldRequest> expired{}; ///< it has not come in time
     };
 
     /** Keeps @p request; false when there is no place. */
-    bool hold(HeldRequest request);
+    bool add(HeldRequest request);
 
     /** Takes out what @p offset suffices for, and what arrived at or before @p latest. */
-    Released release(LogOffset offset, SteadyTime latest);
+    Released release(LogOffset offset, SteadyTime arrivalCutoff);
 
     /** Drops the request of the attempt @p id. */
-    void forget(const RequestId &id);
+    void remove(const RequestId &id);
 
     /** Drops the requests of @p entry, whose connection is gone. */
-    void forget(const std::shared_ptr<PeerSocket> &entry);
+    void remove(const std::shared_ptr<PeerSocket> &entry);
 
     /** Whether none waits. */
     bool isEmpty() const;
--- a/modules/heatherridge_transport/target/keyedcalls.cpp
+++ b/modules/heatherridge_transport/target/keyedcalls.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds Tick{50};
+constexpr std::chrono::milliseconds TickInterval{50};
 constexpr int TicksPerPresence = 10;
 /** A gate that was not heard for this long is taken for dead when shards are placed. Says nothing about safety. */
 constexpr std::chrono::seconds PresenceTimeout{3};
 /** A new process waits this long for others to be heard before it takes a shard that is another's by rank. */
-constexpr std::chrono::seconds Settling{2};
+constexpr std::chrono::seconds StartupSettlingTime{2};
 constexpr std::size_t WitnessCount = 2;
 /** Append and read time limit: how soon an outage of the log is noticed. */
 constexpr std::chrono::milliseconds LogTimeout{1000};
@@ -26,14 +26,14 @@
 }
 
 /** The run of a process that a frame to any of its runs is addressed to. */
-constexpr Incarnation AnyRun{0};
+constexpr Incarnation AnyIncarnation{0};
 
 } // namespace
 
 KeyedCalls::KeyedCalls(EventLoop &loop, Options options, const FrameEncoder &encoder, Metrics &metrics, Events events)
     : m_loop(loop)
     , m_options(std::move(options))
-    , m_self{.process = ProcessName(m_options.target.text()), .incarnation = m_options.incarnation}
+    , m_ownGate{.process = ProcessName(m_options.target.text()), .incarnation = m_options.incarnation}
     , m_metrics(metrics)
     , m_events(std::move(events))
     , m_client(loop.context(), HttpClient::Options{})
@@ -42,7 +42,7 @@
               TargetLinkEvents{.received = [](const TargetName &, const TrafficMessage &) {},
                                .control = [](const TargetName &, const Envelope &) {},
                                .up = [this](const TargetName &) { sendPresence(); },
-                               .down = [this](const TargetName &target) { peerLost(target); }})
+                               .down = [this](const TargetName &target) { handlePeerDisconnect(target); }})
     , m_view(std::make_shared<const ConfigView>())
 {
 }
@@ -51,10 +51,10 @@
 
 void KeyedCalls::start()
 {
-    m_loop.every(Tick, [this] { tick(); });
+    m_loop.every(TickInterval, [this] { tick(); });
 }
 
-void KeyedCalls::follow(const std::shared_ptr<const ConfigView> &view)
+void KeyedCalls::setView(const std::shared_ptr<const ConfigView> &view)
 {
     m_view = view;
     const auto *target = view->inventory->find(m_options.target);
@@ -71,16 +71,16 @@
         }
     }
     m_links.setTargets(others);
-    place();
+    updatePlacement();
 }
 
 void KeyedCalls::drain()
 {
     m_draining = true;
-    place();
+    updatePlacement();
 }
 
-bool KeyedCalls::takes(const SubmitRequest &request) const
+bool KeyedCalls::accepts(const SubmitRequest &request) const
 {
     return !m_service.isEmpty() && !request.key.isEmpty() && !request.mayRepeat;
 }
@@ -95,8 +95,8 @@
     }
     // A message connection brings each frame once and in order, so that counting arrivals numbers the tries as
     // KeyGate wants them; a frame from a connection that is gone is not read any more.
-    const AttemptId attempt{.entry = m_self, .number = ++m_lastAttempt};
-    m_waiting[attempt] = Waiting{.entry = entry, .request = request, .deadline = deadline};
+    const AttemptId attempt{.entry = m_ownGate, .number = ++m_lastAttempt};
+    m_pendingCalls[attempt] = PendingCall{.entry = entry, .request = request, .deadline = deadline};
     m_attempts[request.id] = attempt;
     const std::string_view body(reinterpret_cast<const char *>(request.body.data()), request.body.size());
     const auto path = request.query.empty() ? request.path : request.path + "?" + request.query;
@@ -108,22 +108,22 @@
 
 void KeyedCalls::cancel(const RequestId &id)
 {
-    const auto known = m_attempts.find(id);
-    if (known == m_attempts.end()) {
+    const auto pending = m_attempts.find(id);
+    if (pending == m_attempts.end()) {
         return;
     }
-    const auto attempt = known->second;
-    m_waiting.at(attempt).entry.reset();
-    auto &shard = shardFor(*Uuid7::parse(m_waiting.at(attempt).request.key.text()));
+    const auto attempt = pending->second;
+    m_pendingCalls.at(attempt).entry.reset();
+    auto &shard = shardFor(*Uuid7::parse(m_pendingCalls.at(attempt).request.key.text()));
     shard.perform(shard.gate().cancel(attempt));
 }
 
-void KeyedCalls::entryGone(const Socket &entry)
+void KeyedCalls::handleEntryDisconnect(const Socket &entry)
 {
     std::vector<RequestId> orphans;
-    for (const auto &[attempt, waiting] : m_waiting) {
-        if (waiting.entry == entry) {
-            orphans.push_back(waiting.request.id);
+    for (const auto &[attempt, pendingCall] : m_pendingCalls) {
+        if (pendingCall.entry == entry) {
+            orphans.push_back(pendingCall.request.id);
         }
     }
     for (const auto &id : orphans) {
@@ -131,7 +131,7 @@
     }
 }
 
-void KeyedCalls::served(const Uuid7 &key, const Result<StoredAnswer> &result)
+void KeyedCalls::completeCall(const Uuid7 &key, const Result<StoredAnswer> &result)
 {
     auto &shard = shardFor(key);
     shard.perform(shard.gate().callCompleted(key, result));
@@ -145,17 +145,18 @@
         m_metrics.errors(ErrorKind::MalformedFrame).add();
         return;
     }
-    if (frame->service != m_service || frame->to.process != m_self.process || frame->from.process != envelope.sender) {
+    if (frame->service != m_service || frame->to.process != m_ownGate.process
+        || frame->from.process != envelope.sender) {
         return;
     }
     auto &peer = m_peers[frame->from.process];
-    const bool isNews = peer.incarnation != frame->from.incarnation;
-    peer = Peer{.incarnation = frame->from.incarnation, .heard = std::chrono::steady_clock::now()};
-    if (isNews) {
-        place();
+    const bool isNewRun = peer.incarnation != frame->from.incarnation;
+    peer = Peer{.incarnation = frame->from.incarnation, .lastHeard = std::chrono::steady_clock::now()};
+    if (isNewRun) {
+        updatePlacement();
     }
     // What is meant for an earlier run of this process rests on a memory that is gone.
-    if (frame->to.incarnation == m_self.incarnation) {
+    if (frame->to.incarnation == m_ownGate.incarnation) {
         auto &shard = *m_shards.at(toNumber(frame->shard));
         shard.perform(shard.gate().messageReceived(frame->from, frame->message, wallNow()));
     }
@@ -163,7 +164,7 @@
 
 bool KeyedCalls::isIdle() const
 {
-    return m_waiting.empty()
+    return m_pendingCalls.empty()
         && (m_service.isEmpty() || std::all_of(m_shards.begin(), m_shards.end(), [](const auto &shard) {
                 return shard->gate().isRecorded() && shard->gate().openCalls() == 0;
             }));
@@ -172,11 +173,11 @@
 void KeyedCalls::open(const Target &target)
 {
     m_service = target.service;
-    m_opened = std::chrono::steady_clock::now();
+    m_openedAt = std::chrono::steady_clock::now();
     for (std::uint32_t number = 0; number < KeyShardCount; ++number) {
         const auto shard = static_cast<KeyShard>(number);
         m_shards.at(number) = std::make_unique<KeyShardLink>(
-            m_loop, m_log, m_self,
+            m_loop, m_log, m_ownGate,
             KeyShardLink::Options{.stream = StreamName("keys-" + m_service.text() + "-" + std::to_string(number))},
             [this, shard](const KeyAction &action) { perform(shard, action); });
         m_shards.at(number)->start();
@@ -191,8 +192,8 @@
     }
     if (++m_ticks % TicksPerPresence == 0) {
         sendPresence();
-        place();
-        count();
+        updatePlacement();
+        updateCounters();
     }
     for (const auto &shard : m_shards) {
         shard->perform(shard->gate().tick(wallNow()));
@@ -200,7 +201,7 @@
 }
 
 /** Tells each gate anew who is to hold its shard; it does nothing when that is what it knows. */
-void KeyedCalls::place()
+void KeyedCalls::updatePlacement()
 {
     if (m_service.isEmpty()) {
         return;
@@ -238,18 +239,18 @@
 {
     const auto peer = m_peers.find(ProcessName(target.name.text()));
     if (peer == m_peers.end()) {
-        return now - m_opened < Settling;
+        return now - m_openedAt < StartupSettlingTime;
     }
-    return now - peer->second.heard < PresenceTimeout;
+    return now - peer->second.lastHeard < PresenceTimeout;
 }
 
 /** A process that was killed closes its connections at once; one that only lost them says so within a second. */
-void KeyedCalls::peerLost(const TargetName &target)
+void KeyedCalls::handlePeerDisconnect(const TargetName &target)
 {
     const auto peer = m_peers.find(ProcessName(target.text()));
     if (peer != m_peers.end()) {
-        peer->second.heard -= PresenceTimeout;
-        place();
+        peer->second.lastHeard -= PresenceTimeout;
+        updatePlacement();
     }
 }
 
@@ -260,15 +261,17 @@
     }
     for (const auto *other : m_view->inventory->targetsOf(m_service)) {
         if (other->name != m_options.target) {
-            sendFrame(KeyShard{0}, {.process = ProcessName(other->name.text()), .incarnation = AnyRun}, GatePresence{});
+            sendFrame(KeyShard{0}, {.process = ProcessName(other->name.text()), .incarnation = AnyIncarnation},
+                      GatePresence{});
         }
     }
 }
 
 void KeyedCalls::sendFrame(KeyShard shard, const GateId &to, const KeyMessage &message)
 {
-    m_links.send(TargetName(to.process.text()), Channel::Keys,
-                 encode(KeyFrame{.service = m_service, .shard = shard, .from = m_self, .to = to, .message = message}));
+    m_links.send(
+        TargetName(to.process.text()), Channel::Keys,
+        encode(KeyFrame{.service = m_service, .shard = shard, .from = m_ownGate, .to = to, .message = message}));
 }
 
 void KeyedCalls::perform(KeyShard shard, const KeyAction &action)
@@ -276,11 +279,11 @@
     std::visit(Visitor{
                    [](const AppendBatch &) {},
                    [&](const RunCall &run) {
-                       const auto &waiting = m_waiting.at(run.attempt);
-                       const auto request = waiting.request;
-                       m_events.run(run.key, request, waiting.deadline);
+                       const auto &pendingCall = m_pendingCalls.at(run.attempt);
+                       const auto request = pendingCall.request;
+                       m_events.run(run.key, request, pendingCall.deadline);
                    },
-                   [&](const AnswerCall &told) { answer(told.attempt, told.reply); },
+                   [&](const AnswerCall &answerCall) { answer(answerCall.attempt, answerCall.reply); },
                    [&](const SendKeyMessage &send) { sendFrame(shard, send.to, send.message); },
                },
                action);
@@ -288,15 +291,15 @@
 
 void KeyedCalls::answer(const AttemptId &attempt, const KeyReply &reply)
 {
-    const auto known = m_waiting.find(attempt);
-    if (known == m_waiting.end()) {
+    const auto pending = m_pendingCalls.find(attempt);
+    if (pending == m_pendingCalls.end()) {
         return;
     }
-    const auto waiting = std::move(known->second);
-    m_waiting.erase(known);
-    const auto &id = waiting.request.id;
+    const auto pendingCall = std::move(pending->second);
+    m_pendingCalls.erase(pending);
+    const auto &id = pendingCall.request.id;
     m_attempts.erase(id);
-    if (!waiting.entry) {
+    if (!pendingCall.entry) {
         return;
     }
     std::visit(Visitor{
@@ -305,14 +308,14 @@
                        if (!stored.contentType.empty()) {
                            head.headers.push_back({.name = "Content-Type", .value = stored.contentType});
                        }
-                       m_events.answer(waiting.entry, head);
-                       m_events.answer(waiting.entry,
+                       m_events.answer(pendingCall.entry, head);
+                       m_events.answer(pendingCall.entry,
                                        AnswerChunk{.id = id, .bytes = Bytes(stored.body.begin(), stored.body.end())});
-                       m_events.answer(waiting.entry, AnswerEnd{.id = id, .chunks = 1});
+                       m_events.answer(pendingCall.entry, AnswerEnd{.id = id, .chunks = 1});
                    },
                    [&](const Error &error) {
                        m_metrics.errors(error.kind).add();
-                       m_events.answer(waiting.entry,
+                       m_events.answer(pendingCall.entry,
                                        AnswerError{.id = id,
                                                    .kind = error.kind,
                                                    .ran = error.ranOrDefault(),
@@ -320,7 +323,7 @@
                                                    .detail = error.detail});
                    },
                    [&](const KeyRedirect &redirect) {
-                       m_events.answer(waiting.entry,
+                       m_events.answer(pendingCall.entry,
                                        AnswerError{.id = id,
                                                    .kind = ErrorKind::KeyNotDecidable,
                                                    .ran = ExecutionStatus::Unknown,
@@ -331,7 +334,7 @@
                reply);
 }
 
-void KeyedCalls::count()
+void KeyedCalls::updateCounters()
 {
     std::uint64_t appends = 0;
     std::uint64_t records = 0;
@@ -359,9 +362,9 @@
     now["append"] = appends;
     now["record"] = records;
     for (const auto &[event, total] : now) {
-        auto &counted = m_counted[event];
-        m_metrics.counter("heatherridge_keys_total", "event=\"" + event + "\"").add(total - counted);
-        counted = total;
+        auto &exported = m_exportedCounts[event];
+        m_metrics.counter("heatherridge_keys_total", "event=\"" + event + "\"").add(total - exported);
+        exported = total;
     }
     m_metrics.gauge("heatherridge_key_shards_held").set(held);
 }
--- a/modules/heatherridge_transport/target/keyedcalls.h
+++ b/modules/heatherridge_transport/target/keyedcalls.h
@@ -53,13 +53,13 @@
     void start();
 
     /** A new configuration is in force. The first one that lists the target opens the shards. */
-    void follow(const std::shared_ptr<const ConfigView> &view);
+    void setView(const std::shared_ptr<const ConfigView> &view);
 
     /** Takes no new calls and hands the shards over to whoever asks. */
     void drain();
 
     /** Whether @p request is for a gate: it has a key and may not be repeated. */
-    bool takes(const SubmitRequest &request) const;
+    bool accepts(const SubmitRequest &request) const;
 
     /** Takes @p request of @p entry. It is answered once, unless the entry goes. */
     void submit(const Socket &entry, const SubmitRequest &request, SteadyTime deadline);
@@ -68,10 +68,10 @@
     void cancel(const RequestId &id);
 
     /** Nobody waits behind @p entry any more. */
-    void entryGone(const Socket &entry);
+    void handleEntryDisconnect(const Socket &entry);
 
     /** What came of a run event. */
-    void served(const Uuid7 &key, const Result<StoredAnswer> &result);
+    void completeCall(const Uuid7 &key, const Result<StoredAnswer> &result);
 
     /** A frame of Channel::Keys from another process. */
     void receive(const Envelope &envelope);
@@ -80,7 +80,7 @@
     bool isIdle() const;
 
 private:
-    struct Waiting
+    struct PendingCall
     {
         Socket entry{};
         SubmitRequest request{};
@@ -90,27 +90,27 @@
     struct Peer
     {
         Incarnation incarnation{};
-        SteadyTime heard{};
+        SteadyTime lastHeard{};
     };
 
     using Shards = std::array<std::unique_ptr<KeyShardLink>, KeyShardCount>;
 
     void open(const Target &target);
     void tick();
-    void place();
+    void updatePlacement();
     KeyPlacement placementOf(KeyShard shard, SteadyTime now) const;
     bool isAlive(const Target &target, SteadyTime now) const;
     void sendPresence();
-    void peerLost(const TargetName &target);
+    void handlePeerDisconnect(const TargetName &target);
     void sendFrame(KeyShard shard, const GateId &to, const KeyMessage &message);
     void perform(KeyShard shard, const KeyAction &action);
     void answer(const AttemptId &attempt, const KeyReply &reply);
-    void count();
+    void updateCounters();
     KeyShardLink &shardFor(const Uuid7 &key);
 
     EventLoop &m_loop;
     Options m_options;
-    GateId m_self;
+    GateId m_ownGate;
     Metrics &m_metrics;
     Events m_events;
     HttpClient m_client;
@@ -120,11 +120,11 @@
     ServiceName m_service; ///< empty until the inventory lists the target as one of a plain service
     Shards m_shards;
     std::map<ProcessName, Peer> m_peers;
-    std::map<AttemptId, Waiting> m_waiting;
+    std::map<AttemptId, PendingCall> m_pendingCalls;
     std::map<RequestId, AttemptId> m_attempts;
-    std::map<std::string, std::uint64_t> m_counted; ///< what the counters have been given so far
+    std::map<std::string, std::uint64_t> m_exportedCounts; ///< what the counters have been given so far
     std::uint64_t m_lastAttempt = 0;
-    SteadyTime m_opened{};
+    SteadyTime m_openedAt{};
     int m_ticks = 0;
     bool m_draining = false;
 };
--- a/modules/heatherridge_transport/target/keyshardlink.cpp
+++ b/modules/heatherridge_transport/target/keyshardlink.cpp
@@ -13,14 +13,14 @@
 
 constexpr std::size_t RecordsPerRead = 256;
 /** Appends that may go out without a pause after a quiet time. */
-constexpr int AppendBurst = 10;
+constexpr int AppendBurstSize = 10;
 
 WallTime wallNow()
 {
     return SystemClock().wallNow();
 }
 
-std::optional<KeyBatch> decoded(const LogRecord &record)
+std::optional<KeyBatch> decodeRecord(const LogRecord &record)
 {
     auto batch = decodeKeyBatch(record.payload);
     if (errorIn(batch) != nullptr) {
@@ -31,11 +31,11 @@
 
 } // namespace
 
-KeyShardLink::KeyShardLink(EventLoop &loop, LogService &log, GateId self, Options options, Perform perform)
+KeyShardLink::KeyShardLink(EventLoop &loop, LogService &log, GateId self, Options options, ActionHandler perform)
     : m_loop(loop)
     , m_log(log)
     , m_options(std::move(options))
-    , m_perform(std::move(perform))
+    , m_actionHandler(std::move(perform))
     , m_gate(std::move(self), m_options.gate)
 {
 }
@@ -66,7 +66,7 @@
                 });
             }
         } else {
-            m_perform(action);
+            m_actionHandler(action);
         }
     }
 }
@@ -75,42 +75,42 @@
 std::chrono::milliseconds KeyShardLink::reserveAppend()
 {
     const auto now = std::chrono::steady_clock::now();
-    const auto slot = std::max(m_nextAppend, now - AppendBurst * m_options.appendPause);
-    m_nextAppend = slot + m_options.appendPause;
+    const auto slot = std::max(m_nextAppend, now - AppendBurstSize * m_options.appendInterval);
+    m_nextAppend = slot + m_options.appendInterval;
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::max(slot - now, SteadyTime::duration::zero()));
 }
 
-bool KeyShardLink::isLogWell() const
+bool KeyShardLink::isLogAvailable() const
 {
-    return m_logWell;
+    return m_logAvailable;
 }
 
 std::uint64_t KeyShardLink::appends() const
 {
-    return m_appends;
+    return m_appendCount;
 }
 
 std::uint64_t KeyShardLink::recordsAppended() const
 {
-    return m_records;
+    return m_recordsAppended;
 }
 
 void KeyShardLink::read()
 {
     // The first read must not wait: a gate of a quiet shard would hold nothing until the wait is over.
-    const auto wait = m_logWell ? m_options.readWait : std::chrono::milliseconds(0);
-    m_log.read(m_options.stream, next(m_read), RecordsPerRead, wait,
+    const auto wait = m_logAvailable ? m_options.readWait : std::chrono::milliseconds(0);
+    m_log.read(m_options.stream, next(m_lastRead), RecordsPerRead, wait,
                [this, alive = std::weak_ptr(m_alive)](const Result<LogPage> &result) {
                    if (alive.expired()) {
                        return;
                    }
                    if (const auto *page = std::get_if<LogPage>(&result)) {
-                       takePage(*page);
+                       handlePage(*page);
                        read();
                        return;
                    }
-                   setLogWell(false);
-                   m_loop.after(m_options.retryPause, [this, alive] {
+                   setLogAvailable(false);
+                   m_loop.after(m_options.retryDelay, [this, alive] {
                        if (!alive.expired()) {
                            read();
                        }
@@ -118,63 +118,63 @@
                });
 }
 
-void KeyShardLink::takePage(const LogPage &page)
+void KeyShardLink::handlePage(const LogPage &page)
 {
-    if (page.first > next(m_read)) {
-        m_read = static_cast<LogOffset>(toNumber(page.first) - 1);
-        perform(m_gate.recordsExpired(m_read));
+    if (page.first > next(m_lastRead)) {
+        m_lastRead = static_cast<LogOffset>(toNumber(page.first) - 1);
+        perform(m_gate.recordsExpired(m_lastRead));
     }
     for (const auto &record : page.records) {
-        if (record.offset > m_read) {
-            m_read = record.offset;
-            perform(m_gate.recordRead(record.offset, decoded(record), wallNow()));
+        if (record.offset > m_lastRead) {
+            m_lastRead = record.offset;
+            perform(m_gate.recordRead(record.offset, decodeRecord(record), wallNow()));
         }
     }
     // While appends fail, readable records are no sign that the log is well for this purpose.
-    setLogWell(!m_appendFailing);
-    if (m_read >= page.last) {
+    setLogAvailable(!m_appendFailing);
+    if (m_lastRead >= page.last) {
         perform(m_gate.streamCaughtUp(wallNow()));
     }
 }
 
 void KeyShardLink::append(const std::shared_ptr<const KeyBatch> &batch)
 {
-    ++m_appends;
-    m_records += batch->records.size();
+    ++m_appendCount;
+    m_recordsAppended += batch->records.size();
     m_log.append(m_options.stream, encode(*batch),
                  [this, batch, alive = std::weak_ptr(m_alive)](const Result<LogOffset> &result) {
                      if (!alive.expired()) {
-                         appended(batch, result);
+                         handleAppendResult(batch, result);
                      }
                  });
 }
 
-void KeyShardLink::appended(const std::shared_ptr<const KeyBatch> &batch, const Result<LogOffset> &result)
+void KeyShardLink::handleAppendResult(const std::shared_ptr<const KeyBatch> &batch, const Result<LogOffset> &result)
 {
     if (errorIn(result) == nullptr) {
         m_appendFailing = false;
         perform(m_gate.appendCompleted(batch->serial, true, wallNow()));
-        setLogWell(true);
+        setLogAvailable(true);
         return;
     }
     // It may have landed or not: the same batch is appended again, and readers skip the double by its number.
     m_appendFailing = true;
-    setLogWell(false);
-    m_loop.after(m_options.retryPause, [this, batch, alive = std::weak_ptr(m_alive)] {
+    setLogAvailable(false);
+    m_loop.after(m_options.retryDelay, [this, batch, alive = std::weak_ptr(m_alive)] {
         if (!alive.expired()) {
             append(batch);
         }
     });
 }
 
-void KeyShardLink::setLogWell(bool well)
+void KeyShardLink::setLogAvailable(bool available)
 {
-    if (well == m_logWell) {
+    if (available == m_logAvailable) {
         return;
     }
-    m_logWell = well;
-    logEvent(Severity::Info, well ? "key-log-well" : "key-log-out", {{"stream", m_options.stream.text()}});
-    perform(m_gate.logAvailabilityChanged(well, wallNow()));
+    m_logAvailable = available;
+    logEvent(Severity::Info, available ? "key-log-well" : "key-log-out", {{"stream", m_options.stream.text()}});
+    perform(m_gate.logAvailabilityChanged(available, wallNow()));
     perform(m_gate.tick(wallNow()));
 }
 
--- a/modules/heatherridge_transport/target/keyshardlink.h
+++ b/modules/heatherridge_transport/target/keyshardlink.h
@@ -21,15 +21,15 @@
     {
         StreamName stream{};
         std::chrono::milliseconds readWait{5000}; ///< how long a read waits for the next record
-        std::chrono::milliseconds retryPause{250}; ///< before a failed read or append is made again
-        std::chrono::milliseconds appendPause{20}; ///< mean time between appends, for the log is everyone's
+        std::chrono::milliseconds retryDelay{250}; ///< before a failed read or append is made again
+        std::chrono::milliseconds appendInterval{20}; ///< mean time between appends, for the log is everyone's
         KeyGate::Options gate{};
     };
 
     /** Does @p actions but for appends, which the link makes itself. */
-    using Perform = std::function<void(const KeyAction &action)>;
+    using ActionHandler = std::function<void(const KeyAction &action)>;
 
-    KeyShardLink(EventLoop &loop, LogService &log, GateId self, Options options, Perform perform);
+    KeyShardLink(EventLoop &loop, LogService &log, GateId self, Options options, ActionHandler perform);
 
     KeyShardLink(const KeyShardLink &) = delete;
     KeyShardLink &operator=(const KeyShardLink &) = delete;
@@ -44,7 +44,7 @@
     void perform(const KeyActions &actions);
 
     /** Whether the log is reachable, as far as seen from here. */
-    bool isLogWell() const;
+    bool isLogAvailable() const;
 
     /** Appends made, and records in them, so far. */
     std::uint64_t appends() const;
@@ -53,21 +53,21 @@
 private:
     std::chrono::milliseconds reserveAppend();
     void read();
-    void takePage(const LogPage &page);
+    void handlePage(const LogPage &page);
     void append(const std::shared_ptr<const KeyBatch> &batch);
-    void appended(const std::shared_ptr<const KeyBatch> &batch, const Result<LogOffset> &result);
-    void setLogWell(bool well);
+    void handleAppendResult(const std::shared_ptr<const KeyBatch> &batch, const Result<LogOffset> &result);
+    void setLogAvailable(bool available);
 
     EventLoop &m_loop;
     LogService &m_log;
     Options m_options;
-    Perform m_perform;
+    ActionHandler m_actionHandler;
     KeyGate m_gate;
-    LogOffset m_read{};
+    LogOffset m_lastRead{};
     SteadyTime m_nextAppend{}; ///< may lie in the past: what was saved up for a burst
-    std::uint64_t m_appends = 0;
-    std::uint64_t m_records = 0;
-    bool m_logWell = false;
+    std::uint64_t m_appendCount = 0;
+    std::uint64_t m_recordsAppended = 0;
+    bool m_logAvailable = false;
     bool m_appendFailing = false;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< lets late callbacks see that the link is gone
 };
--- a/modules/heatherridge_transport/target/ranklinks.cpp
+++ b/modules/heatherridge_transport/target/ranklinks.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t MostWaiting = 64;
+constexpr std::size_t MaxQueuedFrames = 64;
 
 } // namespace
 
@@ -27,39 +27,39 @@
     }
 }
 
-void RankLinks::send(int rank, const Endpoint &gate, const std::vector<std::uint8_t> &frame)
+void RankLinks::send(int rank, const Endpoint &endpoint, const std::vector<std::uint8_t> &frame)
 {
     auto &link = (*m_links)[rank];
-    if (link.open) {
+    if (link.isOpen) {
         link.socket->send(frame);
         return;
     }
-    link.waiting.push_back(frame);
-    if (link.waiting.size() > MostWaiting) {
-        link.waiting.pop_front();
+    link.queued.push_back(frame);
+    if (link.queued.size() > MaxQueuedFrames) {
+        link.queued.pop_front();
     }
     if (link.socket) {
         return; // being connected
     }
     const std::weak_ptr<Links> weak = m_links;
     link.socket =
-        m_connector.connect(gate.address, gate.port,
+        m_connector.connect(endpoint.address, endpoint.port,
                             {.opened =
                                  [weak, rank](const std::shared_ptr<PeerSocket> &socket) {
                                      if (const auto links = weak.lock()) {
                                          auto &opened = (*links)[rank];
-                                         opened.open = true;
-                                         for (const auto &waiting : opened.waiting) {
-                                             socket->send(waiting);
+                                         opened.isOpen = true;
+                                         for (const auto &queuedFrame : opened.queued) {
+                                             socket->send(queuedFrame);
                                          }
-                                         opened.waiting.clear();
+                                         opened.queued.clear();
                                      }
                                  },
                              .received = [](const std::shared_ptr<PeerSocket> &, const std::vector<std::uint8_t> &) {},
                              .closed =
                                  [weak, rank](const std::shared_ptr<PeerSocket> &) {
                                      if (const auto links = weak.lock()) {
-                                         (*links)[rank].open = false;
+                                         (*links)[rank].isOpen = false;
                                          (*links)[rank].socket.reset();
                                      }
                                  }});
--- a/modules/heatherridge_transport/target/ranklinks.h
+++ b/modules/heatherridge_transport/target/ranklinks.h
@@ -28,14 +28,14 @@
     RankLinks &operator=(const RankLinks &) = delete;
 
     /** Sends @p frame to @p rank, whose process listens at @p gate. */
-    void send(int rank, const Endpoint &gate, const std::vector<std::uint8_t> &frame);
+    void send(int rank, const Endpoint &endpoint, const std::vector<std::uint8_t> &frame);
 
 private:
     struct Link
     {
         std::shared_ptr<PeerSocket> socket{};
-        bool open = false;
-        std::deque<std::vector<std::uint8_t>> waiting{};
+        bool isOpen = false;
+        std::deque<std::vector<std::uint8_t>> queued{};
     };
 
     using Links = std::map<int, Link>;
--- a/modules/heatherridge_transport/target/targetserver.cpp
+++ b/modules/heatherridge_transport/target/targetserver.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds DrainPoll{20};
-constexpr std::chrono::seconds LongestKeyWait{3};
+constexpr std::chrono::milliseconds DrainPollInterval{20};
+constexpr std::chrono::seconds MaxKeyWait{3};
 
 } // namespace
 
@@ -46,27 +46,28 @@
                       .send = [this, peer](Bytes frame) { m_traffic.sendFrame(peer, std::move(frame)); }},
                      envelope);
              },
-         .gone = [this](const std::shared_ptr<PeerSocket> &peer) { m_control.incomingGone(peer); }});
-    m_server = std::make_unique<HttpServer>(
-        HttpServer::Options{.listen = m_options.admin},
-        [this](const std::shared_ptr<HttpExchange> &exchange) { exchange->respond(answer(exchange->request())); });
+         .disconnected = [this](const std::shared_ptr<PeerSocket> &peer) { m_control.incomingGone(peer); }});
+    m_server = std::make_unique<HttpServer>(HttpServer::Options{.listen = m_options.admin},
+                                            [this](const std::shared_ptr<HttpExchange> &exchange) {
+                                                exchange->respond(handleRequest(exchange->request()));
+                                            });
 }
 
 TargetServer::~TargetServer() = default;
 
 Result<std::vector<Endpoint>> TargetServer::start()
 {
-    const auto gate = m_traffic.start();
-    if (const auto *error = errorIn(gate)) {
+    const auto entryEndpoint = m_traffic.start();
+    if (const auto *error = errorIn(entryEndpoint)) {
         return *error;
     }
     m_control.start();
     m_group.start();
-    const auto admin = m_server->start();
-    if (const auto *error = errorIn(admin)) {
+    const auto adminEndpoint = m_server->start();
+    if (const auto *error = errorIn(adminEndpoint)) {
         return *error;
     }
-    return std::vector{std::get<Endpoint>(gate), std::get<Endpoint>(admin)};
+    return std::vector{std::get<Endpoint>(entryEndpoint), std::get<Endpoint>(adminEndpoint)};
 }
 
 void TargetServer::drainAndStop()
@@ -74,18 +75,18 @@
     m_draining = true;
     m_control.beginDrain();
     m_traffic.drain();
-    const auto latest = std::chrono::steady_clock::now() + m_options.drainTimeout;
+    const auto drainDeadline = std::chrono::steady_clock::now() + m_options.drainTimeout;
     // Outcomes that never get to the log leave their callers with "unknown" for good; but an outage of the log may last
     // longer than anyone wants to wait.
-    const auto latestForKeys = std::min(latest, std::chrono::steady_clock::now() + LongestKeyWait);
+    const auto keyDeadline = std::min(drainDeadline, std::chrono::steady_clock::now() + MaxKeyWait);
     auto status = m_traffic.status();
     auto running = status.load.running;
     logEvent(Severity::Info, "drain-begun", {{"open", std::to_string(running)}});
     const auto isOpen = [&](SteadyTime now) {
-        return (running > 0 && now < latest) || (!status.keysIdle && now < latestForKeys);
+        return (running > 0 && now < drainDeadline) || (!status.keysIdle && now < keyDeadline);
     };
     while (isOpen(std::chrono::steady_clock::now())) {
-        std::this_thread::sleep_for(DrainPoll);
+        std::this_thread::sleep_for(DrainPollInterval);
         status = m_traffic.status();
         running = status.load.running;
     }
@@ -96,7 +97,7 @@
     m_traffic.stop();
 }
 
-HttpResponse TargetServer::answer(const HttpRequest &request)
+HttpResponse TargetServer::handleRequest(const HttpRequest &request)
 {
     if (request.path == "/healthz") {
         return {.body = "ok\n"};
--- a/modules/heatherridge_transport/target/targetserver.h
+++ b/modules/heatherridge_transport/target/targetserver.h
@@ -46,7 +46,7 @@
     void drainAndStop();
 
 private:
-    HttpResponse answer(const HttpRequest &request);
+    HttpResponse handleRequest(const HttpRequest &request);
     HttpResponse status();
 
     Options m_options;
--- a/modules/heatherridge_transport/target/targettraffic.cpp
+++ b/modules/heatherridge_transport/target/targettraffic.cpp
@@ -11,24 +11,24 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds Tick{10};
+constexpr std::chrono::milliseconds TickInterval{10};
 /** Entries with work here get a report twenty times a second, the others four times; measured in
  * docs/MEASUREMENTS-policies.md. */
 constexpr int TicksPerReport = 5;
-constexpr int TicksPerSignOfLife = 25;
+constexpr int TicksPerKeepAlive = 25;
 /** A call with a key is waited for beyond its deadline: its outcome is worth knowing though its caller has left. */
-constexpr std::chrono::seconds KeyedGrace{30};
+constexpr std::chrono::seconds KeyedCallGrace{30};
 constexpr std::chrono::seconds NoGrace{0};
 /** Longest answer to a call with an idempotency key, which is passed on in one piece. */
-constexpr std::size_t MostKeyedAnswer = 4UL << 20U;
+constexpr std::size_t MaxKeyedAnswerBytes = 4UL << 20U;
 
 /** Whether the back end's work may be cut when nobody waits for it: it has no effect beside its answer. */
-bool mayCut(const BackendWork &work)
+bool canAbort(const BackendWork &work)
 {
     return work.request.mayRepeat;
 }
 
-std::chrono::microseconds between(SteadyTime begin, SteadyTime end)
+std::chrono::microseconds elapsed(SteadyTime begin, SteadyTime end)
 {
     return std::chrono::duration_cast<std::chrono::microseconds>(end - begin);
 }
@@ -41,10 +41,10 @@
     , m_view(std::make_shared<const ConfigView>())
     , m_encoder(ProcessName(m_options.target.text()), m_options.incarnation, [this] { return m_view; })
     , m_limit(std::make_unique<ConcurrencyLimit>())
-    , m_started(metrics.counter("heatherridge_started_total"))
-    , m_finished(metrics.counter("heatherridge_finished_total"))
+    , m_startedCount(metrics.counter("heatherridge_started_total"))
+    , m_finishedCount(metrics.counter("heatherridge_finished_total"))
     , m_strayFrames(metrics.counter("heatherridge_stray_frames_total"))
-    , m_waiting(metrics.histogram("heatherridge_waiting_seconds"))
+    , m_waitingTime(metrics.histogram("heatherridge_waiting_seconds"))
 {
     m_queue.setLimit(m_limit->limit());
 }
@@ -74,14 +74,14 @@
                              reportLoad(true);
                          },
                          [this](const Socket &entry, const Bytes &frame) { receive(entry, frame); },
-                         [this](const Socket &entry) { entryGone(entry); }},
+                         [this](const Socket &entry) { handleEntryDisconnect(entry); }},
         MaxFrameBytes);
     int port = m_options.listen.port;
-    const auto fault = m_listener->start(m_options.listen.address, port);
-    if (!fault.empty()) {
-        return Error{.kind = ErrorKind::Internal, .detail = fault};
+    const auto startError = m_listener->start(m_options.listen.address, port);
+    if (!startError.empty()) {
+        return Error{.kind = ErrorKind::Internal, .detail = startError};
     }
-    m_loop.every(Tick, [this] { tick(); });
+    m_loop.every(TickInterval, [this] { tick(); });
     m_loop.start();
     return Endpoint{.address = m_options.listen.address, .port = port};
 }
@@ -89,7 +89,7 @@
 void TargetTraffic::stop()
 {
     m_loop.stop();
-    m_works.clear();
+    m_work.clear();
     m_keys.reset();
     m_client.reset();
 }
@@ -102,12 +102,12 @@
 void TargetTraffic::setView(std::shared_ptr<const ConfigView> view)
 {
     m_loop.post([this, view = std::move(view)] {
-        const auto *before = self();
-        const int hadConcurrency = before == nullptr ? 0 : before->concurrency;
+        const auto *previousTarget = ownTarget();
+        const int previousConcurrency = previousTarget == nullptr ? 0 : previousTarget->concurrency;
         m_view = view;
-        followConfig(m_drain, *view, m_options.target, std::chrono::steady_clock::now());
-        const auto *target = self();
-        if (target != nullptr && target->concurrency != hadConcurrency && target->concurrency > 0) {
+        updateDrainCauses(m_drain, *view, m_options.target, std::chrono::steady_clock::now());
+        const auto *target = ownTarget();
+        if (target != nullptr && target->concurrency != previousConcurrency && target->concurrency > 0) {
             m_limit = std::make_unique<ConcurrencyLimit>(
                 ConcurrencyOptions{.maxLimit = static_cast<std::size_t>(target->concurrency),
                                    .initialLimit = std::min(ConcurrencyOptions{}.initialLimit,
@@ -115,9 +115,9 @@
             m_queue.setLimit(m_limit->limit());
         }
         if (target == nullptr || !m_view->takesWork(*target)) {
-            handBackWaiting(ErrorKind::TargetWithdrawn);
+            rejectWaiting(ErrorKind::TargetWithdrawn);
         }
-        m_keys->follow(m_view);
+        m_keys->setView(m_view);
         releaseHeld();
         reportLoad(false);
     });
@@ -129,7 +129,7 @@
         m_draining = true;
         m_drain.setCause(DrainCause::Signal, true, std::chrono::steady_clock::now());
         m_keys->drain();
-        handBackWaiting(ErrorKind::Draining);
+        rejectWaiting(ErrorKind::Draining);
         releaseHeld();
         reportLoad(true);
     });
@@ -142,13 +142,13 @@
         const auto now = std::chrono::steady_clock::now();
         status = {.load = m_queue.load(),
                   .draining = m_draining,
-                  .drain = reportOn(m_drain, now),
+                  .drain = makeDrainReport(m_drain, now),
                   .keysIdle = m_keys->isIdle()};
     });
     return status;
 }
 
-const Target *TargetTraffic::self() const
+const Target *TargetTraffic::ownTarget() const
 {
     return m_view->inventory->find(m_options.target);
 }
@@ -194,31 +194,33 @@
     }
     std::visit(Visitor{[&](const SubmitRequest &request) { submit(entry, request, envelope.offset); },
                        [&](const CancelRequest &request) { cancel(request.id); },
-                       [&](const GrantCredit &grant) { credit(grant); }, [&](const auto &) { m_strayFrames.add(); }},
+                       [&](const GrantCredit &grant) { handleCredit(grant); },
+                       [&](const auto &) { m_strayFrames.add(); }},
                std::get<TrafficMessage>(message));
 }
 
-void TargetTraffic::submit(const Socket &entry, const SubmitRequest &request, LogOffset needs)
+void TargetTraffic::submit(const Socket &entry, const SubmitRequest &request, LogOffset requiredOffset)
 {
     const auto now = std::chrono::steady_clock::now();
-    if (needs <= m_view->offset) {
+    if (requiredOffset <= m_view->offset) {
         admit(entry, request, now);
         return;
     }
-    if (!m_held.hold({.request = request, .entry = entry, .needs = needs, .arrived = now})) {
+    if (!m_held.add({.request = request, .entry = entry, .requiredOffset = requiredOffset, .arrived = now})) {
         refuse(entry, request.id, Error{.kind = ErrorKind::StaleOffset, .ran = ExecutionStatus::No});
     }
 }
 
 void TargetTraffic::releaseHeld()
 {
-    const auto latest = m_draining ? std::chrono::milliseconds(0) : m_options.catchUp;
-    auto released = m_held.release(m_view->offset, std::chrono::steady_clock::now() - latest);
-    for (const auto &held : released.ready) {
-        admit(held.entry, held.request, held.arrived);
+    const auto maxWait = m_draining ? std::chrono::milliseconds(0) : m_options.maxConfigWait;
+    auto released = m_held.release(m_view->offset, std::chrono::steady_clock::now() - maxWait);
+    for (const auto &heldRequest : released.ready) {
+        admit(heldRequest.entry, heldRequest.request, heldRequest.arrived);
     }
-    for (const auto &held : released.late) {
-        refuse(held.entry, held.request.id, Error{.kind = ErrorKind::StaleOffset, .ran = ExecutionStatus::No});
+    for (const auto &heldRequest : released.expired) {
+        refuse(heldRequest.entry, heldRequest.request.id,
+               Error{.kind = ErrorKind::StaleOffset, .ran = ExecutionStatus::No});
     }
 }
 
@@ -227,7 +229,7 @@
     if (m_draining) {
         return ErrorKind::Draining;
     }
-    const auto *target = self();
+    const auto *target = ownTarget();
     if (target == nullptr || !m_view->takesWork(*target)) {
         return ErrorKind::TargetWithdrawn;
     }
@@ -236,11 +238,11 @@
 
 void TargetTraffic::admit(const Socket &entry, const SubmitRequest &request, SteadyTime arrived)
 {
-    if (m_works.contains(request.id)) {
+    if (m_work.contains(request.id)) {
         m_strayFrames.add(); // doubled on the way; the first one stands
         return;
     }
-    if (m_keys->takes(request)) {
+    if (m_keys->accepts(request)) {
         m_keys->submit(entry, request, arrived + request.timeLeft);
         return;
     }
@@ -264,7 +266,7 @@
 {
     const auto &request = work->request;
     // A call with a key is let run some time after it came; the target may have left the inventory in between.
-    if (self() == nullptr) {
+    if (ownTarget() == nullptr) {
         refuseWork(work, Error{.kind = ErrorKind::TargetWithdrawn, .ran = ExecutionStatus::No});
         return;
     }
@@ -280,41 +282,42 @@
     if (const auto *error = std::get_if<Error>(&offer)) {
         refuseWork(work, *error);
     } else {
-        m_works.emplace(request.id, work);
+        m_work.emplace(request.id, work);
         if (std::holds_alternative<Started>(offer)) {
             start(work);
         }
     }
-    pump();
+    processQueue();
 }
 
 void TargetTraffic::start(const Work &work)
 {
     const auto now = std::chrono::steady_clock::now();
-    work->started = now;
+    work->startedAt = now;
     m_drain.recordStart(work->request.id, now);
-    m_started.add();
-    m_waiting.record(between(work->arrived, now));
+    m_startedCount.add();
+    m_waitingTime.record(elapsed(work->arrived, now));
     const auto timeout = std::chrono::duration_cast<std::chrono::milliseconds>(work->deadline - now);
     work->call = m_client->stream(
-        {.endpoint = self()->backend,
+        {.endpoint = ownTarget()->backend,
          .request = backendRequest(work->request),
-         .timeout = std::max(timeout, std::chrono::milliseconds(1)) + (work->key ? KeyedGrace : NoGrace),
+         .timeout = std::max(timeout, std::chrono::milliseconds(1)) + (work->key ? KeyedCallGrace : NoGrace),
          .reuseConnection = work->request.mayRepeat},
-        {.head = [this, work](int status, const std::vector<HttpHeader> &headers) { takeHead(work, status, headers); },
-         .data = [this, work](std::string_view bytes) { return takeData(work, bytes); },
-         .finished = [this, work] { takeFinished(work); },
-         .failed = [this, work](const HttpClient::Failure &failure) { takeFailed(work, failure); }});
+        {.head = [this, work](int status,
+                              const std::vector<HttpHeader> &headers) { handleHead(work, status, headers); },
+         .data = [this, work](std::string_view bytes) { return handleData(work, bytes); },
+         .finished = [this, work] { handleFinished(work); },
+         .failed = [this, work](const HttpClient::Failure &failure) { handleFailed(work, failure); }});
 }
 
-void TargetTraffic::takeHead(const Work &work, int status, const std::vector<HttpHeader> &headers)
+void TargetTraffic::handleHead(const Work &work, int status, const std::vector<HttpHeader> &headers)
 {
-    work->firstByte = std::chrono::steady_clock::now();
+    work->firstByteAt = std::chrono::steady_clock::now();
     work->headSent = true;
-    m_limit->recordFirstToken(*work->started, m_queue.running(), *work->firstByte);
-    applyLimit();
-    if (self() != nullptr && self()->kind == TargetKind::Plain) {
-        recordPace(between(*work->started, *work->firstByte));
+    m_limit->recordFirstToken(*work->startedAt, m_queue.running(), *work->firstByteAt);
+    updateQueueLimit();
+    if (ownTarget() != nullptr && ownTarget()->kind == TargetKind::Plain) {
+        recordPace(elapsed(*work->startedAt, *work->firstByteAt));
     }
     if (work->key) {
         work->answer.status = status;
@@ -328,59 +331,60 @@
     send(work->entry, answerHead(work->request.id, status, headers));
 }
 
-bool TargetTraffic::takeData(const Work &work, std::string_view bytes)
+bool TargetTraffic::handleData(const Work &work, std::string_view bytes)
 {
     if (work->key) {
         work->answer.body.append(bytes);
-        if (work->answer.body.size() > MostKeyedAnswer) {
+        if (work->answer.body.size() > MaxKeyedAnswerBytes) {
             m_client->cancel(work->call);
-            takeFailed(work, {.reason = "the answer to a call with a key is too long"});
+            handleFailed(work, {.reason = "the answer to a call with a key is too long"});
         }
         return true;
     }
     const auto now = std::chrono::steady_clock::now();
     // While the answer is paused for a slow caller its gaps say nothing about the engine.
-    if (work->lastChunk && !work->wasPaused) {
-        m_limit->recordTokenGap(between(*work->lastChunk, now), m_queue.running(), now);
-        applyLimit();
-        recordPace(between(*work->lastChunk, now));
+    if (work->lastChunkAt && !work->resumedAfterPause) {
+        m_limit->recordTokenGap(elapsed(*work->lastChunkAt, now), m_queue.running(), now);
+        updateQueueLimit();
+        recordPace(elapsed(*work->lastChunkAt, now));
     }
-    work->lastChunk = now;
-    work->wasPaused = false;
+    work->lastChunkAt = now;
+    work->resumedAfterPause = false;
     send(work->entry,
-         AnswerChunk{.id = work->request.id, .sequence = work->chunks++, .bytes = Bytes(bytes.begin(), bytes.end())});
+         AnswerChunk{
+             .id = work->request.id, .sequence = work->sentChunks++, .bytes = Bytes(bytes.begin(), bytes.end())});
     work->sentBytes += bytes.size();
     // Without this bound a slow caller's answer would pile up in the entry, or here.
     work->paused = work->entry != nullptr && work->sentBytes - work->creditedBytes >= m_options.windowBytes;
     return !work->paused;
 }
 
-void TargetTraffic::credit(const GrantCredit &grant)
+void TargetTraffic::handleCredit(const GrantCredit &grant)
 {
-    const auto entry = m_works.find(grant.id);
-    if (entry == m_works.end()) {
+    const auto entry = m_work.find(grant.id);
+    if (entry == m_work.end()) {
         return;
     }
     auto &work = *entry->second;
     work.creditedBytes = std::min(work.sentBytes, work.creditedBytes + grant.bytes);
     if (work.paused && work.sentBytes - work.creditedBytes < m_options.windowBytes / 2) {
         work.paused = false;
-        work.wasPaused = true;
+        work.resumedAfterPause = true;
         m_client->resume(work.call);
     }
 }
 
-void TargetTraffic::takeFinished(const Work &work)
+void TargetTraffic::handleFinished(const Work &work)
 {
     finish(work);
     if (work->key) {
-        m_keys->served(*work->key, work->answer);
+        m_keys->completeCall(*work->key, work->answer);
         return;
     }
-    send(work->entry, AnswerEnd{.id = work->request.id, .chunks = work->chunks});
+    send(work->entry, AnswerEnd{.id = work->request.id, .chunks = work->sentChunks});
 }
 
-void TargetTraffic::takeFailed(const Work &work, const HttpClient::Failure &failure)
+void TargetTraffic::handleFailed(const Work &work, const HttpClient::Failure &failure)
 {
     AnswerError error{.id = work->request.id, .detail = failure.reason};
     if (!failure.mayHaveArrived) {
@@ -394,7 +398,7 @@
     logEvent(Severity::Warning, "backend-failed", {{"request", work->request.id.text()}, {"reason", failure.reason}});
     finish(work);
     if (work->key) {
-        m_keys->served(*work->key, Error{.kind = error.kind, .detail = error.detail, .ran = error.ran});
+        m_keys->completeCall(*work->key, Error{.kind = error.kind, .detail = error.detail, .ran = error.ran});
         return;
     }
     send(work->entry, error);
@@ -403,32 +407,32 @@
 void TargetTraffic::finish(const Work &work)
 {
     const auto now = std::chrono::steady_clock::now();
-    m_finished.add();
+    m_finishedCount.add();
     m_drain.recordEnd(work->request.id);
     m_queue.finish(work->request.id, static_cast<double>(work->request.cost), now);
-    m_works.erase(work->request.id);
-    pump();
+    m_work.erase(work->request.id);
+    processQueue();
 }
 
 void TargetTraffic::cancel(const RequestId &id)
 {
     m_keys->cancel(id);
-    m_held.forget(id);
-    const auto entry = m_works.find(id);
-    if (entry == m_works.end()) {
+    m_held.remove(id);
+    const auto entry = m_work.find(id);
+    if (entry == m_work.end()) {
         return;
     }
     const auto work = entry->second;
     if (work->key) {
         return; // other tries may wait for it, and its outcome has to be known
     }
-    if (!work->started) {
+    if (!work->startedAt) {
         m_queue.cancel(id);
-        m_works.erase(id);
+        m_work.erase(id);
         return;
     }
     work->entry.reset();
-    if (mayCut(*work)) {
+    if (canAbort(*work)) {
         m_client->cancel(work->call);
         finish(work);
         return;
@@ -441,16 +445,16 @@
     }
 }
 
-void TargetTraffic::entryGone(const Socket &entry)
+void TargetTraffic::handleEntryDisconnect(const Socket &entry)
 {
     m_entries.erase(entry);
-    m_keys->entryGone(entry);
-    if (m_controlSink.gone) {
-        m_controlSink.gone(entry);
+    m_keys->handleEntryDisconnect(entry);
+    if (m_controlSink.disconnected) {
+        m_controlSink.disconnected(entry);
     }
-    m_held.forget(entry);
+    m_held.remove(entry);
     std::vector<RequestId> orphans;
-    for (const auto &[id, work] : m_works) {
+    for (const auto &[id, work] : m_work) {
         if (work->entry == entry) {
             orphans.push_back(id);
         }
@@ -460,21 +464,21 @@
     }
 }
 
-void TargetTraffic::pump()
+void TargetTraffic::processQueue()
 {
     const auto now = std::chrono::steady_clock::now();
     while (const auto id = m_queue.startNext(now)) {
-        const auto entry = m_works.find(*id);
-        if (entry != m_works.end()) {
+        const auto entry = m_work.find(*id);
+        if (entry != m_work.end()) {
             start(entry->second);
         }
     }
-    for (const auto &givenUp : m_queue.collectAbandoned()) {
-        const auto entry = m_works.find(givenUp.id);
-        if (entry != m_works.end()) {
+    for (const auto &abandoned : m_queue.collectAbandoned()) {
+        const auto entry = m_work.find(abandoned.id);
+        if (entry != m_work.end()) {
             const auto work = entry->second;
-            m_works.erase(entry);
-            refuseWork(work, givenUp.error);
+            m_work.erase(entry);
+            refuseWork(work, abandoned.error);
         }
     }
 }
@@ -483,28 +487,28 @@
 {
     // The limit may have grown, or what waits may have become too late.
     if (m_queue.waiting() > 0) {
-        pump();
+        processQueue();
     }
     if (!m_held.isEmpty()) {
         releaseHeld();
     }
     ++m_ticksSinceReport;
     if (m_ticksSinceReport % TicksPerReport == 0) {
-        reportLoad(m_ticksSinceReport >= TicksPerSignOfLife);
+        reportLoad(m_ticksSinceReport >= TicksPerKeepAlive);
     }
 }
 
-void TargetTraffic::handBackWaiting(ErrorKind kind)
+void TargetTraffic::rejectWaiting(ErrorKind kind)
 {
     std::vector<Work> waiting;
-    for (const auto &[id, work] : m_works) {
-        if (!work->started) {
+    for (const auto &[id, work] : m_work) {
+        if (!work->startedAt) {
             waiting.push_back(work);
         }
     }
     for (const auto &work : waiting) {
         m_queue.cancel(work->request.id);
-        m_works.erase(work->request.id);
+        m_work.erase(work->request.id);
         refuseWork(work, Error{.kind = kind, .ran = ExecutionStatus::No});
     }
 }
@@ -512,7 +516,7 @@
 void TargetTraffic::reportLoad(bool always)
 {
     const auto load = m_queue.load();
-    const auto *target = self();
+    const auto *target = ownTarget();
     LoadReport report{.target = m_options.target,
                       .running = load.running,
                       .queued = load.waiting,
@@ -521,11 +525,11 @@
                       .load = load.runningCost + load.waitingCost,
                       .capacity = load.capacity,
                       .pressure = load.pressure,
-                      .pendingPrompt = pendingPrompt(),
+                      .pendingPrompt = pendingPromptTokens(),
                       .warmth = m_limit->warmth(),
                       .pace = std::chrono::microseconds(static_cast<long long>(m_pace))};
     for (const auto &entry : m_entries) {
-        report.ofEntry = loadOf(entry);
+        report.ofEntry = loadFromEntry(entry);
         // Entries with work here decide by it soon; the others need a sign of life.
         if (always || report.ofEntry > 0) {
             send(entry, report);
@@ -534,31 +538,31 @@
     m_ticksSinceReport = always ? 0 : m_ticksSinceReport;
 }
 
-void TargetTraffic::applyLimit()
+void TargetTraffic::updateQueueLimit()
 {
     m_queue.setLimit(m_limit->limit());
 }
 
 void TargetTraffic::recordPace(std::chrono::microseconds time)
 {
-    constexpr double newestShare = 0.05;
+    constexpr double newestWeight = 0.05;
     const auto measured = static_cast<double>(time.count());
-    m_pace = m_pace == 0 ? measured : m_pace * (1 - newestShare) + measured * newestShare;
+    m_pace = m_pace == 0 ? measured : m_pace * (1 - newestWeight) + measured * newestWeight;
 }
 
-double TargetTraffic::pendingPrompt() const
+double TargetTraffic::pendingPromptTokens() const
 {
     double pending = 0;
-    for (const auto &[id, work] : m_works) {
-        pending += work->started && !work->headSent ? static_cast<double>(work->request.freshTokens) : 0;
+    for (const auto &[id, work] : m_work) {
+        pending += work->startedAt && !work->headSent ? static_cast<double>(work->request.freshTokens) : 0;
     }
     return pending;
 }
 
-double TargetTraffic::loadOf(const Socket &entry) const
+double TargetTraffic::loadFromEntry(const Socket &entry) const
 {
     double load = 0;
-    for (const auto &[id, work] : m_works) {
+    for (const auto &[id, work] : m_work) {
         load += work->entry == entry ? static_cast<double>(work->request.cost) : 0;
     }
     return load;
@@ -568,9 +572,9 @@
 void TargetTraffic::refuseWork(const Work &work, const Error &error)
 {
     if (work->key) {
-        auto notRun = error;
-        notRun.ran = ExecutionStatus::No;
-        m_keys->served(*work->key, notRun);
+        auto notRunError = error;
+        notRunError.ran = ExecutionStatus::No;
+        m_keys->completeCall(*work->key, notRunError);
         return;
     }
     refuse(work->entry, work->request.id, error);
--- a/modules/heatherridge_transport/target/targettraffic.h
+++ b/modules/heatherridge_transport/target/targettraffic.h
@@ -37,7 +37,7 @@
         Endpoint listen{}; ///< for entries
         Endpoint logService{}; ///< the platform's log, for idempotency keys
         std::uint64_t windowBytes = 256UL << 10U; ///< most that is sent ahead of what the entry has passed on
-        std::chrono::milliseconds catchUp{500}; ///< longest wait for the configuration that a request relies on
+        std::chrono::milliseconds maxConfigWait{500}; ///< longest wait for the configuration that a request relies on
     };
 
     /** What it is busy with. */
@@ -68,7 +68,7 @@
     struct ControlSink
     {
         std::function<void(const std::shared_ptr<PeerSocket> &peer, const Envelope &envelope)> frame{};
-        std::function<void(const std::shared_ptr<PeerSocket> &peer)> gone{};
+        std::function<void(const std::shared_ptr<PeerSocket> &peer)> disconnected{};
     };
 
     /** Sets who takes control frames. Before start(). */
@@ -92,33 +92,33 @@
 
     void receive(const Socket &entry, const Bytes &frame);
     void receiveTraffic(const Socket &entry, const Envelope &envelope);
-    void submit(const Socket &entry, const SubmitRequest &request, LogOffset needs);
+    void submit(const Socket &entry, const SubmitRequest &request, LogOffset requiredOffset);
     void admit(const Socket &entry, const SubmitRequest &request, SteadyTime arrived);
     std::optional<ErrorKind> refusalFor(const SubmitRequest &request) const;
     void enqueue(const Work &work);
     void runKeyed(const Uuid7 &key, const SubmitRequest &request, SteadyTime deadline);
     void refuseWork(const Work &work, const Error &error);
     void cancel(const RequestId &id);
-    void credit(const GrantCredit &grant);
-    void entryGone(const Socket &entry);
+    void handleCredit(const GrantCredit &grant);
+    void handleEntryDisconnect(const Socket &entry);
     void start(const Work &work);
-    void takeHead(const Work &work, int status, const std::vector<HttpHeader> &headers);
-    bool takeData(const Work &work, std::string_view bytes);
-    void takeFinished(const Work &work);
-    void takeFailed(const Work &work, const HttpClient::Failure &failure);
+    void handleHead(const Work &work, int status, const std::vector<HttpHeader> &headers);
+    bool handleData(const Work &work, std::string_view bytes);
+    void handleFinished(const Work &work);
+    void handleFailed(const Work &work, const HttpClient::Failure &failure);
     void finish(const Work &work);
-    void pump();
+    void processQueue();
     void tick();
     void releaseHeld();
-    void handBackWaiting(ErrorKind kind);
+    void rejectWaiting(ErrorKind kind);
     void reportLoad(bool always);
-    void applyLimit();
+    void updateQueueLimit();
     void recordPace(std::chrono::microseconds time);
-    double loadOf(const Socket &entry) const;
-    double pendingPrompt() const;
+    double loadFromEntry(const Socket &entry) const;
+    double pendingPromptTokens() const;
     void refuse(const Socket &entry, const RequestId &id, const Error &error);
     void send(const Socket &entry, const TrafficMessage &message);
-    const Target *self() const;
+    const Target *ownTarget() const;
 
     Options m_options;
     Metrics &m_metrics;
@@ -133,16 +133,16 @@
     std::function<void(const Envelope &)> m_groupReceiver;
     ControlSink m_controlSink;
     std::set<Socket> m_entries;
-    std::unordered_map<RequestId, Work> m_works;
+    std::unordered_map<RequestId, Work> m_work;
     HeldRequests m_held;
     double m_pace = 0; ///< smoothed microseconds between tokens, or of a plain call
     int m_ticksSinceReport = 0;
     bool m_draining = false;
     DrainTracker m_drain;
-    Counter &m_started;
-    Counter &m_finished;
+    Counter &m_startedCount;
+    Counter &m_finishedCount;
     Counter &m_strayFrames;
-    DurationHistogram &m_waiting;
+    DurationHistogram &m_waitingTime;
 };
 
 } // namespace Heatherridge
--- a/tests/transport/heldrequests_test.cpp
+++ b/tests/transport/heldrequests_test.cpp
@@ -8,9 +8,10 @@
 namespace
 {
 
-HeldRequest held(const char *id, std::uint64_t needs, SteadyTime arrived)
+HeldRequest held(const char *id, std::uint64_t requiredOffset, SteadyTime arrived)
 {
-    return {.request = {.id = RequestId(id)}, .needs = static_cast<LogOffset>(needs), .arrived = arrived};
+    return {
+        .request = {.id = RequestId(id)}, .requiredOffset = static_cast<LogOffset>(requiredOffset), .arrived = arrived};
 }
 
 // An operator withdraws a target; an entry hears of it first and sends a request by the new configuration. The target's
@@ -19,18 +20,18 @@
 {
     const SteadyTime start{};
     HeldRequests requests;
-    ASSERT_TRUE(requests.hold(held("soon", 5, start)));
-    ASSERT_TRUE(requests.hold(held("later", 6, start + 10ms)));
-    ASSERT_TRUE(requests.hold(held("gone", 5, start)));
-    requests.forget(RequestId("gone"));
+    ASSERT_TRUE(requests.add(held("soon", 5, start)));
+    ASSERT_TRUE(requests.add(held("later", 6, start + 10ms)));
+    ASSERT_TRUE(requests.add(held("gone", 5, start)));
+    requests.remove(RequestId("gone"));
     const auto first = requests.release(static_cast<LogOffset>(5), start - 1ms);
     ASSERT_EQ(first.ready.size(), 1U);
     EXPECT_EQ(first.ready.front().request.id, RequestId("soon"));
-    EXPECT_TRUE(first.late.empty());
+    EXPECT_TRUE(first.expired.empty());
     EXPECT_FALSE(requests.isEmpty());
     const auto second = requests.release(static_cast<LogOffset>(5), start + 10ms);
     EXPECT_TRUE(second.ready.empty());
-    EXPECT_EQ(second.late.size(), 1U);
+    EXPECT_EQ(second.expired.size(), 1U);
     EXPECT_TRUE(requests.isEmpty());
 }
 
@@ -38,9 +39,9 @@
 {
     HeldRequests requests;
     for (std::size_t i = 0; i < HeldRequests::MaxRequests; ++i) {
-        ASSERT_TRUE(requests.hold(held("x", 1, {})));
+        ASSERT_TRUE(requests.add(held("x", 1, {})));
     }
-    EXPECT_FALSE(requests.hold(held("x", 1, {})));
+    EXPECT_FALSE(requests.add(held("x", 1, {})));
 }
 
 } // namespace
