--- a/tests/e2e/badinput_test.cpp
+++ b/tests/e2e/badinput_test.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-const std::string Chat = R"({"model":"chip-llm","messages":[{"role":"user","content":"hi"}],"max_tokens":3})";
-const HttpHeader Mills{.name = "X-Workspace", .value = "mills"};
+const std::string ChatBody = R"({"model":"chip-llm","messages":[{"role":"user","content":"hi"}],"max_tokens":3})";
+const HttpHeader MillsHeader{.name = "X-Workspace", .value = "mills"};
 
 struct BadInputRow
 {
@@ -26,82 +26,88 @@
 };
 
 const BadInputRow Rows[] = {
-    {"BrokenJson", "POST", "/v1/chat/completions", {Mills}, "{\"model\":", 400, "bad-request"},
-    {"JsonOfAnotherShape", "POST", "/v1/chat/completions", {Mills}, "[1,2]", 400, "bad-request"},
+    {"BrokenJson", "POST", "/v1/chat/completions", {MillsHeader}, "{\"model\":", 400, "bad-request"},
+    {"JsonOfAnotherShape", "POST", "/v1/chat/completions", {MillsHeader}, "[1,2]", 400, "bad-request"},
     {"MessagesAreNoList",
      "POST",
      "/v1/chat/completions",
-     {Mills},
+     {MillsHeader},
      R"({"model":"chip-llm","messages":7})",
      400,
      "bad-request"},
-    {"DeeplyNestedJson", "POST", "/v1/chat/completions", {Mills}, std::string(100'000, '['), 400, "bad-request"},
+    {"DeeplyNestedJson", "POST", "/v1/chat/completions", {MillsHeader}, std::string(100'000, '['), 400, "bad-request"},
     {"OversizedBody",
      "POST",
      "/v1/chat/completions",
-     {Mills},
+     {MillsHeader},
      std::string((1UL << 20U) + 1, ' '),
      413,
      "body-too-large"},
     {"OversizedHeader",
      "POST",
      "/v1/chat/completions",
-     {Mills, {.name = "X-Note", .value = std::string(10'000, 'n')}},
-     Chat,
+     {MillsHeader, {.name = "X-Note", .value = std::string(10'000, 'n')}},
+     ChatBody,
      431,
      "header-too-large"},
-    {"NoWorkspace", "POST", "/v1/chat/completions", {}, Chat, 403, "unknown-workspace"},
+    {"NoWorkspace", "POST", "/v1/chat/completions", {}, ChatBody, 403, "unknown-workspace"},
     {"UnknownWorkspace",
      "POST",
      "/v1/chat/completions",
      {{.name = "X-Workspace", .value = "nobody"}},
-     Chat,
+     ChatBody,
      403,
      "unknown-workspace"},
     {"WorkspaceWithAKeyByItsName",
      "POST",
      "/v1/chat/completions",
      {{.name = "X-Workspace", .value = "keyed"}},
-     Chat,
+     ChatBody,
      403,
      "unknown-workspace"},
     {"UnknownBearerKey",
      "POST",
      "/v1/chat/completions",
      {{.name = "Authorization", .value = "Bearer guess"}},
-     Chat,
+     ChatBody,
      403,
      "unknown-workspace"},
-    {"UnknownModel", "POST", "/v1/chat/completions", {Mills}, R"({"model":"x","messages":[]})", 404, "unknown-model"},
-    {"UnknownService", "GET", "/services/elsewhere/contracts/1", {Mills}, "", 404, "unknown-service"},
-    {"EngineIsNoPlainService", "GET", "/services/chip/load", {Mills}, "", 404, "unknown-service"},
-    {"UnknownPath", "GET", "/nowhere", {Mills}, "", 404, "not-found"},
-    {"ChatByGet", "GET", "/v1/chat/completions", {Mills}, "", 405, "method-not-allowed"},
+    {"UnknownModel",
+     "POST",
+     "/v1/chat/completions",
+     {MillsHeader},
+     R"({"model":"x","messages":[]})",
+     404,
+     "unknown-model"},
+    {"UnknownService", "GET", "/services/elsewhere/contracts/1", {MillsHeader}, "", 404, "unknown-service"},
+    {"EngineIsNoPlainService", "GET", "/services/chip/load", {MillsHeader}, "", 404, "unknown-service"},
+    {"UnknownPath", "GET", "/nowhere", {MillsHeader}, "", 404, "not-found"},
+    {"ChatByGet", "GET", "/v1/chat/completions", {MillsHeader}, "", 405, "method-not-allowed"},
     {"NegativeDeadline",
      "POST",
      "/v1/chat/completions",
-     {Mills, {.name = "X-Deadline-Ms", .value = "-5"}},
-     Chat,
+     {MillsHeader, {.name = "X-Deadline-Ms", .value = "-5"}},
+     ChatBody,
      400,
      "bad-deadline"},
     {"DeadlineThatIsNoNumber",
      "POST",
      "/v1/chat/completions",
-     {Mills, {.name = "X-Deadline-Ms", .value = "soon"}},
-     Chat,
+     {MillsHeader, {.name = "X-Deadline-Ms", .value = "soon"}},
+     ChatBody,
      400,
      "bad-deadline"},
     {"PriorityOutOfRange",
      "POST",
      "/v1/chat/completions",
-     {Mills, {.name = "X-Priority", .value = "11"}},
-     Chat,
+     {MillsHeader, {.name = "X-Priority", .value = "11"}},
+     ChatBody,
      400,
      "bad-request"},
     {"OverlongKey",
      "POST",
      "/services/yard-app/bookings",
-     {Mills, {.name = "Idempotency-Key", .value = std::string(500, 'k')}},
+     {MillsHeader, {.name = "Idempotency-Key", .value = std::string(500, 'k')}},
      "{}",
      400,
      "bad-idempotency-key"},
@@ -127,19 +133,19 @@
 std::unique_ptr<TestSite> BadInput::s_site;
 
 /** The counter of refusals of @p kind at the entry. */
-int counted(const Endpoint &entry, const std::string &kind)
+int errorCount(const Endpoint &entry, const std::string &kind)
 {
     const auto metrics = call(entry, "GET", "/metrics").body;
     const auto label = "heatherridge_errors_total{kind=\"" + kind + "\"} ";
-    const auto place = metrics.find(label);
-    return place == std::string::npos ? -1 : std::stoi(metrics.substr(place + label.size()));
+    const auto position = metrics.find(label);
+    return position == std::string::npos ? -1 : std::stoi(metrics.substr(position + label.size()));
 }
 
-TEST_P(BadInput, IsRefusedByItsOwnKindAndCountedAndHarmsNobody)
+TEST_P(BadInput, IsRefusedWithItsErrorKindAndCounted)
 {
     const auto &row = GetParam();
     const auto &entry = s_site->entry(0);
-    const auto before = counted(entry, row.kind);
+    const auto before = errorCount(entry, row.kind);
     const auto answer = call(entry, row.method, row.target, row.body, row.headers);
     EXPECT_EQ(answer.status, row.status) << answer.body;
     EXPECT_EQ(headerValue(answer.headers, "Content-Type"), "application/problem+json");
@@ -148,8 +154,8 @@
     ASSERT_TRUE(problem.is_object()) << answer.body;
     EXPECT_EQ(problem.value("kind", ""), row.kind);
     EXPECT_EQ(problem.value("ran", ""), "no");
-    EXPECT_EQ(counted(entry, row.kind), before + 1);
-    EXPECT_EQ(call(entry, "POST", "/v1/chat/completions", Chat, {Mills}).status, 200);
+    EXPECT_EQ(errorCount(entry, row.kind), before + 1);
+    EXPECT_EQ(call(entry, "POST", "/v1/chat/completions", ChatBody, {MillsHeader}).status, 200);
     EXPECT_EQ(call(s_site->plain(0), "GET", "/executions").body, "{}");
 }
 
@@ -158,19 +164,20 @@
 
 // A buyer's phone loses its network in the middle of a long answer. The engine would go on for a minute and keep a
 // place of its batch for nobody; the entry has to tell it to stop, and a neighbour's answer goes on untouched.
-TEST(LeavingCaller, IsNoticedAndItsWorkEndsAtTheEngine)
+TEST(DisconnectingCaller, CancelsItsRequestAtTheEngine)
 {
     const TestSite site({.engines = 1, .engineFlags = {"--step-ms", "2"}});
-    HttpCall leaving{.endpoint = site.entry(0),
-                     .request = {.method = "POST",
-                                 .path = "/v1/chat/completions",
-                                 .headers = {Mills},
-                                 .body = R"({"model":"chip-llm","messages":[],"max_tokens":50000,"stream":true})"},
-                     .leaveAfterBytes = 2'000};
-    auto staying = leaving;
-    staying.leaveAfterBytes = 0;
-    staying.request.body = R"({"model":"chip-llm","messages":[],"max_tokens":100,"stream":true})";
-    const auto answers = callAll({leaving, staying});
+    HttpCall disconnecting{
+        .endpoint = site.entry(0),
+        .request = {.method = "POST",
+                    .path = "/v1/chat/completions",
+                    .headers = {MillsHeader},
+                    .body = R"({"model":"chip-llm","messages":[],"max_tokens":50000,"stream":true})"},
+        .leaveAfterBytes = 2'000};
+    auto connected = disconnecting;
+    connected.leaveAfterBytes = 0;
+    connected.request.body = R"({"model":"chip-llm","messages":[],"max_tokens":100,"stream":true})";
+    const auto answers = callAll({disconnecting, connected});
     EXPECT_FALSE(answers[0].whole);
     EXPECT_TRUE(answers[1].whole);
     EXPECT_NE(answers[1].body.find("[DONE]"), std::string::npos);
@@ -179,19 +186,19 @@
         std::this_thread::yield();
         load = nlohmann::json::parse(call(site.engine(0), "GET", "/load").body);
     } while (load.value("running", -1) != 0);
-    EXPECT_EQ(counted(site.entry(0), "caller-gone"), 1);
+    EXPECT_EQ(errorCount(site.entry(0), "caller-gone"), 1);
 }
 
 // A caller opens a connection, sends half a request and falls silent. Held open, a few hundred of them would use up
 // the entry; it hangs up after its settings' time, and serves others meanwhile.
-TEST(SlowSender, IsHungUpOnWhileOthersAreServed)
+TEST(SlowSender, IsDisconnectedWhileOthersAreServed)
 {
     const TestSite site({.engines = 1, .entryFlags = {"--send-timeout", "300"}});
     const auto answer =
         sendRaw(site.entry(0), "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 99\r\n\r\n{",
                 std::chrono::milliseconds(60'000));
     EXPECT_EQ(answer.find("200"), std::string::npos) << answer;
-    EXPECT_EQ(call(site.entry(0), "POST", "/v1/chat/completions", Chat, {Mills}).status, 200);
+    EXPECT_EQ(call(site.entry(0), "POST", "/v1/chat/completions", ChatBody, {MillsHeader}).status, 200);
 }
 
 } // namespace
--- a/tests/e2e/overload_test.cpp
+++ b/tests/e2e/overload_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-HttpCall chat(const TestSite &site, const std::string &workspace, const std::string &prompt, int tokens)
+HttpCall makeChatCall(const TestSite &site, const std::string &workspace, const std::string &prompt, int tokens)
 {
     const nlohmann::json body{{"model", "chip-llm"},
                               {"messages", {{{"role", "user"}, {"content", prompt}}}},
@@ -24,7 +24,7 @@
 }
 
 /** How many requests engine @p index has been given. */
-std::uint64_t givenTo(const TestSite &site, std::size_t index)
+std::uint64_t requestCount(const TestSite &site, std::size_t index)
 {
     const auto counters = nlohmann::json::parse(call(site.engine(index), "GET", "/counters").body);
     return counters.value("requests", std::uint64_t{0});
@@ -32,10 +32,10 @@
 
 // One of four engines becomes twenty times slower, as behind a straggler rank. Callers keep asking. Until the entry
 // notices, one answer in four is late; from then on the engine must get far less than its share.
-TEST(Overload, ASlowTargetLosesItsShareOfTheWork)
+TEST(Overload, SlowTargetReceivesLessWork)
 {
     constexpr std::size_t engines = 4;
-    constexpr int calls = 40;
+    constexpr int callsPerWave = 40;
     constexpr int tokens = 20;
     constexpr int waves = 8;
     const TestSite site({.engines = engines, .engineFlags = {"--step-ms", "5"}});
@@ -44,23 +44,24 @@
     for (int wave = 0; wave < waves; ++wave) {
         if (wave == waves / 2) {
             for (std::size_t index = 0; index < engines; ++index) {
-                before[index] = givenTo(site, index);
+                before[index] = requestCount(site, index);
             }
         }
-        std::vector<HttpCall> wanted;
-        wanted.reserve(calls);
-        for (int number = 0; number < calls; ++number) {
-            wanted.push_back(chat(site, "mills", "load " + std::to_string(wave * calls + number), tokens));
+        std::vector<HttpCall> batch;
+        batch.reserve(callsPerWave);
+        for (int number = 0; number < callsPerWave; ++number) {
+            batch.push_back(
+                makeChatCall(site, "mills", "load " + std::to_string(wave * callsPerWave + number), tokens));
         }
-        for (const auto &answer : callAll(wanted)) {
+        for (const auto &answer : callAll(batch)) {
             EXPECT_EQ(answer.status, 200) << answer.body;
         }
     }
     std::uint64_t others = 0;
     for (std::size_t index = 1; index < engines; ++index) {
-        others += givenTo(site, index) - before[index];
+        others += requestCount(site, index) - before[index];
     }
-    EXPECT_LT(2 * (engines - 1) * (givenTo(site, 0) - before[0]), others);
+    EXPECT_LT(2 * (engines - 1) * (requestCount(site, 0) - before[0]), others);
 }
 
 struct LoadRow
@@ -68,28 +69,28 @@
     const char *name;
     std::size_t mills; ///< calls of the workspace of weight 4
     std::size_t buyers; ///< calls of the workspace of weight 1
-    bool millsAllServed;
+    bool areMillsServedInFull;
 };
 
 const LoadRow LoadRows[] = {{"Hog", 12, 650, true}, {"Saturation", 330, 330, false}};
 
-class OverloadAtOnce : public testing::TestWithParam<LoadRow>
+class OverloadBurst : public testing::TestWithParam<LoadRow>
 {
 };
 
 // More arrives at once than two engines and their queues can hold: from one workspace alone, or from both. Each caller
 // must get a whole answer or, soon, a refusal that says that it did not run and when to come back, and what was refused
 // must not have reached an engine. Beside a hog the other workspace gets all it asked for.
-TEST_P(OverloadAtOnce, CallersAreServedOrToldWhenToComeBack)
+TEST_P(OverloadBurst, CallersAreServedOrRefusedWithRetryAfter)
 {
     constexpr int tokens = 50;
     const TestSite site({.engines = 2, .engineFlags = {"--step-ms", "20"}});
     std::vector<HttpCall> calls;
     for (std::size_t number = 0; number < GetParam().buyers; ++number) {
-        calls.push_back(chat(site, "buyers", "offer " + std::to_string(number), tokens));
+        calls.push_back(makeChatCall(site, "buyers", "offer " + std::to_string(number), tokens));
     }
     for (std::size_t number = 0; number < GetParam().mills; ++number) {
-        calls.push_back(chat(site, "mills", "load " + std::to_string(number), tokens));
+        calls.push_back(makeChatCall(site, "mills", "load " + std::to_string(number), tokens));
     }
     const auto answers = callAll(calls);
     std::size_t served = 0;
@@ -108,13 +109,13 @@
     EXPECT_LT(served, answers.size());
     EXPECT_GT(servedMills, 0U);
     EXPECT_GT(served, servedMills);
-    EXPECT_EQ(givenTo(site, 0) + givenTo(site, 1), served);
-    if (GetParam().millsAllServed) {
+    EXPECT_EQ(requestCount(site, 0) + requestCount(site, 1), served);
+    if (GetParam().areMillsServedInFull) {
         EXPECT_EQ(servedMills, GetParam().mills);
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, OverloadAtOnce, testing::ValuesIn(LoadRows),
+INSTANTIATE_TEST_SUITE_P(Table, OverloadBurst, testing::ValuesIn(LoadRows),
                          [](const auto &row) { return std::string(row.param.name); });
 
 } // namespace
--- a/tests/e2e/removal_test.cpp
+++ b/tests/e2e/removal_test.cpp
@@ -12,7 +12,7 @@
 // An operator takes a target's section out of the inventory while the target is at work on a booking. The guest gets
 // the confirmation: what runs there ends. Once the entry closed its connection to a target with the section, and the
 // guest was told that the outcome is unknown.
-TEST(RemovedTarget, EndsTheBookingThatItIsAtWorkOn)
+TEST(RemovedTarget, CompletesTheRunningBooking)
 {
     TestSite site({.engines = 1, .plains = 1, .entries = 1});
     call(site.plain(0), "POST", "/faults", R"({"delay-ms": 1500})");
--- a/tests/e2e/shutdown_test.cpp
+++ b/tests/e2e/shutdown_test.cpp
@@ -18,7 +18,7 @@
     const char *name;
     bool stopsEntry; ///< else the process beside the engine
     const char *entryDrain; ///< the entry's drain timeout in milliseconds
-    bool whole; ///< whether all streams must end whole
+    bool mustAllBeWhole; ///< whether all streams must end whole
 };
 
 const ShutdownRow Rows[] = {
@@ -31,7 +31,7 @@
 {
 };
 
-std::vector<HttpCall> streamCalls(const TestSite &site)
+std::vector<HttpCall> makeStreamCalls(const TestSite &site)
 {
     std::vector<HttpCall> calls;
     for (std::size_t number = 0; number < Streams; ++number) {
@@ -51,7 +51,7 @@
 // An operator stops a process while callers read their answers. Callers see their answers end whole, and the process
 // ends with code 0. Only where the time to wait has passed are answers cut, visibly, and the process ends cleanly all
 // the same: once it crashed, as open calls outlived the server that they were to be answered through.
-TEST_P(ShutdownWithOpenStreams, CutsNothingBeforeItsTimeAndEndsCleanly)
+TEST_P(ShutdownWithOpenStreams, CompletesStreamsUntilTheDrainTimeoutAndExitsCleanly)
 {
     const auto &row = GetParam();
     TestSite site({.engines = 2,
@@ -59,21 +59,21 @@
                    .engineFlags = {"--step-ms", "10"},
                    .entryFlags = {"--drain-timeout", row.entryDrain}});
     auto &stopped = row.stopsEntry ? site.entryProcess(0) : site.targetProcess(0);
-    std::size_t pieces = 0;
-    const auto answers = callAll(streamCalls(site), [&](std::size_t, std::size_t) {
-        if (++pieces == Streams) {
+    std::size_t chunks = 0;
+    const auto answers = callAll(makeStreamCalls(site), [&](std::size_t, std::size_t) {
+        if (++chunks == Streams) {
             stopped.signal(SIGTERM);
         }
     });
     EXPECT_EQ(stopped.wait(), 0);
-    std::size_t whole = 0;
+    std::size_t wholeCount = 0;
     for (const auto &answer : answers) {
-        whole += answer.whole && answer.status == 200 ? 1 : 0;
+        wholeCount += answer.whole && answer.status == 200 ? 1 : 0;
     }
-    if (row.whole) {
-        EXPECT_EQ(whole, Streams);
+    if (row.mustAllBeWhole) {
+        EXPECT_EQ(wholeCount, Streams);
     } else {
-        EXPECT_LT(whole, Streams);
+        EXPECT_LT(wholeCount, Streams);
     }
 }
 
--- a/tests/e2e/streams_test.cpp
+++ b/tests/e2e/streams_test.cpp
@@ -25,24 +25,24 @@
 }
 
 /** What an engine answers to the same prompts under the same ids, without anything in between. */
-std::vector<HttpAnswer> directAnswers(const std::vector<HttpCall> &calls, const std::vector<HttpAnswer> &answers)
+std::vector<HttpAnswer> referenceAnswers(const std::vector<HttpCall> &calls, const std::vector<HttpAnswer> &answers)
 {
     const ChildProcess reference("heatherridge-standin",
                                  {"engine", "--step-ms", "0", "--step-us-per-request", "0", "--prefill-us", "0"});
-    auto direct = calls;
+    auto referenceCalls = calls;
     for (std::size_t index = 0; index < calls.size(); ++index) {
-        direct[index].endpoint = reference.endpoints().front();
-        direct[index].request.headers = {
+        referenceCalls[index].endpoint = reference.endpoints().front();
+        referenceCalls[index].request.headers = {
             {.name = "X-Request-Id", .value = std::string(headerValue(answers[index].headers, "X-Request-Id"))}};
     }
-    return callAll(direct);
+    return callAll(referenceCalls);
 }
 
 /**
  * Whether @p answer is a refusal that a chat's caller may act on: nothing of the answer was begun, and it names the
  * time to come back. It may say "unknown" where an attempt was lost with its target before the refusal.
  */
-bool isHonestRefusal(const HttpAnswer &answer)
+bool isValidRefusal(const HttpAnswer &answer)
 {
     const auto problem = nlohmann::json::parse(answer.body, nullptr, false);
     return answer.whole && (answer.status == 429 || answer.status == 503) && problem.is_object()
@@ -50,7 +50,7 @@
 }
 
 /** Tokens that @p engine has made so far. */
-int tokensMadeBy(const Endpoint &engine)
+int generatedTokens(const Endpoint &engine)
 {
     return nlohmann::json::parse(call(engine, "GET", "/counters").body).value("tokens", 0);
 }
@@ -69,21 +69,21 @@
 };
 
 /** Kills the row's programs while the first answers are under way. */
-class Killer
+class ProcessKiller
 {
 public:
-    Killer(TestSite &site, const KillRow &row)
+    ProcessKiller(TestSite &site, const KillRow &row)
         : m_site(site)
         , m_row(row)
     {
     }
 
     /** One more piece of an answer has come to a caller. */
-    void pieceCame()
+    void recordChunk()
     {
-        ++m_pieces;
-        if (m_row.killsTarget && !m_killed && m_pieces % PiecesPerLook == 0
-            && tokensMadeBy(m_site.engine(0)) >= TokensBeforeKill) {
+        ++m_chunks;
+        if (m_row.killsTarget && !m_killed && m_chunks % ChunksPerPoll == 0
+            && generatedTokens(m_site.engine(0)) >= TokensBeforeKill) {
             m_killed = true;
             m_site.targetProcess(0).kill();
             if (m_row.killsEntry) {
@@ -93,12 +93,12 @@
     }
 
 private:
-    static constexpr int PiecesPerLook = 20;
+    static constexpr int ChunksPerPoll = 20;
     static constexpr int TokensBeforeKill = 20; // a third of one answer: whatever runs there has begun and goes on
 
     TestSite &m_site;
     const KillRow &m_row;
-    int m_pieces = 0;
+    int m_chunks = 0;
     bool m_killed = false;
 };
 
@@ -106,45 +106,45 @@
 // when to come back, and do so. The process beside one engine is killed with streams on it, and one entry. Callers
 // of the other entry see their answers go on and end whole: the entry asks another target for the tokens that are
 // missing. Callers of the dead entry see their connection cut, never an answer that looks whole and is not.
-TEST_P(StreamsUnderKills, EveryCallerOfAnEntryThatLivesGetsItsWholeOwnAnswer)
+TEST_P(StreamsUnderKills, CallersOfSurvivingEntriesGetCompleteAnswers)
 {
     TestSite site({.engines = 8, .entries = 2, .engineFlags = {"--step-ms", "10"}});
-    Killer killer(site, GetParam());
+    ProcessKiller killer(site, GetParam());
     std::vector<HttpCall> calls;
     for (std::size_t number = 0; number < Streams; ++number) {
         calls.push_back({.endpoint = site.entry(number % 2), .request = chatRequest(number, Tokens)});
     }
-    std::size_t whole = 0;
-    std::size_t cut = 0;
+    std::size_t wholeCount = 0;
+    std::size_t truncatedCount = 0;
     while (!calls.empty()) { // ctest's time limit fails the test if some never get through
-        const auto answers = callAll(calls, [&killer](std::size_t, std::size_t) { killer.pieceCame(); });
-        const auto direct = directAnswers(calls, answers);
-        std::vector<HttpCall> again;
+        const auto answers = callAll(calls, [&killer](std::size_t, std::size_t) { killer.recordChunk(); });
+        const auto expected = referenceAnswers(calls, answers);
+        std::vector<HttpCall> retries;
         for (std::size_t index = 0; index < calls.size(); ++index) {
             const auto &answer = answers[index];
             const bool entryIsDead = GetParam().killsEntry && calls[index].endpoint == site.entry(1);
             if (entryIsDead && !answer.whole) {
-                ++cut;
+                ++truncatedCount;
                 EXPECT_EQ(answer.body.find(DoneEvent), std::string::npos);
-            } else if (isHonestRefusal(answer)) {
+            } else if (isValidRefusal(answer)) {
                 if (!entryIsDead) {
-                    again.push_back(calls[index]);
+                    retries.push_back(calls[index]);
                 }
             } else {
-                ++whole;
+                ++wholeCount;
                 EXPECT_TRUE(answer.whole) << answer.status << " after " << answer.body.size() << " bytes";
-                EXPECT_EQ(answer.body, direct[index].body);
+                EXPECT_EQ(answer.body, expected[index].body);
             }
         }
-        calls = std::move(again);
+        calls = std::move(retries);
     }
     // With an entry dead as well, the streams that were lost may all have been its own.
     if (!GetParam().killsEntry) {
         const auto metrics = call(site.entry(0), "GET", "/metrics").body + call(site.entry(1), "GET", "/metrics").body;
         EXPECT_EQ(metrics.find("heatherridge_streams_resumed_total") != std::string::npos, GetParam().killsTarget);
     }
-    EXPECT_GE(whole, GetParam().killsEntry ? Streams / 2 : Streams);
-    EXPECT_EQ(cut > 0, GetParam().killsEntry);
+    EXPECT_GE(wholeCount, GetParam().killsEntry ? Streams / 2 : Streams);
+    EXPECT_EQ(truncatedCount > 0, GetParam().killsEntry);
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, StreamsUnderKills, testing::ValuesIn(Rows),
--- a/tests/e2e_keys/bookings_test.cpp
+++ b/tests/e2e_keys/bookings_test.cpp
@@ -19,11 +19,11 @@
 namespace
 {
 
-constexpr std::size_t Plains = 3;
+constexpr std::size_t PlainTargets = 3;
 constexpr std::size_t Bookings = 24;
-constexpr int MaxTries = 40;
+constexpr int MaxAttempts = 40;
 /** Where some outcomes are lost for good, asking on doesn't help. */
-constexpr int TriesWhereLost = 2;
+constexpr int MaxAttemptsWithLostOutcomes = 2;
 
 Uuid7 newKey(std::uint64_t number)
 {
@@ -31,13 +31,13 @@
     return Uuid7::make(SystemClock().wallNow(), random.draw(), (random.draw() << 16U) + number);
 }
 
-std::string bodyOf(const Uuid7 &key)
+std::string makeBookingBody(const Uuid7 &key)
 {
     return nlohmann::json{{"reference", key.toString()}}.dump();
 }
 
-HttpCall bookingCall(const TestSite &site, std::size_t entry, const Uuid7 &key, std::string body = {},
-                     const std::string &workspace = "mills")
+HttpCall makeBookingCall(const TestSite &site, std::size_t entry, const Uuid7 &key, std::string body = {},
+                         const std::string &workspace = "mills")
 {
     return {.endpoint = site.entry(entry),
             .request = {.method = "POST",
@@ -45,10 +45,10 @@
                         .headers = {{.name = "X-Workspace", .value = workspace},
                                     {.name = "X-Deadline-Ms", .value = "4000"},
                                     {.name = "Idempotency-Key", .value = key.toString()}},
-                        .body = body.empty() ? bodyOf(key) : std::move(body)}};
+                        .body = body.empty() ? makeBookingBody(key) : std::move(body)}};
 }
 
-std::string fieldOf(const HttpAnswer &answer, const std::string &field)
+std::string stringField(const HttpAnswer &answer, const std::string &field)
 {
     const auto json = nlohmann::json::parse(answer.body, nullptr, false);
     return json.is_object() && json.contains(field) && json[field].is_string() ? json[field].get<std::string>() : "";
@@ -65,43 +65,43 @@
 }
 
 /** How often each booking was executed, over all instances of the service. */
-std::map<std::string, int> executions(const TestSite &site)
+std::map<std::string, int> executionCounts(const TestSite &site)
 {
-    std::map<std::string, int> sum;
-    for (std::size_t index = 0; index < Plains; ++index) {
+    std::map<std::string, int> counts;
+    for (std::size_t index = 0; index < PlainTargets; ++index) {
         const auto json = nlohmann::json::parse(call(site.plain(index), "GET", "/executions").body);
         for (const auto &[reference, count] : json.items()) {
-            sum[reference] += count.get<int>();
+            counts[reference] += count.get<int>();
         }
     }
-    return sum;
+    return counts;
 }
 
 /** Makes bookings until each of the service's shards has a holder. */
-void warmUp(const TestSite &site)
+void waitForShardHolders(const TestSite &site)
 {
-    int booked = 0;
-    for (std::uint64_t number = 0; booked < 16; ++number) { // ctest's time limit fails the test if it never comes
-        booked += isBooked(callAll({bookingCall(site, 0, newKey(number))}).front()) ? 1 : 0;
+    int bookedCount = 0;
+    for (std::uint64_t number = 0; bookedCount < 16; ++number) { // ctest's time limit fails the test if it never comes
+        bookedCount += isBooked(callAll({makeBookingCall(site, 0, newKey(number))}).front()) ? 1 : 0;
     }
 }
 
 /** Asks for all bookings through the other entry, those without a final answer again, at most @p tries times. */
-std::vector<HttpAnswer> askAgain(const TestSite &site, const std::vector<Uuid7> &keys, int tries)
+std::vector<HttpAnswer> retryUnbooked(const TestSite &site, const std::vector<Uuid7> &keys, int maxAttempts)
 {
     std::vector<HttpAnswer> answers(keys.size());
-    for (int attempt = 0; attempt < tries; ++attempt) {
+    for (int attempt = 0; attempt < maxAttempts; ++attempt) {
         std::vector<HttpCall> calls;
-        std::vector<std::size_t> places;
+        std::vector<std::size_t> indexes;
         for (std::size_t index = 0; index < keys.size(); ++index) {
             if (!isBooked(answers[index])) {
-                calls.push_back(bookingCall(site, 1, keys[index]));
-                places.push_back(index);
+                calls.push_back(makeBookingCall(site, 1, keys[index]));
+                indexes.push_back(index);
             }
         }
-        const auto fresh = callAll(calls);
-        for (std::size_t index = 0; index < places.size(); ++index) {
-            answers[places[index]] = fresh[index];
+        const auto retriedAnswers = callAll(calls);
+        for (std::size_t index = 0; index < indexes.size(); ++index) {
+            answers[indexes[index]] = retriedAnswers[index];
         }
     }
     return answers;
@@ -110,68 +110,68 @@
 struct FaultRow
 {
     const char *name;
-    std::function<void(TestSite &)> begin; ///< before the first tries
-    std::function<void(TestSite &)> middle; ///< while they are under way
-    std::function<void(TestSite &)> end; ///< before the repeats
-    bool allBooked; ///< whether every booking must come through in the end
+    std::function<void(TestSite &)> beforeCalls; ///< before the first tries
+    std::function<void(TestSite &)> duringCalls; ///< while they are under way
+    std::function<void(TestSite &)> beforeRetries; ///< before the repeats
+    bool mustAllBeBooked; ///< whether every booking must come through in the end
 };
 
-void doNothing(TestSite & /*site*/)
+void noFault(TestSite & /*site*/)
 {
 }
 
-void faultAtLog(TestSite &site, const char *faults)
+void setLogFault(TestSite &site, const char *faults)
 {
     setFault(site.log(), faults);
 }
 
-void slowService(TestSite &site, int delay)
+void delayService(TestSite &site, int delay)
 {
-    for (std::size_t index = 0; index < Plains; ++index) {
+    for (std::size_t index = 0; index < PlainTargets; ++index) {
         setFault(site.plain(index), R"({"delay-ms":)" + std::to_string(delay) + "}");
     }
 }
 
 const FaultRow Rows[] = {
-    {"None", doNothing, doNothing, doNothing, true},
-    {"EntryKilledInMidCall", [](TestSite &site) { slowService(site, 300); },
-     [](TestSite &site) { site.entryProcess(0).kill(); }, [](TestSite &site) { slowService(site, 0); }, true},
-    {"TargetProcessKilledInMidCall", [](TestSite &site) { slowService(site, 300); },
-     [](TestSite &site) { site.targetProcess(0).kill(); }, [](TestSite &site) { slowService(site, 0); }, false},
-    {"TargetProcessPausedInMidCall", [](TestSite &site) { slowService(site, 300); },
+    {"None", noFault, noFault, noFault, true},
+    {"EntryKilledInMidCall", [](TestSite &site) { delayService(site, 300); },
+     [](TestSite &site) { site.entryProcess(0).kill(); }, [](TestSite &site) { delayService(site, 0); }, true},
+    {"TargetProcessKilledInMidCall", [](TestSite &site) { delayService(site, 300); },
+     [](TestSite &site) { site.targetProcess(0).kill(); }, [](TestSite &site) { delayService(site, 0); }, false},
+    {"TargetProcessPausedInMidCall", [](TestSite &site) { delayService(site, 300); },
      [](TestSite &site) { site.targetProcess(0).signal(SIGSTOP); },
      [](TestSite &site) {
-         slowService(site, 0);
+         delayService(site, 0);
          site.targetProcess(0).signal(SIGCONT);
      },
      true},
-    {"LogOut", [](TestSite &site) { faultAtLog(site, R"({"out":1})"); }, doNothing,
-     [](TestSite &site) { faultAtLog(site, R"({"out":0})"); }, true},
-    {"LogHangs", [](TestSite &site) { faultAtLog(site, R"({"hang":1})"); }, doNothing,
-     [](TestSite &site) { faultAtLog(site, R"({"hang":0})"); }, true},
-    {"LogRepliesLost", [](TestSite &site) { faultAtLog(site, R"({"lose-reply":6})"); }, doNothing, doNothing, true},
-    {"LogSlow", [](TestSite &site) { faultAtLog(site, R"({"slow-ms":150})"); }, doNothing,
-     [](TestSite &site) { faultAtLog(site, R"({"slow-ms":0})"); }, true},
+    {"LogOut", [](TestSite &site) { setLogFault(site, R"({"out":1})"); }, noFault,
+     [](TestSite &site) { setLogFault(site, R"({"out":0})"); }, true},
+    {"LogHangs", [](TestSite &site) { setLogFault(site, R"({"hang":1})"); }, noFault,
+     [](TestSite &site) { setLogFault(site, R"({"hang":0})"); }, true},
+    {"LogRepliesLost", [](TestSite &site) { setLogFault(site, R"({"lose-reply":6})"); }, noFault, noFault, true},
+    {"LogSlow", [](TestSite &site) { setLogFault(site, R"({"slow-ms":150})"); }, noFault,
+     [](TestSite &site) { setLogFault(site, R"({"slow-ms":0})"); }, true},
     {"LogOutAndTargetProcessKilled",
      [](TestSite &site) {
-         slowService(site, 300);
-         faultAtLog(site, R"({"out":1})");
+         delayService(site, 300);
+         setLogFault(site, R"({"out":1})");
      },
      [](TestSite &site) { site.targetProcess(0).kill(); },
      [](TestSite &site) {
-         slowService(site, 0);
-         faultAtLog(site, R"({"out":0})");
+         delayService(site, 0);
+         setLogFault(site, R"({"out":0})");
      },
      false},
-    {"TargetWithdrawn", [](TestSite &site) { slowService(site, 100); }, [](TestSite &site) { site.withdraw({0}); },
-     [](TestSite &site) { slowService(site, 0); }, true},
+    {"TargetWithdrawn", [](TestSite &site) { delayService(site, 100); }, [](TestSite &site) { site.withdraw({0}); },
+     [](TestSite &site) { delayService(site, 0); }, true},
     {"ServiceClosesAfterRunning",
      [](TestSite &site) {
-         for (std::size_t index = 0; index < Plains; ++index) {
+         for (std::size_t index = 0; index < PlainTargets; ++index) {
              setFault(site.plain(index), R"({"close-after-run":2})");
          }
      },
-     doNothing, doNothing, false},
+     noFault, noFault, false},
 };
 
 class BookingFaults : public testing::TestWithParam<FaultRow>
@@ -179,20 +179,20 @@
 };
 
 /** Answers of one kind, for what a row prints. */
-struct Tally
+struct AnswerCounts
 {
-    int booked = 0;
-    int unknown = 0;
+    int bookedCount = 0;
+    int unknownOutcome = 0;
     int notRun = 0;
-    int none = 0;
+    int withoutAnswer = 0;
 
     void add(const HttpAnswer &answer)
     {
-        const auto ran = fieldOf(answer, "ran");
-        booked += isBooked(answer) ? 1 : 0;
-        unknown += ran == "unknown" || ran == "yes" ? 1 : 0;
+        const auto ran = stringField(answer, "ran");
+        bookedCount += isBooked(answer) ? 1 : 0;
+        unknownOutcome += ran == "unknown" || ran == "yes" ? 1 : 0;
         notRun += ran == "no" ? 1 : 0;
-        none += answer.status == 0 ? 1 : 0;
+        withoutAnswer += answer.status == 0 ? 1 : 0;
     }
 };
 
@@ -201,49 +201,53 @@
 // all answers to one key are the same.
 TEST_P(BookingFaults, RunAtMostOnce)
 {
-    TestSite site({.engines = 0, .plains = Plains, .entries = 2});
-    warmUp(site);
-    GetParam().begin(site);
+    TestSite site({.engines = 0, .plains = PlainTargets, .entries = 2});
+    waitForShardHolders(site);
+    GetParam().beforeCalls(site);
     std::vector<Uuid7> keys;
     std::vector<HttpCall> calls;
     for (std::size_t number = 0; number < Bookings; ++number) {
         keys.push_back(newKey(number));
-        calls.push_back(bookingCall(site, 0, keys.back()));
+        calls.push_back(makeBookingCall(site, 0, keys.back()));
     }
     std::atomic<bool> allAnswered{false};
-    const auto before = executions(site).size();
+    const auto before = executionCounts(site).size();
     std::thread fault([&] {
-        while (executions(site).size() < before + Bookings / 4 && !allAnswered) {
+        while (executionCounts(site).size() < before + Bookings / 4 && !allAnswered) {
             std::this_thread::sleep_for(5ms); // between two looks
         }
-        GetParam().middle(site);
+        GetParam().duringCalls(site);
     });
-    const auto first = callAll(calls);
+    const auto firstAnswers = callAll(calls);
     allAnswered = true;
     fault.join();
-    const auto early = executions(site);
-    Tally tally;
+    const auto executedBeforeRetries = executionCounts(site);
+    AnswerCounts firstCounts;
     for (std::size_t index = 0; index < Bookings; ++index) {
-        tally.add(first[index]);
-        EXPECT_FALSE(fieldOf(first[index], "ran") == "no" && early.contains(keys[index].toString()))
-            << first[index].body;
+        firstCounts.add(firstAnswers[index]);
+        EXPECT_FALSE(stringField(firstAnswers[index], "ran") == "no"
+                     && executedBeforeRetries.contains(keys[index].toString()))
+            << firstAnswers[index].body;
     }
-    GetParam().end(site);
-    const auto again = askAgain(site, keys, GetParam().allBooked ? MaxTries : TriesWhereLost);
-    int bookedInTheEnd = 0;
+    GetParam().beforeRetries(site);
+    const auto retried =
+        retryUnbooked(site, keys, GetParam().mustAllBeBooked ? MaxAttempts : MaxAttemptsWithLostOutcomes);
+    int finallyBooked = 0;
     for (std::size_t index = 0; index < Bookings; ++index) {
-        bookedInTheEnd += isBooked(again[index]) ? 1 : 0;
-        EXPECT_TRUE(isBooked(again[index]) || !GetParam().allBooked) << again[index].status << " " << again[index].body;
-        if (isBooked(first[index]) && isBooked(again[index])) {
-            EXPECT_EQ(first[index].body, again[index].body);
+        finallyBooked += isBooked(retried[index]) ? 1 : 0;
+        EXPECT_TRUE(isBooked(retried[index]) || !GetParam().mustAllBeBooked)
+            << retried[index].status << " " << retried[index].body;
+        if (isBooked(firstAnswers[index]) && isBooked(retried[index])) {
+            EXPECT_EQ(firstAnswers[index].body, retried[index].body);
         }
     }
-    for (const auto &[reference, count] : executions(site)) {
+    for (const auto &[reference, count] : executionCounts(site)) {
         EXPECT_EQ(count, 1) << reference;
     }
-    std::cout << GetParam().name << ": first tries " << tally.booked << " booked, " << tally.unknown << " unknown, "
-              << tally.notRun << " not run, " << tally.none << " without an answer; " << bookedInTheEnd << " of "
-              << Bookings << " booked in the end\n";
+    std::cout << GetParam().name << ": first tries " << firstCounts.bookedCount << " booked, "
+              << firstCounts.unknownOutcome << " unknown, " << firstCounts.notRun << " not run, "
+              << firstCounts.withoutAnswer << " without an answer; " << finallyBooked << " of " << Bookings
+              << " booked in the end\n";
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, BookingFaults, testing::ValuesIn(Rows),
@@ -251,7 +255,7 @@
 
 struct RefusalRow
 {
-    const char *story;
+    const char *description;
     const char *workspace;
     const char *body;
     int status;
@@ -263,17 +267,17 @@
     {"the same again", "mills", "", 201},
 };
 
-TEST(KeyUse, TheSameKeyForAnotherRequestIsRefused)
+TEST(IdempotencyKeyReuse, SameKeyForAnotherRequestIsRefused)
 {
-    TestSite site({.engines = 0, .plains = Plains, .entries = 1});
-    warmUp(site);
+    TestSite site({.engines = 0, .plains = PlainTargets, .entries = 1});
+    waitForShardHolders(site);
     const auto key = newKey(0);
-    ASSERT_EQ(callAll({bookingCall(site, 0, key)}).front().status, 201);
+    ASSERT_EQ(callAll({makeBookingCall(site, 0, key)}).front().status, 201);
     for (const auto &row : RefusalRows) {
-        const auto answer = callAll({bookingCall(site, 0, key, row.body, row.workspace)}).front();
-        EXPECT_EQ(answer.status, row.status) << row.story << answer.body;
+        const auto answer = callAll({makeBookingCall(site, 0, key, row.body, row.workspace)}).front();
+        EXPECT_EQ(answer.status, row.status) << row.description << answer.body;
     }
-    auto badKey = bookingCall(site, 0, key);
+    auto badKey = makeBookingCall(site, 0, key);
     badKey.request.headers.back().value = "ticket-17";
     EXPECT_EQ(callAll({badKey}).front().status, 400);
 }
@@ -293,16 +297,16 @@
 };
 
 // Not a verdict on time: prints what a booking costs, one after the other, in one run, and holds that each is booked.
-TEST(BookingLatency, IsMeasuredWithTheLogWellSlowAndOut)
+TEST(BookingLatency, IsMeasuredWithTheLogAvailableSlowAndDown)
 {
     constexpr std::size_t count = 100;
-    TestSite site({.engines = 0, .plains = Plains, .entries = 1});
-    warmUp(site);
+    TestSite site({.engines = 0, .plains = PlainTargets, .entries = 1});
+    waitForShardHolders(site);
     for (const auto &row : LatencyRows) {
         setFault(site.log(), row.logFaults);
         std::vector<std::chrono::microseconds> times;
         for (std::size_t number = 0; number < count; ++number) {
-            auto call = bookingCall(site, 0, newKey(number));
+            auto call = makeBookingCall(site, 0, newKey(number));
             if (!row.keyed) {
                 call.request.headers.pop_back();
             }
