--- a/modules/heatherridge_transport/entry/callerrequest.cpp
+++ b/modules/heatherridge_transport/entry/callerrequest.cpp
@@ -17,16 +17,18 @@
 constexpr std::string_view ServicesPrefix = "/services/";
 constexpr std::string_view BearerPrefix = "Bearer ";
 constexpr int MaxPriority = 10;
-/** English text runs at about four bytes a token; the estimate steers shares and placement, no promise rests on it. */
+/** English text has about four bytes per token. The estimate is used for fair shares and placement only; no guarantee
+ * depends on it. */
 constexpr double BytesPerToken = 4;
 constexpr std::uint64_t DefaultAnswerTokens = 256;
 constexpr std::uint64_t MaxAnswerTokens = 1'000'000;
-/** Prompts that begin alike for so many bytes share a place in a prefix cache: about one cache block of 256 tokens. */
+/** Prompts with the same first bytes, up to this number, get the same affinity key, since they can share an entry of a
+ * prefix cache; about one cache block of 256 tokens. */
 constexpr std::size_t AffinityPrefixBytes = 1024;
-/** Longest idempotency key; a UUID has 36 characters. */
+/** Maximum length of an idempotency key; a UUID has 36 characters. */
 constexpr std::size_t MaxIdempotencyKeyBytes = 128;
 
-/** Headers that concern one connection or are set anew at each hop; they are not passed on. */
+/** Headers that apply to a single connection or are set again at each hop; they are not forwarded. */
 constexpr std::array<std::string_view, 14> HopByHopHeaders{"Connection",
                                                            "Keep-Alive",
                                                            "Proxy-Authenticate",
@@ -58,7 +60,7 @@
     return forwarded;
 }
 
-/** Checks one request step by step; each step returns the error that ends it. */
+/** Validates one request step by step. Stops at the first step that returns an error. */
 class Reader
 {
 public:
@@ -105,13 +107,14 @@
             workspace = m_config.rules->findByKey(authorization.substr(BearerPrefix.size()));
         } else {
             workspace = m_config.rules->find(WorkspaceName(std::string(name)));
-            // A workspace with a key is reached by its key alone, or anybody could spend its share by its name.
+            // A workspace with an API key is selected only by that key; otherwise anybody could use up its share by
+            // giving its name.
             if (workspace != nullptr && !workspace->key.empty()) {
                 workspace = nullptr;
             }
         }
         if (workspace == nullptr) {
-            return makeError(ErrorKind::UnknownWorkspace, name.empty() ? "no workspace named" : std::string(name));
+            return makeError(ErrorKind::UnknownWorkspace, name.empty() ? "no workspace given" : std::string(name));
         }
         m_result.submit.workspace = workspace->name;
         m_result.submit.priority = workspace->priority;
@@ -166,19 +169,19 @@
         }
         const auto body = nlohmann::json::parse(m_request.body, nullptr, false);
         if (!body.is_object()) {
-            return makeError(ErrorKind::BadRequest, "the body is no JSON object");
+            return makeError(ErrorKind::BadRequest, "the body is not a JSON object");
         }
         const auto model = body.find("model");
         const auto messages = body.find("messages");
         if (model == body.end() || !model->is_string() || messages == body.end() || !messages->is_array()) {
-            return makeError(ErrorKind::BadRequest, "'model' must be a text and 'messages' a list");
+            return makeError(ErrorKind::BadRequest, "'model' must be a string and 'messages' an array");
         }
         m_result.model = ModelName(model->get<std::string>());
         const auto stream = body.find("stream");
         m_result.wantsStream = stream != body.end() && stream->is_boolean() && stream->get<bool>();
         readCost(body, messages->dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
         m_result.submit.path = ChatPath;
-        // A chat answer has no effect beside itself, so running it twice does no harm.
+        // A chat request has no side effects, so it can safely run twice.
         m_result.submit.mayRepeat = true;
         return findService();
     }
--- a/modules/heatherridge_transport/entry/callerrequest.h
+++ b/modules/heatherridge_transport/entry/callerrequest.h
@@ -7,20 +7,21 @@
 namespace Heatherridge
 {
 
-/** A caller's request that has been checked: what goes to a target, and what the entry needs to place it. */
+/** A validated request of a caller: the message that is sent to a target, and what the entry needs to choose the
+ * target. */
 struct CallerRequest
 {
     SubmitRequest submit{};
     ModelName model{}; ///< empty for plain services
     double weight = 1; ///< of its workspace
-    std::uint64_t affinityKey = 0; ///< hash of the prompt's beginning; 0 for none
-    std::vector<std::uint64_t> prefixChain{}; ///< hashes of the prompt's blocks, as PrefixIndex counts them
+    std::uint64_t affinityKey = 0; ///< hash of the start of the prompt; 0 if there is none
+    std::vector<std::uint64_t> prefixChain{}; ///< hashes of the prompt's blocks, as computed by PrefixIndex
     double promptTokens = 0; ///< estimate
-    std::chrono::milliseconds timeout{}; ///< until its deadline, from its arrival
+    std::chrono::milliseconds timeout{}; ///< time from arrival to the deadline
     bool wantsStream = false; ///< the answer is a stream of events
 };
 
-/** Bounds of what callers may send. */
+/** Limits on what callers may send. */
 struct CallerLimits
 {
     std::size_t maxBodyBytes = 1UL << 20U;
@@ -29,11 +30,11 @@
 };
 
 /**
- * Checks @p request against the configuration in force.
+ * Validates @p request against the current configuration.
  *
  * Reads the headers X-Workspace or Authorization (a bearer key that maps to a workspace), X-Priority (-10 to 10),
- * X-Deadline-Ms (time left), Idempotency-Key. Any thread; touches nothing but its arguments.
- * @returns the checked request, or the kind of error that the caller is to see; then nothing was sent
+ * X-Deadline-Ms (time left) and Idempotency-Key. Thread-safe: accesses nothing but its arguments.
+ * @returns the validated request, or the error to be returned to the caller, in which case nothing was sent
  */
 Result<CallerRequest> readCallerRequest(const HttpRequest &request, const RequestId &id, const ConfigView &config,
                                         const CallerLimits &limits);
--- a/modules/heatherridge_transport/entry/callerstream.h
+++ b/modules/heatherridge_transport/entry/callerstream.h
@@ -12,38 +12,39 @@
 {
 
 /**
- * The body of a streamed answer on its way to the caller.
+ * Writes the body of a streamed answer to the caller.
  *
- * Chunks that come while a write is under way leave together in the next one: under load that saves a system call and
- * two changes of thread for each token, and a lone chunk still leaves at once. Reports what has left in portions, so
- * that the target is given credit by the portion too. On one loop's thread; the callbacks come there.
+ * Chunks that arrive during a write are combined into the next one: under load this saves a system call and two thread
+ * switches per token, while a single chunk is still sent immediately. Reports written bytes in batches, so that credit
+ * is granted to the target in batches too. All methods and callbacks run on the thread of one loop.
  */
 class CallerStream : public std::enable_shared_from_this<CallerStream>
 {
 public:
-    /** Bytes that leave until they are reported: an eighth of the window that a target may be ahead. */
+    /** Number of written bytes after which they are reported: an eighth of the window by which a target may be ahead.
+     */
     static constexpr std::size_t ReportThresholdBytes = 32UL << 10U;
 
-    /** What the owner is told. */
+    /** Callbacks to the owner. */
     struct Events
     {
-        std::function<void(std::size_t bytes)> written{}; ///< so many more bytes have left
-        std::function<void()> disconnected{}; ///< the caller has left; nothing follows
+        std::function<void(std::size_t bytes)> written{}; ///< called when further bytes have been written
+        std::function<void()> disconnected{}; ///< called when the caller has disconnected; no callback follows
     };
 
-    /** Writes to @p exchange, whose answer has begun. @p loop must outlive it. */
+    /** Creates a stream that writes to @p exchange, whose answer has started. @p loop must outlive the stream. */
     CallerStream(std::shared_ptr<HttpExchange> exchange, EventLoop &loop, Events events);
 
-    /** Sends @p bytes, at once or behind the write that is under way. */
+    /** Sends @p bytes immediately, or after the write in progress. */
     void write(std::string_view bytes);
 
-    /** Sends what is left and ends the answer as whole. */
+    /** Sends the buffered bytes and ends the answer as complete. */
     void end();
 
-    /** Sends what is left and closes the connection without the end of the answer. */
+    /** Sends the buffered bytes and closes the connection without terminating the answer. */
     void abort();
 
-    /** Bytes that wait for the write under way. */
+    /** Returns the number of bytes that are buffered until the write in progress completes. */
     std::size_t bufferedBytes() const;
 
 private:
--- a/modules/heatherridge_transport/entry/entrycall.h
+++ b/modules/heatherridge_transport/entry/entrycall.h
@@ -17,30 +17,30 @@
 namespace Heatherridge
 {
 
-/** One open request of a caller; owned by its EntryTraffic and touched on that thread alone. */
+/** One open request of a caller. Owned by its EntryTraffic and accessed only on that thread. */
 struct EntryCall
 {
-    RequestId id{}; ///< as the caller sees it; each attempt has one of its own, @see attemptId()
+    RequestId id{}; ///< id shown to the caller; each attempt has its own, @see attemptId()
     CallerRequest request{};
     std::shared_ptr<HttpExchange> exchange{};
     SteadyTime arrived{};
     SteadyTime deadline{};
-    std::unique_ptr<asio::steady_timer> timer{}; ///< the deadline, or the pause before a retry
-    TargetName target{}; ///< where the current attempt is; empty between attempts
-    SteadyTime attemptStarted{}; ///< when the current attempt began
-    std::set<TargetName> triedTargets{}; ///< targets that have refused or failed it
+    std::unique_ptr<asio::steady_timer> timer{}; ///< for the deadline, or for the delay before a retry
+    TargetName target{}; ///< target of the current attempt; empty between attempts
+    SteadyTime attemptStarted{}; ///< start of the current attempt
+    std::set<TargetName> triedTargets{}; ///< targets that have refused or failed the request
     int attempts = 0;
-    bool answerStarted = false; ///< the caller has the head
-    bool mayHaveRun = false; ///< an earlier attempt ended without proof that it did not run
-    std::optional<Uuid7> key{}; ///< set when gates see to it that it runs at most once, however often it is tried
-    TargetName askAt{}; ///< where the last gate that was asked sent the call
-    int redirects = 0; ///< how often that happened
+    bool answerStarted = false; ///< whether the head was sent to the caller
+    bool mayHaveRun = false; ///< whether an earlier attempt ended without proof that it did not run
+    std::optional<Uuid7> key{}; ///< set if key gates ensure that repeated attempts run the call at most once
+    TargetName askAt{}; ///< target to which the last key gate redirected the call
+    int redirects = 0; ///< number of redirects
 
-    std::shared_ptr<CallerStream> stream{}; ///< the answer's body, once it has begun
+    std::shared_ptr<CallerStream> stream{}; ///< body of the answer, once it has started
     AnswerAssembler assembler{AnswerAssembler::Options{}};
-    std::optional<StreamResume> resume{}; ///< for an answer that another target can go on with
+    std::optional<StreamResume> resume{}; ///< set for an answer that another target can continue
 
-    /** Makes ready for an attempt that goes on behind what the caller has. Only when there is a resume. */
+    /** Prepares an attempt that continues after the bytes that the caller has. Requires resume to be set. */
     void beginResume()
     {
         assembler = AnswerAssembler(AnswerAssembler::Options{});
--- a/modules/heatherridge_transport/entry/entryserver.cpp
+++ b/modules/heatherridge_transport/entry/entryserver.cpp
@@ -15,7 +15,8 @@
 using nlohmann::ordered_json;
 
 constexpr std::chrono::milliseconds DrainPollInterval{20};
-/** Room above the product's own limits, so that an oversized request gets a reason instead of a closed connection. */
+/** Factor by which the HTTP server's limits exceed the configured ones, so that an oversized request gets an error
+ * answer instead of a closed connection. */
 constexpr std::size_t HttpLimitFactor = 4;
 
 } // namespace
@@ -95,9 +96,9 @@
     for (const auto &traffic : m_traffic) {
         traffic->stop();
     }
-    // Open calls hold exchanges, and unsent bytes hold callbacks into the traffic threads. So the calls went first,
-    // while the server was there, and the server goes while the traffic threads' objects are: the other way round a
-    // shutdown with open streams reached into freed memory.
+    // Open calls hold exchanges, and unsent bytes hold callbacks into the traffic threads. Therefore the calls are
+    // destroyed first, while the server exists, and the server while the traffic threads' objects exist: the reverse
+    // order accesses freed memory in a shutdown with open streams.
     m_server.reset();
 }
 
--- a/modules/heatherridge_transport/entry/entryserver.h
+++ b/modules/heatherridge_transport/entry/entryserver.h
@@ -10,7 +10,7 @@
 {
 
 /**
- * The whole of an entry: callers' HTTP server, traffic threads and control thread.
+ * A complete entry process: the HTTP server for callers, traffic threads and control thread.
  *
  * Serves `POST /v1/chat/completions`, any method below `/services/NAME/`, `GET /healthz`, `/readyz`, `/metrics` and
  * the operator's `GET /admin/...`.
@@ -25,15 +25,15 @@
         ZoneName zone{};
         Endpoint listen{}; ///< for callers
         Endpoint logService{};
-        Endpoint hostList{}; ///< the platform's host list; port 0 when it is not used
-        std::vector<Endpoint> peers{}; ///< gates that are asked for a state while there is no inventory
+        Endpoint hostList{}; ///< the platform's host list; port 0 if it is not used
+        std::vector<Endpoint> peers{}; ///< gates from which the state is requested while there is no inventory
         int httpThreads = 2;
         int trafficThreads = 1;
         std::size_t targetsPerKind = LinkPlanOptions{}.targetsPerKind; ///< @see LinkPlan
         CallerLimits limits{};
-        std::chrono::milliseconds callerTimeout{60'000}; ///< a caller that takes nothing for so long is dropped
-        std::chrono::milliseconds sendTimeout{10'000}; ///< a request that takes longer to arrive is dropped
-        std::chrono::milliseconds drainTimeout{60'000}; ///< longest wait for open calls at shutdown
+        std::chrono::milliseconds callerTimeout{60'000}; ///< a caller that reads nothing for this long is disconnected
+        std::chrono::milliseconds sendTimeout{10'000}; ///< the connection is closed if a request takes longer to arrive
+        std::chrono::milliseconds drainTimeout{60'000}; ///< maximum wait for open calls at shutdown
     };
 
     explicit EntryServer(Options options);
@@ -42,12 +42,12 @@
     EntryServer(const EntryServer &) = delete;
     EntryServer &operator=(const EntryServer &) = delete;
 
-    /** Starts all threads. @returns where callers are served, or why not */
+    /** Starts all threads. @returns the endpoint that serves callers, or the error */
     Result<std::vector<Endpoint>> start();
 
     /**
-     * Graceful shutdown: /readyz fails, new requests are refused as not run, open ones end, then all threads stop.
-     * Blocks until then, at most for the drain timeout.
+     * Shuts down gracefully: /readyz fails, new requests are refused as not run, open ones complete, then all threads
+     * stop. Blocks until then, waiting for open requests for at most the drain timeout.
      */
     void drainAndStop();
 
--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -16,12 +16,13 @@
 {
 
 constexpr std::chrono::milliseconds LinkTickInterval{10};
-/** Gates of one service agree on a shard's holder within seconds; more hops than this are no way to find it. */
+/** The key gates of a service agree on a shard's holder within seconds; further redirects before then do not help to
+ * find it. */
 constexpr int MaxRedirects = 3;
-/** An attempt is worth making when about this much time is left for it. */
+/** Minimum time before the deadline at which another attempt is still made. */
 constexpr std::chrono::milliseconds MinAttemptTime{5};
 
-/** Headers of a back end's answer that concern its own connection to the target's process. */
+/** Headers of a back end's answer that apply only to its connection to the target's process. */
 constexpr std::array<std::string_view, 5> HopByHopHeaders{"Connection", "Keep-Alive", "Transfer-Encoding",
                                                           "Content-Length", "X-Request-Id"};
 
@@ -41,7 +42,8 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - begin);
 }
 
-/** The failure of an attempt whose target went away: nobody who could know has said whether it ran. */
+/** Returns the error of an attempt whose connection to the target was lost, so that it is unknown whether the request
+ * ran. */
 Error connectionLostError(const EntryCall &call)
 {
     return Error{.kind = call.answerStarted ? ErrorKind::StreamBroken : ErrorKind::OutcomeUnknown,
@@ -142,7 +144,7 @@
     m_journal.record(call->id, "arrived", {}, call->request.submit.service.text());
     call->exchange->onClosed([this, id = call->id] { m_loop.post([this, id] { handleCallerDisconnect(id); }); });
     if (!parseKey(*call)) {
-        fail(call, Error{.kind = ErrorKind::BadIdempotencyKey, .detail = "a UUID of version 7 is needed"});
+        fail(call, Error{.kind = ErrorKind::BadIdempotencyKey, .detail = "the key must be a UUID of version 7"});
         return;
     }
     startAttempt(call);
@@ -178,7 +180,8 @@
     dispatchAttempt(call, targets[std::get<std::size_t>(choice)]->name, remaining);
 }
 
-/** Whether @p call may go on: a call that may not be repeated has no key, or one that gates can date. */
+/** Parses the idempotency key of @p call if the call must not be repeated. @returns false if it has a key that is not a
+ * UUID of version 7, whose time the key gates need */
 bool EntryTraffic::parseKey(EntryCall &call) const
 {
     const auto &submit = call.request.submit;
@@ -191,7 +194,8 @@
     return call.key.has_value();
 }
 
-/** Where a call with a key goes: where a gate has sent it, else to the likely holder of its shard. */
+/** Returns the target for a call with a key: the one to which a key gate redirected it, else the likely holder of its
+ * shard. */
 const Target *EntryTraffic::findKeyHolder(const EntryCall &call, const std::vector<const Target *> &targets) const
 {
     if (!call.key) {
@@ -199,7 +203,7 @@
     }
     const auto *redirectTarget = m_view->inventory->find(call.askAt);
     if (redirectTarget != nullptr && m_links->acceptsNewRequests(redirectTarget->name)) {
-        return redirectTarget; // withdrawn or not: it knows the key's past, and takes no new work by itself
+        return redirectTarget; // even if withdrawn: it knows the key's history, and refuses new calls itself
     }
     const auto ranked = holdersOf(*m_view->inventory, call.request.submit.service, shardOf(*call.key));
     const auto usable = std::find_if(ranked.begin(), ranked.end(), [&](const Target *target) {
@@ -208,7 +212,8 @@
     return usable == ranked.end() ? nullptr : *usable;
 }
 
-/** Tries the call at once where a gate has sent it; false when that leads nowhere. */
+/** Starts an attempt at the target to which a key gate redirected the call. @returns false if the redirect cannot be
+ * followed */
 bool EntryTraffic::followRedirect(const Call &call, const TargetName &askAt)
 {
     if (!call->key || askAt.isEmpty() || !m_links->acceptsNewRequests(askAt) || call->redirects >= MaxRedirects) {
@@ -233,8 +238,8 @@
     call->request.submit.attempt = call->attempts;
     call->request.submit.id = attemptId(call->id, call->attempts);
     call->timer = std::make_unique<asio::steady_timer>(m_loop.context(), call->deadline);
-    // By id, not by pointer: a wait that never ends would keep the call, and with it the server's connection, alive
-    // beyond the server itself.
+    // Captures the id, not the pointer: a wait that never completes would keep the call, and with it the server's
+    // connection, alive longer than the server itself.
     call->timer->async_wait([this, id = call->id](const asio::error_code &error) {
         if (!error) {
             handleDeadline(id);
@@ -260,7 +265,7 @@
 std::vector<const Target *> EntryTraffic::candidates(const EntryCall &call) const
 {
     auto targets = m_view->inventory->targetsOf(call.request.submit.service);
-    // A lock-step group is one replica to callers; its rank 0 takes the requests.
+    // To callers a lock-step group is one replica; its rank 0 receives the requests.
     std::erase_if(targets, [&call](const Target *target) {
         const auto &model = call.request.model;
         const bool servesModel =
@@ -298,8 +303,8 @@
     const auto id = std::visit(
         Visitor{[](const LoadReport &) { return RequestId(); }, [](const auto &other) { return other.id; }}, message);
     const auto entry = m_calls.find(requestOfAttempt(id));
-    // Frames of an attempt that was given up, or from a target that does not have the request, must not reach the
-    // caller: they would show as a gap, a repeat, or bytes of another attempt.
+    // Frames of an abandoned attempt, or from a target that does not have the request, must not reach the caller: they
+    // would appear as a gap, a repetition, or bytes of another attempt.
     if (entry == m_calls.end() || entry->second->target != target || entry->second->request.submit.id != id) {
         m_strayFrames.add();
         return;
@@ -364,7 +369,7 @@
 {
     auto ready = call->answerStarted
         ? call->assembler.addFrame(chunk.sequence, chunk.bytes)
-        : Result<Bytes>(Error{.kind = ErrorKind::StreamBroken, .detail = "chunk before the head"});
+        : Result<Bytes>(Error{.kind = ErrorKind::StreamBroken, .detail = "answer chunk received before the head"});
     if (const auto *error = errorIn(ready)) {
         cancelAtTarget(call);
         fail(call, *error);
@@ -394,7 +399,7 @@
 {
     auto outcome = call->answerStarted
         ? call->assembler.setFrameCount(end.chunks)
-        : Outcome(Error{.kind = ErrorKind::StreamBroken, .detail = "end before the head"});
+        : Outcome(Error{.kind = ErrorKind::StreamBroken, .detail = "end of the answer received before the head"});
     if (const auto *error = errorIn(outcome)) {
         cancelAtTarget(call);
         fail(call, *error);
@@ -407,8 +412,8 @@
 
 void EntryTraffic::beginBody(const Call &call)
 {
-    // The target may send as much again only once the bytes have left: a slow caller holds back its own engine
-    // stream instead of filling this process.
+    // The target is granted credit only once the bytes have been written: a slow caller throttles its own engine stream
+    // instead of filling this process's memory.
     const auto written = [this, id = call->id](std::size_t bytes) {
         const auto entry = m_calls.find(id);
         if (entry != m_calls.end() && !entry->second->target.isEmpty()) {
@@ -500,7 +505,7 @@
 
 void EntryTraffic::fail(const Call &call, Error error)
 {
-    // A refusal of this attempt proves nothing about an earlier one whose answer was lost.
+    // A refusal of this attempt does not prove that an earlier one, whose answer was lost, did not run.
     if (call->mayHaveRun && error.ranOrDefault() == ExecutionStatus::No) {
         error.ran = ExecutionStatus::Unknown;
     }
--- a/modules/heatherridge_transport/entry/entrytraffic.h
+++ b/modules/heatherridge_transport/entry/entrytraffic.h
@@ -17,10 +17,10 @@
 struct EntryCall;
 
 /**
- * One traffic thread of an entry: places callers' requests on targets and passes their answers back.
+ * One traffic thread of an entry: sends callers' requests to targets and returns the answers.
  *
- * Owns the calls it has open; nothing of one call is ever reached through another's id. Methods may be called from any
- * thread unless they say otherwise.
+ * Owns its open calls; no part of a call is accessible through the id of another one. Methods may be called from any
+ * thread unless stated otherwise.
  */
 class EntryTraffic
 {
@@ -33,7 +33,7 @@
         LinkPlanOptions links{};
     };
 
-    /** Not started yet. @p metrics and @p journal must outlive it. */
+    /** Creates a thread that is not started yet. @p metrics and @p journal must outlive it. */
     EntryTraffic(Options options, Metrics &metrics, RequestJournal &journal);
     ~EntryTraffic();
 
@@ -43,24 +43,24 @@
     /** Starts the thread. */
     void start();
 
-    /** Ends the thread; calls that are still open are dropped. */
+    /** Stops the thread. Drops calls that are still open. */
     void stop();
 
-    /** A new configuration is in force. */
+    /** Called when a new configuration takes effect. */
     void setView(std::shared_ptr<const ConfigView> view);
 
-    /** Takes a checked request, which will be answered through @p exchange. */
+    /** Accepts a validated request, which is answered through @p exchange. */
     void submit(CallerRequest request, std::shared_ptr<HttpExchange> exchange);
 
-    /** How many calls are open. */
+    /** Returns the number of open calls. */
     std::size_t openCalls() const;
 
-    /** What is known of every target in the inventory, for the operator. */
+    /** State of a target in the inventory, for the operator. */
     struct TargetStatus
     {
         TargetName target{};
-        bool isLinked = false; ///< this entry keeps a link to it
-        bool isUp = false; ///< the link is connected
+        bool isLinked = false; ///< whether this entry maintains a link to it
+        bool isUp = false; ///< whether the link is connected
         LoadReport report{};
     };
     std::vector<TargetStatus> targets();
--- a/modules/heatherridge_transport/entry/requestjournal.h
+++ b/modules/heatherridge_transport/entry/requestjournal.h
@@ -11,41 +11,43 @@
 namespace Heatherridge
 {
 
-/** One thing that happened to a request. */
+/** One event in the life of a request. */
 struct JournalStep
 {
     std::chrono::milliseconds elapsed{}; ///< since the request arrived
-    std::string event{}; ///< stable name: arrived, placed, refused, retried, answered, ...
+    std::string event{}; ///< stable name: arrived, placed, refused, retry, redirected, attempt-failed
     TargetName target{};
     std::string reason{};
 };
 
-/** What is remembered of one request. */
+/** The recorded history of one request. */
 struct JournalEntry
 {
     SteadyTime arrived{};
-    std::string outcome{}; ///< empty while it is open
+    std::string outcome{}; ///< empty while the request is open
     std::vector<JournalStep> steps{};
 };
 
 /**
- * The last requests of this process and why each was placed or refused, for the operator. Bounded. Any thread.
+ * Records the most recent requests of this process and why each was placed or refused, for the operator. Bounded in
+ * size. Thread-safe.
  */
 class RequestJournal
 {
 public:
-    /** Requests that are remembered; at 80 a second for each of 500 entries that is most of a minute. */
+    /** Maximum number of recorded requests; at 80 requests a second for each of 500 entries this covers most of a
+     * minute. */
     static constexpr std::size_t MaxRequests = 4096;
-    /** Steps kept of one request; further ones are left out. */
+    /** Maximum number of steps per request; further steps are not recorded. */
     static constexpr std::size_t MaxSteps = 16;
 
-    /** Notes a step of @p id; the first one makes the request known. */
+    /** Records a step of @p id; the first step creates its entry. */
     void record(const RequestId &id, std::string event, const TargetName &target = {}, std::string reason = {});
 
-    /** Notes how @p id ended. */
+    /** Records the outcome of @p id. */
     void finish(const RequestId &id, std::string outcome);
 
-    /** What is remembered of @p id, or nothing. */
+    /** Returns the history of @p id, or nothing if it is not recorded. */
     std::optional<JournalEntry> find(const RequestId &id) const;
 
 private:
--- a/modules/heatherridge_transport/entry/streamresume.h
+++ b/modules/heatherridge_transport/entry/streamresume.h
@@ -8,45 +8,47 @@
 namespace Heatherridge
 {
 
-/** What may go to the caller now. */
+/** The part of a resumed stream that can be sent to the caller now. */
 struct ResumedBytes
 {
-    Bytes newEvents{}; ///< whole events, in order
-    std::size_t duplicateBytes = 0; ///< bytes that the caller has already and that are dropped
+    Bytes newEvents{}; ///< complete events, in order
+    std::size_t duplicateBytes = 0; ///< number of dropped bytes, which the caller already has
 };
 
 /**
- * A streamed chat answer that can be taken up at another target when its own is lost.
+ * A streamed chat answer that another target can continue when its own target is lost.
  *
- * Splits the answer into server-sent events, one a token, and passes on whole events only: a stream that is cut between
- * two chunks ends at an event for the caller, so that another engine can go on behind it. The repeated events
- * are compared with what the caller has; see ResumePoint. No I/O; one thread.
+ * Splits the answer into server-sent events, one per token, and forwards complete events only: if a stream is cut
+ * between two chunks, the caller's part ends at an event boundary, where another engine can continue. Repeated events
+ * are compared with those that the caller has; see ResumePoint. Performs no I/O. Not thread-safe.
  */
 class StreamResume
 {
 public:
-    /** Largest event; a longer one breaks the stream. */
+    /** Maximum size of an event; a larger one fails the stream. */
     static constexpr std::size_t MaxEventBytes = 1UL << 20U;
 
-    /** The start of an answer. */
+    /** Creates a stream at the start of an answer. */
     StreamResume();
 
-    /** Takes the next bytes of the answer, which may end within an event. @returns StreamBroken when they don't fit. */
+    /** Appends the next bytes of the answer, which may end within an event. @returns StreamBroken if they contradict
+     * the events that the caller has or exceed the size limit */
     Result<ResumedBytes> append(const Bytes &bytes);
 
-    /** The answer begins anew at another target. @returns the token from which that target is to start. */
+    /** Prepares for continuing the answer at another target. @returns the token at which that target must start */
     std::uint64_t beginResume();
 
 private:
     ResumePoint m_resumePoint;
-    std::uint64_t m_nextEvent = 0; ///< number of the next event within the whole answer
-    std::string m_partialEvent; ///< the begin of an event
+    std::uint64_t m_nextEvent = 0; ///< index of the next event within the whole answer
+    std::string m_partialEvent; ///< the received part of an incomplete event
 };
 
-/** @p body, a chat request, with the token at which the engine is to start; unchanged when it is no JSON object. */
+/** Returns @p body, a chat request, with the token at which the engine must start; unchanged if it is not a JSON
+ * object. */
 Bytes withResumeFrom(const Bytes &body, std::uint64_t token);
 
-/** Whether @p head begins an answer that StreamResume understands. */
+/** Returns whether @p head starts an answer that StreamResume can process. */
 bool isEventStream(const AnswerHead &head);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/entry/targetlinks.cpp
+++ b/modules/heatherridge_transport/entry/targetlinks.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-/** A restarted target process is back within a second; a host that is gone is asked every two seconds. */
+/** A restarted target process is reconnected within a second; an unreachable host is retried about every two seconds.
+ */
 constexpr std::chrono::milliseconds FirstReconnectDelay{50};
 constexpr int MaxDelayDoublings = 5;
 
@@ -66,8 +67,9 @@
     return link.isRetired && (!link.isUp || !m_events.isBusy || !m_events.isBusy(target));
 }
 
-/** A target that leaves the inventory, or this entry's part of it, ends what it is at work on: closing its link at once
- * would cut answers in the middle and leave calls that may not be repeated in doubt. */
+/** A target that is removed from the inventory, or from this entry's share of it, completes its running requests:
+ * closing its link immediately would truncate answers and leave the outcome of calls that must not be repeated unknown.
+ */
 void TargetLinks::closeRetired()
 {
     for (auto entry = m_links.begin(); entry != m_links.end();) {
@@ -110,7 +112,7 @@
     const auto closed = [this, target](const std::shared_ptr<PeerSocket> &socket) { handleClosed(target, socket); };
     m_unconnected.erase(target);
     link.socket = m_connector.connect(link.endpoint.address, link.endpoint.port, {opened, received, closed});
-    if (!link.socket) { // no event will come for it
+    if (!link.socket) { // no callback will follow
         link.reconnectAt = std::chrono::steady_clock::now() + reconnectDelay(link.failures++);
         m_unconnected.insert(target);
     }
--- a/modules/heatherridge_transport/entry/targetlinks.h
+++ b/modules/heatherridge_transport/entry/targetlinks.h
@@ -13,52 +13,55 @@
 namespace Heatherridge
 {
 
-/** What the owner of the links is told; on the loop's thread. */
+/** Callbacks to the owner of the links; called on the loop's thread. */
 struct TargetLinkEvents
 {
     std::function<void(const TargetName &target, TrafficMessage message)> received{};
-    std::function<void(const TargetName &target, const Envelope &envelope)> control{}; ///< frames of other channels
+    std::function<void(const TargetName &target, const Envelope &envelope)>
+        control{}; ///< called for frames of other channels
     std::function<void(const TargetName &target)> up{};
-    std::function<void(const TargetName &target)> down{}; ///< whatever was sent and not answered is in doubt
-    /** Whether something is open on the link to a target that is no longer wanted; without it, nothing ever is. */
+    std::function<void(const TargetName &target)> down{}; ///< the outcome of anything sent but not answered is unknown
+    /** Returns whether requests are still open on the link to a target that was removed. If not set, a link counts as
+     * idle. */
     std::function<bool(const TargetName &target)> isBusy{};
 };
 
 /**
- * The connections of one traffic thread to the processes beside the targets.
+ * The connections of one thread to the processes beside the targets.
  *
- * Keeps one connection to each target of the inventory, connects again after a pause when one is lost, and drops those
- * that the inventory no longer has once nothing is open on them. All methods on the loop's thread.
+ * Keeps one connection to each given target, reconnects after a delay when one is lost, and closes connections to
+ * removed targets once no request is open on them. All methods must be called on the loop's thread.
  */
 class TargetLinks
 {
 public:
-    /** Links on @p loop; @p encoder and @p metrics must outlive them. */
+    /** Creates links on @p loop. @p loop, @p encoder and @p metrics must outlive them. */
     TargetLinks(EventLoop &loop, const FrameEncoder &encoder, Metrics &metrics, TargetLinkEvents events);
 
     /**
-     * Connects to the targets of @p endpoints that have no link yet, and retires links to all others: nothing new goes
-     * over a retired link, and it is closed once nothing is open on it.
+     * Sets the targets to connect to. Adds links to targets of @p endpoints that have none, and retires the links to
+     * all others: a retired link accepts no new requests and is closed once no request is open on it.
      */
     void setTargets(const std::map<TargetName, Endpoint> &endpoints);
 
-    /** Connects again where the pause is over, and closes retired links that are done. Called every few milliseconds.
+    /** Reconnects links whose delay has elapsed and closes retired links that are idle. Must be called every few
+     * milliseconds.
      */
     void tick(SteadyTime now);
 
-    /** Whether a link to @p target is kept, connected or not. */
+    /** Returns whether a link to @p target is maintained, connected or not. */
     bool isWanted(const TargetName &target) const;
 
-    /** Whether @p target is connected. */
+    /** Returns whether @p target is connected. */
     bool isUp(const TargetName &target) const;
 
-    /** Whether @p target is connected and may be sent something new. */
+    /** Returns whether @p target is connected and its link is not retired. */
     bool acceptsNewRequests(const TargetName &target) const;
 
-    /** Sends @p message; false when @p target is not connected, and then nothing was sent. */
+    /** Sends @p message. @returns false if @p target is not connected; then nothing was sent */
     bool send(const TargetName &target, const TrafficMessage &message);
 
-    /** Sends @p payload on @p channel; false when @p target is not connected. */
+    /** Sends @p payload on @p channel. @returns false if @p target is not connected */
     bool send(const TargetName &target, Channel channel, Bytes payload);
 
 private:
@@ -67,7 +70,7 @@
         Endpoint endpoint{};
         std::shared_ptr<PeerSocket> socket{};
         bool isUp = false;
-        bool isRetired = false; ///< no longer wanted; lives on for what is open on it
+        bool isRetired = false; ///< target removed or moved; kept until its open requests have ended
         int failures = 0;
         SteadyTime reconnectAt{};
     };
@@ -84,7 +87,7 @@
     PeerConnector m_connector;
     std::map<TargetName, Endpoint> m_endpoints;
     std::map<TargetName, Link> m_links;
-    std::set<TargetName> m_unconnected; ///< links without a socket, which alone need looking after
+    std::set<TargetName> m_unconnected; ///< links without a socket; tick() checks only these
     std::size_t m_retiredCount = 0;
     Counter &m_malformedFrames;
     Counter &m_linksLost;
--- a/modules/heatherridge_transport/entry/targettracker.cpp
+++ b/modules/heatherridge_transport/entry/targettracker.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr std::chrono::hours AgeWithoutReport{1};
-/** Bytes of a prompt to one token, on average; engines' own tokenizers are not at hand here. */
+/** Average number of prompt bytes in a token; the engines' own tokenizers are not available here. */
 constexpr std::size_t BytesPerToken = 4;
 constexpr auto TokensPerBlock = static_cast<std::uint32_t>(PrefixIndex::BlockBytes / BytesPerToken);
 
--- a/modules/heatherridge_transport/entry/targettracker.h
+++ b/modules/heatherridge_transport/entry/targettracker.h
@@ -11,36 +11,38 @@
 {
 
 /**
- * What one traffic thread of an entry knows of the targets beside the inventory: their reports, its own work there,
- * their health, speed and cached prefixes. It turns this into the views by which Placement decides.
+ * Tracks what one traffic thread of an entry knows about the targets beyond the inventory: their load reports, the
+ * requests that the thread has sent them, their health, speed and cached prefixes. Produces the views on which
+ * Placement bases its decisions.
  *
- * Owned by EntryTraffic and used on its thread alone.
+ * Owned by EntryTraffic and used only on its thread.
  */
 class TargetTracker
 {
 public:
-    /** The inventory has changed: targets that it no longer lists are forgotten. */
+    /** Called when the inventory has changed. Removes targets that it no longer lists and adds new ones. */
     void updateInventory(const Inventory &inventory);
 
-    /** A report of @p report.target has come. */
+    /** Records a load report received from @p report.target. */
     void recordReport(const LoadReport &report, SteadyTime now);
 
-    /** The last report of @p target; an empty one when none has come. */
+    /** Returns the last report of @p target, or an empty one if none was received. */
     LoadReport lastReport(const TargetName &target) const;
 
-    /** @p request, whose prompt has the blocks @p chain, is sent to @p target. */
+    /** Records that @p request, whose prompt consists of the blocks @p chain, is sent to @p target. */
     void recordSent(const TargetName &target, const SubmitRequest &request, std::span<const std::uint64_t> chain,
                     SteadyTime now);
 
-    /** A request of @p cost has ended at @p target, in the way @p attempt. */
+    /** Records that an attempt of @p cost at @p target has ended with the outcome @p attempt. */
     void recordAttemptEnd(const TargetName &target, double cost, AttemptOutcome attempt, SteadyTime now);
 
-    /** The connection to @p target is gone: its cache may be, too. */
+    /** Records that the connection to @p target was lost. Discards what is known of its prefix cache, which may be lost
+     * too, of its speed and of the age of its report. */
     void recordDisconnect(const TargetName &target);
 
     /**
-     * One view for each of @p targets, in their order, for a request whose prompt has the blocks @p chain. Whether a
-     * target is reachable and takes work is the caller's to add.
+     * Returns one view for each of @p targets, in their order, for a request whose prompt consists of the blocks @p
+     * chain. The caller adds whether each target is reachable and accepts requests.
      */
     std::vector<TargetView> makeViews(std::span<const Target *const> targets, std::span<const std::uint64_t> chain,
                                       SteadyTime now) const;
@@ -48,7 +50,7 @@
 private:
     struct TargetState
     {
-        TargetSlot slot{}; ///< number for the classes that count targets
+        TargetSlot slot{}; ///< index of the target in the classes that number targets
         LoadReport report{};
         std::optional<SteadyTime> reportedAt{};
         double ownLoad = 0;
