--- a/modules/heatherridge_transport/target/backendrequest.cpp
+++ b/modules/heatherridge_transport/target/backendrequest.cpp
@@ -21,8 +21,8 @@
     for (const auto &header : request.headers) {
         call.headers.push_back({.name = header.name, .value = header.value});
     }
-    // The request's id, not the attempt's: an engine repeats it in each event, and a resumed stream goes on only where
-    // its events are the ones that the caller has.
+    // The request's id, not the attempt's: an engine repeats it in each event, and a stream can be resumed only if the
+    // repeated events are identical to those that the caller has.
     call.headers.push_back({.name = "X-Request-Id", .value = requestOfAttempt(request.id).text()});
     call.headers.push_back({.name = "X-Priority", .value = std::to_string(request.priority)});
     return call;
--- a/modules/heatherridge_transport/target/backendrequest.h
+++ b/modules/heatherridge_transport/target/backendrequest.h
@@ -6,10 +6,12 @@
 namespace Heatherridge
 {
 
-/** What the back end is sent for @p request: the caller's own, with its id and priority in headers. */
+/** Returns the HTTP request that is sent to the back end for @p request: the caller's request with its id and priority
+ * added as headers. */
 HttpRequest backendRequest(const SubmitRequest &request);
 
-/** The head of the back end's answer to the attempt @p id as the entry gets it, without what concerns one connection.
+/** Returns the head of the back end's answer to the attempt @p id in the form sent to the entry, without headers that
+ * apply to a single connection.
  */
 AnswerHead answerHead(const RequestId &id, int status, const std::vector<HttpHeader> &headers);
 
--- a/modules/heatherridge_transport/target/backendwork.h
+++ b/modules/heatherridge_transport/target/backendwork.h
@@ -11,25 +11,25 @@
 namespace Heatherridge
 {
 
-/** One request at a target's process, from its arrival to the end of its answer. Owned by TargetTraffic. */
+/** One request in a target's process, from its arrival to the end of its answer. Owned by TargetTraffic. */
 struct BackendWork
 {
     SubmitRequest request{};
-    std::shared_ptr<PeerSocket> entry{}; ///< where the answer goes; empty once nobody waits for it
+    std::shared_ptr<PeerSocket> entry{}; ///< receives the answer; empty once nobody waits for it
     SteadyTime arrived{};
     SteadyTime deadline{};
-    std::optional<SteadyTime> startedAt{}; ///< when it was given to the back end; nothing while it waits
+    std::optional<SteadyTime> startedAt{}; ///< when it was sent to the back end; nothing while it is queued
     std::optional<SteadyTime> firstByteAt{};
     HttpClient::CallId call{};
     bool headSent = false;
-    std::uint64_t sentChunks = 0; ///< sent so far; the next chunk's number
+    std::uint64_t sentChunks = 0; ///< number of chunks sent so far; also the next chunk's sequence number
     std::uint64_t sentBytes = 0;
-    std::uint64_t creditedBytes = 0; ///< of those sent, how many the entry has passed on
+    std::uint64_t creditedBytes = 0; ///< sent bytes that the entry has forwarded
     bool paused = false;
-    bool resumedAfterPause = false; ///< the next chunk's gap is the caller's, not the engine's
+    bool resumedAfterPause = false; ///< the gap before the next chunk was caused by the caller, not by the engine
     std::optional<SteadyTime> lastChunkAt{};
-    std::optional<Uuid7> key{}; ///< set for a call of KeyedCalls, which gets the whole answer instead of the entry
-    StoredAnswer answer{}; ///< collected for it
+    std::optional<Uuid7> key{}; ///< set for a call of KeyedCalls, which receives the whole answer instead of the entry
+    StoredAnswer answer{}; ///< the answer collected for KeyedCalls
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/target/drainstatus.h
+++ b/modules/heatherridge_transport/target/drainstatus.h
@@ -8,26 +8,26 @@
 namespace Heatherridge
 {
 
-/** Sets and lifts the causes of a drain that @p view gives for @p target, as of @p now. */
+/** Sets and clears the drain causes of @p target according to @p view, at the time @p now. */
 void updateDrainCauses(DrainTracker &drain, const ConfigView &view, const TargetName &target, SteadyTime now);
 
-/** What the operator sees of a drain: its phase, cause and begin, and what is open and since when. */
+/** State of a drain for the operator: its phase, cause and duration, and the open requests with their ages. */
 struct DrainReport
 {
     DrainPhase phase = DrainPhase::Accepting;
     std::optional<DrainCause> cause{};
     std::optional<std::chrono::milliseconds> duration{};
-    std::vector<std::pair<RequestId, std::chrono::milliseconds>> open{}; ///< the oldest first, and how long it has run
+    std::vector<std::pair<RequestId, std::chrono::milliseconds>> open{}; ///< oldest first, each with its running time
     std::size_t openCount = 0;
 };
 
-/** The report on @p drain as of @p now; it names at most MaxListedRequests requests. */
+/** Returns the report on @p drain at the time @p now. Lists at most MaxListedRequests requests. */
 DrainReport makeDrainReport(const DrainTracker &drain, SteadyTime now);
 
-/** Requests that a report names. */
+/** Maximum number of requests listed in a report. */
 inline constexpr std::size_t MaxListedRequests = 20;
 
-/** The report for the operator. */
+/** Returns @p report as JSON for the operator. */
 nlohmann::ordered_json toJson(const DrainReport &report);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/target/groupagent.cpp
+++ b/modules/heatherridge_transport/target/groupagent.cpp
@@ -15,17 +15,18 @@
 namespace
 {
 
-/** Silence of the leader after which the lowest rank claims the role; each further rank waits ClaimStagger longer, so
- * that one claim is made and not one a rank. */
+/** Time without messages from the leader after which the lowest rank claims the role. Each further rank waits
+ * ClaimStagger longer, so that only one rank makes a claim. */
 constexpr std::chrono::seconds LeaderSilenceTimeout{4};
 constexpr std::chrono::seconds ClaimStagger{1};
 constexpr std::chrono::milliseconds ReadWait{5000};
 constexpr std::chrono::milliseconds ReadRetryDelay{500};
 constexpr std::size_t ReadRecords = 64;
 constexpr std::chrono::milliseconds OrderTimeout{5000};
-/** What the weight store is taken to give one group, until it says so itself. */
+/** Assumed bandwidth of the weight store for one group, as the store does not report it yet. */
 constexpr double WeightStoreBytesPerSecond = 2e9;
-/** Maps kept that the leader had loaded, so that this process knows their placement when it comes to lead. */
+/** Number of maps kept that the leader ordered to load, so that this process knows their placement when it becomes the
+ * leader. */
 constexpr std::size_t MaxKnownMaps = 8;
 
 } // namespace
@@ -108,7 +109,7 @@
     }
 
 private:
-    /** Takes up work once the inventory lists this target in a group. */
+    /** Starts the gate once the inventory lists this target in a group. */
     void joinGroup()
     {
         const auto *self = m_view->inventory->find(m_options.target);
@@ -122,7 +123,7 @@
         logEvent(Severity::Info, "group-entered", {{"group", m_group.text()}, {"rank", std::to_string(m_rank)}});
     }
 
-    /** Frames carry the run of the gate: proposals are addressed to it. */
+    /** Frames carry the incarnation of the gate, to which proposals are addressed. */
     FrameEncoder makeEncoder()
     {
         return {ProcessName(m_options.target.text()), m_run, [this] { return m_view; }};
@@ -158,7 +159,8 @@
         });
     }
 
-    /** Shows the state machines' counters as metrics; they start anew with the process, and the leader's with the role.
+    /** Exports the state machines' counters as metrics. They restart from zero with the process, and the leader's also
+     * whenever the role is acquired.
      */
     void updateMetrics()
     {
@@ -191,7 +193,7 @@
     void runLeader()
     {
         for (const auto *rank : m_view->inventory->ranksOf(m_group)) {
-            // Regular word from the leader keeps the others from claiming.
+            // Regular messages from the leader keep the other ranks from claiming the role.
             send(rank->rank, StatusRequest{.leader = m_claims.current()->fencing});
         }
         perform(m_leader->tick());
@@ -232,7 +234,7 @@
         const GroupClaim claim{.rank = m_rank,
                                .incarnation = m_run,
                                .replaces = m_claims.current() ? m_claims.current()->fencing : FencingNumber{}};
-        // Whether it counts is only known once it is read back, so the reply is of no interest.
+        // Whether the claim succeeds is known only when it is read back from the log, so the reply is ignored.
         m_log->append(stream(), encodeGroupRecord(claim), [](const Result<LogOffset> &) {});
     }
 
@@ -390,7 +392,7 @@
             }
         }
         if (rank == m_rank) {
-            // Later and not here: the sender may be in the midst of handling another message.
+            // Posted instead of handled directly: the sender may still be processing another message.
             m_loop.post([weak = weak_from_this(), message] {
                 if (const auto self = weak.lock(); self && !self->m_stopped) {
                     self->handleMessage(message, self->m_rank, self->m_run);
--- a/modules/heatherridge_transport/target/groupagent.h
+++ b/modules/heatherridge_transport/target/groupagent.h
@@ -13,12 +13,12 @@
 {
 
 /**
- * The part of a target's process that stands in front of one rank of a lock-step group.
+ * The part of a target's process that manages one rank of a lock-step group.
  *
- * Runs the rank's gate and, while it holds the role, the group's leader, on the control loop: carries their messages to
- * the other ranks' processes, their orders to the engine over HTTP, their records to the stream `group-<group>`. Does
- * nothing for a target that the inventory lists in no group. Decisions are RankGate's, GroupLeader's and
- * GroupPlanner's.
+ * Runs the rank's gate and, while this process is the leader, the group's leader on the control loop: sends their
+ * messages to the other ranks' processes, their orders to the engine over HTTP, and their records to the stream
+ * `group-<group>`. Does nothing for a target that the inventory lists in no group. All decisions are made by RankGate,
+ * GroupLeader and GroupPlanner.
  */
 class GroupAgent
 {
@@ -31,26 +31,28 @@
         std::chrono::milliseconds tick{1000};
     };
 
-    /** Works on @p loop, which must outlive it, after start(). */
+    /** Creates an agent that runs on @p loop after start(). @p loop must outlive it. */
     GroupAgent(Options options, EventLoop &loop, Metrics &metrics);
     ~GroupAgent();
 
     GroupAgent(const GroupAgent &) = delete;
     GroupAgent &operator=(const GroupAgent &) = delete;
 
-    /** Begins; the loop must be running. */
+    /** Starts the agent. The loop must be running. */
     void start();
 
-    /** Ends; the loop must still be running. Not from the loop's thread. */
+    /** Stops the agent. The loop must still be running. Must not be called on the loop's thread. */
     void stop();
 
-    /** A new configuration is in force. On the loop's thread, also before start(). */
+    /** Called when a new configuration takes effect. Must be called on the loop's thread; may be called before start().
+     */
     void setView(const std::shared_ptr<const ConfigView> &view);
 
-    /** Takes a frame of Channel::Group. Any thread. */
+    /** Processes a frame of Channel::Group. May be called from any thread. */
     void receive(const Envelope &envelope);
 
-    /** Group, epoch, map, step and who leads, for the operator; null when in no group. Not from the loop's thread. */
+    /** Returns the group, epoch, map and step and whether this process leads, for the operator; null if the target is
+     * in no group. Must not be called on the loop's thread. */
     nlohmann::ordered_json status();
 
 private:
--- a/modules/heatherridge_transport/target/heldrequests.h
+++ b/modules/heatherridge_transport/target/heldrequests.h
@@ -9,48 +9,49 @@
 namespace Heatherridge
 {
 
-/** A request that relies on a configuration that this process does not have yet. */
+/** A request that depends on a configuration that this process has not received yet. */
 struct HeldRequest
 {
     SubmitRequest request{};
     std::shared_ptr<PeerSocket> entry{};
-    LogOffset requiredOffset{}; ///< what its entry had folded when it sent it
+    LogOffset requiredOffset{}; ///< offset up to which its entry had applied the configuration when it sent the request
     SteadyTime arrived{};
 };
 
 /**
- * Requests whose entry acted on a later configuration than this process has.
+ * Holds requests whose entry acted on a later configuration than this process has.
  *
- * In that configuration this target may be withdrawn, or hold another part of the keys. To decide by the older one
- * would go back behind what a process has already acted on, so such requests wait until this process has caught up,
- * for a short time and in a bounded number. One thread.
+ * In that configuration this target may be withdrawn, or hold another part of the keys. Deciding by the older one would
+ * undo what another process has already acted on, so such requests wait until this process has caught up, for a short
+ * time and in a bounded number. Not thread-safe.
  */
 class HeldRequests
 {
 public:
-    /** Requests that may wait. */
+    /** Maximum number of waiting requests. */
     static constexpr std::size_t MaxRequests = 1024;
 
-    /** Requests that wait no longer. */
+    /** Requests that no longer wait. */
     struct Released
     {
-        std::vector<HeldRequest> ready{}; ///< their configuration has come
-        std::vector<HeldRequest> expired{}; ///< it has not come in time
+        std::vector<HeldRequest> ready{}; ///< their configuration has arrived
+        std::vector<HeldRequest> expired{}; ///< their configuration did not arrive in time
     };
 
-    /** Keeps @p request; false when there is no place. */
+    /** Adds @p request. @returns false if there is no room for it */
     bool add(HeldRequest request);
 
-    /** Takes out what @p offset suffices for, and what arrived at or before @p latest. */
+    /** Removes and returns the requests for which @p offset suffices, and those that arrived at or before @p
+     * arrivalCutoff. */
     Released release(LogOffset offset, SteadyTime arrivalCutoff);
 
-    /** Drops the request of the attempt @p id. */
+    /** Removes the request of the attempt @p id. */
     void remove(const RequestId &id);
 
-    /** Drops the requests of @p entry, whose connection is gone. */
+    /** Removes the requests of @p entry, whose connection was closed. */
     void remove(const std::shared_ptr<PeerSocket> &entry);
 
-    /** Whether none waits. */
+    /** Returns whether no request is waiting. */
     bool isEmpty() const;
 
 private:
--- a/modules/heatherridge_transport/target/keyedcalls.cpp
+++ b/modules/heatherridge_transport/target/keyedcalls.cpp
@@ -12,12 +12,14 @@
 
 constexpr std::chrono::milliseconds TickInterval{50};
 constexpr int TicksPerPresence = 10;
-/** A gate that was not heard for this long is taken for dead when shards are placed. Says nothing about safety. */
+/** A gate from which nothing was received for this long is considered dead when shards are placed. Safety does not
+ * depend on this. */
 constexpr std::chrono::seconds PresenceTimeout{3};
-/** A new process waits this long for others to be heard before it takes a shard that is another's by rank. */
+/** Time that a new process waits for messages from others before it takes a shard for which another process ranks
+ * higher. */
 constexpr std::chrono::seconds StartupSettlingTime{2};
 constexpr std::size_t WitnessCount = 2;
-/** Append and read time limit: how soon an outage of the log is noticed. */
+/** Time limit of appends and reads; determines how soon an outage of the log is detected. */
 constexpr std::chrono::milliseconds LogTimeout{1000};
 
 WallTime wallNow()
@@ -25,7 +27,7 @@
     return SystemClock().wallNow();
 }
 
-/** The run of a process that a frame to any of its runs is addressed to. */
+/** Addresses a frame to any incarnation of a process. */
 constexpr Incarnation AnyIncarnation{0};
 
 } // namespace
@@ -93,8 +95,8 @@
             entry, AnswerError{.id = request.id, .kind = ErrorKind::BadIdempotencyKey, .ran = ExecutionStatus::No});
         return;
     }
-    // A message connection brings each frame once and in order, so that counting arrivals numbers the tries as
-    // KeyGate wants them; a frame from a connection that is gone is not read any more.
+    // A message connection delivers each frame once and in order, so counting arrivals numbers the attempts as KeyGate
+    // requires; frames from a closed connection are no longer read.
     const AttemptId attempt{.entry = m_ownGate, .number = ++m_lastAttempt};
     m_pendingCalls[attempt] = PendingCall{.entry = entry, .request = request, .deadline = deadline};
     m_attempts[request.id] = attempt;
@@ -155,7 +157,7 @@
     if (isNewRun) {
         updatePlacement();
     }
-    // What is meant for an earlier run of this process rests on a memory that is gone.
+    // Messages for an earlier incarnation of this process refer to state that was lost.
     if (frame->to.incarnation == m_ownGate.incarnation) {
         auto &shard = *m_shards.at(toNumber(frame->shard));
         shard.perform(shard.gate().messageReceived(frame->from, frame->message, wallNow()));
@@ -200,7 +202,7 @@
     }
 }
 
-/** Tells each gate anew who is to hold its shard; it does nothing when that is what it knows. */
+/** Passes the current placement of its shard to each gate. A gate ignores a placement that has not changed. */
 void KeyedCalls::updatePlacement()
 {
     if (m_service.isEmpty()) {
@@ -244,7 +246,8 @@
     return now - peer->second.lastHeard < PresenceTimeout;
 }
 
-/** A process that was killed closes its connections at once; one that only lost them says so within a second. */
+/** A killed process closes its connections immediately; one that only lost its connections sends its presence again
+ * within a second. */
 void KeyedCalls::handlePeerDisconnect(const TargetName &target)
 {
     const auto peer = m_peers.find(ProcessName(target.text()));
--- a/modules/heatherridge_transport/target/keyedcalls.h
+++ b/modules/heatherridge_transport/target/keyedcalls.h
@@ -16,10 +16,10 @@
 {
 
 /**
- * The part of a target's process that takes calls with an idempotency key: one KeyGate a shard of its service, the
- * log behind them, and the connections to the other processes of the service.
+ * The part of a target's process that handles calls with an idempotency key: one KeyGate per shard of its service, the
+ * log that they use, and the connections to the other processes of the service.
  *
- * A call reaches the back end only through the run event. All methods on the loop's thread.
+ * A call reaches the back end only through the run event. All methods must be called on the loop's thread.
  */
 class KeyedCalls
 {
@@ -33,50 +33,51 @@
         Endpoint logService{};
     };
 
-    /** What the owner does. */
+    /** Callbacks to the owner. */
     struct Events
     {
-        /** Send the call to the back end once, and report with served(); a refusal before that too. */
+        /** Sends the call to the back end once and reports the outcome with completeCall(), also if the call is refused
+         * before it is sent. */
         std::function<void(const Uuid7 &key, const SubmitRequest &request, SteadyTime deadline)> run{};
-        /** Send @p message to the entry behind the socket. */
+        /** Sends @p message to the entry connected through the socket. */
         std::function<void(const Socket &entry, const TrafficMessage &message)> answer{};
     };
 
-    /** Calls on @p loop; all references must outlive it. */
+    /** Creates an object that runs on @p loop. All references must outlive it. */
     KeyedCalls(EventLoop &loop, Options options, const FrameEncoder &encoder, Metrics &metrics, Events events);
     ~KeyedCalls();
 
     KeyedCalls(const KeyedCalls &) = delete;
     KeyedCalls &operator=(const KeyedCalls &) = delete;
 
-    /** Starts its timers. Before the loop runs. */
+    /** Starts the timers. Must be called before the loop runs. */
     void start();
 
-    /** A new configuration is in force. The first one that lists the target opens the shards. */
+    /** Called when a new configuration takes effect. The first one that lists the target opens the shards. */
     void setView(const std::shared_ptr<const ConfigView> &view);
 
-    /** Takes no new calls and hands the shards over to whoever asks. */
+    /** Stops accepting new calls and hands the shards over to processes that request them. */
     void drain();
 
-    /** Whether @p request is for a gate: it has a key and may not be repeated. */
+    /** Returns whether @p request must go through a key gate: it has a key and must not be repeated. */
     bool accepts(const SubmitRequest &request) const;
 
-    /** Takes @p request of @p entry. It is answered once, unless the entry goes. */
+    /** Accepts @p request of @p entry. It is answered once, unless the entry cancels it or disconnects. */
     void submit(const Socket &entry, const SubmitRequest &request, SteadyTime deadline);
 
-    /** The entry gives @p id up. Ignored when unknown. */
+    /** Cancels the request @p id on behalf of its entry. Unknown ids are ignored. */
     void cancel(const RequestId &id);
 
-    /** Nobody waits behind @p entry any more. */
+    /** Cancels all requests of @p entry, whose connection was closed. */
     void handleEntryDisconnect(const Socket &entry);
 
-    /** What came of a run event. */
+    /** Reports the outcome of a run event. */
     void completeCall(const Uuid7 &key, const Result<StoredAnswer> &result);
 
-    /** A frame of Channel::Keys from another process. */
+    /** Processes a frame of Channel::Keys from another process. */
     void receive(const Envelope &envelope);
 
-    /** Records that are not in the log yet, and calls not yet answered. */
+    /** Returns whether all records are in the log and all calls have been answered. */
     bool isIdle() const;
 
 private:
@@ -117,12 +118,12 @@
     HttpLogService m_log;
     TargetLinks m_links;
     std::shared_ptr<const ConfigView> m_view;
-    ServiceName m_service; ///< empty until the inventory lists the target as one of a plain service
+    ServiceName m_service; ///< empty until the inventory lists the target as part of a plain service
     Shards m_shards;
     std::map<ProcessName, Peer> m_peers;
     std::map<AttemptId, PendingCall> m_pendingCalls;
     std::map<RequestId, AttemptId> m_attempts;
-    std::map<std::string, std::uint64_t> m_exportedCounts; ///< what the counters have been given so far
+    std::map<std::string, std::uint64_t> m_exportedCounts; ///< totals added to the metrics so far
     std::uint64_t m_lastAttempt = 0;
     SteadyTime m_openedAt{};
     int m_ticks = 0;
--- a/modules/heatherridge_transport/target/keyshardlink.cpp
+++ b/modules/heatherridge_transport/target/keyshardlink.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr std::size_t RecordsPerRead = 256;
-/** Appends that may go out without a pause after a quiet time. */
+/** Number of appends that may be sent without a delay after an idle period. */
 constexpr int AppendBurstSize = 10;
 
 WallTime wallNow()
@@ -71,7 +71,8 @@
     }
 }
 
-/** How long the next append has to wait, so that a burst goes out at once but a lasting load keeps to the pause. */
+/** Reserves the next append and returns its delay: a burst is sent immediately, while sustained load is limited to one
+ * append per interval. */
 std::chrono::milliseconds KeyShardLink::reserveAppend()
 {
     const auto now = std::chrono::steady_clock::now();
@@ -97,7 +98,8 @@
 
 void KeyShardLink::read()
 {
-    // The first read must not wait: a gate of a quiet shard would hold nothing until the wait is over.
+    // The first read must not wait: otherwise the gate of an idle shard could not become its holder until the wait is
+    // over.
     const auto wait = m_logAvailable ? m_options.readWait : std::chrono::milliseconds(0);
     m_log.read(m_options.stream, next(m_lastRead), RecordsPerRead, wait,
                [this, alive = std::weak_ptr(m_alive)](const Result<LogPage> &result) {
@@ -130,7 +132,7 @@
             perform(m_gate.recordRead(record.offset, decodeRecord(record), wallNow()));
         }
     }
-    // While appends fail, readable records are no sign that the log is well for this purpose.
+    // While appends fail, a successful read does not show that the log is available.
     setLogAvailable(!m_appendFailing);
     if (m_lastRead >= page.last) {
         perform(m_gate.streamCaughtUp(wallNow()));
@@ -157,7 +159,8 @@
         setLogAvailable(true);
         return;
     }
-    // It may have landed or not: the same batch is appended again, and readers skip the double by its number.
+    // The batch may or may not have been stored: it is appended again, and readers skip a duplicate by its serial
+    // number.
     m_appendFailing = true;
     setLogAvailable(false);
     m_loop.after(m_options.retryDelay, [this, batch, alive = std::weak_ptr(m_alive)] {
--- a/modules/heatherridge_transport/target/keyshardlink.h
+++ b/modules/heatherridge_transport/target/keyshardlink.h
@@ -11,8 +11,8 @@
 {
 
 /**
- * Runs one KeyGate against the platform's log: reads its stream, makes its appends, and tells it whether the log is
- * reachable. What else the gate wants done is passed to the owner. On the loop's thread.
+ * Connects one KeyGate to the platform's log: reads its stream, performs its appends, and informs it whether the log is
+ * available. All other actions of the gate are passed to the owner. All methods must be called on the loop's thread.
  */
 class KeyShardLink
 {
@@ -20,13 +20,13 @@
     struct Options
     {
         StreamName stream{};
-        std::chrono::milliseconds readWait{5000}; ///< how long a read waits for the next record
-        std::chrono::milliseconds retryDelay{250}; ///< before a failed read or append is made again
-        std::chrono::milliseconds appendInterval{20}; ///< mean time between appends, for the log is everyone's
+        std::chrono::milliseconds readWait{5000}; ///< maximum time that a read waits for the next record
+        std::chrono::milliseconds retryDelay{250}; ///< delay before a failed read or append is retried
+        std::chrono::milliseconds appendInterval{20}; ///< mean time between appends; all processes share the log
         KeyGate::Options gate{};
     };
 
-    /** Does @p actions but for appends, which the link makes itself. */
+    /** Performs the gate's actions except appends, which the link performs itself. */
     using ActionHandler = std::function<void(const KeyAction &action)>;
 
     KeyShardLink(EventLoop &loop, LogService &log, GateId self, Options options, ActionHandler perform);
@@ -34,19 +34,19 @@
     KeyShardLink(const KeyShardLink &) = delete;
     KeyShardLink &operator=(const KeyShardLink &) = delete;
 
-    /** Begins to read. */
+    /** Starts reading. */
     void start();
 
-    /** The gate. Its actions go through perform(). */
+    /** Returns the gate. The actions that its methods return must be passed to perform(). */
     KeyGate &gate();
 
-    /** Does what a call of the gate returned. */
+    /** Performs the actions returned by a call of the gate. */
     void perform(const KeyActions &actions);
 
-    /** Whether the log is reachable, as far as seen from here. */
+    /** Returns whether the log is available, as observed by this link. */
     bool isLogAvailable() const;
 
-    /** Appends made, and records in them, so far. */
+    /** Return the number of appends made so far, and of the records in them. */
     std::uint64_t appends() const;
     std::uint64_t recordsAppended() const;
 
@@ -64,12 +64,12 @@
     ActionHandler m_actionHandler;
     KeyGate m_gate;
     LogOffset m_lastRead{};
-    SteadyTime m_nextAppend{}; ///< may lie in the past: what was saved up for a burst
+    SteadyTime m_nextAppend{}; ///< may lie in the past, which allows a burst
     std::uint64_t m_appendCount = 0;
     std::uint64_t m_recordsAppended = 0;
     bool m_logAvailable = false;
     bool m_appendFailing = false;
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< lets late callbacks see that the link is gone
+    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< lets late callbacks detect destruction
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/target/ranklinks.h
+++ b/modules/heatherridge_transport/target/ranklinks.h
@@ -11,23 +11,24 @@
 {
 
 /**
- * Connections from a rank's process to those of the other ranks of its group; for sending only, since each process
- * answers over connections of its own.
+ * Connections from a rank's process to those of the other ranks of its group. Used for sending only, since each process
+ * answers over its own connections.
  *
- * A connection is made when the first frame is sent and again after it broke. Frames that wait for it are bounded, and
- * the oldest are dropped: gates and leaders repeat what has had no effect. All methods on the loop's thread.
+ * A connection is opened when the first frame is sent, and again when a frame is sent after it was lost. The number of
+ * frames queued for it is bounded, and the oldest are dropped: gates and leaders repeat messages that had no effect.
+ * All methods must be called on the loop's thread.
  */
 class RankLinks
 {
 public:
-    /** Links on @p loop, which must outlive them. */
+    /** Creates links on @p loop, which must outlive them. */
     explicit RankLinks(asio::io_context &loop);
     ~RankLinks();
 
     RankLinks(const RankLinks &) = delete;
     RankLinks &operator=(const RankLinks &) = delete;
 
-    /** Sends @p frame to @p rank, whose process listens at @p gate. */
+    /** Sends @p frame to @p rank, whose process listens at @p endpoint. */
     void send(int rank, const Endpoint &endpoint, const std::vector<std::uint8_t> &frame);
 
 private:
@@ -41,7 +42,7 @@
     using Links = std::map<int, Link>;
 
     PeerConnector m_connector;
-    std::shared_ptr<Links> m_links; ///< shared with the events of connections, which may come after the end
+    std::shared_ptr<Links> m_links; ///< shared with connection callbacks, which may run after destruction
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/target/targetserver.cpp
+++ b/modules/heatherridge_transport/target/targetserver.cpp
@@ -76,8 +76,8 @@
     m_control.beginDrain();
     m_traffic.drain();
     const auto drainDeadline = std::chrono::steady_clock::now() + m_options.drainTimeout;
-    // Outcomes that never get to the log leave their callers with "unknown" for good; but an outage of the log may last
-    // longer than anyone wants to wait.
+    // Callers of outcomes that never reach the log get the answer "unknown" permanently; but an outage of the log may
+    // last longer than a shutdown should wait.
     const auto keyDeadline = std::min(drainDeadline, std::chrono::steady_clock::now() + MaxKeyWait);
     auto status = m_traffic.status();
     auto running = status.load.running;
--- a/modules/heatherridge_transport/target/targetserver.h
+++ b/modules/heatherridge_transport/target/targetserver.h
@@ -12,7 +12,7 @@
 {
 
 /**
- * The whole of the process beside a target: traffic thread, control thread, and a small HTTP server for the operator.
+ * The complete process beside a target: traffic thread, control thread, and a small HTTP server for the operator.
  */
 class TargetServer
 {
@@ -25,9 +25,9 @@
         Endpoint listen{}; ///< for entries
         Endpoint admin{}; ///< for the operator and for scrapes of metrics
         Endpoint logService{};
-        Endpoint hostList{}; ///< the platform's host list; port 0 when it is not used
-        std::vector<Endpoint> peers{}; ///< gates that are asked for a state while there is no inventory
-        std::chrono::milliseconds drainTimeout{60'000}; ///< longest wait for running requests at shutdown
+        Endpoint hostList{}; ///< the platform's host list; port 0 if it is not used
+        std::vector<Endpoint> peers{}; ///< gates from which the state is requested while there is no inventory
+        std::chrono::milliseconds drainTimeout{60'000}; ///< maximum wait for running requests at shutdown
     };
 
     explicit TargetServer(Options options);
@@ -36,12 +36,12 @@
     TargetServer(const TargetServer &) = delete;
     TargetServer &operator=(const TargetServer &) = delete;
 
-    /** Starts all threads. @returns where it serves entries, then the operator; or why not */
+    /** Starts all threads. @returns the endpoint for entries, then the one for the operator; or the error */
     Result<std::vector<Endpoint>> start();
 
     /**
-     * Graceful shutdown: waiting requests are handed back as not run, running ones end, then all threads stop.
-     * Blocks until then, at most for the drain timeout.
+     * Shuts down gracefully: waiting requests are refused as not run, running ones complete, then all threads stop.
+     * Blocks until then, waiting for running requests for at most the drain timeout.
      */
     void drainAndStop();
 
--- a/modules/heatherridge_transport/target/targettraffic.cpp
+++ b/modules/heatherridge_transport/target/targettraffic.cpp
@@ -12,17 +12,19 @@
 {
 
 constexpr std::chrono::milliseconds TickInterval{10};
-/** Entries with work here get a report twenty times a second, the others four times; measured in
+/** Entries with open requests here get a load report twenty times a second, the others four times a second; see
  * docs/MEASUREMENTS-policies.md. */
 constexpr int TicksPerReport = 5;
 constexpr int TicksPerKeepAlive = 25;
-/** A call with a key is waited for beyond its deadline: its outcome is worth knowing though its caller has left. */
+/** Time beyond its deadline that a call with a key may run: its outcome must be recorded even if its caller has
+ * disconnected. */
 constexpr std::chrono::seconds KeyedCallGrace{30};
 constexpr std::chrono::seconds NoGrace{0};
-/** Longest answer to a call with an idempotency key, which is passed on in one piece. */
+/** Maximum size of the answer to a call with an idempotency key, which is sent in a single chunk. */
 constexpr std::size_t MaxKeyedAnswerBytes = 4UL << 20U;
 
-/** Whether the back end's work may be cut when nobody waits for it: it has no effect beside its answer. */
+/** Returns whether the request may be aborted at the back end when nobody waits for it, because it has no side effects.
+ */
 bool canAbort(const BackendWork &work)
 {
     return work.request.mayRepeat;
@@ -164,13 +166,13 @@
     if (outer.channel == Channel::Traffic) {
         receiveTraffic(entry, outer);
     } else if (outer.channel == Channel::Group && m_groupReceiver) {
-        m_entries.erase(entry); // another rank's process; it wants no load reports
+        m_entries.erase(entry); // another rank's process, which needs no load reports
         m_groupReceiver(outer);
     } else if (outer.channel == Channel::Keys) {
-        m_entries.erase(entry); // a process of the same service; it wants no load reports
+        m_entries.erase(entry); // a process of the same service, which needs no load reports
         m_keys->receive(outer);
     } else if (outer.channel == Channel::Control && m_controlSink.frame) {
-        m_entries.erase(entry); // a peer that relays configuration; it wants no load reports
+        m_entries.erase(entry); // a peer that relays configuration, which needs no load reports
         m_controlSink.frame(entry, outer);
     }
 }
@@ -239,7 +241,7 @@
 void TargetTraffic::admit(const Socket &entry, const SubmitRequest &request, SteadyTime arrived)
 {
     if (m_work.contains(request.id)) {
-        m_strayFrames.add(); // doubled on the way; the first one stands
+        m_strayFrames.add(); // a duplicate; the first one is kept
         return;
     }
     if (m_keys->accepts(request)) {
@@ -254,7 +256,8 @@
         BackendWork{.request = request, .entry = entry, .arrived = arrived, .deadline = arrived + request.timeLeft}));
 }
 
-/** A call that its gate lets run. What refuses it from here on does so before the back end got anything of it. */
+/** Runs a call that its key gate has released. Any refusal from here on happens before any part of the call is sent to
+ * the back end. */
 void TargetTraffic::runKeyed(const Uuid7 &key, const SubmitRequest &request, SteadyTime deadline)
 {
     BackendWork work{.request = request, .arrived = std::chrono::steady_clock::now(), .deadline = deadline};
@@ -265,7 +268,8 @@
 void TargetTraffic::enqueue(const Work &work)
 {
     const auto &request = work->request;
-    // A call with a key is let run some time after it came; the target may have left the inventory in between.
+    // A call with a key is released some time after its arrival; the target may have been removed from the inventory in
+    // between.
     if (ownTarget() == nullptr) {
         refuseWork(work, Error{.kind = ErrorKind::TargetWithdrawn, .ran = ExecutionStatus::No});
         return;
@@ -342,7 +346,7 @@
         return true;
     }
     const auto now = std::chrono::steady_clock::now();
-    // While the answer is paused for a slow caller its gaps say nothing about the engine.
+    // While the answer is paused for a slow caller, its gaps do not reflect the engine's speed.
     if (work->lastChunkAt && !work->resumedAfterPause) {
         m_limit->recordTokenGap(elapsed(*work->lastChunkAt, now), m_queue.running(), now);
         updateQueueLimit();
@@ -354,7 +358,7 @@
          AnswerChunk{
              .id = work->request.id, .sequence = work->sentChunks++, .bytes = Bytes(bytes.begin(), bytes.end())});
     work->sentBytes += bytes.size();
-    // Without this bound a slow caller's answer would pile up in the entry, or here.
+    // Without this limit a slow caller's answer would accumulate in the entry or here.
     work->paused = work->entry != nullptr && work->sentBytes - work->creditedBytes >= m_options.windowBytes;
     return !work->paused;
 }
@@ -424,7 +428,7 @@
     }
     const auto work = entry->second;
     if (work->key) {
-        return; // other tries may wait for it, and its outcome has to be known
+        return; // other attempts may wait for it, and its outcome must be recorded
     }
     if (!work->startedAt) {
         m_queue.cancel(id);
@@ -437,8 +441,8 @@
         finish(work);
         return;
     }
-    // A call that may not be repeated is not cut in its middle: the service would be left half done. Its answer is
-    // read to the end and dropped.
+    // A call that must not be repeated is not aborted while it runs: the service could be left with a partial result.
+    // Its answer is read to the end and discarded.
     if (work->paused) {
         work->paused = false;
         m_client->resume(work->call);
@@ -485,7 +489,7 @@
 
 void TargetTraffic::tick()
 {
-    // The limit may have grown, or what waits may have become too late.
+    // The limit may have increased, or waiting requests may have passed their deadline.
     if (m_queue.waiting() > 0) {
         processQueue();
     }
@@ -530,7 +534,7 @@
                       .pace = std::chrono::microseconds(static_cast<long long>(m_pace))};
     for (const auto &entry : m_entries) {
         report.ofEntry = loadFromEntry(entry);
-        // Entries with work here decide by it soon; the others need a sign of life.
+        // Entries with open requests here use the report soon; the others need it only as a keep-alive.
         if (always || report.ofEntry > 0) {
             send(entry, report);
         }
@@ -568,7 +572,7 @@
     return load;
 }
 
-/** Refuses work that the back end has got nothing of. */
+/** Refuses a request of which nothing was sent to the back end. */
 void TargetTraffic::refuseWork(const Work &work, const Error &error)
 {
     if (work->key) {
--- a/modules/heatherridge_transport/target/targettraffic.h
+++ b/modules/heatherridge_transport/target/targettraffic.h
@@ -19,11 +19,11 @@
 {
 
 /**
- * The traffic thread of the process beside a target: the only one that gives the target work.
+ * The traffic thread of the process beside a target: the only source of the target's requests.
  *
- * Requests come from entries over message connections; the one queue that sees all of them decides what starts, waits
- * or is refused. Because nobody else gives the target work, what this class calls "not run" has not run.
- * Methods may be called from any thread unless they say otherwise.
+ * Requests arrive from entries over message connections; a single queue for all of them decides which start, wait or
+ * are refused. Because nothing else sends requests to the target, a request that this class reports as "not run" has
+ * not run. Methods may be called from any thread unless stated otherwise.
  *
  * @see AdmissionQueue, ConcurrencyLimit
  */
@@ -36,54 +36,55 @@
         Incarnation incarnation{};
         Endpoint listen{}; ///< for entries
         Endpoint logService{}; ///< the platform's log, for idempotency keys
-        std::uint64_t windowBytes = 256UL << 10U; ///< most that is sent ahead of what the entry has passed on
-        std::chrono::milliseconds maxConfigWait{500}; ///< longest wait for the configuration that a request relies on
+        std::uint64_t windowBytes = 256UL << 10U; ///< maximum bytes sent beyond those that the entry has forwarded
+        std::chrono::milliseconds maxConfigWait{500}; ///< maximum wait for the configuration that a request depends on
     };
 
-    /** What it is busy with. */
+    /** Current load and drain state. */
     struct Status
     {
         AdmissionLoad load{};
         bool draining = false;
-        DrainReport drain{}; ///< what runs and since when, and whether new work is taken
-        bool keysIdle = true; ///< no call with a key is open, and all outcomes are in the log
+        DrainReport drain{}; ///< running requests with their ages, and whether new requests are accepted
+        bool keysIdle = true; ///< whether no call with a key is open and all outcomes are in the log
     };
 
-    /** Not started yet. @p metrics must outlive it. */
+    /** Creates a thread that is not started yet. @p metrics must outlive it. */
     TargetTraffic(Options options, Metrics &metrics);
     ~TargetTraffic();
 
     TargetTraffic(const TargetTraffic &) = delete;
     TargetTraffic &operator=(const TargetTraffic &) = delete;
 
-    /** Starts the thread and listens. @returns where, or why not */
+    /** Starts the thread and listens. @returns the endpoint that serves entries, or the error */
     Result<Endpoint> start();
 
-    /** Ends the thread; what runs is cut. @see drain */
+    /** Stops the thread. Aborts running requests. @see drain */
     void stop();
 
-    /** Where frames of Channel::Group go; called on the traffic thread. Before start(). */
+    /** Sets the receiver of frames of Channel::Group, which is called on the traffic thread. Must be called before
+     * start(). */
     void setGroupReceiver(std::function<void(const Envelope &)> receiver);
-    /** Who takes the control frames that peers send to this listener; on the traffic thread. */
+    /** Receives the control frames that peers send to this listener; called on the traffic thread. */
     struct ControlSink
     {
         std::function<void(const std::shared_ptr<PeerSocket> &peer, const Envelope &envelope)> frame{};
         std::function<void(const std::shared_ptr<PeerSocket> &peer)> disconnected{};
     };
 
-    /** Sets who takes control frames. Before start(). */
+    /** Sets the receiver of control frames. Must be called before start(). */
     void setControlSink(ControlSink sink);
 
-    /** Sends @p frame to @p peer, a connection that it opened. */
+    /** Sends @p frame over @p peer, a connection that the peer opened. */
     void sendFrame(const std::shared_ptr<PeerSocket> &peer, Bytes frame);
 
-    /** A new configuration is in force. */
+    /** Called when a new configuration takes effect. */
     void setView(std::shared_ptr<const ConfigView> view);
 
-    /** Takes no new work from now on and hands waiting requests back as not run; running ones go on. */
+    /** Stops accepting new requests and refuses waiting ones as not run; running ones continue. */
     void drain();
 
-    /** What it is busy with. Not from its own thread. */
+    /** Returns the current load and drain state. Must not be called on the traffic thread. */
     Status status();
 
 private:
@@ -135,7 +136,7 @@
     std::set<Socket> m_entries;
     std::unordered_map<RequestId, Work> m_work;
     HeldRequests m_held;
-    double m_pace = 0; ///< smoothed microseconds between tokens, or of a plain call
+    double m_pace = 0; ///< smoothed time between tokens, or until the head of a plain call's answer, in microseconds
     int m_ticksSinceReport = 0;
     bool m_draining = false;
     DrainTracker m_drain;
