--- a/modules/heatherridge_transport/entry/targetlinks.h
+++ b/modules/heatherridge_transport/entry/targetlinks.h
@@ -17,8 +17,7 @@
 struct TargetLinkEvents
 {
     std::function<void(const TargetName &target, TrafficMessage message)> received{};
-    std::function<void(const TargetName &target, const Envelope &envelope)>
-        control{}; ///< called for frames of other channels
+    std::function<void(const TargetName &target, const Envelope &envelope)> control{}; ///< frames of other channels
     std::function<void(const TargetName &target)> up{};
     std::function<void(const TargetName &target)> down{}; ///< the outcome of anything sent but not answered is unknown
     /** Returns whether requests are still open on the link to a target that was removed. If not set, a link counts as
--- a/tests/e2e/badinput_test.cpp
+++ b/tests/e2e/badinput_test.cpp
@@ -113,7 +113,7 @@
      "bad-idempotency-key"},
 };
 
-/** One site for all rows: what one row leaves behind must not harm the next. */
+/** All rows share one site: the effects of one row must not affect the next. */
 class BadInput : public testing::TestWithParam<BadInputRow>
 {
 protected:
@@ -132,7 +132,7 @@
 
 std::unique_ptr<TestSite> BadInput::s_site;
 
-/** The counter of refusals of @p kind at the entry. */
+/** Returns the entry's counter of refusals of @p kind, or -1 if it does not exist. */
 int errorCount(const Endpoint &entry, const std::string &kind)
 {
     const auto metrics = call(entry, "GET", "/metrics").body;
@@ -162,8 +162,8 @@
 INSTANTIATE_TEST_SUITE_P(Table, BadInput, testing::ValuesIn(Rows),
                          [](const auto &row) { return std::string(row.param.name); });
 
-// A buyer's phone loses its network in the middle of a long answer. The engine would go on for a minute and keep a
-// place of its batch for nobody; the entry has to tell it to stop, and a neighbour's answer goes on untouched.
+// A caller's connection is lost in the middle of a long answer. The engine would continue for a minute and occupy a
+// slot of its batch for nobody; the entry must cancel the request, and another caller's answer must not be affected.
 TEST(DisconnectingCaller, CancelsItsRequestAtTheEngine)
 {
     const TestSite site({.engines = 1, .engineFlags = {"--step-ms", "2"}});
@@ -182,15 +182,16 @@
     EXPECT_TRUE(answers[1].whole);
     EXPECT_NE(answers[1].body.find("[DONE]"), std::string::npos);
     nlohmann::json load;
-    do { // ctest's time limit fails the test if it never comes
+    do { // ctest's time limit fails the test if the engine never stops
         std::this_thread::yield();
         load = nlohmann::json::parse(call(site.engine(0), "GET", "/load").body);
     } while (load.value("running", -1) != 0);
     EXPECT_EQ(errorCount(site.entry(0), "caller-gone"), 1);
 }
 
-// A caller opens a connection, sends half a request and falls silent. Held open, a few hundred of them would use up
-// the entry; it hangs up after its settings' time, and serves others meanwhile.
+// A caller opens a connection, sends half a request and then nothing more. A few hundred such connections would exhaust
+// the entry if they stayed open; it must close them after the configured send timeout and serve other callers in the
+// meantime.
 TEST(SlowSender, IsDisconnectedWhileOthersAreServed)
 {
     const TestSite site({.engines = 1, .entryFlags = {"--send-timeout", "300"}});
--- a/tests/e2e/overload_test.cpp
+++ b/tests/e2e/overload_test.cpp
@@ -23,15 +23,16 @@
                         .body = body.dump()}};
 }
 
-/** How many requests engine @p index has been given. */
+/** Returns the number of requests that engine @p index has received. */
 std::uint64_t requestCount(const TestSite &site, std::size_t index)
 {
     const auto counters = nlohmann::json::parse(call(site.engine(index), "GET", "/counters").body);
     return counters.value("requests", std::uint64_t{0});
 }
 
-// One of four engines becomes twenty times slower, as behind a straggler rank. Callers keep asking. Until the entry
-// notices, one answer in four is late; from then on the engine must get far less than its share.
+// One of four engines becomes twenty times slower, as if behind a straggler rank, while callers keep sending requests.
+// Until the entry detects this, one answer in four is late; after that the slow engine must receive far less than its
+// share.
 TEST(Overload, SlowTargetReceivesLessWork)
 {
     constexpr std::size_t engines = 4;
@@ -67,8 +68,8 @@
 struct LoadRow
 {
     const char *name;
-    std::size_t mills; ///< calls of the workspace of weight 4
-    std::size_t buyers; ///< calls of the workspace of weight 1
+    std::size_t mills; ///< number of calls from the workspace of weight 4
+    std::size_t buyers; ///< number of calls from the workspace of weight 1
     bool areMillsServedInFull;
 };
 
@@ -78,9 +79,10 @@
 {
 };
 
-// More arrives at once than two engines and their queues can hold: from one workspace alone, or from both. Each caller
-// must get a whole answer or, soon, a refusal that says that it did not run and when to come back, and what was refused
-// must not have reached an engine. Beside a hog the other workspace gets all it asked for.
+// More requests arrive at once than two engines and their queues can hold, mostly from one workspace or equally from
+// both. Each caller must get a complete answer or, soon, a refusal that states that the request did not run and when to
+// retry; refused requests must not have reached an engine. If one workspace floods the entry, all requests of the other
+// one must be served.
 TEST_P(OverloadBurst, CallersAreServedOrRefusedWithRetryAfter)
 {
     constexpr int tokens = 50;
--- a/tests/e2e/removal_test.cpp
+++ b/tests/e2e/removal_test.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-// An operator takes a target's section out of the inventory while the target is at work on a booking. The guest gets
-// the confirmation: what runs there ends. Once the entry closed its connection to a target with the section, and the
-// guest was told that the outcome is unknown.
+// A target's section is removed from the inventory while the target processes a booking. The running request must
+// complete and its caller must get the confirmation. Guards against the entry closing its connection to the target as
+// soon as the section is removed, so that the caller gets the answer that the outcome is unknown.
 TEST(RemovedTarget, CompletesTheRunningBooking)
 {
     TestSite site({.engines = 1, .plains = 1, .entries = 1});
@@ -21,7 +21,7 @@
                     {{.name = "X-Workspace", .value = "mills"}});
     });
     while (call(site.entry(0), "GET", "/admin/targets").body.find("\"running\":1") == std::string::npos) {
-    } // ctest's time limit fails the test if it never comes
+    } // ctest's time limit fails the test if the request never starts
     site.publish("inventory", "[zone.a]\nregion = r\n");
     const auto answer = booking.get();
     EXPECT_EQ(answer.status, 201) << answer.body;
--- a/tests/e2e/shutdown_test.cpp
+++ b/tests/e2e/shutdown_test.cpp
@@ -16,14 +16,14 @@
 struct ShutdownRow
 {
     const char *name;
-    bool stopsEntry; ///< else the process beside the engine
+    bool stopsEntry; ///< otherwise the process beside the engine is stopped
     const char *entryDrain; ///< the entry's drain timeout in milliseconds
-    bool mustAllBeWhole; ///< whether all streams must end whole
+    bool mustAllBeWhole; ///< whether all streams must end complete
 };
 
 const ShutdownRow Rows[] = {
     {"EntryWaitsForItsStreams", true, "60000", true},
-    {"EntryGivesUpWaiting", true, "50", false},
+    {"EntryDrainTimesOut", true, "50", false},
     {"TargetProcessWaitsForItsStreams", false, "60000", true},
 };
 
@@ -48,9 +48,10 @@
     return calls;
 }
 
-// An operator stops a process while callers read their answers. Callers see their answers end whole, and the process
-// ends with code 0. Only where the time to wait has passed are answers cut, visibly, and the process ends cleanly all
-// the same: once it crashed, as open calls outlived the server that they were to be answered through.
+// A process is stopped with SIGTERM while callers read their answers. The answers must end complete, and the process
+// must exit with code 0. Only when the drain timeout has passed are answers truncated, visibly for the caller, and the
+// process must still exit cleanly. Guards against a crash when open calls outlive the server through which they are
+// answered.
 TEST_P(ShutdownWithOpenStreams, CompletesStreamsUntilTheDrainTimeoutAndExitsCleanly)
 {
     const auto &row = GetParam();
--- a/tests/e2e/streams_test.cpp
+++ b/tests/e2e/streams_test.cpp
@@ -24,7 +24,7 @@
             .body = body.dump()};
 }
 
-/** What an engine answers to the same prompts under the same ids, without anything in between. */
+/** Returns the answers of an engine that is called directly, without load balancer, with the same prompts and ids. */
 std::vector<HttpAnswer> referenceAnswers(const std::vector<HttpCall> &calls, const std::vector<HttpAnswer> &answers)
 {
     const ChildProcess reference("heatherridge-standin",
@@ -39,8 +39,8 @@
 }
 
 /**
- * Whether @p answer is a refusal that a chat's caller may act on: nothing of the answer was begun, and it names the
- * time to come back. It may say "unknown" where an attempt was lost with its target before the refusal.
+ * Returns whether @p answer is a refusal that a chat caller can act on: the answer had not started, and the refusal
+ * states when to retry. Its "ran" may be "unknown" if an attempt was lost with its target before the refusal.
  */
 bool isValidRefusal(const HttpAnswer &answer)
 {
@@ -49,7 +49,7 @@
         && problem.value("ran", "yes") != "yes" && !headerValue(answer.headers, "Retry-After").empty();
 }
 
-/** Tokens that @p engine has made so far. */
+/** Returns the number of tokens that @p engine has generated so far. */
 int generatedTokens(const Endpoint &engine)
 {
     return nlohmann::json::parse(call(engine, "GET", "/counters").body).value("tokens", 0);
@@ -68,7 +68,7 @@
 {
 };
 
-/** Kills the row's programs while the first answers are under way. */
+/** Kills the processes selected by the row while the first answers are being streamed. */
 class ProcessKiller
 {
 public:
@@ -78,7 +78,7 @@
     {
     }
 
-    /** One more piece of an answer has come to a caller. */
+    /** Called when a caller has received another chunk of an answer. */
     void recordChunk()
     {
         ++m_chunks;
@@ -94,7 +94,7 @@
 
 private:
     static constexpr int ChunksPerPoll = 20;
-    static constexpr int TokensBeforeKill = 20; // a third of one answer: whatever runs there has begun and goes on
+    static constexpr int TokensBeforeKill = 20; // a third of an answer: its streams have started and go on
 
     TestSite &m_site;
     const KillRow &m_row;
@@ -102,10 +102,11 @@
     bool m_killed = false;
 };
 
-// Three hundred buyers read long answers through two entries, more than the cold engines take at once: some are told
-// when to come back, and do so. The process beside one engine is killed with streams on it, and one entry. Callers
-// of the other entry see their answers go on and end whole: the entry asks another target for the tokens that are
-// missing. Callers of the dead entry see their connection cut, never an answer that looks whole and is not.
+// Three hundred callers read long answers through two entries, more than the cold engines accept at once: some requests
+// are refused with a retry time and are retried. Depending on the row, the process beside one engine is killed while it
+// serves streams, and one entry too. Callers of the surviving entry must get complete answers: the entry requests the
+// missing tokens from another target. Callers of the killed entry must see their connection closed, never a truncated
+// answer that looks complete.
 TEST_P(StreamsUnderKills, CallersOfSurvivingEntriesGetCompleteAnswers)
 {
     TestSite site({.engines = 8, .entries = 2, .engineFlags = {"--step-ms", "10"}});
@@ -116,7 +117,7 @@
     }
     std::size_t wholeCount = 0;
     std::size_t truncatedCount = 0;
-    while (!calls.empty()) { // ctest's time limit fails the test if some never get through
+    while (!calls.empty()) { // ctest's time limit fails the test if some calls never succeed
         const auto answers = callAll(calls, [&killer](std::size_t, std::size_t) { killer.recordChunk(); });
         const auto expected = referenceAnswers(calls, answers);
         std::vector<HttpCall> retries;
@@ -138,7 +139,7 @@
         }
         calls = std::move(retries);
     }
-    // With an entry dead as well, the streams that were lost may all have been its own.
+    // If an entry is killed as well, all lost streams may have been its own.
     if (!GetParam().killsEntry) {
         const auto metrics = call(site.entry(0), "GET", "/metrics").body + call(site.entry(1), "GET", "/metrics").body;
         EXPECT_EQ(metrics.find("heatherridge_streams_resumed_total") != std::string::npos, GetParam().killsTarget);
--- a/tests/e2e_keys/bookings_test.cpp
+++ b/tests/e2e_keys/bookings_test.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t PlainTargets = 3;
 constexpr std::size_t Bookings = 24;
 constexpr int MaxAttempts = 40;
-/** Where some outcomes are lost for good, asking on doesn't help. */
+/** Where some outcomes are permanently lost, further attempts do not help. */
 constexpr int MaxAttemptsWithLostOutcomes = 2;
 
 Uuid7 newKey(std::uint64_t number)
@@ -64,7 +64,7 @@
     ASSERT_EQ(call(standIn, "POST", "/faults", faults).status, 200);
 }
 
-/** How often each booking was executed, over all instances of the service. */
+/** Returns how often each booking was executed, summed over all instances of the service. */
 std::map<std::string, int> executionCounts(const TestSite &site)
 {
     std::map<std::string, int> counts;
@@ -77,16 +77,17 @@
     return counts;
 }
 
-/** Makes bookings until each of the service's shards has a holder. */
+/** Sends bookings until 16 have succeeded, so that the service's shards have holders. */
 void waitForShardHolders(const TestSite &site)
 {
     int bookedCount = 0;
-    for (std::uint64_t number = 0; bookedCount < 16; ++number) { // ctest's time limit fails the test if it never comes
+    for (std::uint64_t number = 0; bookedCount < 16; ++number) { // bounded by ctest's time limit
         bookedCount += isBooked(callAll({makeBookingCall(site, 0, newKey(number))}).front()) ? 1 : 0;
     }
 }
 
-/** Asks for all bookings through the other entry, those without a final answer again, at most @p tries times. */
+/** Sends all bookings through the other entry, and repeats those that are not booked, up to @p maxAttempts attempts in
+ * all. */
 std::vector<HttpAnswer> retryUnbooked(const TestSite &site, const std::vector<Uuid7> &keys, int maxAttempts)
 {
     std::vector<HttpAnswer> answers(keys.size());
@@ -110,10 +111,10 @@
 struct FaultRow
 {
     const char *name;
-    std::function<void(TestSite &)> beforeCalls; ///< before the first tries
-    std::function<void(TestSite &)> duringCalls; ///< while they are under way
-    std::function<void(TestSite &)> beforeRetries; ///< before the repeats
-    bool mustAllBeBooked; ///< whether every booking must come through in the end
+    std::function<void(TestSite &)> beforeCalls; ///< called before the first attempts
+    std::function<void(TestSite &)> duringCalls; ///< called while the first attempts are running
+    std::function<void(TestSite &)> beforeRetries; ///< called before the retries
+    bool mustAllBeBooked; ///< whether every booking must succeed in the end
 };
 
 void noFault(TestSite & /*site*/)
@@ -178,7 +179,7 @@
 {
 };
 
-/** Answers of one kind, for what a row prints. */
+/** Counts answers by kind for the summary that each row prints. */
 struct AnswerCounts
 {
     int bookedCount = 0;
@@ -196,9 +197,9 @@
     }
 };
 
-// Two trucks come for one load: a mill asks again, through the other entry, after a fault hid the answer to its first
-// try. Whatever the fault, each booking is executed at most once, what was told as not run has not run by then, and
-// all answers to one key are the same.
+// A caller repeats a booking through the other entry after a fault hid the answer to its first attempt; without
+// protection the booking would be executed twice. Whatever the fault, each booking must be executed at most once, a
+// request reported as not run must not have run by then, and all answers to one key must be the same.
 TEST_P(BookingFaults, RunAtMostOnce)
 {
     TestSite site({.engines = 0, .plains = PlainTargets, .entries = 2});
@@ -214,7 +215,7 @@
     const auto before = executionCounts(site).size();
     std::thread fault([&] {
         while (executionCounts(site).size() < before + Bookings / 4 && !allAnswered) {
-            std::this_thread::sleep_for(5ms); // between two looks
+            std::this_thread::sleep_for(5ms); // polling interval
         }
         GetParam().duringCalls(site);
     });
@@ -296,7 +297,8 @@
     {"key, log out", R"({"out":1,"slow-ms":0})", true},
 };
 
-// Not a verdict on time: prints what a booking costs, one after the other, in one run, and holds that each is booked.
+// Makes no assertion about time: prints the latency of bookings sent one after the other, and checks that each is
+// booked.
 TEST(BookingLatency, IsMeasuredWithTheLogAvailableSlowAndDown)
 {
     constexpr std::size_t count = 100;
