--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -4,7 +4,7 @@
 #include "heatherridge_transport/app/eventloop.h"
 #include "heatherridge_transport/app/logger.h"
 #include "heatherridge_transport/direct/callerserver.h"
-#include "heatherridge_transport/direct/sidecarranks.h"
+#include "heatherridge_transport/direct/sidecarrankclient.h"
 
 #include <atomic>
 #include <map>
--- a/modules/heatherridge_transport/direct/gatewaytraffic.h
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.h
@@ -7,7 +7,7 @@
 #include "heatherridge_transport/app/metrics.h"
 #include "heatherridge_transport/direct/crashguard.h"
 #include "heatherridge_transport/direct/gatewaytargets.h"
-#include "heatherridge_transport/direct/targetpool.h"
+#include "heatherridge_transport/direct/targetconnectionpool.h"
 #include "heatherridge_transport/direct/targetprobe.h"
 #include "heatherridge_transport/http/httpserver.h"
 
--- a/modules/heatherridge_transport/direct/sidecarranks.cpp
+++ b/modules/heatherridge_transport/direct/sidecarrankclient.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_transport/direct/sidecarranks.h"
+#include "heatherridge_transport/direct/sidecarrankclient.h"
 
 #include "heatherridge_protocol/rankmessage.h"
 
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -4,8 +4,8 @@
 #include "heatherridge_transport/app/eventloop.h"
 #include "heatherridge_transport/app/logger.h"
 #include "heatherridge_transport/direct/callerserver.h"
-#include "heatherridge_transport/direct/sharedread.h"
-#include "heatherridge_transport/direct/sidecarranks.h"
+#include "heatherridge_transport/direct/coalescedreader.h"
+#include "heatherridge_transport/direct/sidecarrankclient.h"
 
 #include <asio/io_context.hpp>
 
--- a/modules/heatherridge_transport/direct/targetpool.cpp
+++ b/modules/heatherridge_transport/direct/targetconnectionpool.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_transport/direct/targetpool.h"
+#include "heatherridge_transport/direct/targetconnectionpool.h"
 
 #include <algorithm>
 
--- a/tests/gateway/sharedread_test.cpp
+++ b/tests/gateway/coalescedreader_test.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_transport/direct/sharedread.h"
+#include "heatherridge_transport/direct/coalescedreader.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/gateway/sidecarranks_test.cpp
+++ b/tests/gateway/sidecarrankclient_test.cpp
@@ -1,5 +1,5 @@
 #include "heatherridge_transport/app/metrics.h"
-#include "heatherridge_transport/direct/sidecarranks.h"
+#include "heatherridge_transport/direct/sidecarrankclient.h"
 #include "support/silentranks.h"
 
 #include <asio/io_context.hpp>
