--- a/modules/heatherridge_transport/direct/callerconnection.cpp
+++ b/modules/heatherridge_transport/direct/callerconnection.cpp
@@ -38,14 +38,14 @@
         if (!m_connection) {
             return;
         }
-        const bool keep = m_connection->mayKeep();
+        const bool keepAlive = m_connection->canKeepAlive();
         auto bytes = responseHeadText(response.status, response.headers,
-                                      {.contentLength = response.body.size(), .keepsConnection = keep});
+                                      {.contentLength = response.body.size(), .keepsConnection = keepAlive});
         if (m_request.method != "HEAD") {
             bytes += response.body;
         }
         m_connection->send(std::move(bytes), {});
-        done(keep);
+        finish(keepAlive);
     }
 
     void beginStream(int status, const std::vector<HttpHeader> &headers) override
@@ -53,10 +53,10 @@
         if (!m_connection) {
             return;
         }
-        m_keep = m_connection->mayKeep() && !m_connection->m_isHttp10;
+        m_keepAlive = m_connection->canKeepAlive() && !m_connection->m_isHttp10;
         m_isChunked = !m_connection->m_isHttp10;
-        m_connection->send(responseHeadText(status, headers, {.isChunked = m_isChunked, .keepsConnection = m_keep}),
-                           {});
+        m_connection->send(
+            responseHeadText(status, headers, {.isChunked = m_isChunked, .keepsConnection = m_keepAlive}), {});
     }
 
     void write(std::string bytes, Written done) override
@@ -76,7 +76,7 @@
         if (m_isChunked) {
             m_connection->send(std::string(LastChunk), {});
         }
-        done(m_keep);
+        finish(m_keepAlive);
     }
 
     void abort() override
@@ -89,30 +89,30 @@
 
     void onClosed(std::function<void()> closed) override
     {
-        m_closed = std::move(closed);
+        m_onClosed = std::move(closed);
     }
 
     /** The caller has gone before the answer's end. */
-    void callerLeft()
+    void onCallerDisconnected()
     {
         m_connection.reset();
-        if (const auto closed = std::exchange(m_closed, {})) {
+        if (const auto closed = std::exchange(m_onClosed, {})) {
             closed();
         }
     }
 
 private:
-    void done(bool keep)
+    void finish(bool keepAlive)
     {
-        m_closed = {};
+        m_onClosed = {};
         const auto connection = std::move(m_connection);
-        connection->answerDone(keep);
+        connection->onResponseFinished(keepAlive);
     }
 
     std::shared_ptr<CallerConnection> m_connection; ///< null once the answer has ended
     HttpRequest m_request;
-    std::function<void()> m_closed;
-    bool m_keep = true;
+    std::function<void()> m_onClosed;
+    bool m_keepAlive = true;
     bool m_isChunked = true;
 };
 
@@ -124,13 +124,13 @@
     return sameHeaderName(headerValue(head.headers, "Expect"), "100-continue");
 }
 
-HttpRequest requestOf(const HttpMessageHead &head)
+HttpRequest makeRequest(const HttpMessageHead &head)
 {
     HttpRequest request{.method = head.method, .target = head.target, .headers = head.headers};
-    const auto mark = head.target.find('?');
-    request.path = head.target.substr(0, mark);
-    if (mark != std::string::npos) {
-        request.query = head.target.substr(mark + 1);
+    const auto queryStart = head.target.find('?');
+    request.path = head.target.substr(0, queryStart);
+    if (queryStart != std::string::npos) {
+        request.query = head.target.substr(queryStart + 1);
     }
     return request;
 }
@@ -141,12 +141,12 @@
     : m_socket(std::move(socket))
     , m_server(std::move(server))
     , m_reader(
-          HttpMessageReader::Side::Requests, [this](const auto &head) { return takeHead(head); },
+          HttpMessageReader::Side::Requests, [this](const auto &head) { return onHead(head); },
           [this](std::string_view bytes) {
-              if (!m_refused && m_request.body.size() + bytes.size() > m_server->bounds.maxBodyBytes) {
-                  m_refused = ErrorKind::BodyTooLarge;
+              if (!m_rejection && m_request.body.size() + bytes.size() > m_server->bounds.maxBodyBytes) {
+                  m_rejection = ErrorKind::BodyTooLarge;
               }
-              if (!m_refused) {
+              if (!m_rejection) {
                   m_request.body.append(bytes);
               }
           })
@@ -168,29 +168,29 @@
 
 void CallerConnection::tick(SteadyTime now)
 {
-    const auto waited = now - m_phaseSince;
+    const auto elapsed = now - m_phaseSince;
     switch (m_phase) {
     case Phase::Waiting:
-        if (waited > m_server->bounds.idleTimeout) {
+        if (elapsed > m_server->bounds.idleTimeout) {
             m_server->idleTimeouts->add();
             close();
         }
         break;
     case Phase::Receiving:
-        if (waited > m_server->bounds.headerTimeout && m_reader.state() == HttpMessageReader::State::Head) {
+        if (elapsed > m_server->bounds.headerTimeout && m_reader.state() == HttpMessageReader::State::Head) {
             m_server->headTimeouts->add();
-            refuse(ErrorKind::SlowSender);
-        } else if (waited > m_server->bounds.headerTimeout + m_server->bounds.idleTimeout) {
-            refuse(ErrorKind::SlowSender);
+            reject(ErrorKind::SlowSender);
+        } else if (elapsed > m_server->bounds.headerTimeout + m_server->bounds.idleTimeout) {
+            reject(ErrorKind::SlowSender);
         }
         break;
     case Phase::Answering:
-        if (m_isWriting && now - m_lastWrite > WriteTimeout) {
-            callerLeft();
+        if (m_isWriting && now - m_writeStartedAt > WriteTimeout) {
+            onCallerDisconnected();
         }
         break;
     case Phase::Closing:
-        if (waited > LingerTimeout) {
+        if (elapsed > LingerTimeout) {
             close();
         }
         break;
@@ -218,25 +218,25 @@
 
 void CallerConnection::read()
 {
-    if (m_isReading || m_phase == Phase::Closed || m_pending.size() > MostPending) {
+    if (m_isReading || m_phase == Phase::Closed || m_pending.size() > MaxPendingBytes) {
         return;
     }
     m_isReading = true;
     m_socket.async_read_some(asio::buffer(m_buffer),
                              [self = shared_from_this()](const asio::error_code &error, std::size_t size) {
                                  self->m_isReading = false;
-                                 self->takeRead(error, size);
+                                 self->onRead(error, size);
                              });
 }
 
-void CallerConnection::takeRead(const asio::error_code &error, std::size_t size)
+void CallerConnection::onRead(const asio::error_code &error, std::size_t size)
 {
     if (m_phase == Phase::Closed) {
         return;
     }
     if (error) {
         if (m_phase == Phase::Answering) {
-            callerLeft();
+            onCallerDisconnected();
         } else {
             close();
         }
@@ -249,29 +249,29 @@
     if (m_phase == Phase::Answering) {
         m_pending.append(m_buffer.data(), size);
     } else {
-        takeBytes({m_buffer.data(), size});
+        processBytes({m_buffer.data(), size});
     }
     read();
 }
 
-void CallerConnection::takeBytes(std::string_view bytes)
+void CallerConnection::processBytes(std::string_view bytes)
 {
     if (m_phase == Phase::Waiting) {
         setPhase(Phase::Receiving);
     }
-    const auto taken = m_reader.feed(bytes);
+    const auto consumed = m_reader.feed(bytes);
     const auto state = m_reader.state();
-    if (m_refused) {
-        refuse(*m_refused);
+    if (m_rejection) {
+        reject(*m_rejection);
         return;
     }
     if (state == HttpMessageReader::State::Malformed) {
-        refuse(m_reader.isHeadTooLarge() ? ErrorKind::HeaderTooLarge : ErrorKind::BadRequest);
+        reject(m_reader.isHeadTooLarge() ? ErrorKind::HeaderTooLarge : ErrorKind::BadRequest);
         return;
     }
     if (state == HttpMessageReader::State::Complete) {
-        m_pending.append(bytes.substr(taken));
-        requestComplete();
+        m_pending.append(bytes.substr(consumed));
+        dispatchRequest();
         return;
     }
     if (std::exchange(m_expectsContinue, false)) {
@@ -279,22 +279,22 @@
     }
 }
 
-bool CallerConnection::takeHead(const HttpMessageHead &head)
+bool CallerConnection::onHead(const HttpMessageHead &head)
 {
-    m_request = requestOf(head);
-    m_requestKeeps = head.keepsConnection;
+    m_request = makeRequest(head);
+    m_isKeepAlive = head.keepsConnection;
     m_expectsContinue = expectsContinue(head);
     if (head.headBytes > m_server->bounds.maxHeaderBytes) {
-        m_refused = ErrorKind::HeaderTooLarge;
+        m_rejection = ErrorKind::HeaderTooLarge;
     } else if (head.contentLength.value_or(0) > m_server->bounds.maxBodyBytes) {
-        m_refused = ErrorKind::BodyTooLarge;
+        m_rejection = ErrorKind::BodyTooLarge;
     } else if (head.method == "CONNECT" || head.target.empty() || head.target.front() != '/') {
-        m_refused = ErrorKind::BadRequest;
+        m_rejection = ErrorKind::BadRequest;
     }
     return true;
 }
 
-void CallerConnection::requestComplete()
+void CallerConnection::dispatchRequest()
 {
     setPhase(Phase::Answering);
     const auto exchange = std::make_shared<CallerExchange>(shared_from_this(), std::exchange(m_request, {}));
@@ -302,9 +302,9 @@
     m_server->handler(exchange);
 }
 
-void CallerConnection::refuse(ErrorKind kind)
+void CallerConnection::reject(ErrorKind kind)
 {
-    auto response = m_server->refusal(kind);
+    auto response = m_server->makeRejection(kind);
     m_closeWhenWritten = true;
     setPhase(Phase::Answering);
     send(responseHeadText(response.status, response.headers,
@@ -321,34 +321,34 @@
         }
         return;
     }
-    m_writes.push_back({.bytes = std::move(bytes), .done = std::move(done)});
+    m_pendingWrites.push_back({.bytes = std::move(bytes), .done = std::move(done)});
     writeNext();
 }
 
 void CallerConnection::writeNext()
 {
-    if (m_isWriting || m_writes.empty() || m_phase == Phase::Closed) {
+    if (m_isWriting || m_pendingWrites.empty() || m_phase == Phase::Closed) {
         return;
     }
     m_isWriting = true;
-    m_lastWrite = std::chrono::steady_clock::now();
-    auto pieces = std::make_shared<std::deque<Piece>>(std::exchange(m_writes, {}));
+    m_writeStartedAt = std::chrono::steady_clock::now();
+    auto batch = std::make_shared<std::deque<PendingWrite>>(std::exchange(m_pendingWrites, {}));
     std::vector<asio::const_buffer> buffers;
-    buffers.reserve(pieces->size());
-    for (const auto &piece : *pieces) {
-        buffers.emplace_back(asio::buffer(piece.bytes));
+    buffers.reserve(batch->size());
+    for (const auto &write : *batch) {
+        buffers.emplace_back(asio::buffer(write.bytes));
     }
     asio::async_write(m_socket, buffers,
-                      [self = shared_from_this(), pieces](const asio::error_code &error, std::size_t) {
+                      [self = shared_from_this(), batch](const asio::error_code &error, std::size_t) {
                           self->m_isWriting = false;
-                          for (const auto &piece : *pieces) {
-                              if (piece.done) {
-                                  piece.done(!error);
+                          for (const auto &write : *batch) {
+                              if (write.done) {
+                                  write.done(!error);
                               }
                           }
                           if (error) {
-                              self->callerLeft();
-                          } else if (!self->m_writes.empty()) {
+                              self->onCallerDisconnected();
+                          } else if (!self->m_pendingWrites.empty()) {
                               self->writeNext();
                           } else if (self->m_closeWhenWritten) {
                               self->linger();
@@ -356,23 +356,23 @@
                       });
 }
 
-void CallerConnection::answerDone(bool keep)
+void CallerConnection::onResponseFinished(bool keepAlive)
 {
     m_exchange.reset();
     if (m_phase != Phase::Answering) {
         return;
     }
-    if (!keep) {
+    if (!keepAlive) {
         m_closeWhenWritten = true;
-        if (!m_isWriting && m_writes.empty()) {
+        if (!m_isWriting && m_pendingWrites.empty()) {
             linger();
         }
         return;
     }
-    beginNext();
+    startNextRequest();
 }
 
-void CallerConnection::beginNext()
+void CallerConnection::startNextRequest()
 {
     m_reader.reset();
     setPhase(Phase::Waiting);
@@ -381,7 +381,7 @@
         return;
     }
     const auto bytes = std::exchange(m_pending, {});
-    takeBytes(bytes);
+    processBytes(bytes);
     read();
 }
 
@@ -403,27 +403,27 @@
         return;
     }
     if (m_phase != Phase::Answering && phase == Phase::Answering) {
-        ++m_server->busy;
+        ++m_server->busyCount;
     } else if (m_phase == Phase::Answering && phase != Phase::Answering) {
-        --m_server->busy;
+        --m_server->busyCount;
     }
     m_phase = phase;
     m_phaseSince = std::chrono::steady_clock::now();
 }
 
-void CallerConnection::callerLeft()
+void CallerConnection::onCallerDisconnected()
 {
-    m_server->callersGone->add();
+    m_server->callerDisconnects->add();
     const auto exchange = m_exchange.lock();
     close();
     if (exchange) {
-        exchange->callerLeft();
+        exchange->onCallerDisconnected();
     }
 }
 
-bool CallerConnection::mayKeep() const
+bool CallerConnection::canKeepAlive() const
 {
-    return m_requestKeeps && !m_server->isDraining;
+    return m_isKeepAlive && !m_server->isDraining;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/callerconnection.h
+++ b/modules/heatherridge_transport/direct/callerconnection.h
@@ -20,13 +20,13 @@
 struct CallerServerState
 {
     CallerServer::Handler handler{};
-    CallerServer::Refusal refusal{};
+    CallerServer::RejectionHandler makeRejection{};
     ClientLimits bounds{};
     bool isDraining = false;
-    std::size_t busy = 0; ///< connections with an unanswered request
+    std::size_t busyCount = 0; ///< connections with an unanswered request
     Counter *headTimeouts = nullptr;
     Counter *idleTimeouts = nullptr;
-    Counter *callersGone = nullptr;
+    Counter *callerDisconnects = nullptr;
 };
 
 /**
@@ -37,7 +37,7 @@
 {
 public:
     /** Bytes of later requests that are kept while one is answered; a caller that sends more is not read. */
-    static constexpr std::size_t MostPending = 64UL << 10U;
+    static constexpr std::size_t MaxPendingBytes = 64UL << 10U;
     /** How long a closing connection waits for the caller's own close, so that the last answer is not reset away. */
     static constexpr std::chrono::milliseconds LingerTimeout{1'000};
     /** A caller that takes nothing of its answer for so long is dropped. */
@@ -73,21 +73,21 @@
     };
 
     void read();
-    void takeRead(const asio::error_code &error, std::size_t size);
-    void takeBytes(std::string_view bytes);
-    bool takeHead(const HttpMessageHead &head);
-    void requestComplete();
-    void refuse(ErrorKind kind);
+    void onRead(const asio::error_code &error, std::size_t size);
+    void processBytes(std::string_view bytes);
+    bool onHead(const HttpMessageHead &head);
+    void dispatchRequest();
+    void reject(ErrorKind kind);
     void send(std::string bytes, HttpExchange::Written done);
     void writeNext();
-    void answerDone(bool keep);
-    void beginNext();
+    void onResponseFinished(bool keepAlive);
+    void startNextRequest();
     void linger();
     void setPhase(Phase phase);
-    void callerLeft();
-    bool mayKeep() const;
+    void onCallerDisconnected();
+    bool canKeepAlive() const;
 
-    struct Piece
+    struct PendingWrite
     {
         std::string bytes{};
         HttpExchange::Written done{};
@@ -99,18 +99,18 @@
     std::array<char, 8192> m_buffer{};
     std::string m_pending; ///< bytes behind the present request
     HttpRequest m_request;
-    bool m_requestKeeps = true; ///< the caller keeps the connection
+    bool m_isKeepAlive = true; ///< the caller keeps the connection
     bool m_isHttp10 = false;
     bool m_expectsContinue = false;
-    std::optional<ErrorKind> m_refused; ///< why the present request is not taken
+    std::optional<ErrorKind> m_rejection; ///< why the present request is not taken
     std::weak_ptr<CallerExchange> m_exchange; ///< of the present request
-    std::deque<Piece> m_writes;
+    std::deque<PendingWrite> m_pendingWrites;
     bool m_isWriting = false;
     bool m_isReading = false;
     bool m_closeWhenWritten = false;
     Phase m_phase = Phase::Waiting;
     SteadyTime m_phaseSince{};
-    SteadyTime m_lastWrite{};
+    SteadyTime m_writeStartedAt{};
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/callerserver.cpp
+++ b/modules/heatherridge_transport/direct/callerserver.cpp
@@ -23,19 +23,20 @@
 class CallerServer::Implementation : public std::enable_shared_from_this<Implementation>
 {
 public:
-    Implementation(asio::io_context &loop, Options options, Handler handler, Refusal refusal, Metrics &metrics)
+    Implementation(asio::io_context &loop, Options options, Handler handler, RejectionHandler makeRejection,
+                   Metrics &metrics)
         : m_options(std::move(options))
         , m_acceptor(loop)
-        , m_sweep(loop)
+        , m_sweepTimer(loop)
         , m_state(std::make_shared<CallerServerState>())
         , m_accepted(metrics.counter("heatherridge_caller_connections_total"))
         , m_refused(metrics.counter("heatherridge_caller_connections_refused_total"))
     {
         m_state->handler = std::move(handler);
-        m_state->refusal = std::move(refusal);
+        m_state->makeRejection = std::move(makeRejection);
         m_state->headTimeouts = &metrics.counter("heatherridge_caller_head_timeouts_total");
         m_state->idleTimeouts = &metrics.counter("heatherridge_caller_idle_timeouts_total");
-        m_state->callersGone = &metrics.counter("heatherridge_callers_gone_total");
+        m_state->callerDisconnects = &metrics.counter("heatherridge_callers_gone_total");
     }
 
     Result<Endpoint> start()
@@ -65,15 +66,15 @@
     {
         asio::error_code ignored; // the process ends either way
         m_acceptor.close(ignored);
-        m_sweep.cancel();
-        for (const auto &connection : live()) {
+        m_sweepTimer.cancel();
+        for (const auto &connection : openConnections()) {
             connection->close();
         }
     }
 
-    void closeIdle()
+    void closeIdleConnections()
     {
-        for (const auto &connection : live()) {
+        for (const auto &connection : openConnections()) {
             connection->closeIfIdle();
         }
     }
@@ -92,13 +93,13 @@
                     return;
                 }
                 if (!error) {
-                    self->take(std::move(socket));
+                    self->addConnection(std::move(socket));
                 }
                 self->accept();
             });
     }
 
-    void take(asio::ip::tcp::socket socket)
+    void addConnection(asio::ip::tcp::socket socket)
     {
         m_accepted.add();
         if (m_connections.size() >= m_options.maxConnections) {
@@ -112,13 +113,13 @@
 
     void sweep()
     {
-        m_sweep.expires_after(SweepPeriod);
-        m_sweep.async_wait([self = shared_from_this()](const asio::error_code &error) {
+        m_sweepTimer.expires_after(SweepPeriod);
+        m_sweepTimer.async_wait([self = shared_from_this()](const asio::error_code &error) {
             if (error) {
                 return;
             }
             const auto now = std::chrono::steady_clock::now();
-            for (const auto &connection : self->live()) {
+            for (const auto &connection : self->openConnections()) {
                 connection->tick(now);
             }
             self->m_connections.remove_if([](const auto &entry) { return entry.expired(); });
@@ -126,7 +127,7 @@
         });
     }
 
-    std::vector<std::shared_ptr<CallerConnection>> live() const
+    std::vector<std::shared_ptr<CallerConnection>> openConnections() const
     {
         std::vector<std::shared_ptr<CallerConnection>> connections;
         for (const auto &entry : m_connections) {
@@ -139,16 +140,17 @@
 
     Options m_options;
     asio::ip::tcp::acceptor m_acceptor;
-    asio::steady_timer m_sweep;
+    asio::steady_timer m_sweepTimer;
     std::shared_ptr<CallerServerState> m_state;
     std::list<std::weak_ptr<CallerConnection>> m_connections;
     Counter &m_accepted;
     Counter &m_refused;
 };
 
-CallerServer::CallerServer(asio::io_context &loop, Options options, Handler handler, Refusal refusal, Metrics &metrics)
-    : m_implementation(
-        std::make_shared<Implementation>(loop, std::move(options), std::move(handler), std::move(refusal), metrics))
+CallerServer::CallerServer(asio::io_context &loop, Options options, Handler handler, RejectionHandler makeRejection,
+                           Metrics &metrics)
+    : m_implementation(std::make_shared<Implementation>(loop, std::move(options), std::move(handler),
+                                                        std::move(makeRejection), metrics))
 {
 }
 
@@ -172,14 +174,14 @@
     m_implementation->state().isDraining = true;
 }
 
-void CallerServer::closeIdle()
+void CallerServer::closeIdleConnections()
 {
-    m_implementation->closeIdle();
+    m_implementation->closeIdleConnections();
 }
 
 std::size_t CallerServer::busyConnections() const
 {
-    return m_implementation->state().busy;
+    return m_implementation->state().busyCount;
 }
 
 void CallerServer::stop()
--- a/modules/heatherridge_transport/direct/callerserver.h
+++ b/modules/heatherridge_transport/direct/callerserver.h
@@ -34,9 +34,10 @@
     /** Called for each request with its whole body. */
     using Handler = std::function<void(std::shared_ptr<HttpExchange>)>;
     /** Answers a request that is refused before it is whole: the bad head or body, told by kind. */
-    using Refusal = std::function<HttpResponse(ErrorKind kind)>;
+    using RejectionHandler = std::function<HttpResponse(ErrorKind kind)>;
 
-    CallerServer(asio::io_context &loop, Options options, Handler handler, Refusal refusal, Metrics &metrics);
+    CallerServer(asio::io_context &loop, Options options, Handler handler, RejectionHandler makeRejection,
+                 Metrics &metrics);
     ~CallerServer();
 
     CallerServer(const CallerServer &) = delete;
@@ -52,7 +53,7 @@
     void beginDrain();
 
     /** Closes kept connections that have no request. */
-    void closeIdle();
+    void closeIdleConnections();
 
     /** Connections with a request that has not been answered in whole. */
     std::size_t busyConnections() const;
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -129,7 +129,7 @@
         m_controlLoop.post([this] { m_workShare.leave(); });
         m_trafficLoop.post([this] { m_callers.beginDrain(); });
         // By half of the time few callers still pick a kept connection.
-        m_trafficLoop.after(m_options.balancerDetectionTime / 2, [this] { m_callers.closeIdle(); });
+        m_trafficLoop.after(m_options.balancerDetectionTime / 2, [this] { m_callers.closeIdleConnections(); });
         m_trafficLoop.after(m_options.balancerDetectionTime, [this] { m_traffic.refuseStreams(); });
         waitUntilDrained(drainStart);
         logEvent(Severity::Info, "stopped", {{"cut", std::to_string(openCallCount())}});
--- a/modules/heatherridge_transport/direct/httptext.cpp
+++ b/modules/heatherridge_transport/direct/httptext.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr std::array<std::string_view, 10> ConnectionHeaders{
+constexpr std::array<std::string_view, 10> HopByHopHeaders{
     "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Content-Length", "TE",
     "Trailer",    "Upgrade",    "Expect",           "Proxy-Authenticate"};
 
@@ -27,7 +27,7 @@
     return text;
 }
 
-std::vector<std::string> namedByConnection(const std::vector<HttpHeader> &headers)
+std::vector<std::string> connectionHeaderTokens(const std::vector<HttpHeader> &headers)
 {
     std::vector<std::string> names;
     for (const auto &header : headers) {
@@ -49,7 +49,7 @@
     text.append(name).append(": ").append(value).append("\r\n");
 }
 
-std::string_view reasonOf(int status)
+std::string_view reasonPhrase(int status)
 {
     switch (status) {
 #define HEATHERRIDGE_REASON(number, name, text)                                                                        \
@@ -67,7 +67,7 @@
 std::string responseHeadText(int status, const std::vector<HttpHeader> &headers, const ResponseFraming &framing)
 {
     std::string text = "HTTP/1.1 " + std::to_string(status) + ' ';
-    text.append(reasonOf(status)).append("\r\n");
+    text.append(reasonPhrase(status)).append("\r\n");
     for (const auto &header : endToEndHeaders(headers)) {
         appendHeader(text, header.name, header.value);
     }
@@ -112,13 +112,13 @@
 
 std::vector<HttpHeader> endToEndHeaders(const std::vector<HttpHeader> &headers)
 {
-    const auto named = namedByConnection(headers);
+    const auto connectionTokens = connectionHeaderTokens(headers);
     std::vector<HttpHeader> kept;
     kept.reserve(headers.size());
     for (const auto &header : headers) {
-        const bool isNamed = std::any_of(named.begin(), named.end(),
-                                         [&](const auto &name) { return sameHeaderName(name, header.name); });
-        if (!isNamed && !isOneOf(ConnectionHeaders, header.name)) {
+        const bool isListed = std::any_of(connectionTokens.begin(), connectionTokens.end(),
+                                          [&](const auto &name) { return sameHeaderName(name, header.name); });
+        if (!isListed && !isOneOf(HopByHopHeaders, header.name)) {
             kept.push_back(header);
         }
     }
