--- a/modules/heatherridge_transport/direct/coalescedreader.h
+++ b/modules/heatherridge_transport/direct/coalescedreader.h
@@ -17,50 +17,50 @@
  * the next one, not that one: what it tells must be as it was after the question. One thread.
  */
 template<typename T>
-class SharedRead
+class CoalescedReader
 {
 public:
     using Done = std::function<void(const Result<T> &)>;
 
     /** @param read begins a reading and calls back when it has ended, not at once */
-    explicit SharedRead(std::function<void(std::function<void(Result<T>)>)> read)
-        : m_read(std::move(read))
+    explicit CoalescedReader(std::function<void(std::function<void(Result<T>)>)> read)
+        : m_startRead(std::move(read))
     {
     }
 
     /** Tells @p done what the next reading says. */
-    void ask(Done done)
+    void request(Done done)
     {
         m_waiting.push_back(std::move(done));
-        if (!m_isOpen) {
-            begin();
+        if (!m_isReading) {
+            startRead();
         }
     }
 
     /** Whether nobody waits for anything. */
     bool isIdle() const
     {
-        return !m_isOpen && m_waiting.empty();
+        return !m_isReading && m_waiting.empty();
     }
 
 private:
-    void begin()
+    void startRead()
     {
-        m_isOpen = true;
-        m_read([this, sharers = std::exchange(m_waiting, {})](Result<T> result) {
-            m_isOpen = false;
+        m_isReading = true;
+        m_startRead([this, waiters = std::exchange(m_waiting, {})](Result<T> result) {
+            m_isReading = false;
             if (!m_waiting.empty()) {
-                begin();
+                startRead();
             }
-            for (const auto &done : sharers) {
+            for (const auto &done : waiters) {
                 done(result);
             }
         });
     }
 
-    std::function<void(std::function<void(Result<T>)>)> m_read;
+    std::function<void(std::function<void(Result<T>)>)> m_startRead;
     std::vector<Done> m_waiting;
-    bool m_isOpen = false;
+    bool m_isReading = false;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -325,7 +325,7 @@
     CallerServer m_metricsServer;
     HttpClient m_client; ///< on the control thread, as what follows
     LogClients m_logClients;
-    SidecarRanks m_ranks;
+    SidecarRankClient m_ranks;
     std::random_device m_entropy;
     SystemClock m_clock;
     Gauge &m_groupSkew = m_metrics.gauge("heatherridge_group_skew_percent");
--- a/modules/heatherridge_transport/direct/sidecarrankclient.cpp
+++ b/modules/heatherridge_transport/direct/sidecarrankclient.cpp
@@ -11,98 +11,99 @@
 {
 
 /** How old a status is that a sidecar read when it was asked: the way to and fro. */
-constexpr std::chrono::milliseconds FreshLag{10};
+constexpr std::chrono::milliseconds FreshStatusAge{10};
 constexpr int OkStatus = 200;
 
 } // namespace
 
-SidecarRanks::SidecarRanks(HttpClient &client, Options options, std::unique_ptr<RankControl> direct, Metrics &metrics)
+SidecarRankClient::SidecarRankClient(HttpClient &client, Options options, std::unique_ptr<RankControl> direct,
+                                     Metrics &metrics)
     : m_client(client)
     , m_options(options)
     , m_direct(std::move(direct))
     , m_orderTimeout(options.orderTimeout)
-    , m_passedOver(metrics.counter("heatherridge_sidecars_passed_over_total"))
+    , m_bypasses(metrics.counter("heatherridge_sidecars_passed_over_total"))
 {
 }
 
-std::chrono::milliseconds SidecarRanks::maxStatusAge(const TargetEntry &target) const
+std::chrono::milliseconds SidecarRankClient::maxStatusAge(const TargetEntry &target) const
 {
-    return isAbsent(target) ? m_direct->maxStatusAge(target) : FreshLag;
+    return isBypassed(target) ? m_direct->maxStatusAge(target) : FreshStatusAge;
 }
 
-void SidecarRanks::fetchStatus(const TargetEntry &target, std::function<void(Result<RankStatus>)> done)
+void SidecarRankClient::fetchStatus(const TargetEntry &target, std::function<void(Result<RankStatus>)> done)
 {
-    const auto fresh = [done](Result<RankStatus> status) {
-        if (auto *known = std::get_if<RankStatus>(&status)) {
-            known->maxAge = FreshLag;
+    const auto setFreshAge = [done](Result<RankStatus> status) {
+        if (auto *read = std::get_if<RankStatus>(&status)) {
+            read->maxAge = FreshStatusAge;
         }
         done(std::move(status));
     };
-    ask<RankStatus>(
-        target, callTo(target, SidecarPaths::Status, {}), decodeRankStatus,
-        [this, target, done] { m_direct->fetchStatus(target, done); }, fresh);
+    query<RankStatus>(
+        target, makeCall(target, SidecarPaths::Status, {}), decodeRankStatus,
+        [this, target, done] { m_direct->fetchStatus(target, done); }, setFreshAge);
 }
 
-void SidecarRanks::fetchCounts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done)
+void SidecarRankClient::fetchCounts(const TargetEntry &target, std::function<void(Result<RankCounts>)> done)
 {
     if (m_options.port == 0) {
         m_direct->fetchCounts(target, std::move(done));
         return;
     }
-    auto &heard = m_counts[target.address.address];
-    if (heard.target != target.id) {
-        heard = {.target = target.id};
+    auto &received = m_receivedCounts[target.address.address];
+    if (received.target != target.id) {
+        received = {.target = target.id};
     }
-    auto call = callTo(target, SidecarPaths::Counts, {});
-    call.request.query = std::string(SidecarPaths::SinceParameter) + "=" + std::to_string(heard.listener.mark());
-    const auto absent = [done] {
+    auto call = makeCall(target, SidecarPaths::Counts, {});
+    call.request.query = std::string(SidecarPaths::SinceParameter) + "=" + std::to_string(received.listener.mark());
+    const auto unavailable = [done] {
         done(Error{.kind = ErrorKind::TargetUnreachable, .detail = "the process beside the rank does not answer"});
     };
-    ask<RankCounts>(
-        target, call, [this, target](std::string_view bytes) { return listen(target, bytes); }, absent,
+    query<RankCounts>(
+        target, call, [this, target](std::string_view bytes) { return decodeCounts(target, bytes); }, unavailable,
         std::move(done));
 }
 
-Result<RankCounts> SidecarRanks::listen(const TargetEntry &target, std::string_view bytes)
+Result<RankCounts> SidecarRankClient::decodeCounts(const TargetEntry &target, std::string_view bytes)
 {
-    const auto reading = decodeCountsReading(bytes);
-    if (const auto *error = errorIn(reading)) {
+    const auto decoded = decodeCountsReading(bytes);
+    if (const auto *error = errorIn(decoded)) {
         return *error;
     }
-    auto &heard = m_counts[target.address.address];
+    auto &received = m_receivedCounts[target.address.address];
     const auto counts =
-        heard.target == target.id ? heard.listener.take(std::get<CountsReading>(reading)) : std::nullopt;
+        received.target == target.id ? received.listener.take(std::get<CountsReading>(decoded)) : std::nullopt;
     if (!counts) {
         return Error{.kind = ErrorKind::BackendFailed, .detail = "counts since another reading"};
     }
     return *counts;
 }
 
-void SidecarRanks::fetchExperts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done)
+void SidecarRankClient::fetchExperts(const TargetEntry &target, std::function<void(Result<RankExperts>)> done)
 {
-    ask<RankExperts>(
-        target, callTo(target, SidecarPaths::Experts, {}), decodeRankExperts,
+    query<RankExperts>(
+        target, makeCall(target, SidecarPaths::Experts, {}), decodeRankExperts,
         [this, target, done] { m_direct->fetchExperts(target, done); }, done);
 }
 
-void SidecarRanks::sendOrder(const TargetEntry &target, const RankOrder &order, std::uint64_t epoch,
-                             std::function<void(OrderReply)> done)
+void SidecarRankClient::sendOrder(const TargetEntry &target, const RankOrder &order, std::uint64_t epoch,
+                                  std::function<void(OrderReply)> done)
 {
     // From the hold on an order goes straight to the engine: if the sidecar's machine freezes with the order's answer
     // on its way, nobody can tell what its rank has done, and the group stands still until it wakes (6.8 s, against 1.2
     // s when this process freezes and another takes over). What comes before is free through the sidecar.
     const bool isBeforeHold = std::holds_alternative<PrepareMap>(order);
-    if (isAbsent(target) || !isBeforeHold) {
+    if (isBypassed(target) || !isBeforeHold) {
         m_direct->sendOrder(target, order, epoch, std::move(done));
         return;
     }
     auto body = encode(RankOrderMessage{.target = target.id, .epoch = epoch, .order = order});
-    m_client.send(callTo(target, SidecarPaths::Order, std::move(body)),
+    m_client.send(makeCall(target, SidecarPaths::Order, std::move(body)),
                   [this, target, order, epoch, sentAt = std::chrono::steady_clock::now(),
-                   done = std::move(done)](std::variant<HttpResponse, HttpClient::Failure> ended) {
-                      if (const auto *failure = std::get_if<HttpClient::Failure>(&ended)) {
+                   done = std::move(done)](std::variant<HttpResponse, HttpClient::Failure> result) {
+                      if (const auto *failure = std::get_if<HttpClient::Failure>(&result)) {
                           m_orderTimeout.recordTimeout();
-                          missed(target);
+                          recordFailure(target);
                           if (failure->mayHaveArrived) {
                               done(OrderReply::NoAnswer); // given again, it goes past the sidecar
                           } else {
@@ -111,34 +112,34 @@
                           return;
                       }
                       m_orderTimeout.recordAnswer(std::chrono::steady_clock::now() - sentAt);
-                      answered(target);
-                      const auto &response = std::get<HttpResponse>(ended);
+                      recordSuccess(target);
+                      const auto &response = std::get<HttpResponse>(result);
                       const auto reply = decodeOrderReply(response.body);
-                      const bool isReadable = response.status == OkStatus && errorIn(reply) == nullptr;
-                      done(isReadable ? std::get<OrderReply>(reply) : OrderReply::NoAnswer);
+                      const bool isValid = response.status == OkStatus && errorIn(reply) == nullptr;
+                      done(isValid ? std::get<OrderReply>(reply) : OrderReply::NoAnswer);
                   });
 }
 
 template<typename T>
-void SidecarRanks::ask(const TargetEntry &target, const HttpClient::Call &call,
-                       std::function<Result<T>(std::string_view)> decode, std::function<void()> direct,
-                       std::function<void(Result<T>)> done)
+void SidecarRankClient::query(const TargetEntry &target, const HttpClient::Call &call,
+                              std::function<Result<T>(std::string_view)> decode, std::function<void()> direct,
+                              std::function<void(Result<T>)> done)
 {
-    if (isAbsent(target)) {
+    if (isBypassed(target)) {
         direct();
         return;
     }
     m_client.send(
         call,
         [this, target, decode = std::move(decode), direct = std::move(direct),
-         done = std::move(done)](std::variant<HttpResponse, HttpClient::Failure> ended) {
-            if (std::holds_alternative<HttpClient::Failure>(ended)) {
-                missed(target);
+         done = std::move(done)](std::variant<HttpResponse, HttpClient::Failure> result) {
+            if (std::holds_alternative<HttpClient::Failure>(result)) {
+                recordFailure(target);
                 direct();
                 return;
             }
-            answered(target);
-            const auto &response = std::get<HttpResponse>(ended);
+            recordSuccess(target);
+            const auto &response = std::get<HttpResponse>(result);
             if (response.status == errorDescriptorFor(ErrorKind::NotFound).httpStatus) {
                 done(Error{.kind = ErrorKind::NotFound, .detail = "another run of the engine"});
                 return;
@@ -151,7 +152,7 @@
         });
 }
 
-HttpClient::Call SidecarRanks::callTo(const TargetEntry &target, std::string_view path, std::string body) const
+HttpClient::Call SidecarRankClient::makeCall(const TargetEntry &target, std::string_view path, std::string body) const
 {
     const auto timeout = body.empty() ? m_options.readTimeout : m_orderTimeout.current();
     return {.endpoint = {.address = target.address.address, .port = m_options.port},
@@ -162,23 +163,23 @@
             .timeout = timeout};
 }
 
-bool SidecarRanks::isAbsent(const TargetEntry &target) const
+bool SidecarRankClient::isBypassed(const TargetEntry &target) const
 {
-    const auto found = m_absences.find(target.address.address);
-    return m_options.port == 0 || (found != m_absences.end() && std::chrono::steady_clock::now() < found->second.until);
+    const auto entry = m_backoffs.find(target.address.address);
+    return m_options.port == 0 || (entry != m_backoffs.end() && std::chrono::steady_clock::now() < entry->second.until);
 }
 
-void SidecarRanks::missed(const TargetEntry &target)
+void SidecarRankClient::recordFailure(const TargetEntry &target)
 {
-    m_passedOver.add();
-    auto &absence = m_absences[target.address.address];
-    absence.span = std::clamp(absence.span * 2, m_options.absence, m_options.longestAbsence);
-    absence.until = std::chrono::steady_clock::now() + absence.span;
+    m_bypasses.add();
+    auto &backoff = m_backoffs[target.address.address];
+    backoff.duration = std::clamp(backoff.duration * 2, m_options.initialBackoff, m_options.maxBackoff);
+    backoff.until = std::chrono::steady_clock::now() + backoff.duration;
 }
 
-void SidecarRanks::answered(const TargetEntry &target)
+void SidecarRankClient::recordSuccess(const TargetEntry &target)
 {
-    m_absences.erase(target.address.address);
+    m_backoffs.erase(target.address.address);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/sidecarrankclient.h
+++ b/modules/heatherridge_transport/direct/sidecarrankclient.h
@@ -34,7 +34,7 @@
  * release go straight to the engine. Counts are never read past a sidecar: that pauses the whole group, the longer the
  * larger the model, and the other ranks' counts tell the same. On the thread of the client's loop.
  */
-class SidecarRanks final : public RankControl
+class SidecarRankClient final : public RankControl
 {
 public:
     struct Options
@@ -44,12 +44,13 @@
         /** For an order; the sidecar's own wait for its engine is a part of each answer. */
         AnswerTimeout::Options orderTimeout{.minimum = std::chrono::milliseconds(50),
                                             .maximum = std::chrono::milliseconds(130)};
-        std::chrono::milliseconds absence{1'000}; ///< how long a sidecar is passed over; a restart takes about as long
-        std::chrono::milliseconds longestAbsence{4'000}; ///< doubles up to this for one that stays silent
+        std::chrono::milliseconds initialBackoff{
+            1'000}; ///< how long a sidecar is passed over; a restart takes about as long
+        std::chrono::milliseconds maxBackoff{4'000}; ///< doubles up to this for one that stays silent
     };
 
     /** Uses @p client and @p metrics, which must outlive it. @param direct takes over where there is no sidecar */
-    SidecarRanks(HttpClient &client, Options options, std::unique_ptr<RankControl> direct, Metrics &metrics);
+    SidecarRankClient(HttpClient &client, Options options, std::unique_ptr<RankControl> direct, Metrics &metrics);
 
     std::chrono::milliseconds maxStatusAge(const TargetEntry &target) const override;
     void fetchStatus(const TargetEntry &target, std::function<void(Result<RankStatus>)> done) override;
@@ -60,19 +61,20 @@
 
 private:
     template<typename T>
-    void ask(const TargetEntry &target, const HttpClient::Call &call, std::function<Result<T>(std::string_view)> decode,
-             std::function<void()> direct, std::function<void(Result<T>)> done);
-    HttpClient::Call callTo(const TargetEntry &target, std::string_view path,
-                            std::string body) const; ///< a body: an order
-    Result<RankCounts> listen(const TargetEntry &target, std::string_view bytes);
-    bool isAbsent(const TargetEntry &target) const;
-    void missed(const TargetEntry &target);
-    void answered(const TargetEntry &target);
+    void query(const TargetEntry &target, const HttpClient::Call &call,
+               std::function<Result<T>(std::string_view)> decode, std::function<void()> direct,
+               std::function<void(Result<T>)> done);
+    HttpClient::Call makeCall(const TargetEntry &target, std::string_view path,
+                              std::string body) const; ///< a body: an order
+    Result<RankCounts> decodeCounts(const TargetEntry &target, std::string_view bytes);
+    bool isBypassed(const TargetEntry &target) const;
+    void recordFailure(const TargetEntry &target);
+    void recordSuccess(const TargetEntry &target);
 
     /** Since when a sidecar does not answer, as long as it does not. */
-    struct Absence
+    struct Backoff
     {
-        std::chrono::milliseconds span{};
+        std::chrono::milliseconds duration{};
         SteadyTime until{};
     };
 
@@ -80,16 +82,16 @@
     Options m_options;
     std::unique_ptr<RankControl> m_direct;
     AnswerTimeout m_orderTimeout;
-    Counter &m_passedOver;
+    Counter &m_bypasses;
     /** What the sidecar at an address has told of its rank's counts. */
-    struct HeardCounts
+    struct ReceivedCounts
     {
         TargetName target{};
         CountsListener listener{};
     };
 
-    std::map<std::string, Absence> m_absences; ///< by address
-    std::map<std::string, HeardCounts> m_counts; ///< by address
+    std::map<std::string, Backoff> m_backoffs; ///< by address
+    std::map<std::string, ReceivedCounts> m_receivedCounts; ///< by address
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -21,19 +21,19 @@
 {
 
 /** Open exchanges with the engine end within this, or their keepers have given up. */
-constexpr std::chrono::milliseconds StopTime{300};
+constexpr std::chrono::milliseconds DrainTime{300};
 
 /** Marks of readings are drawn below this, so that they stay whole numbers wherever they are read as fractions. */
-constexpr std::uint64_t MarkBound = std::uint64_t{1} << 52U;
+constexpr std::uint64_t MarkUpperBound = std::uint64_t{1} << 52U;
 
-std::uint64_t drawnMark()
+std::uint64_t randomMark()
 {
     std::random_device entropy;
-    return std::uniform_int_distribution<std::uint64_t>(1, MarkBound)(entropy);
+    return std::uniform_int_distribution<std::uint64_t>(1, MarkUpperBound)(entropy);
 }
 
 /** The number in @p text; 0 for anything else. */
-std::uint64_t numberIn(const std::string &text)
+std::uint64_t parseNumber(const std::string &text)
 {
     std::uint64_t number = 0;
     const auto *end = text.data() + text.size();
@@ -41,7 +41,7 @@
     return read.ec == std::errc() && read.ptr == end ? number : 0;
 }
 
-HttpResponse failureOf(const Error &error)
+HttpResponse errorResponse(const Error &error)
 {
     return {.status = errorDescriptorFor(error.kind).httpStatus, .body = error.detail};
 }
@@ -51,14 +51,14 @@
 class SidecarServer::Implementation
 {
 public:
-    Implementation(Options options, const MakeRanks &makeRanks)
+    Implementation(Options options, const RankControlFactory &makeRankControl)
         : m_options(std::move(options))
         , m_client(m_loop.context(), {.connectTimeout = std::chrono::milliseconds(200), .keptConnections = 4})
-        , m_ranks(makeRanks(m_client))
+        , m_rankControl(makeRankControl(m_client))
         , m_server(
               m_loop.context(), {.listen = m_options.listen, .maxConnections = 64},
               [this](const auto &exchange) { handle(exchange); },
-              [](ErrorKind kind) { return failureOf({.kind = kind}); }, m_metrics)
+              [](ErrorKind kind) { return errorResponse({.kind = kind}); }, m_metrics)
     {
     }
 
@@ -76,7 +76,7 @@
     {
         logEvent(Severity::Info, "stopping", {});
         m_loop.post([this] { m_server.beginDrain(); });
-        std::this_thread::sleep_for(StopTime);
+        std::this_thread::sleep_for(DrainTime);
         m_loop.run([this] { m_server.stop(); });
         m_loop.stop();
     }
@@ -88,71 +88,72 @@
         const TargetEntry target{.id = TargetName(std::string(request.header(SidecarPaths::TargetHeader))),
                                  .address = m_options.engine};
         if (request.path == SidecarPaths::Status) {
-            tellStatus(exchange, target);
+            respondWithStatus(exchange, target);
         } else if (request.path == SidecarPaths::Counts) {
-            tellCounts(exchange, target);
+            respondWithCounts(exchange, target);
         } else if (request.path == SidecarPaths::Experts) {
-            m_ranks->fetchExperts(target, answerWith<RankExperts>(exchange));
+            m_rankControl->fetchExperts(target, responder<RankExperts>(exchange));
         } else if (request.path == SidecarPaths::Order) {
-            handOver(exchange);
+            forwardOrder(exchange);
         } else {
-            exchange->respond(failureOf({.kind = ErrorKind::NotFound}));
+            exchange->respond(errorResponse({.kind = ErrorKind::NotFound}));
         }
     }
 
-    void tellStatus(const std::shared_ptr<HttpExchange> &exchange, const TargetEntry &target)
+    void respondWithStatus(const std::shared_ptr<HttpExchange> &exchange, const TargetEntry &target)
     {
-        statusOf(target).ask([this, exchange](Result<RankStatus> result) {
+        statusReader(target).request([this, exchange](Result<RankStatus> result) {
             auto *status = std::get_if<RankStatus>(&result);
             if (status != nullptr) {
-                const auto ago = std::chrono::steady_clock::now() - m_countsAskedAt;
-                status->countsLastPolledAgo = std::chrono::duration_cast<std::chrono::milliseconds>(ago);
+                const auto elapsed = std::chrono::steady_clock::now() - m_countsRequestedAt;
+                status->countsLastPolledAgo = std::chrono::duration_cast<std::chrono::milliseconds>(elapsed);
             }
-            answerWith<RankStatus>(exchange)(result);
+            responder<RankStatus>(exchange)(result);
         });
     }
 
-    SharedRead<RankStatus> &statusOf(const TargetEntry &target)
+    CoalescedReader<RankStatus> &statusReader(const TargetEntry &target)
     {
-        std::erase_if(m_statuses,
+        std::erase_if(m_statusReaders,
                       [&target](const auto &entry) { return entry.first != target.id && entry.second.isIdle(); });
-        return m_statuses
-            .try_emplace(target.id, [this, target](auto done) { m_ranks->fetchStatus(target, std::move(done)); })
+        return m_statusReaders
+            .try_emplace(target.id, [this, target](auto done) { m_rankControl->fetchStatus(target, std::move(done)); })
             .first->second;
     }
 
-    void tellCounts(const std::shared_ptr<HttpExchange> &exchange, const TargetEntry &target)
+    void respondWithCounts(const std::shared_ptr<HttpExchange> &exchange, const TargetEntry &target)
     {
-        m_countsAskedAt = std::chrono::steady_clock::now();
-        const auto since = numberIn(exchange->request().queryParameter(SidecarPaths::SinceParameter));
-        m_ranks->fetchCounts(target, [this, exchange, target, since](const Result<RankCounts> &counts) {
+        m_countsRequestedAt = std::chrono::steady_clock::now();
+        const auto since = parseNumber(exchange->request().queryParameter(SidecarPaths::SinceParameter));
+        m_rankControl->fetchCounts(target, [this, exchange, target, since](const Result<RankCounts> &counts) {
             if (const auto *error = errorIn(counts)) {
-                exchange->respond(failureOf(*error));
+                exchange->respond(errorResponse(*error));
                 return;
             }
             exchange->respond({.body = encode(m_countsTeller.tell(target.id, std::get<RankCounts>(counts), since))});
         });
     }
 
-    void handOver(const std::shared_ptr<HttpExchange> &exchange)
+    void forwardOrder(const std::shared_ptr<HttpExchange> &exchange)
     {
         const auto read = decodeRankOrder(exchange->request().body);
         if (const auto *error = errorIn(read)) {
             logEvent(Severity::Warning, "order-malformed", {{"reason", error->detail}});
-            exchange->respond(failureOf({.kind = ErrorKind::BadRequest, .detail = error->detail}));
+            exchange->respond(errorResponse({.kind = ErrorKind::BadRequest, .detail = error->detail}));
             return;
         }
         const auto &message = std::get<RankOrderMessage>(read);
-        m_ranks->sendOrder({.id = message.target, .address = m_options.engine}, message.order, message.epoch,
-                           [exchange](OrderReply reply) { exchange->respond({.body = encode(reply)}); });
+        m_rankControl->sendOrder({.id = message.target, .address = m_options.engine}, message.order, message.epoch,
+                                 [exchange](OrderReply reply) { exchange->respond({.body = encode(reply)}); });
     }
 
     template<typename T>
-    static std::function<void(const Result<T> &)> answerWith(const std::shared_ptr<HttpExchange> &exchange)
+    static std::function<void(const Result<T> &)> responder(const std::shared_ptr<HttpExchange> &exchange)
     {
         return [exchange](const Result<T> &result) {
             const auto *error = errorIn(result);
-            exchange->respond(error != nullptr ? failureOf(*error) : HttpResponse{.body = encode(std::get<T>(result))});
+            exchange->respond(error != nullptr ? errorResponse(*error)
+                                               : HttpResponse{.body = encode(std::get<T>(result))});
         };
     }
 
@@ -160,15 +161,15 @@
     Metrics m_metrics;
     EventLoop m_loop;
     HttpClient m_client;
-    std::unique_ptr<RankControl> m_ranks;
-    std::map<TargetName, SharedRead<RankStatus>> m_statuses; ///< by the run of the engine that is meant
-    CountsTeller m_countsTeller{drawnMark()};
-    SteadyTime m_countsAskedAt = std::chrono::steady_clock::now(); ///< by a keeper; before that, when this was made
+    std::unique_ptr<RankControl> m_rankControl;
+    std::map<TargetName, CoalescedReader<RankStatus>> m_statusReaders; ///< by the run of the engine that is meant
+    CountsTeller m_countsTeller{randomMark()};
+    SteadyTime m_countsRequestedAt = std::chrono::steady_clock::now(); ///< by a keeper; before that, when this was made
     CallerServer m_server;
 };
 
-SidecarServer::SidecarServer(Options options, const MakeRanks &makeRanks)
-    : m_implementation(std::make_unique<Implementation>(std::move(options), makeRanks))
+SidecarServer::SidecarServer(Options options, const RankControlFactory &makeRankControl)
+    : m_implementation(std::make_unique<Implementation>(std::move(options), makeRankControl))
 {
 }
 
--- a/modules/heatherridge_transport/direct/sidecarserver.h
+++ b/modules/heatherridge_transport/direct/sidecarserver.h
@@ -26,9 +26,9 @@
     };
 
     /** Makes what reaches the engine. Called on construction. */
-    using MakeRanks = std::function<std::unique_ptr<RankControl>(HttpClient &client)>;
+    using RankControlFactory = std::function<std::unique_ptr<RankControl>(HttpClient &client)>;
 
-    SidecarServer(Options options, const MakeRanks &makeRanks);
+    SidecarServer(Options options, const RankControlFactory &makeRankControl);
     ~SidecarServer();
 
     SidecarServer(const SidecarServer &) = delete;
--- a/tests/gateway/coalescedreader_test.cpp
+++ b/tests/gateway/coalescedreader_test.cpp
@@ -8,65 +8,66 @@
 {
 
 /** Readings that end when the test says so. */
-class SlowReadings
+class ControlledReads
 {
 public:
-    SharedRead<int> &reads()
+    CoalescedReader<int> &reader()
     {
-        return m_reads;
+        return m_reader;
     }
 
-    int begun() const
+    int readCount() const
     {
-        return m_begun;
+        return m_readCount;
     }
 
     /** The open reading ends with its own number. */
-    void endOne()
+    void finishRead()
     {
-        const auto done = std::exchange(m_open, {});
-        done(m_begun);
+        const auto done = std::exchange(m_finishRead, {});
+        done(m_readCount);
     }
 
 private:
-    int m_begun = 0;
-    std::function<void(Result<int>)> m_open;
-    SharedRead<int> m_reads{[this](auto done) {
-        ++m_begun;
-        m_open = std::move(done);
+    int m_readCount = 0;
+    std::function<void(Result<int>)> m_finishRead;
+    CoalescedReader<int> m_reader{[this](auto done) {
+        ++m_readCount;
+        m_finishRead = std::move(done);
     }};
 };
 
 // An engine gets 2,000 new connections a second, each of which takes a slot for a moment: every gateway asks the
 // process beside it at the same moments, and each question was a connection of its own.
-TEST(SharedReads, AskTheEngineOnceForAllWhoWait)
+TEST(CoalescedReader, CoalescesWaitingRequestsIntoOneRead)
 {
-    SlowReadings readings;
-    std::vector<int> told;
+    ControlledReads controlled;
+    std::vector<int> results;
     for (int caller = 0; caller < 14; ++caller) {
-        readings.reads().ask([&told](const Result<int> &result) { told.push_back(std::get<int>(result)); });
+        controlled.reader().request(
+            [&results](const Result<int> &result) { results.push_back(std::get<int>(result)); });
     }
-    EXPECT_EQ(readings.begun(), 1);
-    readings.endOne();
-    EXPECT_EQ(readings.begun(), 2);
-    readings.endOne();
-    EXPECT_EQ(told.size(), 14U);
-    EXPECT_TRUE(readings.reads().isIdle());
+    EXPECT_EQ(controlled.readCount(), 1);
+    controlled.finishRead();
+    EXPECT_EQ(controlled.readCount(), 2);
+    controlled.finishRead();
+    EXPECT_EQ(results.size(), 14U);
+    EXPECT_TRUE(controlled.reader().isIdle());
 }
 
 // A switch of maps asks for the present pass and gets one of before its question: the pass that it then chooses to hold
 // has begun. So who asks while a reading is open is told what the next one says.
-TEST(SharedReads, NeverTellWhatWasReadBeforeTheQuestion)
+TEST(CoalescedReader, NeverDeliversAReadStartedBeforeTheRequest)
 {
-    SlowReadings readings;
+    ControlledReads controlled;
     int first = 0;
     int second = 0;
-    readings.reads().ask([&first](const Result<int> &result) { first = std::get<int>(result); });
-    readings.reads().ask([&second](const Result<int> &result) { second = std::get<int>(result); });
-    readings.endOne();
+    controlled.reader().request([&first](const Result<int> &result) { first = std::get<int>(result); });
+    controlled.reader().request([&second](const Result<int> &result) { second = std::get<int>(result); });
+    controlled.finishRead();
     EXPECT_EQ(first, 1);
     EXPECT_EQ(second, 0);
-    readings.endOne();
+    controlled.finishRead();
     EXPECT_EQ(second, 2);
 }
 
--- a/tests/gateway/sidecarrankclient_test.cpp
+++ b/tests/gateway/sidecarrankclient_test.cpp
@@ -11,10 +11,10 @@
 {
 
 /** Counts what comes past the sidecar. */
-class CountingRanks final : public SilentRanks
+class CountingRankControl final : public SilentRanks
 {
 public:
-    explicit CountingRanks(int &orders, int *counts = nullptr)
+    explicit CountingRankControl(int &orders, int *counts = nullptr)
         : m_orders(orders)
         , m_counts(counts)
     {
@@ -42,16 +42,16 @@
     int *m_counts;
 };
 
-struct WayRow
+struct OrderRouteRow
 {
     const char *story;
     RankOrder order;
-    bool isStraight;
+    bool isDirect;
 };
 
 // All streams of a group stand still for seven seconds: the machine of a sidecar freezes right after it was handed the
 // order to hold a pass, so the answer never comes, and neither release nor recovery gets through until it wakes.
-const WayRow WayRows[] = {
+const OrderRouteRow OrderRouteRows[] = {
     {"what is copied before the hold goes through the sidecar", PrepareMap{}, false},
     {"a hold", HoldStep{}, true},
     {"to arm", ArmMap{}, true},
@@ -59,62 +59,63 @@
     {"a release", ReleaseStep{}, true},
 };
 
-class WaysOfOrders : public testing::TestWithParam<WayRow>
+class OrderRouteTest : public testing::TestWithParam<OrderRouteRow>
 {
 };
 
-TEST_P(WaysOfOrders, LeaveOutTheSidecarWhileAPassIsHeld)
+TEST_P(OrderRouteTest, BypassesTheSidecarOnceAPassIsHeld)
 {
     asio::io_context loop;
-    HttpClient client(loop, {});
+    HttpClient httpClient(loop, {});
     Metrics metrics;
-    int straight = 0;
-    SidecarRanks ranks(client, {.port = 1}, std::make_unique<CountingRanks>(straight), metrics);
-    ranks.sendOrder({.id = TargetName("r"), .address = {.address = "127.0.0.1", .port = 2}}, GetParam().order, 1,
-                    [](OrderReply) {});
-    EXPECT_EQ(straight, GetParam().isStraight ? 1 : 0) << GetParam().story;
+    int directOrders = 0;
+    SidecarRankClient client(httpClient, {.port = 1}, std::make_unique<CountingRankControl>(directOrders), metrics);
+    client.sendOrder({.id = TargetName("r"), .address = {.address = "127.0.0.1", .port = 2}}, GetParam().order, 1,
+                     [](OrderReply) {});
+    EXPECT_EQ(directOrders, GetParam().isDirect ? 1 : 0) << GetParam().story;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, WaysOfOrders, testing::ValuesIn(WayRows));
+INSTANTIATE_TEST_SUITE_P(All, OrderRouteTest, testing::ValuesIn(OrderRouteRows));
 
-struct AbsenceRow
+struct MissingSidecarRow
 {
     const char *story;
     int port; ///< of the sidecars
-    int fromAfar; ///< readings of counts that pause the engine's group
+    int directReads; ///< readings of counts that pause the engine's group
 };
 
 // All streams of a site stand still for a third of the time: links are full, sidecars answer too late, and each reading
 // of counts that is then made from afar pauses its whole group for 4 ms, 192 of them several times a second.
-const AbsenceRow AbsenceRows[] = {
+const MissingSidecarRow MissingSidecarRows[] = {
     {"a sidecar that does not answer is no reason to pause its group", 1, 0},
     {"where there are none there is no other way", 0, 2},
 };
 
-class CountsOfAbsentSidecars : public testing::TestWithParam<AbsenceRow>
+class MissingSidecarTest : public testing::TestWithParam<MissingSidecarRow>
 {
 };
 
-TEST_P(CountsOfAbsentSidecars, AreNotReadFromAfar)
+TEST_P(MissingSidecarTest, ReadsCountsDirectlyOnlyWithoutSidecars)
 {
     asio::io_context loop;
-    HttpClient client(loop, {});
+    HttpClient httpClient(loop, {});
     Metrics metrics;
     int orders = 0;
-    int fromAfar = 0;
-    SidecarRanks ranks(client, {.port = GetParam().port}, std::make_unique<CountingRanks>(orders, &fromAfar), metrics);
+    int directReads = 0;
+    SidecarRankClient client(httpClient, {.port = GetParam().port},
+                             std::make_unique<CountingRankControl>(orders, &directReads), metrics);
     const TargetEntry target{.id = TargetName("r"), .address = {.address = "127.0.0.1", .port = 2}};
     int errors = 0;
     const auto count = [&errors](const Result<RankCounts> &counts) { errors += errorIn(counts) != nullptr ? 1 : 0; };
-    ranks.fetchCounts(target, count);
+    client.fetchCounts(target, count);
     loop.run(); // nobody listens there
     loop.restart();
-    ranks.fetchCounts(target, count);
+    client.fetchCounts(target, count);
     loop.run();
-    EXPECT_EQ(fromAfar, GetParam().fromAfar) << GetParam().story;
-    EXPECT_EQ(errors, 2 - GetParam().fromAfar) << GetParam().story;
+    EXPECT_EQ(directReads, GetParam().directReads) << GetParam().story;
+    EXPECT_EQ(errors, 2 - GetParam().directReads) << GetParam().story;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, CountsOfAbsentSidecars, testing::ValuesIn(AbsenceRows));
+INSTANTIATE_TEST_SUITE_P(All, MissingSidecarTest, testing::ValuesIn(MissingSidecarRows));
 
 } // namespace
