--- a/modules/heatherridge_transport/direct/gatewaycall.cpp
+++ b/modules/heatherridge_transport/direct/gatewaycall.cpp
@@ -42,9 +42,9 @@
     , m_route(*match.route)
     , m_match(match)
     , m_arrivedAt(now())
-    , m_deadline(m_arrivedAt + std::min(m_route.timeout, m_callerFields.patience.value_or(m_route.timeout)))
+    , m_deadline(m_arrivedAt + std::min(m_route.timeout, m_callerFields.timeout.value_or(m_route.timeout)))
     , m_timer(traffic.m_loop)
-    , m_stream(m_callerFields.lastEvent)
+    , m_stream(m_callerFields.lastEventId)
 {
 }
 
@@ -145,7 +145,7 @@
 {
     // A caller that comes again has waited before: it says how much of its patience is left.
     const auto timeWaitedBefore =
-        std::max(m_route.timeout - m_callerFields.patience.value_or(m_route.timeout), milliseconds(0));
+        std::max(m_route.timeout - m_callerFields.timeout.value_or(m_route.timeout), milliseconds(0));
     const auto firstEventDelay = m_traffic.firstEventDelayFor(m_service).mean().value_or(DefaultFirstEventDelay);
     return m_arrivedAt + m_route.objective - timeWaitedBefore - duration_cast<milliseconds>(firstEventDelay);
 }
@@ -218,13 +218,13 @@
     ++target.sentSinceReport;
     const auto &request = m_exchange->request();
     const auto headers =
-        m_traffic.m_codec.forwarded(endToEndHeaders(request.headers),
-                                    {.timeLeft = timeLeft(),
-                                     .target = m_target,
-                                     .workspace = m_match.workspace,
-                                     .lastEvent = m_stream.lastEventId(),
-                                     .priority = isStream() ? std::optional(m_match.priority) : std::nullopt});
-    m_connection = m_traffic.m_pool.take(target.entry);
+        m_traffic.m_codec.forwardedHeaders(endToEndHeaders(request.headers),
+                                           {.timeLeft = timeLeft(),
+                                            .target = m_target,
+                                            .workspace = m_match.workspace,
+                                            .lastEventId = m_stream.lastEventId(),
+                                            .priority = isStream() ? std::optional(m_match.priority) : std::nullopt});
+    m_connection = m_traffic.m_pool.acquire(target.entry);
     const auto self = shared_from_this();
     m_connection->exchange(requestText(request.method, request.target, headers, request.body), request.method == "HEAD",
                            m_traffic.m_options.connectTimeout,
@@ -238,7 +238,7 @@
 {
     m_responseStatus = head.status;
     m_responseHeaders = head.headers;
-    m_responseFields = m_traffic.m_codec.readAnswer(head.status, head.headers);
+    m_responseFields = m_traffic.m_codec.readResponseFields(head.status, head.headers);
     if (auto *target = m_traffic.m_targets.find(m_target)) {
         target->lastReceivedAt = now();
         if (m_responseFields.load) {
@@ -248,7 +248,7 @@
         updateTargetLimit(*target);
     }
     const bool isOtherRequest = m_responseFields.id != m_callerFields.id;
-    const bool isUnsigned = !m_responseFields.isSigned && !m_responseFields.isNotRun;
+    const bool isUnsigned = !m_responseFields.isSigned && !m_responseFields.isNotExecuted;
     m_isResponseUnusable = isOtherRequest || isUnsigned || m_responseFields.isEncoded;
 }
 
@@ -303,7 +303,7 @@
 
 AttemptResult GatewayCall::plainAttemptEnd() const
 {
-    if (m_responseFields.isNotRun && m_responseFields.id == m_callerFields.id) {
+    if (m_responseFields.isNotExecuted && m_responseFields.id == m_callerFields.id) {
         return AttemptResult::RefusedAtTarget;
     }
     if (m_isResponseUnusable) {
@@ -322,11 +322,11 @@
     if (m_isDone) {
         return;
     }
-    if (failure.isSent && !m_hasBodyBegun) {
+    if (failure.mayHaveArrived && !m_hasBodyBegun) {
         probeTargetAfterFailure(failure.reason);
         return;
     }
-    finishAttempt(failure.isSent ? AttemptResult::Interrupted : AttemptResult::NeverSent, failure.reason);
+    finishAttempt(failure.mayHaveArrived ? AttemptResult::Interrupted : AttemptResult::NeverSent, failure.reason);
 }
 
 void GatewayCall::probeTargetAfterFailure(const std::string &reason)
@@ -338,13 +338,13 @@
         return;
     }
     m_isProbingTarget = true;
-    m_traffic.m_probe.ask(target->entry, [weak = weak_from_this(), reason](Presence presence) {
+    m_traffic.m_probe.probe(target->entry, [weak = weak_from_this(), reason](ProbeResult result) {
         const auto self = weak.lock();
         if (!self || self->m_isDone) {
             return;
         }
         self->m_isProbingTarget = false;
-        if (presence == Presence::Gone) {
+        if (result == ProbeResult::Refused) {
             self->m_traffic.m_crashGuard.recordTargetDeath(self->m_callerFields.id, self->fingerprint(),
                                                            self->m_target);
         }
@@ -542,7 +542,7 @@
         target->load.recordEnded();
     }
     if (keepConnection) {
-        m_traffic.m_pool.give(m_target, connection, m_responseFields.idleTimeout);
+        m_traffic.m_pool.release(m_target, connection, m_responseFields.idleTimeout);
     } else {
         connection->close();
     }
@@ -566,7 +566,7 @@
     }
     error.ran = m_possibleExecutions > 0 ? ExecutionStatus::Unknown : ExecutionStatus::No;
     m_traffic.m_metrics.errors(error.kind).add();
-    auto response = m_traffic.m_codec.refusal(error, m_callerFields.id);
+    auto response = m_traffic.m_codec.errorResponse(error, m_callerFields.id);
     const int status = response.status;
     m_exchange->respond(std::move(response));
     finish(std::string(errorDescriptorFor(error.kind).name) + ": " + error.detail, status);
--- a/modules/heatherridge_transport/direct/gatewaycall.h
+++ b/modules/heatherridge_transport/direct/gatewaycall.h
@@ -119,7 +119,7 @@
 
     int m_responseStatus = 0; ///< of the present attempt's answer; 0 before its head
     std::vector<HttpHeader> m_responseHeaders;
-    TargetAnswerFields m_responseFields;
+    TargetResponseFields m_responseFields;
     std::string m_responseBody;
     bool m_isResponseUnusable = false; ///< what has come is not an answer to this request
     bool m_hasBodyBegun = false; ///< the present attempt's target has answered with a part of a body
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -169,7 +169,7 @@
     {
         m_metrics.errors(kind).add();
         logEvent(Severity::Info, "refused", {{"kind", std::string(errorDescriptorFor(kind).name)}});
-        return m_adapter.trafficCodec->refusal({.kind = kind}, {});
+        return m_adapter.trafficCodec->errorResponse({.kind = kind}, {});
     }
 
     void answerMetrics(HttpExchange &exchange)
--- a/modules/heatherridge_transport/direct/gatewaytraffic.cpp
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.cpp
@@ -61,7 +61,7 @@
 {
     m_hasTargets = m_hasTargets || !entries.empty();
     for (const auto &target : m_targets.setEntries(entries)) {
-        m_pool.forget(target);
+        m_pool.evict(target);
     }
 }
 
@@ -96,7 +96,7 @@
 void GatewayTraffic::handle(const std::shared_ptr<HttpExchange> &exchange)
 {
     m_counters.requests.add();
-    auto fields = m_codec.readCaller(exchange->request().headers);
+    auto fields = m_codec.readCallerFields(exchange->request().headers);
     const auto accepted = accept(exchange->request(), fields);
     if (const auto *error = errorIn(accepted)) {
         refuse(exchange, fields.id, *error);
@@ -219,7 +219,7 @@
               {"kind", std::string(errorDescriptorFor(error.kind).name)},
               {"detail", error.detail},
               {"config", std::to_string(m_table ? m_table->config().version : 0)}});
-    exchange->respond(m_codec.refusal(error, id));
+    exchange->respond(m_codec.errorResponse(error, id));
 }
 
 Result<RouteMatch> GatewayTraffic::accept(const HttpRequest &request, const CallerFields &fields) const
--- a/modules/heatherridge_transport/direct/gatewaytraffic.h
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.h
@@ -124,7 +124,7 @@
     Counters m_counters;
     std::shared_ptr<const RouteTable> m_table;
     GatewayTargets m_targets;
-    TargetPool m_pool;
+    TargetConnectionPool m_pool;
     TargetProbe m_probe;
     CrashGuard m_crashGuard;
     SeededRandom m_random;
--- a/modules/heatherridge_transport/direct/targetconnection.cpp
+++ b/modules/heatherridge_transport/direct/targetconnection.cpp
@@ -33,7 +33,7 @@
     , m_connectTimer(loop)
     , m_endpoint(std::move(endpoint))
     , m_reader(
-          HttpMessageReader::Side::Responses, [this](const auto &head) { return takeHead(head); },
+          HttpMessageReader::Side::Responses, [this](const auto &head) { return onHead(head); },
           [this](std::string_view bytes) {
               if (m_isBusy && !m_isInterim && m_events.body) {
                   m_events.body(bytes);
@@ -43,17 +43,17 @@
 {
 }
 
-void TargetConnection::exchange(std::string request, bool isHead, std::chrono::milliseconds connectTimeout,
+void TargetConnection::exchange(std::string request, bool isHeadRequest, std::chrono::milliseconds connectTimeout,
                                 ExchangeEvents events)
 {
     m_request = std::move(request);
-    m_isHead = isHead;
+    m_isHeadRequest = isHeadRequest;
     m_events = std::move(events);
     m_isBusy = true;
     m_isWritten = false;
-    m_anySent = false;
+    m_mayHaveArrived = false;
     m_isPaused = false;
-    m_targetKeeps = true;
+    m_isKeepAlive = true;
     m_reader.reset();
     if (m_isOpen) {
         write();
@@ -72,8 +72,8 @@
     }
     m_isBusy = false;
     m_events = {};
-    m_unfit = {};
-    shut();
+    m_onUnusable = {};
+    closeSocket();
 }
 
 void TargetConnection::pauseReading()
@@ -87,7 +87,7 @@
     read();
 }
 
-bool TargetConnection::isFit() const
+bool TargetConnection::isReusable() const
 {
     return m_isOpen && !m_isBusy && !m_isClosed;
 }
@@ -97,9 +97,9 @@
     return m_idleSince;
 }
 
-void TargetConnection::onUnfit(std::function<void()> unfit)
+void TargetConnection::onUnusable(std::function<void()> unusable)
 {
-    m_unfit = std::move(unfit);
+    m_onUnusable = std::move(unusable);
 }
 
 const Endpoint &TargetConnection::endpoint() const
@@ -112,13 +112,13 @@
     asio::error_code error;
     const auto address = asio::ip::make_address(m_endpoint.address, error);
     if (error) {
-        fail("not an IP number: " + m_endpoint.address);
+        failExchange("not an IP number: " + m_endpoint.address);
         return;
     }
     m_connectTimer.expires_after(timeout);
     m_connectTimer.async_wait([self = shared_from_this()](const asio::error_code &cancelled) {
         if (!cancelled && !self->m_isOpen) {
-            self->fail("connect timeout");
+            self->failExchange("connect timeout");
         }
     });
     m_socket.async_connect({address, static_cast<std::uint16_t>(m_endpoint.port)},
@@ -128,7 +128,7 @@
                                }
                                self->m_connectTimer.cancel();
                                if (failed) {
-                                   self->fail("connect: " + failed.message());
+                                   self->failExchange("connect: " + failed.message());
                                    return;
                                }
                                setSocketOptions(self->m_socket);
@@ -140,7 +140,7 @@
 
 void TargetConnection::write()
 {
-    m_anySent = true;
+    m_mayHaveArrived = true;
     asio::async_write(m_socket, asio::buffer(m_request),
                       [self = shared_from_this()](const asio::error_code &error, std::size_t) {
                           // A failed write is told by the read that follows it, behind any answer that came first.
@@ -158,50 +158,50 @@
     m_socket.async_read_some(asio::buffer(m_buffer),
                              [self = shared_from_this()](const asio::error_code &error, std::size_t size) {
                                  self->m_isReading = false;
-                                 self->takeRead(error, size);
+                                 self->onRead(error, size);
                              });
 }
 
-void TargetConnection::takeRead(const asio::error_code &error, std::size_t size)
+void TargetConnection::onRead(const asio::error_code &error, std::size_t size)
 {
     if (m_isClosed) {
         return;
     }
     if (!m_isBusy) {
-        shut(); // an idle connection that ends or speaks
-        if (const auto unfit = std::exchange(m_unfit, {})) {
-            unfit();
+        closeSocket(); // an idle connection that ends or speaks
+        if (const auto unusable = std::exchange(m_onUnusable, {})) {
+            unusable();
         }
         return;
     }
     if (error == asio::error::eof) {
-        m_targetKeeps = false;
+        m_isKeepAlive = false;
         m_reader.feedEnd();
         if (m_reader.state() == HttpMessageReader::State::Complete) {
-            finished(false);
+            completeExchange(false);
         } else {
-            fail("closed before the end of the answer");
+            failExchange("closed before the end of the answer");
         }
         return;
     }
     if (error) {
-        fail(error.message());
+        failExchange(error.message());
         return;
     }
-    takeBytes({m_buffer.data(), size});
+    processBytes({m_buffer.data(), size});
     read();
 }
 
-void TargetConnection::takeBytes(std::string_view bytes)
+void TargetConnection::processBytes(std::string_view bytes)
 {
     while (!bytes.empty() && m_isBusy) {
-        const auto taken = m_reader.feed(bytes);
-        bytes.remove_prefix(std::min(taken, bytes.size()));
+        const auto consumed = m_reader.feed(bytes);
+        bytes.remove_prefix(std::min(consumed, bytes.size()));
         if (!m_isBusy) {
             return; // the user closed it while it took the bytes
         }
         if (m_reader.state() == HttpMessageReader::State::Malformed) {
-            fail("not an HTTP answer");
+            failExchange("not an HTTP answer");
             return;
         }
         if (m_reader.state() != HttpMessageReader::State::Complete) {
@@ -212,31 +212,31 @@
             m_reader.reset();
             continue;
         }
-        finished(!bytes.empty());
+        completeExchange(!bytes.empty());
         return;
     }
 }
 
-bool TargetConnection::takeHead(const HttpMessageHead &head)
+bool TargetConnection::onHead(const HttpMessageHead &head)
 {
     m_isInterim = head.status >= 100 && head.status < 200;
     if (m_isInterim || !m_isBusy) {
         return true;
     }
-    m_targetKeeps = head.keepsConnection;
+    m_isKeepAlive = head.keepsConnection;
     if (m_events.head) {
         m_events.head(head);
     }
-    return !m_isHead;
+    return !m_isHeadRequest;
 }
 
-void TargetConnection::finished(bool hasLeftover)
+void TargetConnection::completeExchange(bool hasLeftover)
 {
     m_isBusy = false;
     m_idleSince = std::chrono::steady_clock::now();
     // A target that answers before it has the whole request would take the rest of it for the next one.
-    if (hasLeftover || !m_targetKeeps || !m_isWritten) {
-        shut();
+    if (hasLeftover || !m_isKeepAlive || !m_isWritten) {
+        closeSocket();
     }
     const auto events = std::exchange(m_events, {});
     if (events.complete) {
@@ -244,20 +244,20 @@
     }
 }
 
-void TargetConnection::fail(std::string reason)
+void TargetConnection::failExchange(std::string reason)
 {
-    shut();
+    closeSocket();
     if (!m_isBusy) {
         return;
     }
     m_isBusy = false;
     const auto events = std::exchange(m_events, {});
     if (events.failed) {
-        events.failed({.isSent = m_anySent, .reason = std::move(reason)});
+        events.failed({.mayHaveArrived = m_mayHaveArrived, .reason = std::move(reason)});
     }
 }
 
-void TargetConnection::shut()
+void TargetConnection::closeSocket()
 {
     if (m_isClosed) {
         return;
--- a/modules/heatherridge_transport/direct/targetconnection.h
+++ b/modules/heatherridge_transport/direct/targetconnection.h
@@ -19,7 +19,7 @@
 /** How an exchange with a target ended without a whole answer. */
 struct ExchangeFailure
 {
-    bool isSent = true; ///< false only when not a byte of the request can have reached the target
+    bool mayHaveArrived = true; ///< false only when not a byte of the request can have reached the target
     std::string reason{};
 };
 
@@ -51,7 +51,8 @@
      * Sends @p request, connecting first on first use.
      * @param connectTimeout after which a connection that is not there counts as failed, with nothing sent
      */
-    void exchange(std::string request, bool isHead, std::chrono::milliseconds connectTimeout, ExchangeEvents events);
+    void exchange(std::string request, bool isHeadRequest, std::chrono::milliseconds connectTimeout,
+                  ExchangeEvents events);
 
     /** Drops the exchange without a further event and closes. */
     void close();
@@ -63,13 +64,13 @@
     void resumeReading();
 
     /** Whether another exchange may follow: the last answer ended in order and nothing came behind it. */
-    bool isFit() const;
+    bool isReusable() const;
 
     /** When the last exchange ended. */
     SteadyTime idleSince() const;
 
     /** Called once when an idle connection breaks or says something unasked. */
-    void onUnfit(std::function<void()> unfit);
+    void onUnusable(std::function<void()> unusable);
 
     /** Where it leads. */
     const Endpoint &endpoint() const;
@@ -78,30 +79,30 @@
     void connect(std::chrono::milliseconds timeout);
     void write();
     void read();
-    void takeRead(const asio::error_code &error, std::size_t size);
-    bool takeHead(const HttpMessageHead &head);
-    void takeBytes(std::string_view bytes);
-    void finished(bool hasLeftover);
-    void fail(std::string reason);
-    void shut();
+    void onRead(const asio::error_code &error, std::size_t size);
+    bool onHead(const HttpMessageHead &head);
+    void processBytes(std::string_view bytes);
+    void completeExchange(bool hasLeftover);
+    void failExchange(std::string reason);
+    void closeSocket();
 
     asio::ip::tcp::socket m_socket;
     asio::steady_timer m_connectTimer;
     Endpoint m_endpoint;
     HttpMessageReader m_reader;
     ExchangeEvents m_events;
-    std::function<void()> m_unfit;
+    std::function<void()> m_onUnusable;
     std::string m_request;
     std::array<char, 8192> m_buffer{};
-    bool m_isHead = false;
+    bool m_isHeadRequest = false;
     bool m_isOpen = false; ///< connected and not closed by either side
     bool m_isClosed = false;
     bool m_isBusy = false;
     bool m_isReading = false;
     bool m_isPaused = false;
     bool m_isWritten = false;
-    bool m_anySent = false; ///< bytes of the present request may have reached the target
-    bool m_targetKeeps = true;
+    bool m_mayHaveArrived = false; ///< bytes of the present request may have reached the target
+    bool m_isKeepAlive = true;
     bool m_isInterim = false;
     SteadyTime m_idleSince{};
 };
--- a/modules/heatherridge_transport/direct/targetconnectionpool.cpp
+++ b/modules/heatherridge_transport/direct/targetconnectionpool.cpp
@@ -5,73 +5,74 @@
 namespace Heatherridge
 {
 
-TargetPool::TargetPool(asio::io_context &loop, Metrics &metrics)
+TargetConnectionPool::TargetConnectionPool(asio::io_context &loop, Metrics &metrics)
     : m_loop(loop)
     , m_opened(metrics.counter("heatherridge_target_connections_opened_total"))
     , m_reused(metrics.counter("heatherridge_target_connections_reused_total"))
 {
 }
 
-std::shared_ptr<TargetConnection> TargetPool::take(const TargetEntry &target)
+std::shared_ptr<TargetConnection> TargetConnectionPool::acquire(const TargetEntry &target)
 {
-    auto &kept = m_kept[target.id];
+    auto &idle = m_idle[target.id];
     const auto now = std::chrono::steady_clock::now();
-    while (!kept.empty()) {
-        const auto last = kept.back();
-        kept.pop_back();
-        last.connection->onUnfit({});
-        if (last.connection->isFit() && now < last.usableUntil && last.connection->endpoint() == target.address) {
+    while (!idle.empty()) {
+        const auto newest = idle.back();
+        idle.pop_back();
+        newest.connection->onUnusable({});
+        if (newest.connection->isReusable() && now < newest.usableUntil
+            && newest.connection->endpoint() == target.address) {
             m_reused.add();
-            return last.connection;
+            return newest.connection;
         }
-        last.connection->close();
+        newest.connection->close();
     }
     m_opened.add();
     return std::make_shared<TargetConnection>(m_loop, target.address);
 }
 
-void TargetPool::give(const TargetName &target, const std::shared_ptr<TargetConnection> &connection,
-                      std::optional<std::chrono::seconds> idleTimeout)
+void TargetConnectionPool::release(const TargetName &target, const std::shared_ptr<TargetConnection> &connection,
+                                   std::optional<std::chrono::seconds> idleTimeout)
 {
-    if (!connection->isFit()) {
+    if (!connection->isReusable()) {
         connection->close();
         return;
     }
-    const auto named = idleTimeout ? std::chrono::milliseconds(*idleTimeout) : AssumedIdleTime;
-    const auto usable =
-        std::min(std::chrono::duration_cast<std::chrono::milliseconds>(named * UsedPartOfIdleTime), LongestIdle);
-    m_kept[target].push_back({.connection = connection, .usableUntil = connection->idleSince() + usable});
-    connection->onUnfit([this, target] { dropUnfit(target); });
+    const auto announced = idleTimeout ? std::chrono::milliseconds(*idleTimeout) : DefaultIdleTimeout;
+    const auto usableTime =
+        std::min(std::chrono::duration_cast<std::chrono::milliseconds>(announced * UsableIdleFraction), MaxIdleTime);
+    m_idle[target].push_back({.connection = connection, .usableUntil = connection->idleSince() + usableTime});
+    connection->onUnusable([this, target] { removeUnusable(target); });
 }
 
-void TargetPool::forget(const TargetName &target)
+void TargetConnectionPool::evict(const TargetName &target)
 {
-    const auto found = m_kept.find(target);
-    if (found == m_kept.end()) {
+    const auto found = m_idle.find(target);
+    if (found == m_idle.end()) {
         return;
     }
-    for (const auto &kept : found->second) {
-        kept.connection->close();
+    for (const auto &idle : found->second) {
+        idle.connection->close();
     }
-    m_kept.erase(found);
+    m_idle.erase(found);
 }
 
-void TargetPool::tick(SteadyTime now)
+void TargetConnectionPool::tick(SteadyTime now)
 {
-    for (auto &[target, kept] : m_kept) {
-        std::erase_if(kept, [now](const Kept &entry) {
-            const bool isOld = now >= entry.usableUntil;
-            if (isOld) {
+    for (auto &[target, idle] : m_idle) {
+        std::erase_if(idle, [now](const IdleConnection &entry) {
+            const bool isExpired = now >= entry.usableUntil;
+            if (isExpired) {
                 entry.connection->close();
             }
-            return isOld;
+            return isExpired;
         });
     }
 }
 
-void TargetPool::dropUnfit(const TargetName &target)
+void TargetConnectionPool::removeUnusable(const TargetName &target)
 {
-    std::erase_if(m_kept[target], [](const Kept &entry) { return !entry.connection->isFit(); });
+    std::erase_if(m_idle[target], [](const IdleConnection &entry) { return !entry.connection->isReusable(); });
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/targetconnectionpool.h
+++ b/modules/heatherridge_transport/direct/targetconnectionpool.h
@@ -17,44 +17,44 @@
  *
  * Connections are kept by a target's id, not its address: an address may come to belong to another service.
  */
-class TargetPool
+class TargetConnectionPool
 {
 public:
     /** Kept connections that are idle for longer are closed; saves descriptors after a burst. */
-    static constexpr std::chrono::milliseconds LongestIdle{20'000};
+    static constexpr std::chrono::milliseconds MaxIdleTime{20'000};
     /** A connection is not used in the last part of the idle time that its target names: the close may be under way. */
-    static constexpr double UsedPartOfIdleTime = 0.6;
+    static constexpr double UsableIdleFraction = 0.6;
     /** Taken for targets that name no idle time. */
-    static constexpr std::chrono::milliseconds AssumedIdleTime{4'000};
+    static constexpr std::chrono::milliseconds DefaultIdleTimeout{4'000};
 
-    TargetPool(asio::io_context &loop, Metrics &metrics);
+    TargetConnectionPool(asio::io_context &loop, Metrics &metrics);
 
     /** The connection to @p target that was idle for the shortest time, else a new one. */
-    std::shared_ptr<TargetConnection> take(const TargetEntry &target);
+    std::shared_ptr<TargetConnection> acquire(const TargetEntry &target);
 
     /** Keeps @p connection for a later exchange if it is fit. @param idleTimeout as its target named it */
-    void give(const TargetName &target, const std::shared_ptr<TargetConnection> &connection,
-              std::optional<std::chrono::seconds> idleTimeout);
+    void release(const TargetName &target, const std::shared_ptr<TargetConnection> &connection,
+                 std::optional<std::chrono::seconds> idleTimeout);
 
     /** @p target is gone: closes what is kept. */
-    void forget(const TargetName &target);
+    void evict(const TargetName &target);
 
     /** Closes what has been idle for too long. */
     void tick(SteadyTime now);
 
 private:
-    struct Kept
+    struct IdleConnection
     {
         std::shared_ptr<TargetConnection> connection{};
         SteadyTime usableUntil{};
     };
 
-    void dropUnfit(const TargetName &target);
+    void removeUnusable(const TargetName &target);
 
     asio::io_context &m_loop;
     Counter &m_opened;
     Counter &m_reused;
-    std::map<TargetName, std::vector<Kept>> m_kept;
+    std::map<TargetName, std::vector<IdleConnection>> m_idle;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/targetprobe.cpp
+++ b/modules/heatherridge_transport/direct/targetprobe.cpp
@@ -9,9 +9,9 @@
 {
 
 /** A connection that is being opened, and who waits for it. */
-struct TargetProbe::Question
+struct TargetProbe::PendingProbe
 {
-    explicit Question(asio::io_context &loop)
+    explicit PendingProbe(asio::io_context &loop)
         : socket(loop)
         , timer(loop)
     {
@@ -22,14 +22,14 @@
     std::vector<Done> waiting{};
 };
 
-std::string_view toString(Presence presence)
+std::string_view toString(ProbeResult result)
 {
-    switch (presence) {
-    case Presence::Listening:
+    switch (result) {
+    case ProbeResult::Listening:
         return "listening";
-    case Presence::Gone:
+    case ProbeResult::Refused:
         return "gone";
-    case Presence::Unknown:
+    case ProbeResult::Unknown:
         return "unknown";
     }
     assert(false);
@@ -45,42 +45,42 @@
 
 TargetProbe::~TargetProbe() = default;
 
-void TargetProbe::ask(const TargetEntry &target, Done done)
+void TargetProbe::probe(const TargetEntry &target, Done done)
 {
-    auto &question = m_questions[target.id];
-    if (question) {
-        question->waiting.push_back(std::move(done));
+    auto &pending = m_pending[target.id];
+    if (pending) {
+        pending->waiting.push_back(std::move(done));
         return;
     }
     m_probes.add();
-    question = std::make_unique<Question>(m_loop);
-    question->waiting.push_back(std::move(done));
-    question->timer.expires_after(m_timeout);
-    question->timer.async_wait([this, id = target.id](const asio::error_code &error) {
+    pending = std::make_unique<PendingProbe>(m_loop);
+    pending->waiting.push_back(std::move(done));
+    pending->timer.expires_after(m_timeout);
+    pending->timer.async_wait([this, id = target.id](const asio::error_code &error) {
         if (!error) {
-            answered(id, Presence::Unknown);
+            finish(id, ProbeResult::Unknown);
         }
     });
-    asio::error_code malformed;
-    const auto address = asio::ip::make_address(target.address.address, malformed);
+    asio::error_code invalid;
+    const auto address = asio::ip::make_address(target.address.address, invalid);
     const asio::ip::tcp::endpoint endpoint(address, static_cast<std::uint16_t>(target.address.port));
-    question->socket.async_connect(endpoint, [this, id = target.id](const asio::error_code &error) {
+    pending->socket.async_connect(endpoint, [this, id = target.id](const asio::error_code &error) {
         if (error == asio::error::operation_aborted) {
             return; // the timer was first
         }
-        const auto refused = error == asio::error::connection_refused ? Presence::Gone : Presence::Unknown;
-        answered(id, error ? refused : Presence::Listening);
+        const auto failure = error == asio::error::connection_refused ? ProbeResult::Refused : ProbeResult::Unknown;
+        finish(id, error ? failure : ProbeResult::Listening);
     });
 }
 
-void TargetProbe::answered(const TargetName &target, Presence presence)
+void TargetProbe::finish(const TargetName &target, ProbeResult result)
 {
-    const auto node = m_questions.extract(target);
+    const auto node = m_pending.extract(target);
     if (node.empty()) {
         return;
     }
     for (const auto &done : node.mapped()->waiting) {
-        done(presence);
+        done(result);
     }
 }
 
--- a/modules/heatherridge_transport/direct/targetprobe.h
+++ b/modules/heatherridge_transport/direct/targetprobe.h
@@ -16,14 +16,14 @@
 {
 
 /** What a target's port says of the process behind it. */
-enum class Presence {
+enum class ProbeResult {
     Listening, ///< it takes connections
-    Gone, ///< its host refuses them: no process listens
+    Refused, ///< its host refuses them: no process listens
     Unknown, ///< no answer in time, as from a host that is cut off or a network that loses packets
 };
 
 /** The name of @p presence in logs. */
-std::string_view toString(Presence presence);
+std::string_view toString(ProbeResult result);
 
 /**
  * Tells a target that has died from one that only broke off an exchange, by opening a connection to it.
@@ -34,7 +34,7 @@
 class TargetProbe
 {
 public:
-    using Done = std::function<void(Presence)>;
+    using Done = std::function<void(ProbeResult)>;
 
     /** @param timeout for opening a connection */
     TargetProbe(asio::io_context &loop, std::chrono::milliseconds timeout, Metrics &metrics);
@@ -44,17 +44,17 @@
     TargetProbe &operator=(const TargetProbe &) = delete;
 
     /** Asks for @p target; @p done is called later. All who ask for one target at a time share one connection. */
-    void ask(const TargetEntry &target, Done done);
+    void probe(const TargetEntry &target, Done done);
 
 private:
-    struct Question;
+    struct PendingProbe;
 
-    void answered(const TargetName &target, Presence presence);
+    void finish(const TargetName &target, ProbeResult result);
 
     asio::io_context &m_loop;
     std::chrono::milliseconds m_timeout;
     Counter &m_probes;
-    std::map<TargetName, std::unique_ptr<Question>> m_questions;
+    std::map<TargetName, std::unique_ptr<PendingProbe>> m_pending;
 };
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/direct/trafficcodec.h
+++ b/modules/heatherridge_transport/direct/trafficcodec.h
@@ -15,9 +15,9 @@
 struct CallerFields
 {
     RequestId id{}; ///< of this attempt of the caller; null when it gave none
-    std::optional<std::chrono::milliseconds> patience{}; ///< how long the caller waits
+    std::optional<std::chrono::milliseconds> timeout{}; ///< how long the caller waits
     std::string apiKey{};
-    std::optional<std::uint64_t> lastEvent{}; ///< it has the stream up to this event
+    std::optional<std::uint64_t> lastEventId{}; ///< it has the stream up to this event
     bool isWellFormed = true; ///< false when one of the fields cannot be read
 };
 
@@ -27,7 +27,7 @@
     std::chrono::milliseconds timeLeft{}; ///< the target stops work then
     TargetName target{}; ///< any other target refuses the request
     WorkspaceName workspace{}; ///< null for a public route without a known key
-    std::optional<std::uint64_t> lastEvent{}; ///< a stream goes on behind this event
+    std::optional<std::uint64_t> lastEventId{}; ///< a stream goes on behind this event
     std::optional<int> priority{}; ///< 0 is the most urgent; of a stream, which an engine lets in by priority
 };
 
@@ -40,11 +40,11 @@
 };
 
 /** What a target's answer says beside status and body. */
-struct TargetAnswerFields
+struct TargetResponseFields
 {
     RequestId id{}; ///< of the request that it answers
     bool isSigned = false; ///< it bears the target's own signature
-    bool isNotRun = false; ///< the target says that it did not run the request and will not
+    bool isNotExecuted = false; ///< the target says that it did not run the request and will not
     std::optional<TargetLoad> load{};
     std::optional<double> requestsPerSecond{}; ///< that the target takes from all entries together, while it says so
     std::optional<std::chrono::seconds> idleTimeout{}; ///< when the target closes this connection
@@ -58,17 +58,17 @@
     virtual ~TrafficCodec() = default;
 
     /** What @p headers of a caller say. */
-    virtual CallerFields readCaller(const std::vector<HttpHeader> &headers) const = 0;
+    virtual CallerFields readCallerFields(const std::vector<HttpHeader> &headers) const = 0;
 
     /** @p callerHeaders with the caller's own words on routing, deadline and identity replaced by @p fields. */
-    virtual std::vector<HttpHeader> forwarded(std::vector<HttpHeader> callerHeaders,
-                                              const ForwardFields &fields) const = 0;
+    virtual std::vector<HttpHeader> forwardedHeaders(std::vector<HttpHeader> callerHeaders,
+                                                     const ForwardFields &fields) const = 0;
 
     /** What the head of a target's answer says. */
-    virtual TargetAnswerFields readAnswer(int status, const std::vector<HttpHeader> &headers) const = 0;
+    virtual TargetResponseFields readResponseFields(int status, const std::vector<HttpHeader> &headers) const = 0;
 
     /** A refusal or failure of this process's own. */
-    virtual HttpResponse refusal(const Error &error, const RequestId &id) const = 0;
+    virtual HttpResponse errorResponse(const Error &error, const RequestId &id) const = 0;
 };
 
 } // namespace Heatherridge
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -180,24 +180,24 @@
 
 TEST(CallerFields, AreReadFromTheirHeaders)
 {
-    const auto fields = PlatformTraffic().readCaller({{"x-heatherridge-request-id", "r1"},
-                                                      {"X-Heatherridge-Deadline-Ms", "1500"},
-                                                      {"Authorization", "bearer key-1"},
-                                                      {"Last-Event-Id", "12"},
-                                                      {"X-Heatherridge-Token-Usage", "1460,80"}});
+    const auto fields = PlatformTraffic().readCallerFields({{"x-heatherridge-request-id", "r1"},
+                                                            {"X-Heatherridge-Deadline-Ms", "1500"},
+                                                            {"Authorization", "bearer key-1"},
+                                                            {"Last-Event-Id", "12"},
+                                                            {"X-Heatherridge-Token-Usage", "1460,80"}});
     EXPECT_EQ(fields.id.text(), "r1");
-    EXPECT_EQ(fields.patience, 1500ms);
+    EXPECT_EQ(fields.timeout, 1500ms);
     EXPECT_EQ(fields.apiKey, "key-1");
-    EXPECT_EQ(fields.lastEvent, 12U);
+    EXPECT_EQ(fields.lastEventId, 12U);
     EXPECT_TRUE(fields.isWellFormed);
-    EXPECT_FALSE(PlatformTraffic().readCaller({{"X-Heatherridge-Deadline-Ms", "soon"}}).isWellFormed);
+    EXPECT_FALSE(PlatformTraffic().readCallerFields({{"X-Heatherridge-Deadline-Ms", "soon"}}).isWellFormed);
 }
 
 // A caller names another customer's workspace, or its key reaches a target that logs it: whoever reads there acts in
 // the caller's name. Routing and identity towards targets are this process's own words.
 TEST(ForwardedHeaders, CarryNothingThatOnlyThisProcessMaySay)
 {
-    const auto headers = PlatformTraffic().forwarded(
+    const auto headers = PlatformTraffic().forwardedHeaders(
         {{"Host", "a.example"},
          {"Authorization", "Bearer key-1"},
          {"x-heatherridge-tenant-id", "victim"},
@@ -205,7 +205,7 @@
          {"X-Heatherridge-Request-Priority", "0"},
          {"X-Heatherridge-Model", "m"},
          {"X-Heatherridge-Deadline-Ms", "9000"}},
-        {.timeLeft = 700ms, .target = TargetName("i-1"), .workspace = WorkspaceName("buyers"), .lastEvent = 4});
+        {.timeLeft = 700ms, .target = TargetName("i-1"), .workspace = WorkspaceName("buyers"), .lastEventId = 4});
     EXPECT_EQ(headerValue(headers, "Authorization"), "");
     EXPECT_EQ(headerValue(headers, "X-Heatherridge-Tenant-Id"), "buyers");
     EXPECT_EQ(headerValue(headers, "X-Heatherridge-Expect-Instance"), "i-1");
@@ -238,7 +238,7 @@
 TEST_P(Priorities, AreToldToEngines)
 {
     const auto headers =
-        PlatformTraffic().forwarded({}, {.target = TargetName("i-1"), .priority = GetParam().priority});
+        PlatformTraffic().forwardedHeaders({}, {.target = TargetName("i-1"), .priority = GetParam().priority});
     EXPECT_EQ(headerValue(headers, "X-Heatherridge-Request-Priority"), GetParam().header) << GetParam().story;
 }
 
@@ -268,9 +268,9 @@
 TEST_P(Answers, SayWhoAnsweredAndWhetherItRan)
 {
     const auto &row = GetParam();
-    const auto fields = PlatformTraffic().readAnswer(row.status, row.headers);
+    const auto fields = PlatformTraffic().readResponseFields(row.status, row.headers);
     EXPECT_EQ(fields.isSigned, row.isSigned) << row.story;
-    EXPECT_EQ(fields.isNotRun, row.isNotRun) << row.story;
+    EXPECT_EQ(fields.isNotExecuted, row.isNotRun) << row.story;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, Answers, testing::ValuesIn(AnswerRows));
@@ -302,7 +302,7 @@
 TEST_P(Limits, AreReadFromAnswers)
 {
     const auto &row = GetParam();
-    EXPECT_EQ(PlatformTraffic().readAnswer(200, {row.header}).requestsPerSecond, row.limit) << row.story;
+    EXPECT_EQ(PlatformTraffic().readResponseFields(200, {row.header}).requestsPerSecond, row.limit) << row.story;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, Limits, testing::ValuesIn(LimitRows));
@@ -310,10 +310,10 @@
 TEST(Refusals, TellWhenToComeBack)
 {
     const auto refusal =
-        PlatformTraffic().refusal({.kind = ErrorKind::Overloaded, .retryAfter = 250ms}, RequestId("r"));
+        PlatformTraffic().errorResponse({.kind = ErrorKind::Overloaded, .retryAfter = 250ms}, RequestId("r"));
     EXPECT_EQ(refusal.status, 503);
     EXPECT_EQ(headerValue(refusal.headers, "Retry-After"), "0.250");
-    EXPECT_EQ(PlatformTraffic().refusal({.kind = ErrorKind::UnknownApiKey}, {}).status, 401);
+    EXPECT_EQ(PlatformTraffic().errorResponse({.kind = ErrorKind::UnknownApiKey}, {}).status, 401);
 }
 
 } // namespace
