--- a/tests/gateway/crashing_test.cpp
+++ b/tests/gateway/crashing_test.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-using Actions = std::vector<TargetAct>;
-using Kind = TargetAct::Kind;
+using Actions = std::vector<TargetAction>;
+using Kind = TargetAction::Kind;
 
 constexpr auto CrashingBody = "crashes";
 constexpr auto BrokenBody = "breaks";
@@ -30,7 +30,7 @@
     if (request.ends_with(BrokenBody)) {
         return {{.kind = Kind::Reset}};
     }
-    return {{.bytes = answerTo(request, "id: 1\ndata: good\n\n")}};
+    return {{.bytes = signedResponse(request, "id: 1\ndata: good\n\n")}};
 }
 
 /** A group of targets, each of its own port. */
@@ -143,8 +143,8 @@
 TEST(WaitingCopies, AreCancelledOnceTheyAreBlocked)
 {
     const auto script = [](const std::string &request, int number) {
-        return headerIn(request, "X-Heatherridge-Request-Id") == "waits" ? Actions{{.kind = Kind::AwaitClose}}
-                                                                         : answerOrCrash(request, number);
+        return requestHeader(request, "X-Heatherridge-Request-Id") == "waits" ? Actions{{.kind = Kind::AwaitClose}}
+                                                                              : answerOrCrash(request, number);
     };
     CrashableTargets targets(8, script);
     GatewayFixture gateway(targets.all());
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -12,17 +12,17 @@
 namespace
 {
 
-using Actions = std::vector<TargetAct>;
-using Kind = TargetAct::Kind;
+using Actions = std::vector<TargetAction>;
+using Kind = TargetAction::Kind;
 
-TargetAct sendBytes(std::string bytes)
+TargetAction sendBytes(std::string bytes)
 {
     return {.bytes = std::move(bytes)};
 }
 
-TargetAct waitFor(std::chrono::milliseconds time)
+TargetAction waitFor(std::chrono::milliseconds time)
 {
-    return {.kind = Kind::Wait, .pause = time};
+    return {.kind = Kind::Wait, .duration = time};
 }
 
 std::string event(int id)
@@ -39,7 +39,7 @@
 
 std::string streamHead(const std::string &request)
 {
-    return "HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
+    return "HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + requestHeader(request, "X-Heatherridge-Request-Id")
         + "\r\nX-Heatherridge-Response-Signature: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: "
           "chunked\r\n\r\n";
 }
@@ -47,12 +47,12 @@
 /** A target that always answers well. */
 Actions answerGood(const std::string &request, int)
 {
-    return {sendBytes(answerTo(request, "good"))};
+    return {sendBytes(signedResponse(request, "good"))};
 }
 
 std::string refusalTo(const std::string &request)
 {
-    return "HTTP/1.1 503 Full\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
+    return "HTTP/1.1 503 Full\r\nX-Heatherridge-Request-Id: " + requestHeader(request, "X-Heatherridge-Request-Id")
         + "\r\nX-Heatherridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 }
 
@@ -69,13 +69,14 @@
 const AnswerCase AnswerCases[] = {
     {"a whole answer", answerGood, "/look/1", 200, "good"},
     {"a failure of the target's own, for a booking",
-     [](const auto &request, int) { return Actions{sendBytes(answerTo(request, "bad", 500))}; }, "/book/1", 500, "bad"},
+     [](const auto &request, int) { return Actions{sendBytes(signedResponse(request, "bad", 500))}; }, "/book/1", 500,
+     "bad"},
     {"an answer that ends with its connection",
      [](const auto &request, int) {
-         return Actions{
-             sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
-                       + "\r\nX-Heatherridge-Response-Signature: s\r\n\r\ngood"),
-             {.kind = Kind::Close}};
+         return Actions{sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: "
+                                  + requestHeader(request, "X-Heatherridge-Request-Id")
+                                  + "\r\nX-Heatherridge-Response-Signature: s\r\n\r\ngood"),
+                        {.kind = Kind::Close}};
      },
      "/look/1", 200, "good"},
     {"a refusal is asked elsewhere, also for a booking",
@@ -87,38 +88,39 @@
      "/look/1", 200, "good", 2},
     {"an answer that is cut off is not passed on as whole",
      [](const auto &request, int) {
-         const auto whole = answerTo(request, "a longer answer");
+         const auto whole = signedResponse(request, "a longer answer");
          return Actions{sendBytes(whole.substr(0, whole.size() - 4)), {.kind = Kind::Close}};
      },
      "/look/1", 200, "good", 2},
     {"an answer without length that is reset is not whole",
      [](const auto &request, int) {
-         return Actions{
-             sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
-                       + "\r\nX-Heatherridge-Response-Signature: s\r\n\r\ntorn"),
-             waitFor(50ms),
-             {.kind = Kind::Reset}};
+         return Actions{sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: "
+                                  + requestHeader(request, "X-Heatherridge-Request-Id")
+                                  + "\r\nX-Heatherridge-Response-Signature: s\r\n\r\ntorn"),
+                        waitFor(50ms),
+                        {.kind = Kind::Reset}};
      },
      "/look/1", 200, "good", 2},
-    {"another request's answer", [](const auto &, int) { return Actions{sendBytes(answerTo("", "stolen"))}; },
+    {"another request's answer", [](const auto &, int) { return Actions{sendBytes(signedResponse("", "stolen"))}; },
      "/look/1", 200, "good", 2},
     {"bytes that are no answer", [](const auto &, int) { return Actions{sendBytes("garbage garbage\r\n\r\n")}; },
      "/look/1", 200, "good", 2},
     {"an answer without a signature",
      [](const auto &request, int) {
-         return Actions{
-             sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: " + headerIn(request, "X-Heatherridge-Request-Id")
-                       + "\r\nContent-Length: 5\r\n\r\nfalse")};
+         return Actions{sendBytes("HTTP/1.1 200 OK\r\nX-Heatherridge-Request-Id: "
+                                  + requestHeader(request, "X-Heatherridge-Request-Id")
+                                  + "\r\nContent-Length: 5\r\n\r\nfalse")};
      },
      "/look/1", 200, "good", 2},
     {"a body in an encoding that nobody asked for",
      [](const auto &request, int) {
-         return Actions{sendBytes(answerTo(request, "zip", 200, "Content-Encoding: gzip\r\n"))};
+         return Actions{sendBytes(signedResponse(request, "zip", 200, "Content-Encoding: gzip\r\n"))};
      },
      "/look/1", 200, "good", 2},
     // The status says that the booking has not run, and its target does not say so: the caller would book again.
     {"a status that promises without the target's word",
-     [](const auto &request, int) { return Actions{sendBytes(answerTo(request, "", 503))}; }, "/book/1", 502, nullptr},
+     [](const auto &request, int) { return Actions{sendBytes(signedResponse(request, "", 503))}; }, "/book/1", 502,
+     nullptr},
     {"a look-up that gets no answer is asked elsewhere within its objective",
      [](const auto &, int) { return Actions{{.kind = Kind::AwaitClose}}; }, "/look/1", 200, "good", 2},
     {"a booking that gets no answer is given up at its timeout",
@@ -159,7 +161,8 @@
 TEST(KeepAliveConnections, AreNotReusedAfterUnsolicitedBytes)
 {
     const ScriptedTarget target([](const std::string &request, int) {
-        return Actions{sendBytes(answerTo(request, "own")), waitFor(30ms), sendBytes(answerTo(request, "stray"))};
+        return Actions{sendBytes(signedResponse(request, "own")), waitFor(30ms),
+                       sendBytes(signedResponse(request, "stray"))};
     });
     GatewayFixture gateway({&target});
     for (int number = 0; number < 5; ++number) {
@@ -175,7 +178,7 @@
 TEST(KeepAliveConnections, ServePipelinedRequestsInOrder)
 {
     const ScriptedTarget target([](const std::string &request, int) {
-        return Actions{sendBytes(answerTo(request, headerIn(request, "X-Heatherridge-Request-Id")))};
+        return Actions{sendBytes(signedResponse(request, requestHeader(request, "X-Heatherridge-Request-Id")))};
     });
     GatewayFixture gateway({&target});
     RawCaller caller(gateway.callerEndpoint());
@@ -200,11 +203,11 @@
     const auto request = target.requests().front();
     EXPECT_TRUE(request.starts_with("POST /book/a%20b?x=1&y HTTP/1.1\r\n")) << request;
     EXPECT_TRUE(request.ends_with("\r\n\r\nabcde")) << request;
-    EXPECT_EQ(headerIn(request, "X-Own"), "kept");
-    EXPECT_EQ(headerIn(request, "X-Hop"), "");
-    EXPECT_EQ(headerIn(request, "Transfer-Encoding"), "");
-    EXPECT_EQ(headerIn(request, "X-Heatherridge-Expect-Instance"), "t0");
-    EXPECT_LE(std::stoi(headerIn(request, "X-Heatherridge-Deadline-Ms")), 900);
+    EXPECT_EQ(requestHeader(request, "X-Own"), "kept");
+    EXPECT_EQ(requestHeader(request, "X-Hop"), "");
+    EXPECT_EQ(requestHeader(request, "Transfer-Encoding"), "");
+    EXPECT_EQ(requestHeader(request, "X-Heatherridge-Expect-Instance"), "t0");
+    EXPECT_LE(std::stoi(requestHeader(request, "X-Heatherridge-Deadline-Ms")), 900);
 }
 
 struct BadRequestCase
@@ -263,10 +266,10 @@
     }
     caller.close();
     constexpr int maxWaits = 400;
-    for (int waits = 0; target.closedByPeer() == 0 && waits < maxWaits; ++waits) {
+    for (int waits = 0; target.peerCloseCount() == 0 && waits < maxWaits; ++waits) {
         std::this_thread::sleep_for(5ms);
     }
-    EXPECT_EQ(target.resetByPeer(), 1);
+    EXPECT_EQ(target.peerResetCount(), 1);
 }
 
 // A target dies in the midst of an event. The caller's answer goes on at another target behind the last whole event,
@@ -280,7 +283,7 @@
                            waitFor(50ms),
                            {.kind = Kind::Reset}};
         }
-        EXPECT_EQ(headerIn(request, "Last-Event-Id"), "2");
+        EXPECT_EQ(requestHeader(request, "Last-Event-Id"), "2");
         return Actions{sendBytes(streamHead(request) + chunk(event(3)) + chunk(event(4)) + "0\r\n\r\n")};
     };
     const ScriptedTarget first(script);
@@ -331,7 +334,7 @@
 TEST(PlannedStops, CompleteOpenAndNewRequests)
 {
     const ScriptedTarget target([](const std::string &request, int) {
-        return Actions{waitFor(400ms), sendBytes(answerTo(request, "late but whole"))};
+        return Actions{waitFor(400ms), sendBytes(signedResponse(request, "late but whole"))};
     });
     GatewayFixture gateway({&target});
     RawCaller running(gateway.callerEndpoint());
--- a/tests/gateway/limit_test.cpp
+++ b/tests/gateway/limit_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-using Actions = std::vector<TargetAct>;
+using Actions = std::vector<TargetAction>;
 
 /** What the users promise of a target that names a limit. */
 constexpr auto LimitWindow = 4s;
@@ -54,7 +54,7 @@
     {
         const std::lock_guard lock(m_mutex);
         m_requestTimes.push_back(std::chrono::steady_clock::now());
-        return {{.bytes = answerTo(request, "good", 200, "Server-Limit: " + std::to_string(m_limit) + "\r\n")}};
+        return {{.bytes = signedResponse(request, "good", 200, "Server-Limit: " + std::to_string(m_limit) + "\r\n")}};
     }
 
     double m_limit;
@@ -69,7 +69,8 @@
     constexpr double limit = 1;
     constexpr int gateways = 4;
     const LimitedTarget limited(limit);
-    const ScriptedTarget other([](const auto &request, int) { return Actions{{.bytes = answerTo(request, "good")}}; });
+    const ScriptedTarget other(
+        [](const auto &request, int) { return Actions{{.bytes = signedResponse(request, "good")}}; });
     std::vector<std::unique_ptr<GatewayFixture>> fixtures;
     std::vector<std::unique_ptr<RawCaller>> callers;
     for (int gateway = 0; gateway < gateways; ++gateway) {
--- a/tests/gateway/logclient_test.cpp
+++ b/tests/gateway/logclient_test.cpp
@@ -12,16 +12,16 @@
 namespace
 {
 
-using Acts = std::vector<TargetAct>;
+using Actions = std::vector<TargetAction>;
 
-std::string answerOf(const std::string &era, int status = 200, const std::string &body = "{}")
+std::string response(const std::string &era, int status = 200, const std::string &body = "{}")
 {
     return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + (era.empty() ? "" : "Store-Era: " + era + "\r\n")
         + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 /** A log on loopback that answers as told, and a client of it. */
-class LogClients : public testing::Test
+class LogClientTest : public testing::Test
 {
 protected:
     void SetUp() override
@@ -47,18 +47,18 @@
 
     std::future<Result<HttpResponse>> send(const std::string &path)
     {
-        const auto answered = std::make_shared<std::promise<Result<HttpResponse>>>();
-        m_loop.post([this, path, answered] {
+        const auto promise = std::make_shared<std::promise<Result<HttpResponse>>>();
+        m_loop.post([this, path, promise] {
             m_client->send({.method = "GET", .path = path}, 5s,
-                           [answered](Result<HttpResponse> answer) { answered->set_value(std::move(answer)); });
+                           [promise](Result<HttpResponse> result) { promise->set_value(std::move(result)); });
         });
-        return answered->get_future();
+        return promise->get_future();
     }
 
-    bool isBelieved(const std::string &path)
+    bool isAccepted(const std::string &path)
     {
-        const auto answer = send(path).get();
-        return errorIn(answer) == nullptr;
+        const auto result = send(path).get();
+        return errorIn(result) == nullptr;
     }
 
     std::vector<std::uint64_t> m_restored;
@@ -66,52 +66,52 @@
 
 private:
     /** The path is the era that is told, with "late" before it in an answer that takes its time. */
-    Acts answer(const std::string &request)
+    Actions respond(const std::string &request)
     {
         const auto path = request.substr(request.find('/') + 1);
         auto era = path.substr(0, path.find(' '));
-        const bool waits = era.starts_with("late");
-        era = waits ? era.substr(4) : era;
-        Acts acts;
-        if (waits) {
-            acts.push_back({.kind = TargetAct::Kind::Wait, .pause = 300ms});
+        const bool isDelayed = era.starts_with("late");
+        era = isDelayed ? era.substr(4) : era;
+        Actions actions;
+        if (isDelayed) {
+            actions.push_back({.kind = TargetAction::Kind::Wait, .duration = 300ms});
         }
-        acts.push_back({.bytes = answerOf(era == "none" ? "" : era)});
-        return acts;
+        actions.push_back({.bytes = response(era == "none" ? "" : era)});
+        return actions;
     }
 
-    ScriptedTarget m_log{[this](const std::string &request, int) { return answer(request); }};
+    ScriptedTarget m_log{[this](const std::string &request, int) { return respond(request); }};
     EventLoop m_loop;
     std::unique_ptr<HttpClient> m_http;
     std::shared_ptr<LogClient> m_client;
 };
 
 // Guards against an answer from before the log came back that arrives after one of the time since.
-TEST_F(LogClients, DropAnswersFromBeforeTheLogCameBack)
+TEST_F(LogClientTest, DropsResponsesFromBeforeTheLogWasRestored)
 {
-    EXPECT_TRUE(isBelieved("/3"));
-    auto late = send("/late3");
+    EXPECT_TRUE(isAccepted("/3"));
+    auto delayed = send("/late3");
     std::this_thread::sleep_for(50ms);
-    EXPECT_FALSE(isBelieved("/4")) << "asked before the change was known";
+    EXPECT_FALSE(isAccepted("/4")) << "asked before the change was known";
     EXPECT_EQ(m_restored, std::vector<std::uint64_t>{4});
-    EXPECT_TRUE(isBelieved("/4"));
-    EXPECT_NE(errorIn(late.get()), nullptr);
+    EXPECT_TRUE(isAccepted("/4"));
+    EXPECT_NE(errorIn(delayed.get()), nullptr);
     EXPECT_EQ(m_restored.size(), 1U);
 }
 
-TEST_F(LogClients, BelieveALogThatTellsNoEra)
+TEST_F(LogClientTest, AcceptsALogWithoutAnEra)
 {
-    EXPECT_TRUE(isBelieved("/none"));
-    EXPECT_TRUE(isBelieved("/2"));
-    EXPECT_TRUE(isBelieved("/none"));
+    EXPECT_TRUE(isAccepted("/none"));
+    EXPECT_TRUE(isAccepted("/2"));
+    EXPECT_TRUE(isAccepted("/none"));
     EXPECT_TRUE(m_restored.empty());
 }
 
-TEST_F(LogClients, TellOfAnEraThatCannotBeRead)
+TEST_F(LogClientTest, ReportsAMalformedEra)
 {
-    EXPECT_TRUE(isBelieved("/2"));
-    EXPECT_FALSE(isBelieved("/two"));
-    EXPECT_TRUE(isBelieved("/2"));
+    EXPECT_TRUE(isAccepted("/2"));
+    EXPECT_FALSE(isAccepted("/two"));
+    EXPECT_TRUE(isAccepted("/2"));
     EXPECT_EQ(m_malformed, 1);
     EXPECT_TRUE(m_restored.empty());
 }
--- a/tests/gateway/scriptedtarget.cpp
+++ b/tests/gateway/scriptedtarget.cpp
@@ -26,8 +26,8 @@
                 return;
             }
             const std::lock_guard lock(m_mutex);
-            m_open.insert(socket->native_handle());
-            m_threads.emplace_back([this, socket] { serve(std::move(*socket)); });
+            m_openHandles.insert(socket->native_handle());
+            m_threads.emplace_back([this, socket] { serveConnection(std::move(*socket)); });
         }
     })
 {
@@ -37,8 +37,8 @@
 {
     m_isStopping = true;
     asio::error_code ignored;
-    tcp::socket waker(m_loop);
-    waker.connect(m_acceptor.local_endpoint(), ignored);
+    tcp::socket wakeUp(m_loop);
+    wakeUp.connect(m_acceptor.local_endpoint(), ignored);
     m_acceptThread.join();
     for (auto &thread : m_threads) {
         thread.join();
@@ -56,82 +56,82 @@
     return m_requests;
 }
 
-int ScriptedTarget::closedByPeer() const
+int ScriptedTarget::peerCloseCount() const
 {
-    return m_closedByPeer;
+    return m_peerCloseCount;
 }
 
-int ScriptedTarget::resetByPeer() const
+int ScriptedTarget::peerResetCount() const
 {
-    return m_resetByPeer;
+    return m_peerResetCount;
 }
 
-void ScriptedTarget::serve(tcp::socket socket)
+void ScriptedTarget::serveConnection(tcp::socket socket)
 {
     const int handle = socket.native_handle();
-    converse(socket);
+    serveRequests(socket);
     const std::lock_guard lock(m_mutex);
-    m_open.erase(handle);
+    m_openHandles.erase(handle);
 }
 
-void ScriptedTarget::converse(tcp::socket &socket)
+void ScriptedTarget::serveRequests(tcp::socket &socket)
 {
     asio::streambuf buffer;
     while (!m_isStopping) {
         asio::error_code error;
         const auto headSize = asio::read_until(socket, buffer, "\r\n\r\n", error);
         if (error) {
-            ++m_closedByPeer;
+            ++m_peerCloseCount;
             return;
         }
         std::string request(headSize, '\0');
         buffer.sgetn(request.data(), static_cast<std::streamsize>(headSize));
-        const auto length = headerIn(request, "Content-Length");
+        const auto length = requestHeader(request, "Content-Length");
         const auto bodySize = length.empty() ? std::size_t{0} : std::stoul(length);
         if (buffer.size() < bodySize) {
             asio::read(socket, buffer, asio::transfer_exactly(bodySize - buffer.size()), error);
         }
         std::string body(std::min(bodySize, buffer.size()), '\0');
         buffer.sgetn(body.data(), static_cast<std::streamsize>(body.size()));
-        int number = 0;
+        int requestIndex = 0;
         {
             const std::lock_guard lock(m_mutex);
-            number = static_cast<int>(m_requests.size());
+            requestIndex = static_cast<int>(m_requests.size());
             m_requests.push_back(request + body);
         }
-        for (const auto &act : m_script(request + body, number)) {
-            if (!perform(socket, act)) {
+        for (const auto &action : m_script(request + body, requestIndex)) {
+            if (!perform(socket, action)) {
                 return;
             }
         }
     }
 }
 
-bool ScriptedTarget::perform(tcp::socket &socket, const TargetAct &act)
+bool ScriptedTarget::perform(tcp::socket &socket, const TargetAction &action)
 {
     asio::error_code error;
-    switch (act.kind) {
-    case TargetAct::Kind::Send:
-        asio::write(socket, asio::buffer(act.bytes), error);
+    switch (action.kind) {
+    case TargetAction::Kind::Send:
+        asio::write(socket, asio::buffer(action.bytes), error);
         return !error;
-    case TargetAct::Kind::Wait:
-        std::this_thread::sleep_for(act.pause);
+    case TargetAction::Kind::Wait:
+        std::this_thread::sleep_for(action.duration);
         return true;
-    case TargetAct::Kind::Close:
+    case TargetAction::Kind::Close:
         socket.close(error);
         return false;
-    case TargetAct::Kind::Reset:
+    case TargetAction::Kind::Reset:
         socket.set_option(asio::socket_base::linger(true, 0), error);
         socket.close(error);
         return false;
-    case TargetAct::Kind::AwaitClose: {
+    case TargetAction::Kind::AwaitClose: {
         char byte = 0;
         asio::read(socket, asio::buffer(&byte, 1), error);
-        m_resetByPeer += error == asio::error::connection_reset ? 1 : 0;
-        ++m_closedByPeer;
+        m_peerResetCount += error == asio::error::connection_reset ? 1 : 0;
+        ++m_peerCloseCount;
         return false;
     }
-    case TargetAct::Kind::Crash:
+    case TargetAction::Kind::Crash:
         crash();
         return false;
     }
@@ -144,7 +144,7 @@
     m_hasCrashed = true;
     m_isStopping = true;
     ::shutdown(m_acceptor.native_handle(), SHUT_RDWR);
-    for (const int connection : m_open) {
+    for (const int connection : m_openHandles) {
         ::shutdown(connection, SHUT_RDWR);
     }
 }
@@ -154,21 +154,22 @@
     return m_hasCrashed;
 }
 
-std::string headerIn(const std::string &request, const std::string &name)
+std::string requestHeader(const std::string &request, const std::string &name)
 {
-    const auto at = request.find("\r\n" + name + ": ");
-    if (at == std::string::npos) {
+    const auto position = request.find("\r\n" + name + ": ");
+    if (position == std::string::npos) {
         return {};
     }
-    const auto begin = at + name.size() + 4;
-    return request.substr(begin, request.find("\r\n", begin) - begin);
+    const auto valueStart = position + name.size() + 4;
+    return request.substr(valueStart, request.find("\r\n", valueStart) - valueStart);
 }
 
-std::string answerTo(const std::string &request, const std::string &body, int status, const std::string &furtherHeaders)
+std::string signedResponse(const std::string &request, const std::string &body, int status,
+                           const std::string &extraHeaders)
 {
     return "HTTP/1.1 " + std::to_string(status) + " X\r\nX-Heatherridge-Request-Id: "
-        + headerIn(request, "X-Heatherridge-Request-Id") + "\r\nX-Heatherridge-Response-Signature: s\r\n"
-        + furtherHeaders + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+        + requestHeader(request, "X-Heatherridge-Request-Id") + "\r\nX-Heatherridge-Response-Signature: s\r\n"
+        + extraHeaders + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 } // namespace Heatherridge
--- a/tests/gateway/scriptedtarget.h
+++ b/tests/gateway/scriptedtarget.h
@@ -19,7 +19,7 @@
 {
 
 /** One thing that a scripted target does on its connection. */
-struct TargetAct
+struct TargetAction
 {
     enum class Kind {
         Send, ///< writes `bytes`
@@ -32,7 +32,7 @@
 
     Kind kind = Kind::Send;
     std::string bytes{};
-    std::chrono::milliseconds pause{0};
+    std::chrono::milliseconds duration{0};
 };
 
 /** A target on loopback that answers each request with bytes and silences as told, right or wrong. */
@@ -40,7 +40,7 @@
 {
 public:
     /** What to do about the @p number-th request (from 0) with the text @p request. */
-    using Script = std::function<std::vector<TargetAct>(const std::string &request, int number)>;
+    using Script = std::function<std::vector<TargetAction>(const std::string &request, int requestIndex)>;
 
     explicit ScriptedTarget(Script script);
     ~ScriptedTarget();
@@ -58,15 +58,15 @@
     bool hasCrashed() const;
 
     /** Connections that the other side has closed. */
-    int closedByPeer() const;
+    int peerCloseCount() const;
 
     /** Those of them that it has reset. */
-    int resetByPeer() const;
+    int peerResetCount() const;
 
 private:
-    void serve(asio::ip::tcp::socket socket);
-    void converse(asio::ip::tcp::socket &socket);
-    bool perform(asio::ip::tcp::socket &socket, const TargetAct &act);
+    void serveConnection(asio::ip::tcp::socket socket);
+    void serveRequests(asio::ip::tcp::socket &socket);
+    bool perform(asio::ip::tcp::socket &socket, const TargetAction &action);
     void crash();
 
     Script m_script;
@@ -74,20 +74,20 @@
     asio::ip::tcp::acceptor m_acceptor;
     mutable std::mutex m_mutex;
     std::vector<std::string> m_requests;
-    std::set<int> m_open; ///< native handles of connections
+    std::set<int> m_openHandles; ///< native handles of connections
     std::vector<std::thread> m_threads;
-    std::atomic<int> m_closedByPeer{0};
-    std::atomic<int> m_resetByPeer{0};
+    std::atomic<int> m_peerCloseCount{0};
+    std::atomic<int> m_peerResetCount{0};
     std::atomic<bool> m_isStopping{false};
     std::atomic<bool> m_hasCrashed{false};
     std::thread m_acceptThread;
 };
 
 /** The value of header @p name in the text @p request. */
-std::string headerIn(const std::string &request, const std::string &name);
+std::string requestHeader(const std::string &request, const std::string &name);
 
 /** A whole signed answer to @p request. */
-std::string answerTo(const std::string &request, const std::string &body, int status = 200,
-                     const std::string &furtherHeaders = {});
+std::string signedResponse(const std::string &request, const std::string &body, int status = 200,
+                           const std::string &extraHeaders = {});
 
 } // namespace Heatherridge
