--- a/modules/heatherridge_transport/app/controlplane.cpp
+++ b/modules/heatherridge_transport/app/controlplane.cpp
@@ -83,16 +83,16 @@
         publish();
     }
 
-    void takeIncoming(IncomingControl connection, Envelope envelope)
+    void takeIncoming(IncomingControlLink connection, Envelope envelope)
     {
         loop.post([this, connection = std::move(connection), envelope = std::move(envelope)] {
-            m_links->takeIncoming(connection, envelope);
+            m_links->onIncomingFrame(connection, envelope);
         });
     }
 
     void incomingGone(const std::shared_ptr<PeerSocket> &socket)
     {
-        loop.post([this, socket] { m_links->incomingGone(socket.get()); });
+        loop.post([this, socket] { m_links->onIncomingClosed(socket.get()); });
     }
 
     void beginDrain()
@@ -289,7 +289,7 @@
     return m_implementation->view();
 }
 
-void ControlPlane::takeIncoming(IncomingControl connection, Envelope envelope)
+void ControlPlane::takeIncoming(IncomingControlLink connection, Envelope envelope)
 {
     m_implementation->takeIncoming(std::move(connection), std::move(envelope));
 }
--- a/modules/heatherridge_transport/app/controlplane.h
+++ b/modules/heatherridge_transport/app/controlplane.h
@@ -79,7 +79,7 @@
     std::shared_ptr<const ConfigView> view() const;
 
     /** Takes a control frame that a peer sent over a connection which it opened. Any thread, after start(). */
-    void takeIncoming(IncomingControl connection, Envelope envelope);
+    void takeIncoming(IncomingControlLink connection, Envelope envelope);
 
     /** A connection that a peer opened is gone. Any thread, after start(). */
     void incomingGone(const std::shared_ptr<PeerSocket> &socket);
--- a/modules/heatherridge_transport/cxx17/peersocket.cpp
+++ b/modules/heatherridge_transport/cxx17/peersocket.cpp
@@ -13,17 +13,17 @@
 namespace
 {
 
-constexpr long OpenTimeoutMs = 2000;
-constexpr long CloseTimeoutMs = 1000;
+constexpr long OpenHandshakeTimeoutMs = 2000;
+constexpr long CloseHandshakeTimeoutMs = 1000;
 
 /** The two roles differ in websocketpp's configuration alone; what follows serves both. */
 template<typename Endpoint>
-class SocketOver final : public PeerSocket
+class WebSocketPeer final : public PeerSocket
 {
 public:
     using Connection = typename Endpoint::connection_ptr;
 
-    explicit SocketOver(const Connection &connection)
+    explicit WebSocketPeer(const Connection &connection)
         : m_connection(connection)
     {
     }
@@ -56,7 +56,7 @@
 };
 
 template<typename Endpoint>
-void silence(Endpoint &endpoint)
+void disableLogging(Endpoint &endpoint)
 {
     endpoint.clear_access_channels(websocketpp::log::alevel::all);
     endpoint.clear_error_channels(websocketpp::log::elevel::all);
@@ -64,18 +64,19 @@
 
 /** Passes the events of @p connection on to @p events. */
 template<typename Endpoint>
-std::shared_ptr<PeerSocket> wire(const typename Endpoint::connection_ptr &connection, const PeerSocketEvents &events)
+std::shared_ptr<PeerSocket> attachEventHandlers(const typename Endpoint::connection_ptr &connection,
+                                                const PeerSocketEvents &events)
 {
     using Handle = websocketpp::connection_hdl;
-    auto socket = std::make_shared<SocketOver<Endpoint>>(connection);
+    auto socket = std::make_shared<WebSocketPeer<Endpoint>>(connection);
     connection->set_open_handler([socket, events](const Handle &) { events.opened(socket); });
     connection->set_message_handler([socket, events](const Handle &, const typename Endpoint::message_ptr &message) {
         const auto &payload = message->get_payload();
         events.received(socket, std::vector<std::uint8_t>(payload.begin(), payload.end()));
     });
-    const auto gone = [socket, events](const Handle &) { events.closed(socket); };
-    connection->set_close_handler(gone);
-    connection->set_fail_handler(gone);
+    const auto onClosed = [socket, events](const Handle &) { events.closed(socket); };
+    connection->set_close_handler(onClosed);
+    connection->set_fail_handler(onClosed);
     return socket;
 }
 
@@ -89,27 +90,27 @@
     Implementation(asio::io_context &loop, PeerSocketEvents events, std::size_t maxFrameBytes)
         : m_events(std::move(events))
     {
-        silence(m_server);
+        disableLogging(m_server);
         m_server.init_asio(&loop);
         m_server.set_reuse_addr(true);
         m_server.set_max_message_size(maxFrameBytes);
-        m_server.set_open_handshake_timeout(OpenTimeoutMs);
-        m_server.set_close_handshake_timeout(CloseTimeoutMs);
+        m_server.set_open_handshake_timeout(OpenHandshakeTimeoutMs);
+        m_server.set_close_handshake_timeout(CloseHandshakeTimeoutMs);
         m_server.set_tcp_post_init_handler([this](const websocketpp::connection_hdl &handle) {
             websocketpp::lib::error_code error;
             const auto connection = m_server.get_con_from_hdl(handle, error);
             if (!error) {
                 connection->get_raw_socket().set_option(asio::ip::tcp::no_delay(true));
-                wire<Server>(connection, m_events);
+                attachEventHandlers<Server>(connection, m_events);
             }
         });
     }
 
     std::string start(const std::string &address, int &port)
     {
-        asio::error_code addressError;
-        const auto ip = asio::ip::make_address(address, addressError);
-        if (addressError) {
+        asio::error_code parseError;
+        const auto ip = asio::ip::make_address(address, parseError);
+        if (parseError) {
             return "not an IP number: " + address;
         }
         websocketpp::lib::error_code error;
@@ -160,11 +161,11 @@
 
     Implementation(asio::io_context &loop, std::size_t maxFrameBytes)
     {
-        silence(m_client);
+        disableLogging(m_client);
         m_client.init_asio(&loop);
         m_client.set_max_message_size(maxFrameBytes);
-        m_client.set_open_handshake_timeout(OpenTimeoutMs);
-        m_client.set_close_handshake_timeout(CloseTimeoutMs);
+        m_client.set_open_handshake_timeout(OpenHandshakeTimeoutMs);
+        m_client.set_close_handshake_timeout(CloseHandshakeTimeoutMs);
         m_client.set_tcp_post_init_handler([this](const websocketpp::connection_hdl &handle) {
             websocketpp::lib::error_code error;
             const auto connection = m_client.get_con_from_hdl(handle, error);
@@ -177,14 +178,14 @@
 
     std::shared_ptr<PeerSocket> connect(const std::string &address, int port, const PeerSocketEvents &events)
     {
-        const bool version6 = address.find(':') != std::string::npos;
-        const auto host = version6 ? "[" + address + "]" : address;
+        const bool isIpv6 = address.find(':') != std::string::npos;
+        const auto host = isIpv6 ? "[" + address + "]" : address;
         websocketpp::lib::error_code error;
         const auto connection = m_client.get_connection("ws://" + host + ":" + std::to_string(port) + "/peer", error);
         if (error) {
             return nullptr;
         }
-        auto socket = wire<Client>(connection, events);
+        auto socket = attachEventHandlers<Client>(connection, events);
         m_client.connect(connection);
         return socket;
     }
--- a/modules/heatherridge_transport/link/controllinks.cpp
+++ b/modules/heatherridge_transport/link/controllinks.cpp
@@ -30,21 +30,21 @@
     link.isUp = false;
     link.socket =
         m_connector.connect(endpoint.address, endpoint.port,
-                            {.opened = [this, process](const auto &socket) { opened(process, socket.get()); },
+                            {.opened = [this, process](const auto &socket) { onOpened(process, socket.get()); },
                              .received =
                                  [this, process](const auto & /*socket*/, const Bytes &frame) {
                                      const auto envelope = decodeEnvelope(frame);
-                                     const auto *outer = std::get_if<Envelope>(&envelope);
-                                     if (outer == nullptr) {
+                                     const auto *decoded = std::get_if<Envelope>(&envelope);
+                                     if (decoded == nullptr) {
                                          ++m_malformedFrames;
-                                     } else if (outer->channel == Channel::Control) {
-                                         takeFrame(process, *outer);
+                                     } else if (decoded->channel == Channel::Control) {
+                                         dispatchFrame(process, *decoded);
                                      }
                                  },
-                             .closed = [this, process](const auto &socket) { closed(process, socket.get()); }});
+                             .closed = [this, process](const auto &socket) { onClosed(process, socket.get()); }});
 }
 
-void ControlLinks::opened(const ProcessName &process, const PeerSocket *socket)
+void ControlLinks::onOpened(const ProcessName &process, const PeerSocket *socket)
 {
     const auto link = m_outgoing.find(process);
     if (link == m_outgoing.end() || link->second.socket.get() != socket) {
@@ -56,7 +56,7 @@
     }
 }
 
-void ControlLinks::closed(const ProcessName &process, const PeerSocket *socket)
+void ControlLinks::onClosed(const ProcessName &process, const PeerSocket *socket)
 {
     const auto link = m_outgoing.find(process);
     if (link == m_outgoing.end() || link->second.socket.get() != socket) {
@@ -84,7 +84,7 @@
     }
 }
 
-void ControlLinks::takeIncoming(const IncomingControl &connection, const Envelope &envelope)
+void ControlLinks::onIncomingFrame(const IncomingControlLink &connection, const Envelope &envelope)
 {
     const auto known = m_incoming.find(envelope.sender);
     if (known == m_incoming.end() || known->second.socket != connection.socket) {
@@ -93,10 +93,10 @@
         }
         m_incoming[envelope.sender] = connection;
     }
-    takeFrame(envelope.sender, envelope);
+    dispatchFrame(envelope.sender, envelope);
 }
 
-void ControlLinks::incomingGone(const PeerSocket *socket)
+void ControlLinks::onIncomingClosed(const PeerSocket *socket)
 {
     for (auto peer = m_incoming.begin(); peer != m_incoming.end(); ++peer) {
         if (peer->second.socket.get() == socket) {
@@ -108,7 +108,7 @@
     }
 }
 
-void ControlLinks::takeFrame(const ProcessName &from, const Envelope &envelope)
+void ControlLinks::dispatchFrame(const ProcessName &from, const Envelope &envelope)
 {
     const auto message = decodeControlMessage(envelope.payload);
     if (const auto *typed = std::get_if<ControlMessage>(&message)) {
--- a/modules/heatherridge_transport/link/controllinks.h
+++ b/modules/heatherridge_transport/link/controllinks.h
@@ -13,7 +13,7 @@
 {
 
 /** A connection that a peer opened to this process and that another thread owns. */
-struct IncomingControl
+struct IncomingControlLink
 {
     std::shared_ptr<PeerSocket> socket{}; ///< tells one connection from another; not used on the control thread
     std::function<void(Bytes)> send{}; ///< sends one frame; any thread
@@ -39,10 +39,10 @@
     void send(const ProcessName &process, const ControlMessage &message) override;
 
     /** Takes a control frame that came over a connection which its sender opened. */
-    void takeIncoming(const IncomingControl &connection, const Envelope &envelope);
+    void onIncomingFrame(const IncomingControlLink &connection, const Envelope &envelope);
 
     /** A connection that a peer opened is gone. */
-    void incomingGone(const PeerSocket *socket);
+    void onIncomingClosed(const PeerSocket *socket);
 
     /** Frames that could not be read. */
     std::uint64_t malformedFrames() const;
@@ -51,21 +51,21 @@
     void close();
 
 private:
-    struct Outgoing
+    struct OutgoingLink
     {
         std::shared_ptr<PeerSocket> socket{};
         bool isUp = false;
     };
 
-    void opened(const ProcessName &process, const PeerSocket *socket);
-    void closed(const ProcessName &process, const PeerSocket *socket);
-    void takeFrame(const ProcessName &from, const Envelope &envelope);
+    void onOpened(const ProcessName &process, const PeerSocket *socket);
+    void onClosed(const ProcessName &process, const PeerSocket *socket);
+    void dispatchFrame(const ProcessName &from, const Envelope &envelope);
 
     const FrameEncoder &m_encoder;
     PeerConnector m_connector;
     ConfigRelay *m_relay = nullptr;
-    std::map<ProcessName, Outgoing> m_outgoing;
-    std::map<ProcessName, IncomingControl> m_incoming; ///< the newest connection of each peer
+    std::map<ProcessName, OutgoingLink> m_outgoing;
+    std::map<ProcessName, IncomingControlLink> m_incoming; ///< the newest connection of each peer
     std::uint64_t m_malformedFrames = 0;
 };
 
--- a/modules/heatherridge_transport/platform/hostlistreader.cpp
+++ b/modules/heatherridge_transport/platform/hostlistreader.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr int StatusOk = 200;
-constexpr std::size_t MostListBytes = 4UL << 20U;
+constexpr std::size_t MaxListBytes = 4UL << 20U;
 
 } // namespace
 
@@ -21,50 +21,50 @@
     }
     std::vector<HostListEntry> hosts;
     hosts.reserve(list["hosts"].size());
-    for (const auto &line : list["hosts"]) {
-        const bool readable = line.is_object() && line.contains("host") && line["host"].is_string()
-            && line.contains("state") && line["state"].is_string();
-        if (!readable) {
+    for (const auto &entry : list["hosts"]) {
+        const bool isReadable = entry.is_object() && entry.contains("host") && entry["host"].is_string()
+            && entry.contains("state") && entry["state"].is_string();
+        if (!isReadable) {
             return std::nullopt;
         }
         // A state of a later release says nothing that may take a host away or bring it back: it is passed over.
-        const auto state = line["state"].get<std::string>();
+        const auto state = entry["state"].get<std::string>();
         if (state == "live" || state == "leaving") {
-            hosts.push_back({.host = HostName(line["host"].get<std::string>()),
+            hosts.push_back({.host = HostName(entry["host"].get<std::string>()),
                              .state = state == "live" ? HostState::Live : HostState::Leaving});
         }
     }
     return hosts;
 }
 
-HostListReader::HostListReader(HttpClient &client, Options options, Taken taken)
+HostListReader::HostListReader(HttpClient &client, Options options, ListHandler onList)
     : m_client(client)
     , m_options(std::move(options))
-    , m_taken(std::move(taken))
+    , m_onList(std::move(onList))
 {
 }
 
 void HostListReader::tick(SteadyTime now)
 {
-    if (m_reading || now < m_next) {
+    if (m_isReading || now < m_nextReadAt) {
         return;
     }
-    m_reading = true;
-    m_next = now + m_options.period;
+    m_isReading = true;
+    m_nextReadAt = now + m_options.period;
     m_client.send(
         {.endpoint = m_options.endpoint, .request = {.method = "GET", .path = "/hosts"}, .timeout = m_options.timeout},
         [this](const std::variant<HttpResponse, HttpClient::Failure> &result) {
-            m_reading = false;
+            m_isReading = false;
             const auto *response = std::get_if<HttpResponse>(&result);
             const auto hosts =
                 response != nullptr && response->status == StatusOk ? parseHostList(response->body) : std::nullopt;
             if (hosts) {
-                m_taken(*hosts);
+                m_onList(*hosts);
             } else {
                 ++m_failures;
             }
         },
-        MostListBytes);
+        MaxListBytes);
 }
 
 std::uint64_t HostListReader::failures() const
--- a/modules/heatherridge_transport/platform/hostlistreader.h
+++ b/modules/heatherridge_transport/platform/hostlistreader.h
@@ -30,10 +30,10 @@
     };
 
     /** Called with each list. */
-    using Taken = std::function<void(const std::vector<HostListEntry> &)>;
+    using ListHandler = std::function<void(const std::vector<HostListEntry> &)>;
 
     /** Uses @p client, which must outlive it. */
-    HostListReader(HttpClient &client, Options options, Taken taken);
+    HostListReader(HttpClient &client, Options options, ListHandler onList);
 
     /** Starts a read when one is due at @p now. */
     void tick(SteadyTime now);
@@ -44,9 +44,9 @@
 private:
     HttpClient &m_client;
     Options m_options;
-    Taken m_taken;
-    SteadyTime m_next{};
-    bool m_reading = false;
+    ListHandler m_onList;
+    SteadyTime m_nextReadAt{};
+    bool m_isReading = false;
     std::uint64_t m_failures = 0;
 };
 
--- a/modules/heatherridge_transport/platform/httplogservice.cpp
+++ b/modules/heatherridge_transport/platform/httplogservice.cpp
@@ -16,13 +16,13 @@
     return Error{.kind = ErrorKind::PlatformUnavailable, .detail = "log: " + reason, .ran = ran};
 }
 
-std::string pathOf(const StreamName &stream)
+std::string recordsPath(const StreamName &stream)
 {
     return "/streams/" + stream.text() + "/records";
 }
 
 /** Reads the offset out of the answer to an append. */
-Result<LogOffset> offsetFrom(const HttpResponse &response)
+Result<LogOffset> parseOffset(const HttpResponse &response)
 {
     if (response.status != StatusOk) {
         // A refusal of the request proves that nothing was appended. A server error does not: it may come from a
@@ -30,14 +30,14 @@
         const auto ran = response.status < FirstServerError ? ExecutionStatus::No : ExecutionStatus::Unknown;
         return unavailable("status " + std::to_string(response.status), ran);
     }
-    const auto answer = nlohmann::json::parse(response.body, nullptr, false);
-    if (!answer.is_object() || !answer.contains("offset") || !answer["offset"].is_number_unsigned()) {
+    const auto body = nlohmann::json::parse(response.body, nullptr, false);
+    if (!body.is_object() || !body.contains("offset") || !body["offset"].is_number_unsigned()) {
         return unavailable("answer without an offset", ExecutionStatus::Unknown);
     }
-    return static_cast<LogOffset>(answer["offset"].get<std::uint64_t>());
+    return static_cast<LogOffset>(body["offset"].get<std::uint64_t>());
 }
 
-Result<LogRecord> recordFrom(const nlohmann::json &map)
+Result<LogRecord> parseRecord(const nlohmann::json &map)
 {
     CborReader reader(map);
     LogRecord record{.offset = static_cast<LogOffset>(reader.number("o")),
@@ -49,7 +49,7 @@
     return record;
 }
 
-Result<LogPage> pageFrom(const HttpResponse &response)
+Result<LogPage> parsePage(const HttpResponse &response)
 {
     if (response.status != StatusOk) {
         return unavailable("status " + std::to_string(response.status), ExecutionStatus::No);
@@ -66,7 +66,7 @@
         return unavailable("damaged page", ExecutionStatus::No);
     }
     for (const auto &entry : *records) {
-        auto record = recordFrom(entry);
+        auto record = parseRecord(entry);
         if (const auto *error = errorIn(record)) {
             return *error;
         }
@@ -85,7 +85,8 @@
 
 void HttpLogService::append(const StreamName &stream, Bytes payload, AppendDone done)
 {
-    HttpRequest request{.method = "POST", .path = pathOf(stream), .body = std::string(payload.begin(), payload.end())};
+    HttpRequest request{
+        .method = "POST", .path = recordsPath(stream), .body = std::string(payload.begin(), payload.end())};
     request.headers.push_back({.name = "Content-Type", .value = "application/octet-stream"});
     // A fresh connection: libcurl would repeat an append on its own when a reused one breaks, and a doubled record,
     // though folded once, costs the log's rate.
@@ -98,7 +99,7 @@
                           done(unavailable(failure->reason,
                                            failure->mayHaveArrived ? ExecutionStatus::Unknown : ExecutionStatus::No));
                       } else {
-                          done(offsetFrom(std::get<HttpResponse>(result)));
+                          done(parseOffset(std::get<HttpResponse>(result)));
                       }
                   });
 }
@@ -107,7 +108,7 @@
                           ReadDone done)
 {
     HttpRequest request{.method = "GET",
-                        .path = pathOf(stream),
+                        .path = recordsPath(stream),
                         .query = "from=" + std::to_string(toNumber(from)) + "&most=" + std::to_string(most)
                             + "&wait-ms=" + std::to_string(wait.count())};
     m_client.send({.endpoint = m_options.endpoint, .request = std::move(request), .timeout = m_options.timeout + wait},
@@ -115,7 +116,7 @@
                       if (const auto *failure = std::get_if<HttpClient::Failure>(&result)) {
                           done(unavailable(failure->reason, ExecutionStatus::No));
                       } else {
-                          done(pageFrom(std::get<HttpResponse>(result)));
+                          done(parsePage(std::get<HttpResponse>(result)));
                       }
                   });
 }
--- a/tests/transport/peersocket_test.cpp
+++ b/tests/transport/peersocket_test.cpp
@@ -10,9 +10,9 @@
 
 using Frame = std::vector<std::uint8_t>;
 
-constexpr std::size_t FrameLimit = 1000;
+constexpr std::size_t FrameLimitBytes = 1000;
 
-TEST(PeerSocket, FramesArriveWholeInOrderAndBothWays)
+TEST(PeerSocket, EchoesFramesUnalteredAndInOrder)
 {
     constexpr int count = 50;
     asio::io_context loop;
@@ -20,23 +20,23 @@
     PeerListener listener(
         loop,
         {[](const auto &) {}, [](const auto &socket, const Frame &frame) { socket->send(frame); }, [](const auto &) {}},
-        FrameLimit);
+        FrameLimitBytes);
     int port = 0;
     ASSERT_EQ(listener.start("127.0.0.1", port), "");
-    PeerConnector connector(loop, FrameLimit);
-    const auto sendAll = [](const std::shared_ptr<PeerSocket> &socket) {
+    PeerConnector connector(loop, FrameLimitBytes);
+    const auto sendFrames = [](const std::shared_ptr<PeerSocket> &socket) {
         for (int i = 0; i < count; ++i) {
             socket->send(Frame(static_cast<std::size_t>(i + 1), static_cast<std::uint8_t>(i)));
         }
     };
-    const auto collect = [&](const std::shared_ptr<PeerSocket> &socket, const Frame &frame) {
+    const auto collectEcho = [&](const std::shared_ptr<PeerSocket> &socket, const Frame &frame) {
         echoed.push_back(frame);
         if (echoed.size() == count) {
             socket->close();
             listener.stop();
         }
     };
-    connector.connect("127.0.0.1", port, {sendAll, collect, [](const auto &) {}});
+    connector.connect("127.0.0.1", port, {sendFrames, collectEcho, [](const auto &) {}});
     loop.run();
     ASSERT_EQ(echoed.size(), count);
     for (int i = 0; i < count; ++i) {
@@ -47,27 +47,31 @@
 
 // A process sends a frame beyond the bound, by fault or malice. The connection closes; the listener goes on, so that
 // one bad peer takes no memory and harms no other.
-TEST(PeerSocket, AnOversizedFrameClosesItsConnectionAlone)
+TEST(PeerSocket, ClosesOnlyTheConnectionWithAnOversizedFrame)
 {
     asio::io_context loop;
     int received = 0;
     int closed = 0;
-    PeerListener listener(
-        loop, {[](const auto &) {}, [&](const auto &, const Frame &) { ++received; }, [](const auto &) {}}, FrameLimit);
+    PeerListener listener(loop,
+                          {[](const auto &) {}, [&](const auto &, const Frame &) { ++received; }, [](const auto &) {}},
+                          FrameLimitBytes);
     int port = 0;
     ASSERT_EQ(listener.start("127.0.0.1", port), "");
-    PeerConnector connector(loop, FrameLimit);
-    const auto hostile = [](const std::shared_ptr<PeerSocket> &socket) { socket->send(Frame(FrameLimit + 1)); };
-    const auto honest = [](const std::shared_ptr<PeerSocket> &socket) {
-        socket->send(Frame(FrameLimit));
+    PeerConnector connector(loop, FrameLimitBytes);
+    const auto sendOversizedFrame = [](const std::shared_ptr<PeerSocket> &socket) {
+        socket->send(Frame(FrameLimitBytes + 1));
+    };
+    const auto sendLargestFrame = [](const std::shared_ptr<PeerSocket> &socket) {
+        socket->send(Frame(FrameLimitBytes));
         socket->close();
     };
-    const auto goOn = [&](const auto &) {
+    const auto reconnect = [&](const auto &) {
         ++closed;
-        connector.connect("127.0.0.1", port,
-                          {honest, [](const auto &, const Frame &) {}, [&](const auto &) { listener.stop(); }});
+        connector.connect(
+            "127.0.0.1", port,
+            {sendLargestFrame, [](const auto &, const Frame &) {}, [&](const auto &) { listener.stop(); }});
     };
-    connector.connect("127.0.0.1", port, {hostile, [](const auto &, const Frame &) {}, goOn});
+    connector.connect("127.0.0.1", port, {sendOversizedFrame, [](const auto &, const Frame &) {}, reconnect});
     loop.run();
     EXPECT_EQ(received, 1);
     EXPECT_EQ(closed, 1);
