--- a/tests/gateway/logclient_test.cpp
+++ b/tests/gateway/logclient_test.cpp
@@ -31,7 +31,7 @@
             m_http = std::make_unique<HttpClient>(m_loop.context(), HttpClient::Options{});
             m_client = std::make_shared<LogClient>(
                 *m_http, LogClient::Options{.endpoint = m_log.endpoint()},
-                LogEvents{.restored = [this](const auto &restored) { m_restored.push_back(restored.after); },
+                LogEvents{.restored = [this](const auto &restored) { m_restored.push_back(restored.newCount); },
                           .malformed = [this](auto) { ++m_malformed; }});
         });
     }
