--- a/modules/heatherridge_transport/direct/callerconnection.cpp
+++ b/modules/heatherridge_transport/direct/callerconnection.cpp
@@ -8,7 +8,7 @@
 namespace Heatherridge
 {
 
-/** The answer to the request that a connection reads at present. */
+/** The exchange for the current request of a connection. */
 class CallerExchange final : public HttpExchange
 {
 public:
@@ -92,7 +92,7 @@
         m_onClosed = std::move(closed);
     }
 
-    /** The caller has gone before the answer's end. */
+    /** Called when the caller disconnects before the end of the response. */
     void onCallerDisconnected()
     {
         m_connection.reset();
@@ -109,7 +109,7 @@
         connection->onResponseFinished(keepAlive);
     }
 
-    std::shared_ptr<CallerConnection> m_connection; ///< null once the answer has ended
+    std::shared_ptr<CallerConnection> m_connection; ///< null once the response has ended
     HttpRequest m_request;
     std::function<void()> m_onClosed;
     bool m_keepAlive = true;
@@ -161,7 +161,7 @@
 
 void CallerConnection::start()
 {
-    asio::error_code ignored; // a socket without the option still works, only later
+    asio::error_code ignored; // without this option the socket still works, with higher latency
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     read();
 }
@@ -212,7 +212,7 @@
         return;
     }
     setPhase(Phase::Closed);
-    asio::error_code ignored; // nothing can be done about a socket that does not close
+    asio::error_code ignored; // a close that fails cannot be handled
     m_socket.close(ignored);
 }
 
@@ -243,7 +243,7 @@
         return;
     }
     if (m_phase == Phase::Closing) {
-        read(); // what comes behind the last answer is thrown away
+        read(); // discards data received after the last response
         return;
     }
     if (m_phase == Phase::Answering) {
@@ -392,7 +392,7 @@
     }
     setPhase(Phase::Closing);
     m_pending.clear();
-    asio::error_code ignored; // a caller that has gone has no use for the end either
+    asio::error_code ignored; // fails if the caller has disconnected already
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     read();
 }
--- a/modules/heatherridge_transport/direct/callerconnection.h
+++ b/modules/heatherridge_transport/direct/callerconnection.h
@@ -16,7 +16,7 @@
 
 class CallerExchange;
 
-/** What all connections of one CallerServer share. */
+/** State that all connections of one CallerServer share. */
 struct CallerServerState
 {
     CallerServer::Handler handler{};
@@ -30,17 +30,20 @@
 };
 
 /**
- * One connection of a caller: reads requests, one at a time, and writes their answers. On the loop's thread alone;
- * lives as long as an operation on its socket or an exchange holds it.
+ * One caller's connection: reads requests one at a time and writes their responses.
+ *
+ * Used only on the loop's thread. Kept alive by pending socket operations and by the exchange in progress.
  */
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
 public:
-    /** Bytes of later requests that are kept while one is answered; a caller that sends more is not read. */
+    /** Limit for buffered bytes of pipelined requests. Above it, reading stops until the current response is finished.
+     */
     static constexpr std::size_t MaxPendingBytes = 64UL << 10U;
-    /** How long a closing connection waits for the caller's own close, so that the last answer is not reset away. */
+    /** How long a closing connection waits for the caller to close, so that a reset does not discard the last response.
+     */
     static constexpr std::chrono::milliseconds LingerTimeout{1'000};
-    /** A caller that takes nothing of its answer for so long is dropped. */
+    /** A write that takes longer than this disconnects the caller. */
     static constexpr std::chrono::milliseconds WriteTimeout{15'000};
 
     CallerConnection(asio::ip::tcp::socket socket, std::shared_ptr<CallerServerState> server);
@@ -49,26 +52,26 @@
     CallerConnection(const CallerConnection &) = delete;
     CallerConnection &operator=(const CallerConnection &) = delete;
 
-    /** Begins to read. */
+    /** Starts reading. */
     void start();
 
-    /** Ends what has waited too long. Called every few hundred milliseconds. */
+    /** Enforces the timeouts at the time @p now. Called every few hundred milliseconds. */
     void tick(SteadyTime now);
 
-    /** Closes the connection unless a request is on its way. */
+    /** Closes the connection unless a request is in progress. */
     void closeIfIdle();
 
-    /** Closes at once. */
+    /** Closes the connection immediately. */
     void close();
 
 private:
     friend class CallerExchange;
 
     enum class Phase {
-        Waiting, ///< for the first byte of a request
+        Waiting, ///< until the first byte of a request arrives
         Receiving,
         Answering,
-        Closing, ///< the last answer has been written
+        Closing, ///< the last response has been written
         Closed,
     };
 
@@ -97,13 +100,13 @@
     std::shared_ptr<CallerServerState> m_server;
     HttpMessageReader m_reader;
     std::array<char, 8192> m_buffer{};
-    std::string m_pending; ///< bytes behind the present request
+    std::string m_pending; ///< bytes received after the current request
     HttpRequest m_request;
-    bool m_isKeepAlive = true; ///< the caller keeps the connection
+    bool m_isKeepAlive = true; ///< the current request allows reuse of the connection
     bool m_isHttp10 = false;
     bool m_expectsContinue = false;
-    std::optional<ErrorKind> m_rejection; ///< why the present request is not taken
-    std::weak_ptr<CallerExchange> m_exchange; ///< of the present request
+    std::optional<ErrorKind> m_rejection; ///< why the current request is rejected
+    std::weak_ptr<CallerExchange> m_exchange; ///< of the current request
     std::deque<PendingWrite> m_pendingWrites;
     bool m_isWriting = false;
     bool m_isReading = false;
--- a/modules/heatherridge_transport/direct/callerserver.cpp
+++ b/modules/heatherridge_transport/direct/callerserver.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 
-/** How often connections are looked over for timeouts; the shortest of them is a second. */
+/** Interval between timeout checks of all connections; the shortest timeout is one second. */
 constexpr std::chrono::milliseconds SweepPeriod{250};
-/** New connections that the kernel may queue; when it is full an opening packet is lost for a second. */
+/** Length of the kernel's accept queue. While it is full, SYN packets are dropped and retried after one second. */
 constexpr int Backlog = 512;
 
 } // namespace
@@ -45,7 +45,7 @@
         asio::error_code error;
         const auto address = asio::ip::make_address(m_options.listen.address, error);
         if (error) {
-            return Error{.detail = "not an IP number: " + m_options.listen.address};
+            return Error{.detail = "not an IP address: " + m_options.listen.address};
         }
         const tcp::endpoint endpoint(address, static_cast<std::uint16_t>(m_options.listen.port));
         m_acceptor.open(endpoint.protocol(), error);
@@ -64,7 +64,7 @@
 
     void stop()
     {
-        asio::error_code ignored; // the process ends either way
+        asio::error_code ignored; // the process is about to exit
         m_acceptor.close(ignored);
         m_sweepTimer.cancel();
         for (const auto &connection : openConnections()) {
@@ -104,7 +104,7 @@
         m_accepted.add();
         if (m_connections.size() >= m_options.maxConnections) {
             m_refused.add();
-            return; // the socket closes here: nothing of a request has been read
+            return; // destroys the socket, which closes it; no part of a request has been read
         }
         const auto connection = std::make_shared<CallerConnection>(std::move(socket), m_state);
         m_connections.push_back(connection);
--- a/modules/heatherridge_transport/direct/callerserver.h
+++ b/modules/heatherridge_transport/direct/callerserver.h
@@ -16,24 +16,27 @@
 {
 
 /**
- * Callers' HTTP/1.1 server of a gateway, on one Asio loop.
+ * HTTP/1.1 server for the callers of a gateway, on one Asio loop.
  *
- * HttpServer hides from its handlers what a gateway has to act on: headers that are too large or too slow get an answer
- * of their own here, a caller that leaves is noticed while its request runs, kept connections end only between
- * requests, and bounds change with each configuration. All methods and callbacks on the loop's thread.
+ * Handles cases that HttpServer hides from its handlers: headers that are too large or arrive too slowly get their own
+ * error response, a caller that disconnects is detected while its request is in progress, persistent connections are
+ * closed only between requests, and the limits change with each configuration. All methods and callbacks run on the
+ * loop's thread.
  */
 class CallerServer
 {
 public:
     struct Options
     {
-        Endpoint listen{}; ///< port 0 lets the kernel choose
-        std::size_t maxConnections = 1'000; ///< further ones are closed at once; from the limit of descriptors
+        Endpoint listen{}; ///< port 0 lets the kernel choose a port
+        std::size_t maxConnections =
+            1'000; ///< further ones are closed immediately; derived from the file descriptor limit
     };
 
-    /** Called for each request with its whole body. */
+    /** Called for each request once its body is complete. */
     using Handler = std::function<void(std::shared_ptr<HttpExchange>)>;
-    /** Answers a request that is refused before it is whole: the bad head or body, told by kind. */
+    /** Returns the response to a request that is rejected before it is complete; @p kind states what is wrong with it.
+     */
     using RejectionHandler = std::function<HttpResponse(ErrorKind kind)>;
 
     CallerServer(asio::io_context &loop, Options options, Handler handler, RejectionHandler makeRejection,
@@ -43,22 +46,22 @@
     CallerServer(const CallerServer &) = delete;
     CallerServer &operator=(const CallerServer &) = delete;
 
-    /** Starts to listen. @returns where, or an error of kind Internal */
+    /** Starts listening. @returns the endpoint listened on, or an error of kind Internal */
     Result<Endpoint> start();
 
-    /** What callers may send from now on. */
+    /** Sets the limits on what callers may send from now on. */
     void setBounds(const ClientLimits &bounds);
 
-    /** From now on each answer ends its connection. New connections are still served. */
+    /** Makes each further response close its connection. New connections are still served. */
     void beginDrain();
 
-    /** Closes kept connections that have no request. */
+    /** Closes the persistent connections that have no request in progress. */
     void closeIdleConnections();
 
-    /** Connections with a request that has not been answered in whole. */
+    /** Returns the number of connections whose current response is not complete. */
     std::size_t busyConnections() const;
 
-    /** Closes everything. */
+    /** Stops listening and closes all connections. */
     void stop();
 
 private:
--- a/modules/heatherridge_transport/direct/coalescedreader.h
+++ b/modules/heatherridge_transport/direct/coalescedreader.h
@@ -10,11 +10,12 @@
 {
 
 /**
- * Reads one thing for all who ask, one reading at a time.
+ * Coalesces concurrent requests for one value into a single read at a time.
  *
- * Every gateway asks every sidecar several times a second, and all at once after a start or a change: a connection to
- * the engine for each question costs a handshake each, since few can be kept. Who asks while a reading is open shares
- * the next one, not that one: what it tells must be as it was after the question. One thread.
+ * Every gateway queries every sidecar several times a second, and all of them at the same time after a start or a
+ * change. One engine connection per query would cost one handshake each, since few connections can be kept open. A
+ * request made while a read is in progress shares the next read, not the current one, because its result must not be
+ * older than the request. Not thread-safe.
  */
 template<typename T>
 class CoalescedReader
@@ -22,13 +23,13 @@
 public:
     using Done = std::function<void(const Result<T> &)>;
 
-    /** @param read begins a reading and calls back when it has ended, not at once */
+    /** @param read starts a read and calls back when it has finished, never before it returns */
     explicit CoalescedReader(std::function<void(std::function<void(Result<T>)>)> read)
         : m_startRead(std::move(read))
     {
     }
 
-    /** Tells @p done what the next reading says. */
+    /** Calls @p done with the result of the next read that starts. */
     void request(Done done)
     {
         m_waiting.push_back(std::move(done));
@@ -37,7 +38,7 @@
         }
     }
 
-    /** Whether nobody waits for anything. */
+    /** Returns whether no read is in progress and no request waits. */
     bool isIdle() const
     {
         return !m_isReading && m_waiting.empty();
--- a/modules/heatherridge_transport/direct/httptext.h
+++ b/modules/heatherridge_transport/direct/httptext.h
@@ -10,10 +10,10 @@
 namespace Heatherridge
 {
 
-/** The end of a body in chunks. */
+/** The last chunk of a chunked body. */
 constexpr std::string_view LastChunk = "0\r\n\r\n";
 
-/** How a response's body is delimited. */
+/** How the body of a response is delimited. */
 struct ResponseFraming
 {
     std::optional<std::size_t> contentLength{};
@@ -21,18 +21,18 @@
     bool keepsConnection = true;
 };
 
-/** Status line, @p headers but those that concern one connection, and those that @p framing asks for. */
+/** Returns the status line, the end-to-end headers among @p headers, and the headers that @p framing requires. */
 std::string responseHeadText(int status, const std::vector<HttpHeader> &headers, const ResponseFraming &framing);
 
-/** Request line, @p headers as they are, and the body's length where there is or may be a body. */
+/** Returns a request with @p headers unchanged, plus Content-Length if it has a body or its method allows one. */
 std::string requestText(std::string_view method, std::string_view target, const std::vector<HttpHeader> &headers,
                         std::string_view body);
 
-/** @p bytes as one chunk. */
+/** Returns @p bytes encoded as one chunk. */
 std::string chunkText(std::string_view bytes);
 
 /**
- * @p headers without those that concern one connection: the fixed ones of HTTP/1.1 and those that `Connection` names.
+ * Returns @p headers without the hop-by-hop headers: those that HTTP/1.1 defines and those that `Connection` lists.
  */
 std::vector<HttpHeader> endToEndHeaders(const std::vector<HttpHeader> &headers);
 
--- a/modules/heatherridge_transport/direct/sidecarrankclient.cpp
+++ b/modules/heatherridge_transport/direct/sidecarrankclient.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** How old a status is that a sidecar read when it was asked: the way to and fro. */
+/** Maximum age of a status that the sidecar reads on request: one round trip to the sidecar. */
 constexpr std::chrono::milliseconds FreshStatusAge{10};
 constexpr int OkStatus = 200;
 
@@ -57,7 +57,7 @@
     auto call = makeCall(target, SidecarPaths::Counts, {});
     call.request.query = std::string(SidecarPaths::SinceParameter) + "=" + std::to_string(received.listener.mark());
     const auto unavailable = [done] {
-        done(Error{.kind = ErrorKind::TargetUnreachable, .detail = "the process beside the rank does not answer"});
+        done(Error{.kind = ErrorKind::TargetUnreachable, .detail = "the sidecar of the rank does not answer"});
     };
     query<RankCounts>(
         target, call, [this, target](std::string_view bytes) { return decodeCounts(target, bytes); }, unavailable,
@@ -74,7 +74,7 @@
     const auto counts =
         received.target == target.id ? received.listener.take(std::get<CountsReading>(decoded)) : std::nullopt;
     if (!counts) {
-        return Error{.kind = ErrorKind::BackendFailed, .detail = "counts since another reading"};
+        return Error{.kind = ErrorKind::BackendFailed, .detail = "counts are relative to an unknown reading"};
     }
     return *counts;
 }
@@ -89,9 +89,10 @@
 void SidecarRankClient::sendOrder(const TargetEntry &target, const RankOrder &order, std::uint64_t epoch,
                                   std::function<void(OrderReply)> done)
 {
-    // From the hold on an order goes straight to the engine: if the sidecar's machine freezes with the order's answer
-    // on its way, nobody can tell what its rank has done, and the group stands still until it wakes (6.8 s, against 1.2
-    // s when this process freezes and another takes over). What comes before is free through the sidecar.
+    // From the hold on, orders go directly to the engine. If the sidecar's machine froze while an answer to such an
+    // order was in flight, the state of its rank would be unknown, and the group would stand still until the machine
+    // resumed (6.8 s, versus 1.2 s if this process freezes and another one takes over). Earlier orders carry no such
+    // risk.
     const bool isBeforeHold = std::holds_alternative<PrepareMap>(order);
     if (isBypassed(target) || !isBeforeHold) {
         m_direct->sendOrder(target, order, epoch, std::move(done));
@@ -105,7 +106,7 @@
                           m_orderTimeout.recordTimeout();
                           recordFailure(target);
                           if (failure->mayHaveArrived) {
-                              done(OrderReply::NoAnswer); // given again, it goes past the sidecar
+                              done(OrderReply::NoAnswer); // a retry bypasses the sidecar
                           } else {
                               m_direct->sendOrder(target, order, epoch, done);
                           }
@@ -141,11 +142,12 @@
             recordSuccess(target);
             const auto &response = std::get<HttpResponse>(result);
             if (response.status == errorDescriptorFor(ErrorKind::NotFound).httpStatus) {
-                done(Error{.kind = ErrorKind::NotFound, .detail = "another run of the engine"});
+                done(Error{.kind = ErrorKind::NotFound, .detail = "the sidecar serves another run of the engine"});
                 return;
             }
             if (response.status != OkStatus) {
-                done(Error{.kind = ErrorKind::BackendFailed, .detail = "status " + std::to_string(response.status)});
+                done(Error{.kind = ErrorKind::BackendFailed,
+                           .detail = "sidecar answered with status " + std::to_string(response.status)});
                 return;
             }
             done(decode(response.body));
--- a/modules/heatherridge_transport/direct/sidecarrankclient.h
+++ b/modules/heatherridge_transport/direct/sidecarrankclient.h
@@ -13,43 +13,45 @@
 namespace Heatherridge
 {
 
-/** Where a sidecar's calls are found; what both sides agree on. */
+/** HTTP paths and names that a sidecar and its clients share. */
 namespace SidecarPaths
 {
 constexpr std::string_view Status = "/rank/status";
 constexpr std::string_view Counts = "/rank/counts";
 constexpr std::string_view Experts = "/rank/experts";
 constexpr std::string_view Order = "/rank/order";
-/** Names the run of the engine that is meant. */
+/** Header with the target name, which identifies one run of the engine. */
 constexpr std::string_view TargetHeader = "Rank-Target";
-/** Of a question for counts: the mark of the reading that they are to be told since. */
+/** Query parameter of a counts request: the mark of the reading to which the returned counts are relative. */
 constexpr std::string_view SinceParameter = "since";
 } // namespace SidecarPaths
 
 /**
- * Reaches ranks through the processes beside them, and directly where there is none.
+ * Controls ranks through their sidecars, and directly where there is no sidecar.
  *
- * What a sidecar reads is fresh and does not pause the group, and costs nothing beside the sidecar itself. One that
- * does not answer is passed over for a while: it may be frozen while its engine works. Orders to hold, arm, disarm and
- * release go straight to the engine. Counts are never read past a sidecar: that pauses the whole group, the longer the
- * larger the model, and the other ranks' counts tell the same. On the thread of the client's loop.
+ * Reads through a sidecar are fresh, do not pause the group and cost nothing apart from the sidecar itself. A sidecar
+ * that does not answer is bypassed for a while, because it may be frozen while its engine still works. Orders to hold,
+ * arm, disarm and release go directly to the engine. If a sidecar exists, counts are never read directly: a direct read
+ * pauses the whole group, longer for larger models, and the counts of the other ranks carry the same information. Runs
+ * on the thread of the client's loop.
  */
 class SidecarRankClient final : public RankControl
 {
 public:
     struct Options
     {
-        int port = 0; ///< at which every sidecar listens, on its engine's host
-        std::chrono::milliseconds readTimeout{250}; ///< for a status or counts
-        /** For an order; the sidecar's own wait for its engine is a part of each answer. */
+        int port = 0; ///< on which every sidecar listens, on the host of its engine; 0 if there are no sidecars
+        std::chrono::milliseconds readTimeout{250}; ///< for reads of status, counts and experts
+        /** For orders. Each answer time includes the sidecar's wait for its engine. */
         AnswerTimeout::Options orderTimeout{.minimum = std::chrono::milliseconds(50),
                                             .maximum = std::chrono::milliseconds(130)};
         std::chrono::milliseconds initialBackoff{
-            1'000}; ///< how long a sidecar is passed over; a restart takes about as long
-        std::chrono::milliseconds maxBackoff{4'000}; ///< doubles up to this for one that stays silent
+            1'000}; ///< first bypass of a silent sidecar; about the time of a restart
+        std::chrono::milliseconds maxBackoff{
+            4'000}; ///< limit for the bypass time, which doubles with each further failure
     };
 
-    /** Uses @p client and @p metrics, which must outlive it. @param direct takes over where there is no sidecar */
+    /** Uses @p client and @p metrics, which must outlive it. @param direct reaches the engines without a sidecar */
     SidecarRankClient(HttpClient &client, Options options, std::unique_ptr<RankControl> direct, Metrics &metrics);
 
     std::chrono::milliseconds maxStatusAge(const TargetEntry &target) const override;
@@ -65,13 +67,13 @@
                std::function<Result<T>(std::string_view)> decode, std::function<void()> direct,
                std::function<void(Result<T>)> done);
     HttpClient::Call makeCall(const TargetEntry &target, std::string_view path,
-                              std::string body) const; ///< a body: an order
+                              std::string body) const; ///< sends an order if @p body is not empty
     Result<RankCounts> decodeCounts(const TargetEntry &target, std::string_view bytes);
     bool isBypassed(const TargetEntry &target) const;
     void recordFailure(const TargetEntry &target);
     void recordSuccess(const TargetEntry &target);
 
-    /** Since when a sidecar does not answer, as long as it does not. */
+    /** Bypass state of a sidecar that did not answer; removed when it answers again. */
     struct Backoff
     {
         std::chrono::milliseconds duration{};
@@ -83,7 +85,7 @@
     std::unique_ptr<RankControl> m_direct;
     AnswerTimeout m_orderTimeout;
     Counter &m_bypasses;
-    /** What the sidecar at an address has told of its rank's counts. */
+    /** Counts received from the sidecar at one address. */
     struct ReceivedCounts
     {
         TargetName target{};
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -20,10 +20,10 @@
 namespace
 {
 
-/** Open exchanges with the engine end within this, or their keepers have given up. */
+/** Open exchanges with the engine finish within this time, or their keepers have timed out. */
 constexpr std::chrono::milliseconds DrainTime{300};
 
-/** Marks of readings are drawn below this, so that they stay whole numbers wherever they are read as fractions. */
+/** Upper bound for random marks of readings: a decoder that uses double precision still reads them exactly. */
 constexpr std::uint64_t MarkUpperBound = std::uint64_t{1} << 52U;
 
 std::uint64_t randomMark()
@@ -32,7 +32,7 @@
     return std::uniform_int_distribution<std::uint64_t>(1, MarkUpperBound)(entropy);
 }
 
-/** The number in @p text; 0 for anything else. */
+/** Parses @p text as a decimal number; returns 0 if it is not one. */
 std::uint64_t parseNumber(const std::string &text)
 {
     std::uint64_t number = 0;
@@ -162,9 +162,10 @@
     EventLoop m_loop;
     HttpClient m_client;
     std::unique_ptr<RankControl> m_rankControl;
-    std::map<TargetName, CoalescedReader<RankStatus>> m_statusReaders; ///< by the run of the engine that is meant
+    std::map<TargetName, CoalescedReader<RankStatus>> m_statusReaders; ///< by requested run of the engine
     CountsTeller m_countsTeller{randomMark()};
-    SteadyTime m_countsRequestedAt = std::chrono::steady_clock::now(); ///< by a keeper; before that, when this was made
+    SteadyTime m_countsRequestedAt =
+        std::chrono::steady_clock::now(); ///< last counts request of a keeper; initially the time of construction
     CallerServer m_server;
 };
 
--- a/modules/heatherridge_transport/direct/sidecarserver.h
+++ b/modules/heatherridge_transport/direct/sidecarserver.h
@@ -11,9 +11,10 @@
 {
 
 /**
- * The whole of a sidecar: the process beside a model engine that reads it and hands it orders for keepers elsewhere.
+ * The server of a sidecar: a process on the host of a model engine that reads the engine's state and forwards orders to
+ * it, on behalf of remote keepers.
  *
- * It keeps nothing and decides nothing. One thread.
+ * Stores no state of its own beyond the current readings and makes no decisions. Uses one thread.
  */
 class SidecarServer
 {
@@ -21,11 +22,11 @@
     struct Options
     {
         ProcessName process{};
-        Endpoint listen{}; ///< for keepers
+        Endpoint listen{}; ///< where keepers connect
         Endpoint engine{}; ///< on this host
     };
 
-    /** Makes what reaches the engine. Called on construction. */
+    /** Creates the connection to the engine. Called in the constructor. */
     using RankControlFactory = std::function<std::unique_ptr<RankControl>(HttpClient &client)>;
 
     SidecarServer(Options options, const RankControlFactory &makeRankControl);
@@ -34,10 +35,10 @@
     SidecarServer(const SidecarServer &) = delete;
     SidecarServer &operator=(const SidecarServer &) = delete;
 
-    /** Starts its thread. @returns where it serves, or why not */
+    /** Starts the server thread. @returns the endpoints listened on, or the error */
     Result<std::vector<Endpoint>> start();
 
-    /** Answers what is open and ends. */
+    /** Waits for open exchanges to finish, then stops. */
     void drainAndStop();
 
 private:
