--- a/modules/heatherridge_transport/direct/sidecarserver.h
+++ b/modules/heatherridge_transport/direct/sidecarserver.h
@@ -14,7 +14,7 @@
  * The server of a sidecar: a process on the host of a model engine that reads the engine's state and forwards orders to
  * it, on behalf of remote keepers.
  *
- * Stores no state of its own beyond the current readings and makes no decisions. Uses one thread.
+ * Persists nothing and makes no decisions. Uses one thread.
  */
 class SidecarServer
 {
@@ -26,7 +26,7 @@
         Endpoint engine{}; ///< on this host
     };
 
-    /** Creates the connection to the engine. Called in the constructor. */
+    /** Creates the RankControl that reaches the engine. Called in the constructor. */
     using RankControlFactory = std::function<std::unique_ptr<RankControl>(HttpClient &client)>;
 
     SidecarServer(Options options, const RankControlFactory &makeRankControl);
--- a/modules/heatherridge_transport/direct/targetconnection.cpp
+++ b/modules/heatherridge_transport/direct/targetconnection.cpp
@@ -13,14 +13,14 @@
 {
 
 /**
- * Bytes that a target does not acknowledge for so long end the connection. A host that lost its power or its path sends
- * no reset; without this, requests written to it would wait for their deadline.
+ * TCP user timeout: a connection whose data remains unacknowledged for this long is closed. A host that has lost power
+ * or its network path sends no reset; without this timeout, requests written to it would wait for their deadline.
  */
 constexpr std::chrono::milliseconds UnacknowledgedTimeout{1'500};
 
 void setSocketOptions(asio::ip::tcp::socket &socket)
 {
-    asio::error_code ignored; // a socket without these works, only later
+    asio::error_code ignored; // without these options the socket still works, with higher latency
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
     socket.set_option(UserTimeout(static_cast<int>(UnacknowledgedTimeout.count())), ignored);
@@ -65,9 +65,9 @@
 void TargetConnection::close()
 {
     if (m_isBusy && m_isOpen) {
-        // Ends the work, and drops what is still on its way: a request that lies before a frozen host would otherwise
-        // reach its target when that goes on, seconds after its caller has left.
-        asio::error_code ignored; // closed in order then
+        // A reset makes the target stop its work and discards data in flight. Otherwise, a request buffered for a
+        // frozen host would reach its target when the host resumes, seconds after the caller has disconnected.
+        asio::error_code ignored; // on failure, the connection closes without a reset
         m_socket.set_option(asio::socket_base::linger(true, 0), ignored);
     }
     m_isBusy = false;
@@ -112,7 +112,7 @@
     asio::error_code error;
     const auto address = asio::ip::make_address(m_endpoint.address, error);
     if (error) {
-        failExchange("not an IP number: " + m_endpoint.address);
+        failExchange("not an IP address: " + m_endpoint.address);
         return;
     }
     m_connectTimer.expires_after(timeout);
@@ -143,7 +143,7 @@
     m_mayHaveArrived = true;
     asio::async_write(m_socket, asio::buffer(m_request),
                       [self = shared_from_this()](const asio::error_code &error, std::size_t) {
-                          // A failed write is told by the read that follows it, behind any answer that came first.
+                          // The following read reports a failed write, after any response that arrived before it.
                           self->m_isWritten = !error;
                       });
     read();
@@ -168,7 +168,7 @@
         return;
     }
     if (!m_isBusy) {
-        closeSocket(); // an idle connection that ends or speaks
+        closeSocket(); // the idle connection was closed or received unsolicited data
         if (const auto unusable = std::exchange(m_onUnusable, {})) {
             unusable();
         }
@@ -180,7 +180,7 @@
         if (m_reader.state() == HttpMessageReader::State::Complete) {
             completeExchange(false);
         } else {
-            failExchange("closed before the end of the answer");
+            failExchange("connection closed before the end of the response");
         }
         return;
     }
@@ -198,10 +198,10 @@
         const auto consumed = m_reader.feed(bytes);
         bytes.remove_prefix(std::min(consumed, bytes.size()));
         if (!m_isBusy) {
-            return; // the user closed it while it took the bytes
+            return; // the owner closed the connection in an event handler
         }
         if (m_reader.state() == HttpMessageReader::State::Malformed) {
-            failExchange("not an HTTP answer");
+            failExchange("malformed HTTP response");
             return;
         }
         if (m_reader.state() != HttpMessageReader::State::Complete) {
@@ -234,7 +234,7 @@
 {
     m_isBusy = false;
     m_idleSince = std::chrono::steady_clock::now();
-    // A target that answers before it has the whole request would take the rest of it for the next one.
+    // A target that responds before it has read the whole request would parse the rest as the next request.
     if (hasLeftover || !m_isKeepAlive || !m_isWritten) {
         closeSocket();
     }
@@ -265,7 +265,7 @@
     m_isClosed = true;
     m_isOpen = false;
     m_connectTimer.cancel();
-    asio::error_code ignored; // nothing can be done about a socket that does not close
+    asio::error_code ignored; // a close that fails cannot be handled
     m_socket.close(ignored);
 }
 
--- a/modules/heatherridge_transport/direct/targetconnection.h
+++ b/modules/heatherridge_transport/direct/targetconnection.h
@@ -16,28 +16,29 @@
 namespace Heatherridge
 {
 
-/** How an exchange with a target ended without a whole answer. */
+/** Why an exchange with a target ended without a complete response. */
 struct ExchangeFailure
 {
-    bool mayHaveArrived = true; ///< false only when not a byte of the request can have reached the target
+    bool mayHaveArrived = true; ///< false only if no byte of the request can have reached the target
     std::string reason{};
 };
 
-/** What the user of a TargetConnection is told; nothing after `complete` or `failed`. */
+/** Events of one exchange on a TargetConnection. None follows `complete` or `failed`. */
 struct ExchangeEvents
 {
     std::function<void(const HttpMessageHead &head)> head{};
     std::function<void(std::string_view bytes)> body{};
-    std::function<void()> complete{}; ///< the answer is whole by its framing
+    std::function<void()> complete{}; ///< the response is complete according to its framing
     std::function<void(const ExchangeFailure &failure)> failed{};
 };
 
 /**
- * One connection to a target, for one exchange at a time. On the loop's thread alone.
+ * One connection to a target, for one exchange at a time. Used only on the loop's thread.
  *
- * A client library's own pool hands out, on a kept connection, an answer that came unasked as the answer to the next
- * request, and gives no sign when a target answers before it has read the whole request. Here anything that is not
- * exactly one answer to the request sent makes the connection unfit: it is never used again.
+ * The connection pools of HTTP client libraries deliver an unsolicited response on a persistent connection as the
+ * response to the next request, and do not report that a target responded before it read the whole request. In this
+ * class, anything other than exactly one response to the sent request makes the connection unusable for further
+ * exchanges.
  */
 class TargetConnection : public std::enable_shared_from_this<TargetConnection>
 {
@@ -48,31 +49,32 @@
     TargetConnection &operator=(const TargetConnection &) = delete;
 
     /**
-     * Sends @p request, connecting first on first use.
-     * @param connectTimeout after which a connection that is not there counts as failed, with nothing sent
+     * Sends @p request. The first exchange opens the connection.
+     * @param isHeadRequest whether the method is HEAD, so that the response has no body
+     * @param connectTimeout an attempt to connect that takes longer fails, with nothing sent
      */
     void exchange(std::string request, bool isHeadRequest, std::chrono::milliseconds connectTimeout,
                   ExchangeEvents events);
 
-    /** Drops the exchange without a further event and closes. */
+    /** Cancels the exchange without further events and closes the connection. */
     void close();
 
-    /** Stops reading until resumeReading(), so that a slow caller holds back its target. */
+    /** Stops reading until resumeReading(), so that a slow caller exerts backpressure on its target. */
     void pauseReading();
 
-    /** @see pauseReading */
+    /** Resumes reading. @see pauseReading */
     void resumeReading();
 
-    /** Whether another exchange may follow: the last answer ended in order and nothing came behind it. */
+    /** Returns whether another exchange may follow: the last response ended cleanly and no data came after it. */
     bool isReusable() const;
 
-    /** When the last exchange ended. */
+    /** Returns when the last exchange ended. */
     SteadyTime idleSince() const;
 
-    /** Called once when an idle connection breaks or says something unasked. */
+    /** Sets @p unusable, which is called once when the idle connection is closed or receives unsolicited data. */
     void onUnusable(std::function<void()> unusable);
 
-    /** Where it leads. */
+    /** Returns the remote endpoint. */
     const Endpoint &endpoint() const;
 
 private:
@@ -95,13 +97,13 @@
     std::string m_request;
     std::array<char, 8192> m_buffer{};
     bool m_isHeadRequest = false;
-    bool m_isOpen = false; ///< connected and not closed by either side
+    bool m_isOpen = false; ///< connected, and closed by neither side
     bool m_isClosed = false;
     bool m_isBusy = false;
     bool m_isReading = false;
     bool m_isPaused = false;
     bool m_isWritten = false;
-    bool m_mayHaveArrived = false; ///< bytes of the present request may have reached the target
+    bool m_mayHaveArrived = false; ///< bytes of the current request may have reached the target
     bool m_isKeepAlive = true;
     bool m_isInterim = false;
     SteadyTime m_idleSince{};
--- a/modules/heatherridge_transport/direct/targetconnectionpool.h
+++ b/modules/heatherridge_transport/direct/targetconnectionpool.h
@@ -13,33 +13,34 @@
 {
 
 /**
- * Kept connections to targets. On the loop's thread alone.
+ * Pool of idle connections to targets. Used only on the loop's thread.
  *
- * Connections are kept by a target's id, not its address: an address may come to belong to another service.
+ * Connections are pooled by target id rather than address, because an address may be reassigned to another service.
  */
 class TargetConnectionPool
 {
 public:
-    /** Kept connections that are idle for longer are closed; saves descriptors after a burst. */
+    /** Connections that are idle for longer are closed, which frees file descriptors after a burst. */
     static constexpr std::chrono::milliseconds MaxIdleTime{20'000};
-    /** A connection is not used in the last part of the idle time that its target names: the close may be under way. */
+    /** Usable fraction of the idle timeout that a target announces. After it, the target's close may be in flight. */
     static constexpr double UsableIdleFraction = 0.6;
-    /** Taken for targets that name no idle time. */
+    /** Idle timeout assumed for targets that announce none. */
     static constexpr std::chrono::milliseconds DefaultIdleTimeout{4'000};
 
     TargetConnectionPool(asio::io_context &loop, Metrics &metrics);
 
-    /** The connection to @p target that was idle for the shortest time, else a new one. */
+    /** Returns the most recently used idle connection to @p target, or a new one if there is none. */
     std::shared_ptr<TargetConnection> acquire(const TargetEntry &target);
 
-    /** Keeps @p connection for a later exchange if it is fit. @param idleTimeout as its target named it */
+    /** Returns @p connection to the pool if it is reusable, else closes it. @param idleTimeout announced by the target
+     */
     void release(const TargetName &target, const std::shared_ptr<TargetConnection> &connection,
                  std::optional<std::chrono::seconds> idleTimeout);
 
-    /** @p target is gone: closes what is kept. */
+    /** Closes all idle connections to @p target. Called when the target is removed. */
     void evict(const TargetName &target);
 
-    /** Closes what has been idle for too long. */
+    /** Closes the connections that have been idle for too long. */
     void tick(SteadyTime now);
 
 private:
--- a/modules/heatherridge_transport/direct/targetprobe.cpp
+++ b/modules/heatherridge_transport/direct/targetprobe.cpp
@@ -8,7 +8,7 @@
 namespace Heatherridge
 {
 
-/** A connection that is being opened, and who waits for it. */
+/** A connection attempt and the callbacks that wait for its result. */
 struct TargetProbe::PendingProbe
 {
     explicit PendingProbe(asio::io_context &loop)
@@ -66,7 +66,7 @@
     const asio::ip::tcp::endpoint endpoint(address, static_cast<std::uint16_t>(target.address.port));
     pending->socket.async_connect(endpoint, [this, id = target.id](const asio::error_code &error) {
         if (error == asio::error::operation_aborted) {
-            return; // the timer was first
+            return; // the timer expired first
         }
         const auto failure = error == asio::error::connection_refused ? ProbeResult::Refused : ProbeResult::Unknown;
         finish(id, error ? failure : ProbeResult::Listening);
--- a/modules/heatherridge_transport/direct/targetprobe.h
+++ b/modules/heatherridge_transport/direct/targetprobe.h
@@ -15,35 +15,35 @@
 namespace Heatherridge
 {
 
-/** What a target's port says of the process behind it. */
+/** Result of opening a connection to a target's port. */
 enum class ProbeResult {
-    Listening, ///< it takes connections
-    Refused, ///< its host refuses them: no process listens
-    Unknown, ///< no answer in time, as from a host that is cut off or a network that loses packets
+    Listening, ///< the port accepts connections
+    Refused, ///< the host refuses connections: no process listens
+    Unknown, ///< no answer in time, e.g. the host is cut off or the network loses packets
 };
 
 /** The name of @p presence in logs. */
 std::string_view toString(ProbeResult result);
 
 /**
- * Tells a target that has died from one that only broke off an exchange, by opening a connection to it.
+ * Distinguishes a target that has died from one that only aborted an exchange, by opening a connection to it.
  *
- * A broken connection alone does not say which: engines cut off the streams of a group that stands still, and services
- * lose single answers. On the loop's thread alone.
+ * A broken connection alone does not tell them apart: engines abort the streams of a group that stands still, and
+ * services lose single responses. Used only on the loop's thread.
  */
 class TargetProbe
 {
 public:
     using Done = std::function<void(ProbeResult)>;
 
-    /** @param timeout for opening a connection */
+    /** @param timeout for opening a connection; afterwards the result is Unknown */
     TargetProbe(asio::io_context &loop, std::chrono::milliseconds timeout, Metrics &metrics);
     ~TargetProbe();
 
     TargetProbe(const TargetProbe &) = delete;
     TargetProbe &operator=(const TargetProbe &) = delete;
 
-    /** Asks for @p target; @p done is called later. All who ask for one target at a time share one connection. */
+    /** Probes @p target and calls @p done later. Concurrent probes of one target share one connection attempt. */
     void probe(const TargetEntry &target, Done done);
 
 private:
--- a/modules/heatherridge_transport/direct/trafficcodec.h
+++ b/modules/heatherridge_transport/direct/trafficcodec.h
@@ -11,27 +11,27 @@
 namespace Heatherridge
 {
 
-/** What a caller says of its request beside method, target and body. */
+/** What a caller's headers state about its request. */
 struct CallerFields
 {
-    RequestId id{}; ///< of this attempt of the caller; null when it gave none
-    std::optional<std::chrono::milliseconds> timeout{}; ///< how long the caller waits
+    RequestId id{}; ///< of this attempt of the caller; null if it sent none
+    std::optional<std::chrono::milliseconds> timeout{}; ///< how long the caller waits for the response
     std::string apiKey{};
-    std::optional<std::uint64_t> lastEventId{}; ///< it has the stream up to this event
-    bool isWellFormed = true; ///< false when one of the fields cannot be read
+    std::optional<std::uint64_t> lastEventId{}; ///< last event of the stream that the caller has received
+    bool isWellFormed = true; ///< false if one of the fields cannot be parsed
 };
 
-/** What a target is told beside what the caller said. */
+/** Fields that the gateway adds to a request before it forwards it to a target. */
 struct ForwardFields
 {
-    std::chrono::milliseconds timeLeft{}; ///< the target stops work then
-    TargetName target{}; ///< any other target refuses the request
+    std::chrono::milliseconds timeLeft{}; ///< the target stops its work after this time
+    TargetName target{}; ///< any other target rejects the request
     WorkspaceName workspace{}; ///< null for a public route without a known key
-    std::optional<std::uint64_t> lastEventId{}; ///< a stream goes on behind this event
-    std::optional<int> priority{}; ///< 0 is the most urgent; of a stream, which an engine lets in by priority
+    std::optional<std::uint64_t> lastEventId{}; ///< the stream resumes after this event
+    std::optional<int> priority{}; ///< 0 is the most urgent; set for streams, which engines admit by priority
 };
 
-/** How busy a target says it is. */
+/** Load that a target reports. */
 struct TargetLoad
 {
     int running = 0;
@@ -39,35 +39,36 @@
     int slots = 0;
 };
 
-/** What a target's answer says beside status and body. */
+/** What the headers of a target's response state. */
 struct TargetResponseFields
 {
-    RequestId id{}; ///< of the request that it answers
-    bool isSigned = false; ///< it bears the target's own signature
-    bool isNotExecuted = false; ///< the target says that it did not run the request and will not
+    RequestId id{}; ///< of the request that the response belongs to
+    bool isSigned = false; ///< the response carries the target's own signature
+    bool isNotExecuted = false; ///< the target states that it did not execute the request and will not
     std::optional<TargetLoad> load{};
-    std::optional<double> requestsPerSecond{}; ///< that the target takes from all entries together, while it says so
-    std::optional<std::chrono::seconds> idleTimeout{}; ///< when the target closes this connection
-    bool isEncoded = false; ///< the body is not the target's own
+    std::optional<double>
+        requestsPerSecond{}; ///< rate that the target accepts from all entries together, if it states one
+    std::optional<std::chrono::seconds> idleTimeout{}; ///< idle time after which the target closes this connection
+    bool isEncoded = false; ///< the body has a content encoding, so it is not the target's own
 };
 
-/** How traffic is spelled on one platform. Stateless; any thread. Decides nothing. */
+/** Translates between the HTTP headers of one platform and fields. Stateless; any thread. Makes no decisions. */
 class TrafficCodec
 {
 public:
     virtual ~TrafficCodec() = default;
 
-    /** What @p headers of a caller say. */
+    /** Returns the fields in the @p headers of a caller's request. */
     virtual CallerFields readCallerFields(const std::vector<HttpHeader> &headers) const = 0;
 
-    /** @p callerHeaders with the caller's own words on routing, deadline and identity replaced by @p fields. */
+    /** Returns @p callerHeaders with the caller's headers on routing, deadline and identity replaced by @p fields. */
     virtual std::vector<HttpHeader> forwardedHeaders(std::vector<HttpHeader> callerHeaders,
                                                      const ForwardFields &fields) const = 0;
 
-    /** What the head of a target's answer says. */
+    /** Returns the fields in the head of a target's response. */
     virtual TargetResponseFields readResponseFields(int status, const std::vector<HttpHeader> &headers) const = 0;
 
-    /** A refusal or failure of this process's own. */
+    /** Returns the response for a request that this process itself rejects or fails. */
     virtual HttpResponse errorResponse(const Error &error, const RequestId &id) const = 0;
 };
 
