--- a/modules/heatherridge_transport/cxx17/peersocket.cpp
+++ b/modules/heatherridge_transport/cxx17/peersocket.cpp
@@ -16,7 +16,7 @@
 constexpr long OpenHandshakeTimeoutMs = 2000;
 constexpr long CloseHandshakeTimeoutMs = 1000;
 
-/** The two roles differ in websocketpp's configuration alone; what follows serves both. */
+/** PeerSocket for both roles, which differ only in their websocketpp configuration. */
 template<typename Endpoint>
 class WebSocketPeer final : public PeerSocket
 {
@@ -50,8 +50,8 @@
     }
 
 private:
-    /** The connection's handlers hold this socket; holding the connection in turn would keep both for ever when the
-     * loop ends before the connection is closed. websocketpp keeps it alive while it is open. */
+    /** Weak, because the connection's handlers own this socket: a strong reference would form a cycle, which leaks both
+     * if the loop ends before the connection is closed. websocketpp keeps the connection alive while it is open. */
     typename Connection::weak_type m_connection;
 };
 
@@ -62,7 +62,7 @@
     endpoint.clear_error_channels(websocketpp::log::elevel::all);
 }
 
-/** Passes the events of @p connection on to @p events. */
+/** Creates the socket of @p connection and forwards the connection's events to @p events. */
 template<typename Endpoint>
 std::shared_ptr<PeerSocket> attachEventHandlers(const typename Endpoint::connection_ptr &connection,
                                                 const PeerSocketEvents &events)
@@ -111,7 +111,7 @@
         asio::error_code parseError;
         const auto ip = asio::ip::make_address(address, parseError);
         if (parseError) {
-            return "not an IP number: " + address;
+            return "not an IP address: " + address;
         }
         websocketpp::lib::error_code error;
         m_server.listen(asio::ip::tcp::endpoint(ip, static_cast<unsigned short>(port)), error);
--- a/modules/heatherridge_transport/cxx17/peersocket.h
+++ b/modules/heatherridge_transport/cxx17/peersocket.h
@@ -16,40 +16,40 @@
 {
 
 /**
- * One message connection to another process of this system (WebSocket, binary frames).
+ * A message connection to another process of this system (WebSocket, binary frames).
  *
- * This header names no websocketpp type and stays within C++17, because websocketpp 0.8.2 does not compile as C++20.
- * All methods must be called on the thread that runs the loop.
+ * This header uses no websocketpp type and only C++17, because websocketpp 0.8.2 does not compile as C++20. All methods
+ * must be called on the thread that runs the loop.
  */
 class PeerSocket
 {
 public:
     virtual ~PeerSocket() = default;
 
-    /** Sends one frame. Without effect once the connection is closed. */
+    /** Sends one frame. Has no effect after the connection is closed. */
     virtual void send(const std::vector<std::uint8_t> &frame) = 0;
 
-    /** Bytes handed to send() that have not left yet. */
+    /** Returns the number of bytes passed to send() that are not yet transmitted. */
     virtual std::size_t bufferedBytes() const = 0;
 
-    /** Closes the connection after what was sent before. The closed event still comes. */
+    /** Closes the connection after the frames sent so far. The closed event still follows. */
     virtual void close() = 0;
 };
 
-/** What the owner of sockets is told; each event on the loop's thread. */
+/** Events of sockets, delivered on the loop's thread. */
 struct PeerSocketEvents
 {
     std::function<void(const std::shared_ptr<PeerSocket> &)> opened;
     std::function<void(const std::shared_ptr<PeerSocket> &, const std::vector<std::uint8_t> &frame)> received;
-    /** The connection is gone, or could not be made. Called once for each socket. */
+    /** The connection was closed or could not be established. Called once for each socket. */
     std::function<void(const std::shared_ptr<PeerSocket> &)> closed;
 };
 
-/** Accepts message connections. All methods on the loop's thread. */
+/** Accepts message connections. All methods run on the loop's thread. */
 class PeerListener
 {
 public:
-    /** A listener on @p loop, which must outlive it. Frames above @p maxFrameBytes close their connection. */
+    /** Creates a listener on @p loop, which must outlive it. Frames above @p maxFrameBytes close their connection. */
     PeerListener(asio::io_context &loop, PeerSocketEvents events, std::size_t maxFrameBytes);
     ~PeerListener();
 
@@ -57,13 +57,13 @@
     PeerListener &operator=(const PeerListener &) = delete;
 
     /**
-     * Starts to listen at the IP number @p address.
-     * @param port 0 lets the kernel choose; receives the port listened on
-     * @returns an empty text, or why it could not
+     * Starts listening on the IP address @p address.
+     * @param port 0 lets the kernel choose a port; set to the port listened on
+     * @returns an empty string, or an error message
      */
     std::string start(const std::string &address, int &port);
 
-    /** Stops accepting; open connections stay. */
+    /** Stops accepting connections; existing ones stay open. */
     void stop();
 
 private:
@@ -71,18 +71,18 @@
     std::unique_ptr<Implementation> m_implementation;
 };
 
-/** Opens message connections. All methods on the loop's thread. */
+/** Opens message connections. All methods run on the loop's thread. */
 class PeerConnector
 {
 public:
-    /** A connector on @p loop, which must outlive it. Frames above @p maxFrameBytes close their connection. */
+    /** Creates a connector on @p loop, which must outlive it. Frames above @p maxFrameBytes close their connection. */
     PeerConnector(asio::io_context &loop, std::size_t maxFrameBytes);
     ~PeerConnector();
 
     PeerConnector(const PeerConnector &) = delete;
     PeerConnector &operator=(const PeerConnector &) = delete;
 
-    /** Connects to @p address and @p port; the outcome comes as an opened or a closed event. */
+    /** Connects to @p address and @p port. An opened or closed event reports the outcome. */
     std::shared_ptr<PeerSocket> connect(const std::string &address, int port, const PeerSocketEvents &events);
 
 private:
--- a/modules/heatherridge_transport/direct/targetprobe.h
+++ b/modules/heatherridge_transport/direct/targetprobe.h
@@ -22,7 +22,7 @@
     Unknown, ///< no answer in time, e.g. the host is cut off or the network loses packets
 };
 
-/** The name of @p presence in logs. */
+/** Returns the name of @p result in logs. */
 std::string_view toString(ProbeResult result);
 
 /**
--- a/modules/heatherridge_transport/heatherridge_transport.h
+++ b/modules/heatherridge_transport/heatherridge_transport.h
@@ -3,9 +3,10 @@
 /**
  * Module heatherridge_transport.
  *
- * Purpose: sockets, HTTP, threads, logs and metrics: the implementations of the interfaces that the lower modules
- * declare, and the parts from which the daemons are put together.
+ * Purpose: sockets, HTTP, threads, logging and metrics. Implements the interfaces that the lower modules declare and
+ * provides the components of the daemons.
  *
  * Dependencies: heatherridge_coordination, Asio, websocketpp, RESTinio, libcurl, Boost.Log, Boost.Program_options,
- * Boost.Histogram. Heavy headers stay in the source files.
+ * Boost.Histogram. Headers that are expensive to compile are included only in source
+ * files.
  */
--- a/modules/heatherridge_transport/link/controllinks.cpp
+++ b/modules/heatherridge_transport/link/controllinks.cpp
@@ -48,7 +48,7 @@
 {
     const auto link = m_outgoing.find(process);
     if (link == m_outgoing.end() || link->second.socket.get() != socket) {
-        return; // given up in the meantime
+        return; // replaced or disconnected in the meantime
     }
     link->second.isUp = true;
     if (!m_relay->linkUp(process, LinkDirection::Outgoing, now())) {
@@ -89,7 +89,7 @@
     const auto known = m_incoming.find(envelope.sender);
     if (known == m_incoming.end() || known->second.socket != connection.socket) {
         if (!m_relay->linkUp(envelope.sender, LinkDirection::Incoming, now())) {
-            return; // not answered, the peer finds it silent and goes to another
+            return; // without an answer, the peer considers this process silent and connects to another one
         }
         m_incoming[envelope.sender] = connection;
     }
--- a/modules/heatherridge_transport/link/controllinks.h
+++ b/modules/heatherridge_transport/link/controllinks.h
@@ -12,42 +12,43 @@
 namespace Heatherridge
 {
 
-/** A connection that a peer opened to this process and that another thread owns. */
+/** A connection that a peer opened to this process. Owned by another thread. */
 struct IncomingControlLink
 {
-    std::shared_ptr<PeerSocket> socket{}; ///< tells one connection from another; not used on the control thread
+    std::shared_ptr<PeerSocket> socket{}; ///< identifies the connection; not used on the control thread
     std::function<void(Bytes)> send{}; ///< sends one frame; any thread
 };
 
 /**
- * The connections of the configuration relay on the control thread.
+ * The connections of the configuration relay, on the control thread.
  *
- * Opens connections to the gates that the relay names. Connections that peers open arrive at the target's only
- * listener, on its traffic thread, which hands their control frames over. All methods on the control thread.
+ * Opens connections to the gates that the relay selects. Connections opened by peers arrive at the target's only
+ * listener, on its traffic thread, which forwards their control frames. All methods run on the control thread.
  */
 class ControlLinks final : public RelayLinks
 {
 public:
-    /** Links on @p loop; @p encoder must outlive them. */
+    /** Creates links on @p loop. @p encoder must outlive them. */
     ControlLinks(EventLoop &loop, const FrameEncoder &encoder);
 
-    /** The relay that is told what happens; must be set before anything else is called, and outlive the links. */
+    /** Sets the relay that receives messages and link events. Must be called first; the relay must outlive the links.
+     */
     void setRelay(ConfigRelay *relay);
 
     void connect(const ProcessName &process, const Endpoint &endpoint) override;
     void disconnect(const ProcessName &process) override;
     void send(const ProcessName &process, const ControlMessage &message) override;
 
-    /** Takes a control frame that came over a connection which its sender opened. */
+    /** Called for each control frame received over a connection that its sender opened. */
     void onIncomingFrame(const IncomingControlLink &connection, const Envelope &envelope);
 
-    /** A connection that a peer opened is gone. */
+    /** Called when a connection that a peer opened is closed. */
     void onIncomingClosed(const PeerSocket *socket);
 
-    /** Frames that could not be read. */
+    /** Returns the number of frames that could not be decoded. */
     std::uint64_t malformedFrames() const;
 
-    /** Closes all connections that this process opened. */
+    /** Closes all connections opened by this process. */
     void close();
 
 private:
--- a/modules/heatherridge_transport/link/frameencoder.h
+++ b/modules/heatherridge_transport/link/frameencoder.h
@@ -9,11 +9,11 @@
 namespace Heatherridge
 {
 
-/** Puts this process's name, run and offset on each frame that it sends. One thread. */
+/** Encodes outgoing frames with the name, incarnation and configuration offset of this process. Not thread-safe. */
 class FrameEncoder
 {
 public:
-    /** Frames of @p process in its run @p incarnation; @p view yields the configuration in force when asked. */
+    /** Encodes frames of @p process and @p incarnation; @p view returns the configuration currently in force. */
     FrameEncoder(ProcessName process, Incarnation incarnation, std::function<std::shared_ptr<const ConfigView>()> view)
         : m_process(std::move(process))
         , m_incarnation(incarnation)
@@ -21,7 +21,7 @@
     {
     }
 
-    /** The frame that carries @p payload on @p channel. */
+    /** Returns the frame that carries @p payload on @p channel. */
     Bytes frame(Channel channel, Bytes payload) const
     {
         return encode(Envelope{.channel = channel,
@@ -31,7 +31,7 @@
                                .payload = std::move(payload)});
     }
 
-    /** The frame that carries @p message. */
+    /** Returns the frame that carries @p message on the traffic channel. */
     Bytes frame(const TrafficMessage &message) const
     {
         return frame(Channel::Traffic, encode(message));
@@ -43,7 +43,7 @@
     std::function<std::shared_ptr<const ConfigView>()> m_view;
 };
 
-/** Longest frame between processes, in bytes: a body of the longest kind and what goes with it. */
+/** Size limit for frames between processes: a body of the maximum size plus its metadata. */
 inline constexpr std::size_t MaxFrameBytes = 8UL << 20U;
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/platform/hostlistreader.cpp
+++ b/modules/heatherridge_transport/platform/hostlistreader.cpp
@@ -27,7 +27,7 @@
         if (!isReadable) {
             return std::nullopt;
         }
-        // A state of a later release says nothing that may take a host away or bring it back: it is passed over.
+        // Hosts with a state from a later release are skipped: an unknown state must neither remove nor restore a host.
         const auto state = entry["state"].get<std::string>();
         if (state == "live" || state == "leaving") {
             hosts.push_back({.host = HostName(entry["host"].get<std::string>()),
--- a/modules/heatherridge_transport/platform/hostlistreader.h
+++ b/modules/heatherridge_transport/platform/hostlistreader.h
@@ -10,35 +10,36 @@
 namespace Heatherridge
 {
 
-/** @p body as the platform's host list, or nothing when it is none. */
+/** Parses @p body as the platform's host list; returns no value if it is malformed. */
 std::optional<std::vector<HostListEntry>> parseHostList(std::string_view body);
 
 /**
- * Reads the platform's list of live and leaving hosts again and again.
+ * Periodically reads the platform's list of live and leaving hosts.
  *
- * A list that cannot be read changes nothing: the last one stands, however old. One read at a time. All methods on
- * the thread of the client's loop.
+ * A failed read changes nothing: the previous list remains in force, regardless of its age. One read at a time. All
+ * methods run on the thread of the client's loop.
  */
 class HostListReader
 {
 public:
     struct Options
     {
-        Endpoint endpoint{}; ///< where the platform's host list listens
-        std::chrono::milliseconds period{1'000}; ///< between reads; half of what a leaving mark may take to count
+        Endpoint endpoint{}; ///< of the platform's host list service
+        std::chrono::milliseconds period{
+            1'000}; ///< between reads; half of the time within which a leaving mark must take effect
         std::chrono::milliseconds timeout{2'000};
     };
 
-    /** Called with each list. */
+    /** Called with each list read. */
     using ListHandler = std::function<void(const std::vector<HostListEntry> &)>;
 
-    /** Uses @p client, which must outlive it. */
+    /** Uses @p client, which must outlive the reader. */
     HostListReader(HttpClient &client, Options options, ListHandler onList);
 
-    /** Starts a read when one is due at @p now. */
+    /** Starts a read if one is due at @p now and none is in progress. */
     void tick(SteadyTime now);
 
-    /** Reads that gave no list. */
+    /** Returns the number of reads that yielded no list. */
     std::uint64_t failures() const;
 
 private:
--- a/modules/heatherridge_transport/platform/httplogservice.cpp
+++ b/modules/heatherridge_transport/platform/httplogservice.cpp
@@ -21,18 +21,18 @@
     return "/streams/" + stream.text() + "/records";
 }
 
-/** Reads the offset out of the answer to an append. */
+/** Parses the offset in the response to an append. */
 Result<LogOffset> parseOffset(const HttpResponse &response)
 {
     if (response.status != StatusOk) {
-        // A refusal of the request proves that nothing was appended. A server error does not: it may come from a
-        // gateway that lost the log's answer, and an append told as "not done" would then take effect.
+        // A client error proves that nothing was appended. A server error does not: it may come from a gateway that
+        // lost the log's response, in which case an append reported as not executed would still take effect.
         const auto ran = response.status < FirstServerError ? ExecutionStatus::No : ExecutionStatus::Unknown;
         return unavailable("status " + std::to_string(response.status), ran);
     }
     const auto body = nlohmann::json::parse(response.body, nullptr, false);
     if (!body.is_object() || !body.contains("offset") || !body["offset"].is_number_unsigned()) {
-        return unavailable("answer without an offset", ExecutionStatus::Unknown);
+        return unavailable("response has no offset", ExecutionStatus::Unknown);
     }
     return static_cast<LogOffset>(body["offset"].get<std::uint64_t>());
 }
@@ -44,7 +44,7 @@
                      .appended = WallTime(std::chrono::milliseconds(reader.integer("t", 0, INT64_MAX))),
                      .payload = reader.bytes("p")};
     if (!reader.ok()) {
-        return unavailable("damaged record", ExecutionStatus::No);
+        return unavailable("malformed record", ExecutionStatus::No);
     }
     return record;
 }
@@ -56,14 +56,14 @@
     }
     nlohmann::json map;
     if (!CborReader::parse(Bytes(response.body.begin(), response.body.end()), map)) {
-        return unavailable("damaged page", ExecutionStatus::No);
+        return unavailable("malformed page", ExecutionStatus::No);
     }
     CborReader reader(map);
     LogPage page{.first = static_cast<LogOffset>(reader.number("first")),
                  .last = static_cast<LogOffset>(reader.number("last"))};
     const auto *records = reader.array("records");
     if (!reader.ok()) {
-        return unavailable("damaged page", ExecutionStatus::No);
+        return unavailable("malformed page", ExecutionStatus::No);
     }
     for (const auto &entry : *records) {
         auto record = parseRecord(entry);
@@ -88,8 +88,8 @@
     HttpRequest request{
         .method = "POST", .path = recordsPath(stream), .body = std::string(payload.begin(), payload.end())};
     request.headers.push_back({.name = "Content-Type", .value = "application/octet-stream"});
-    // A fresh connection: libcurl would repeat an append on its own when a reused one breaks, and a doubled record,
-    // though folded once, costs the log's rate.
+    // Uses a new connection: libcurl would silently retry an append if a reused connection broke. A duplicate record is
+    // applied only once, but counts against the log's rate limit.
     m_client.send({.endpoint = m_options.endpoint,
                    .request = std::move(request),
                    .timeout = m_options.timeout,
--- a/modules/heatherridge_transport/platform/httplogservice.h
+++ b/modules/heatherridge_transport/platform/httplogservice.h
@@ -7,20 +7,20 @@
 {
 
 /**
- * The platform's log, reached over HTTP.
+ * Accesses the platform's log over HTTP.
  *
- * All methods on the thread of the client's loop, where the answers come too. @see LogService
+ * All methods and callbacks run on the thread of the client's loop. @see LogService
  */
 class HttpLogService final : public LogService
 {
 public:
     struct Options
     {
-        Endpoint endpoint{}; ///< where the platform's log listens
-        std::chrono::milliseconds timeout{2000}; ///< for an append, and for a read beyond its waiting time
+        Endpoint endpoint{}; ///< of the platform's log
+        std::chrono::milliseconds timeout{2000}; ///< for an append, and for a read in addition to its waiting time
     };
 
-    /** Uses @p client, which must outlive it. */
+    /** Uses @p client, which must outlive the service. */
     HttpLogService(HttpClient &client, Options options);
 
     void append(const StreamName &stream, Bytes payload, AppendDone done) override;
--- a/tests/gateway/coalescedreader_test.cpp
+++ b/tests/gateway/coalescedreader_test.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/** Readings that end when the test says so. */
+/** Reads that finish when the test calls finishRead(). */
 class ControlledReads
 {
 public:
@@ -21,7 +21,7 @@
         return m_readCount;
     }
 
-    /** The open reading ends with its own number. */
+    /** Finishes the current read; its result is its number, counted from 1. */
     void finishRead()
     {
         const auto done = std::exchange(m_finishRead, {});
@@ -37,8 +37,8 @@
     }};
 };
 
-// An engine gets 2,000 new connections a second, each of which takes a slot for a moment: every gateway asks the
-// process beside it at the same moments, and each question was a connection of its own.
+// Guards against 2,000 new connections per second to an engine, each of which briefly occupies a slot: every gateway
+// queries the engine's sidecar at the same time, and without coalescing each query opens a connection of its own.
 TEST(CoalescedReader, CoalescesWaitingRequestsIntoOneRead)
 {
     ControlledReads controlled;
@@ -55,8 +55,8 @@
     EXPECT_TRUE(controlled.reader().isIdle());
 }
 
-// A switch of maps asks for the present pass and gets one of before its question: the pass that it then chooses to hold
-// has begun. So who asks while a reading is open is told what the next one says.
+// Guards against a map switch that requests the current pass and receives one read before its request: the pass that it
+// then chooses to hold has already begun. A request made during a read must receive the result of the next read.
 TEST(CoalescedReader, NeverDeliversAReadStartedBeforeTheRequest)
 {
     ControlledReads controlled;
--- a/tests/gateway/logclient_test.cpp
+++ b/tests/gateway/logclient_test.cpp
@@ -20,7 +20,7 @@
         + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/** A log on loopback that answers as told, and a client of it. */
+/** A scripted log on the loopback interface and a client of it. */
 class LogClientTest : public testing::Test
 {
 protected:
@@ -65,7 +65,7 @@
     int m_malformed = 0;
 
 private:
-    /** The path is the era that is told, with "late" before it in an answer that takes its time. */
+    /** Responds with the era that the path names. The prefix "late" delays the response. */
     Actions respond(const std::string &request)
     {
         const auto path = request.substr(request.find('/') + 1);
@@ -86,13 +86,13 @@
     std::shared_ptr<LogClient> m_client;
 };
 
-// Guards against an answer from before the log came back that arrives after one of the time since.
+// Guards against accepting a response from before the log was restored that arrives after a response from afterwards.
 TEST_F(LogClientTest, DropsResponsesFromBeforeTheLogWasRestored)
 {
     EXPECT_TRUE(isAccepted("/3"));
     auto delayed = send("/late3");
     std::this_thread::sleep_for(50ms);
-    EXPECT_FALSE(isAccepted("/4")) << "asked before the change was known";
+    EXPECT_FALSE(isAccepted("/4")) << "requested before the client knew of the restore";
     EXPECT_EQ(m_restored, std::vector<std::uint64_t>{4});
     EXPECT_TRUE(isAccepted("/4"));
     EXPECT_NE(errorIn(delayed.get()), nullptr);
--- a/tests/gateway/scriptedtarget.h
+++ b/tests/gateway/scriptedtarget.h
@@ -18,16 +18,16 @@
 namespace Heatherridge
 {
 
-/** One thing that a scripted target does on its connection. */
+/** One action of a scripted target on its connection. */
 struct TargetAction
 {
     enum class Kind {
         Send, ///< writes `bytes`
-        Wait, ///< for `pause`
-        Close, ///< in order
-        Reset, ///< so that bytes under way are lost
-        AwaitClose, ///< until the other side closes
-        Crash, ///< cuts off all connections and listens no more
+        Wait, ///< waits for `duration`
+        Close, ///< closes the connection gracefully
+        Reset, ///< resets the connection, which discards data in flight
+        AwaitClose, ///< waits until the peer closes the connection
+        Crash, ///< shuts down all connections and the listening socket
     };
 
     Kind kind = Kind::Send;
@@ -35,11 +35,11 @@
     std::chrono::milliseconds duration{0};
 };
 
-/** A target on loopback that answers each request with bytes and silences as told, right or wrong. */
+/** A target on the loopback interface that performs scripted actions, valid or not, for each request. */
 class ScriptedTarget
 {
 public:
-    /** What to do about the @p number-th request (from 0) with the text @p request. */
+    /** Returns the actions for the request with the text @p request; @p requestIndex counts requests from 0. */
     using Script = std::function<std::vector<TargetAction>(const std::string &request, int requestIndex)>;
 
     explicit ScriptedTarget(Script script);
@@ -48,19 +48,19 @@
     ScriptedTarget(const ScriptedTarget &) = delete;
     ScriptedTarget &operator=(const ScriptedTarget &) = delete;
 
-    /** Where it listens. */
+    /** Returns the endpoint listened on. */
     Endpoint endpoint() const;
 
-    /** All requests so far, head and body. */
+    /** Returns all requests so far, each with head and body. */
     std::vector<std::string> requests() const;
 
-    /** Whether it has crashed. */
+    /** Returns whether a Crash action was performed. */
     bool hasCrashed() const;
 
-    /** Connections that the other side has closed. */
+    /** Returns the number of connections that the peer has closed. */
     int peerCloseCount() const;
 
-    /** Those of them that it has reset. */
+    /** Returns how many of those were reset. */
     int peerResetCount() const;
 
 private:
@@ -74,7 +74,7 @@
     asio::ip::tcp::acceptor m_acceptor;
     mutable std::mutex m_mutex;
     std::vector<std::string> m_requests;
-    std::set<int> m_openHandles; ///< native handles of connections
+    std::set<int> m_openHandles; ///< native handles of open connections
     std::vector<std::thread> m_threads;
     std::atomic<int> m_peerCloseCount{0};
     std::atomic<int> m_peerResetCount{0};
@@ -83,10 +83,10 @@
     std::thread m_acceptThread;
 };
 
-/** The value of header @p name in the text @p request. */
+/** Returns the value of header @p name in the text @p request; empty if there is none. */
 std::string requestHeader(const std::string &request, const std::string &name);
 
-/** A whole signed answer to @p request. */
+/** Returns a complete signed response to @p request. */
 std::string signedResponse(const std::string &request, const std::string &body, int status = 200,
                            const std::string &extraHeaders = {});
 
--- a/tests/gateway/sidecarrankclient_test.cpp
+++ b/tests/gateway/sidecarrankclient_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Counts what comes past the sidecar. */
+/** Counts the calls that bypass the sidecar. */
 class CountingRankControl final : public SilentRanks
 {
 public:
@@ -49,13 +49,14 @@
     bool isDirect;
 };
 
-// All streams of a group stand still for seven seconds: the machine of a sidecar freezes right after it was handed the
-// order to hold a pass, so the answer never comes, and neither release nor recovery gets through until it wakes.
+// Guards against a group whose streams all stand still for seven seconds: the machine of a sidecar freezes right after
+// the sidecar received the order to hold a pass. The answer is lost, and neither release nor recovery gets through
+// until the machine resumes.
 const OrderRouteRow OrderRouteRows[] = {
-    {"what is copied before the hold goes through the sidecar", PrepareMap{}, false},
+    {"an order before the hold goes through the sidecar", PrepareMap{}, false},
     {"a hold", HoldStep{}, true},
-    {"to arm", ArmMap{}, true},
-    {"to disarm", DisarmMap{}, true},
+    {"an order to arm", ArmMap{}, true},
+    {"an order to disarm", DisarmMap{}, true},
     {"a release", ReleaseStep{}, true},
 };
 
@@ -80,15 +81,16 @@
 struct MissingSidecarRow
 {
     const char *story;
-    int port; ///< of the sidecars
-    int directReads; ///< readings of counts that pause the engine's group
+    int port; ///< of the sidecars; 0 if there are none
+    int directReads; ///< direct reads of counts, which pause the engine's group
 };
 
-// All streams of a site stand still for a third of the time: links are full, sidecars answer too late, and each reading
-// of counts that is then made from afar pauses its whole group for 4 ms, 192 of them several times a second.
+// Guards against all streams of a site standing still for a third of the time: links are saturated, sidecars answer too
+// late, and each direct read of counts that follows pauses its whole group for 4 ms, with 192 of them several times a
+// second.
 const MissingSidecarRow MissingSidecarRows[] = {
-    {"a sidecar that does not answer is no reason to pause its group", 1, 0},
-    {"where there are none there is no other way", 0, 2},
+    {"counts are not read directly while a sidecar does not answer", 1, 0},
+    {"counts are read directly if there are no sidecars", 0, 2},
 };
 
 class MissingSidecarTest : public testing::TestWithParam<MissingSidecarRow>
@@ -108,7 +110,7 @@
     int errors = 0;
     const auto count = [&errors](const Result<RankCounts> &counts) { errors += errorIn(counts) != nullptr ? 1 : 0; };
     client.fetchCounts(target, count);
-    loop.run(); // nobody listens there
+    loop.run(); // no process listens on the port
     loop.restart();
     client.fetchCounts(target, count);
     loop.run();
--- a/tests/transport/peersocket_test.cpp
+++ b/tests/transport/peersocket_test.cpp
@@ -45,8 +45,8 @@
     }
 }
 
-// A process sends a frame beyond the bound, by fault or malice. The connection closes; the listener goes on, so that
-// one bad peer takes no memory and harms no other.
+// A faulty or malicious process sends a frame above the limit. Its connection is closed and the listener continues, so
+// that one bad peer neither exhausts memory nor affects others.
 TEST(PeerSocket, ClosesOnlyTheConnectionWithAnOversizedFrame)
 {
     asio::io_context loop;
