--- a/modules/heatherridge_transport/platform/httplogservice.cpp
+++ b/modules/heatherridge_transport/platform/httplogservice.cpp
@@ -104,21 +104,22 @@
                   });
 }
 
-void HttpLogService::read(const StreamName &stream, LogOffset from, std::size_t most, std::chrono::milliseconds wait,
-                          ReadDone done)
+void HttpLogService::read(const StreamName &stream, LogOffset from, std::size_t maxRecords,
+                          std::chrono::milliseconds maxWait, ReadDone done)
 {
     HttpRequest request{.method = "GET",
                         .path = recordsPath(stream),
-                        .query = "from=" + std::to_string(toNumber(from)) + "&most=" + std::to_string(most)
-                            + "&wait-ms=" + std::to_string(wait.count())};
-    m_client.send({.endpoint = m_options.endpoint, .request = std::move(request), .timeout = m_options.timeout + wait},
-                  [done = std::move(done)](const std::variant<HttpResponse, HttpClient::Failure> &result) {
-                      if (const auto *failure = std::get_if<HttpClient::Failure>(&result)) {
-                          done(unavailable(failure->reason, ExecutionStatus::No));
-                      } else {
-                          done(parsePage(std::get<HttpResponse>(result)));
-                      }
-                  });
+                        .query = "from=" + std::to_string(toNumber(from)) + "&most=" + std::to_string(maxRecords)
+                            + "&wait-ms=" + std::to_string(maxWait.count())};
+    m_client.send(
+        {.endpoint = m_options.endpoint, .request = std::move(request), .timeout = m_options.timeout + maxWait},
+        [done = std::move(done)](const std::variant<HttpResponse, HttpClient::Failure> &result) {
+            if (const auto *failure = std::get_if<HttpClient::Failure>(&result)) {
+                done(unavailable(failure->reason, ExecutionStatus::No));
+            } else {
+                done(parsePage(std::get<HttpResponse>(result)));
+            }
+        });
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/platform/httplogservice.h
+++ b/modules/heatherridge_transport/platform/httplogservice.h
@@ -24,7 +24,7 @@
     HttpLogService(HttpClient &client, Options options);
 
     void append(const StreamName &stream, Bytes payload, AppendDone done) override;
-    void read(const StreamName &stream, LogOffset from, std::size_t most, std::chrono::milliseconds wait,
+    void read(const StreamName &stream, LogOffset from, std::size_t maxRecords, std::chrono::milliseconds maxWait,
               ReadDone done) override;
 
 private:
