--- a/modules/heatherridge_transport/direct/callerconnection.h
+++ b/modules/heatherridge_transport/direct/callerconnection.h
@@ -37,11 +37,9 @@
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
 public:
-    /** Limit for buffered bytes of pipelined requests. Above it, reading stops until the current response is finished.
-     */
+    /** Limit for buffered bytes of pipelined requests; above it, reading stops until the response is finished. */
     static constexpr std::size_t MaxPendingBytes = 64UL << 10U;
-    /** How long a closing connection waits for the caller to close, so that a reset does not discard the last response.
-     */
+    /** How long a closing connection waits for the caller to close; a reset could discard the last response. */
     static constexpr std::chrono::milliseconds LingerTimeout{1'000};
     /** A write that takes longer than this disconnects the caller. */
     static constexpr std::chrono::milliseconds WriteTimeout{15'000};
--- a/modules/heatherridge_transport/direct/callerserver.h
+++ b/modules/heatherridge_transport/direct/callerserver.h
@@ -35,8 +35,7 @@
 
     /** Called for each request once its body is complete. */
     using Handler = std::function<void(std::shared_ptr<HttpExchange>)>;
-    /** Returns the response to a request that is rejected before it is complete; @p kind states what is wrong with it.
-     */
+    /** Returns the response to a request that is rejected, for the reason @p kind, before it is complete. */
     using RejectionHandler = std::function<HttpResponse(ErrorKind kind)>;
 
     CallerServer(asio::io_context &loop, Options options, Handler handler, RejectionHandler makeRejection,
--- a/modules/heatherridge_transport/direct/sidecarrankclient.cpp
+++ b/modules/heatherridge_transport/direct/sidecarrankclient.cpp
@@ -91,8 +91,8 @@
 {
     // From the hold on, orders go directly to the engine. If the sidecar's machine froze while an answer to such an
     // order was in flight, the state of its rank would be unknown, and the group would stand still until the machine
-    // resumed (6.8 s, versus 1.2 s if this process freezes and another one takes over). Earlier orders
-    // cost nothing through the sidecar.
+    // resumed (6.8 s, versus 1.2 s if this process freezes and another one takes over). Orders before the
+    // hold cost nothing through the sidecar.
     const bool isBeforeHold = std::holds_alternative<PrepareMap>(order);
     if (isBypassed(target) || !isBeforeHold) {
         m_direct->sendOrder(target, order, epoch, std::move(done));
--- a/modules/heatherridge_transport/direct/targetconnectionpool.h
+++ b/modules/heatherridge_transport/direct/targetconnectionpool.h
@@ -32,8 +32,7 @@
     /** Returns the most recently used idle connection to @p target, or a new one if there is none. */
     std::shared_ptr<TargetConnection> acquire(const TargetEntry &target);
 
-    /** Returns @p connection to the pool if it is reusable, else closes it. @param idleTimeout announced by the target
-     */
+    /** Pools @p connection if it is reusable, else closes it. @param idleTimeout announced by the target */
     void release(const TargetName &target, const std::shared_ptr<TargetConnection> &connection,
                  std::optional<std::chrono::seconds> idleTimeout);
 
--- a/modules/heatherridge_transport/heatherridge_transport.h
+++ b/modules/heatherridge_transport/heatherridge_transport.h
@@ -7,6 +7,5 @@
  * provides the components of the daemons.
  *
  * Dependencies: heatherridge_coordination, Asio, websocketpp, RESTinio, libcurl, Boost.Log, Boost.Program_options,
- * Boost.Histogram. Headers that are expensive to compile are included only in source
- * files.
+ * Boost.Histogram. Headers that are expensive to compile are included only in source files.
  */
--- a/modules/heatherridge_transport/link/controllinks.h
+++ b/modules/heatherridge_transport/link/controllinks.h
@@ -31,8 +31,7 @@
     /** Creates links on @p loop. @p encoder must outlive them. */
     ControlLinks(EventLoop &loop, const FrameEncoder &encoder);
 
-    /** Sets the relay that receives messages and link events. Must be called first; the relay must outlive the links.
-     */
+    /** Sets the relay that receives messages and events. Must be called first; @p relay must outlive the links. */
     void setRelay(ConfigRelay *relay);
 
     void connect(const ProcessName &process, const Endpoint &endpoint) override;
--- a/tests/gateway/sidecarrankclient_test.cpp
+++ b/tests/gateway/sidecarrankclient_test.cpp
@@ -108,11 +108,13 @@
                              std::make_unique<CountingRankControl>(orders, &directReads), metrics);
     const TargetEntry target{.id = TargetName("r"), .address = {.address = "127.0.0.1", .port = 2}};
     int errors = 0;
-    const auto count = [&errors](const Result<RankCounts> &counts) { errors += errorIn(counts) != nullptr ? 1 : 0; };
-    client.fetchCounts(target, count);
+    const auto countErrors = [&errors](const Result<RankCounts> &counts) {
+        errors += errorIn(counts) != nullptr ? 1 : 0;
+    };
+    client.fetchCounts(target, countErrors);
     loop.run(); // no process listens on the port
     loop.restart();
-    client.fetchCounts(target, count);
+    client.fetchCounts(target, countErrors);
     loop.run();
     EXPECT_EQ(directReads, GetParam().directReads) << GetParam().story;
     EXPECT_EQ(errors, 2 - GetParam().directReads) << GetParam().story;
--- a/tests/transport/peersocket_test.cpp
+++ b/tests/transport/peersocket_test.cpp
@@ -14,7 +14,7 @@
 
 TEST(PeerSocket, EchoesFramesUnalteredAndInOrder)
 {
-    constexpr int count = 50;
+    constexpr int frameCount = 50;
     asio::io_context loop;
     std::vector<Frame> echoed;
     PeerListener listener(
@@ -25,21 +25,21 @@
     ASSERT_EQ(listener.start("127.0.0.1", port), "");
     PeerConnector connector(loop, FrameLimitBytes);
     const auto sendFrames = [](const std::shared_ptr<PeerSocket> &socket) {
-        for (int i = 0; i < count; ++i) {
+        for (int i = 0; i < frameCount; ++i) {
             socket->send(Frame(static_cast<std::size_t>(i + 1), static_cast<std::uint8_t>(i)));
         }
     };
     const auto collectEcho = [&](const std::shared_ptr<PeerSocket> &socket, const Frame &frame) {
         echoed.push_back(frame);
-        if (echoed.size() == count) {
+        if (echoed.size() == frameCount) {
             socket->close();
             listener.stop();
         }
     };
     connector.connect("127.0.0.1", port, {sendFrames, collectEcho, [](const auto &) {}});
     loop.run();
-    ASSERT_EQ(echoed.size(), count);
-    for (int i = 0; i < count; ++i) {
+    ASSERT_EQ(echoed.size(), frameCount);
+    for (int i = 0; i < frameCount; ++i) {
         EXPECT_EQ(echoed[static_cast<std::size_t>(i)],
                   Frame(static_cast<std::size_t>(i + 1), static_cast<std::uint8_t>(i)));
     }
