--- a/modules/heatherridge_transport/direct/callerconnection.cpp
+++ b/modules/heatherridge_transport/direct/callerconnection.cpp
@@ -143,7 +143,7 @@
     , m_reader(
           HttpMessageReader::Side::Requests, [this](const auto &head) { return onHead(head); },
           [this](std::string_view bytes) {
-              if (!m_rejection && m_request.body.size() + bytes.size() > m_server->bounds.maxBodyBytes) {
+              if (!m_rejection && m_request.body.size() + bytes.size() > m_server->limits.maxBodyBytes) {
                   m_rejection = ErrorKind::BodyTooLarge;
               }
               if (!m_rejection) {
@@ -171,16 +171,16 @@
     const auto elapsed = now - m_phaseSince;
     switch (m_phase) {
     case Phase::Waiting:
-        if (elapsed > m_server->bounds.idleTimeout) {
+        if (elapsed > m_server->limits.idleTimeout) {
             m_server->idleTimeouts->add();
             close();
         }
         break;
     case Phase::Receiving:
-        if (elapsed > m_server->bounds.headerTimeout && m_reader.state() == HttpMessageReader::State::Head) {
+        if (elapsed > m_server->limits.headerTimeout && m_reader.state() == HttpMessageReader::State::Head) {
             m_server->headTimeouts->add();
             reject(ErrorKind::SlowSender);
-        } else if (elapsed > m_server->bounds.headerTimeout + m_server->bounds.idleTimeout) {
+        } else if (elapsed > m_server->limits.headerTimeout + m_server->limits.idleTimeout) {
             reject(ErrorKind::SlowSender);
         }
         break;
@@ -284,9 +284,9 @@
     m_request = makeRequest(head);
     m_isKeepAlive = head.keepsConnection;
     m_expectsContinue = expectsContinue(head);
-    if (head.headBytes > m_server->bounds.maxHeaderBytes) {
+    if (head.headBytes > m_server->limits.maxHeaderBytes) {
         m_rejection = ErrorKind::HeaderTooLarge;
-    } else if (head.contentLength.value_or(0) > m_server->bounds.maxBodyBytes) {
+    } else if (head.contentLength.value_or(0) > m_server->limits.maxBodyBytes) {
         m_rejection = ErrorKind::BodyTooLarge;
     } else if (head.method == "CONNECT" || head.target.empty() || head.target.front() != '/') {
         m_rejection = ErrorKind::BadRequest;
--- a/modules/heatherridge_transport/direct/callerconnection.h
+++ b/modules/heatherridge_transport/direct/callerconnection.h
@@ -21,7 +21,7 @@
 {
     CallerServer::Handler handler{};
     CallerServer::RejectionHandler makeRejection{};
-    ClientLimits bounds{};
+    ClientLimits limits{};
     bool isDraining = false;
     std::size_t busyCount = 0; ///< connections with an unanswered request
     Counter *headTimeouts = nullptr;
--- a/modules/heatherridge_transport/direct/callerserver.cpp
+++ b/modules/heatherridge_transport/direct/callerserver.cpp
@@ -164,9 +164,9 @@
     return m_implementation->start();
 }
 
-void CallerServer::setBounds(const ClientLimits &bounds)
+void CallerServer::setLimits(const ClientLimits &limits)
 {
-    m_implementation->state().bounds = bounds;
+    m_implementation->state().limits = limits;
 }
 
 void CallerServer::beginDrain()
--- a/modules/heatherridge_transport/direct/callerserver.h
+++ b/modules/heatherridge_transport/direct/callerserver.h
@@ -49,7 +49,7 @@
     Result<Endpoint> start();
 
     /** Sets the limits on what callers may send from now on. */
-    void setBounds(const ClientLimits &bounds);
+    void setLimits(const ClientLimits &limits);
 
     /** Makes each further response close its connection. New connections are still served. */
     void beginDrain();
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -265,7 +265,7 @@
     {
         updateRebalancers();
         m_trafficLoop.post([this, table = std::move(table)] {
-            m_callers.setBounds(table->config().bounds);
+            m_callers.setLimits(table->config().bounds);
             m_traffic.setTable(table);
         });
     }
