--- a/modules/heatherridge_transport/direct/callerserver.cpp
+++ b/modules/heatherridge_transport/direct/callerserver.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 
-/** How often connections are looked over for timeouts; the shortest of them is a second. */
+/** Interval between timeout checks of all connections; the shortest timeout is one second. */
 constexpr std::chrono::milliseconds SweepPeriod{250};
-/** New connections that the kernel may queue; when it is full an opening packet is lost for a second. */
+/** Length of the kernel's accept queue. While it is full, SYN packets are dropped and retried after one second. */
 constexpr int Backlog = 512;
 
 } // namespace
@@ -23,19 +23,20 @@
 class CallerServer::Implementation : public std::enable_shared_from_this<Implementation>
 {
 public:
-    Implementation(asio::io_context &loop, Options options, Handler handler, Refusal refusal, Metrics &metrics)
+    Implementation(asio::io_context &loop, Options options, Handler handler, RejectionHandler makeRejection,
+                   Metrics &metrics)
         : m_options(std::move(options))
         , m_acceptor(loop)
-        , m_sweep(loop)
+        , m_sweepTimer(loop)
         , m_state(std::make_shared<CallerServerState>())
         , m_accepted(metrics.counter("heatherridge_caller_connections_total"))
         , m_refused(metrics.counter("heatherridge_caller_connections_refused_total"))
     {
         m_state->handler = std::move(handler);
-        m_state->refusal = std::move(refusal);
+        m_state->makeRejection = std::move(makeRejection);
         m_state->headTimeouts = &metrics.counter("heatherridge_caller_head_timeouts_total");
         m_state->idleTimeouts = &metrics.counter("heatherridge_caller_idle_timeouts_total");
-        m_state->callersGone = &metrics.counter("heatherridge_callers_gone_total");
+        m_state->callerDisconnects = &metrics.counter("heatherridge_callers_gone_total");
     }
 
     Result<Endpoint> start()
@@ -44,7 +45,7 @@
         asio::error_code error;
         const auto address = asio::ip::make_address(m_options.listen.address, error);
         if (error) {
-            return Error{.detail = "not an IP number: " + m_options.listen.address};
+            return Error{.detail = "not an IP address: " + m_options.listen.address};
         }
         const tcp::endpoint endpoint(address, static_cast<std::uint16_t>(m_options.listen.port));
         m_acceptor.open(endpoint.protocol(), error);
@@ -63,17 +64,17 @@
 
     void stop()
     {
-        asio::error_code ignored; // the process ends either way
+        asio::error_code ignored; // the process is about to exit
         m_acceptor.close(ignored);
-        m_sweep.cancel();
-        for (const auto &connection : live()) {
+        m_sweepTimer.cancel();
+        for (const auto &connection : openConnections()) {
             connection->close();
         }
     }
 
-    void closeIdle()
+    void closeIdleConnections()
     {
-        for (const auto &connection : live()) {
+        for (const auto &connection : openConnections()) {
             connection->closeIfIdle();
         }
     }
@@ -92,18 +93,18 @@
                     return;
                 }
                 if (!error) {
-                    self->take(std::move(socket));
+                    self->addConnection(std::move(socket));
                 }
                 self->accept();
             });
     }
 
-    void take(asio::ip::tcp::socket socket)
+    void addConnection(asio::ip::tcp::socket socket)
     {
         m_accepted.add();
         if (m_connections.size() >= m_options.maxConnections) {
             m_refused.add();
-            return; // the socket closes here: nothing of a request has been read
+            return; // destroys the socket, which closes it; no part of a request has been read
         }
         const auto connection = std::make_shared<CallerConnection>(std::move(socket), m_state);
         m_connections.push_back(connection);
@@ -112,13 +113,13 @@
 
     void sweep()
     {
-        m_sweep.expires_after(SweepPeriod);
-        m_sweep.async_wait([self = shared_from_this()](const asio::error_code &error) {
+        m_sweepTimer.expires_after(SweepPeriod);
+        m_sweepTimer.async_wait([self = shared_from_this()](const asio::error_code &error) {
             if (error) {
                 return;
             }
             const auto now = std::chrono::steady_clock::now();
-            for (const auto &connection : self->live()) {
+            for (const auto &connection : self->openConnections()) {
                 connection->tick(now);
             }
             self->m_connections.remove_if([](const auto &entry) { return entry.expired(); });
@@ -126,7 +127,7 @@
         });
     }
 
-    std::vector<std::shared_ptr<CallerConnection>> live() const
+    std::vector<std::shared_ptr<CallerConnection>> openConnections() const
     {
         std::vector<std::shared_ptr<CallerConnection>> connections;
         for (const auto &entry : m_connections) {
@@ -139,16 +140,17 @@
 
     Options m_options;
     asio::ip::tcp::acceptor m_acceptor;
-    asio::steady_timer m_sweep;
+    asio::steady_timer m_sweepTimer;
     std::shared_ptr<CallerServerState> m_state;
     std::list<std::weak_ptr<CallerConnection>> m_connections;
     Counter &m_accepted;
     Counter &m_refused;
 };
 
-CallerServer::CallerServer(asio::io_context &loop, Options options, Handler handler, Refusal refusal, Metrics &metrics)
-    : m_implementation(
-        std::make_shared<Implementation>(loop, std::move(options), std::move(handler), std::move(refusal), metrics))
+CallerServer::CallerServer(asio::io_context &loop, Options options, Handler handler, RejectionHandler makeRejection,
+                           Metrics &metrics)
+    : m_implementation(std::make_shared<Implementation>(loop, std::move(options), std::move(handler),
+                                                        std::move(makeRejection), metrics))
 {
 }
 
@@ -162,9 +164,9 @@
     return m_implementation->start();
 }
 
-void CallerServer::setBounds(const ClientLimits &bounds)
+void CallerServer::setLimits(const ClientLimits &limits)
 {
-    m_implementation->state().bounds = bounds;
+    m_implementation->state().limits = limits;
 }
 
 void CallerServer::beginDrain()
@@ -172,14 +174,14 @@
     m_implementation->state().isDraining = true;
 }
 
-void CallerServer::closeIdle()
+void CallerServer::closeIdleConnections()
 {
-    m_implementation->closeIdle();
+    m_implementation->closeIdleConnections();
 }
 
 std::size_t CallerServer::busyConnections() const
 {
-    return m_implementation->state().busy;
+    return m_implementation->state().busyCount;
 }
 
 void CallerServer::stop()
--- a/modules/heatherridge_transport/direct/gatewaycall.h
+++ b/modules/heatherridge_transport/direct/gatewaycall.h
@@ -123,7 +123,7 @@
 
     int m_responseStatus = 0; ///< of the current attempt's response; 0 before its head
     std::vector<HttpHeader> m_responseHeaders;
-    TargetAnswerFields m_responseFields;
+    TargetResponseFields m_responseFields;
     std::string m_responseBody;
     bool m_isResponseUnusable = false; ///< the received bytes are not a valid response to this request
     bool m_hasBodyBegun = false; ///< body bytes have arrived in the current attempt
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -4,7 +4,7 @@
 #include "heatherridge_transport/app/eventloop.h"
 #include "heatherridge_transport/app/logger.h"
 #include "heatherridge_transport/direct/callerserver.h"
-#include "heatherridge_transport/direct/sidecarranks.h"
+#include "heatherridge_transport/direct/sidecarrankclient.h"
 
 #include <atomic>
 #include <map>
@@ -129,7 +129,7 @@
         m_controlLoop.post([this] { m_workShare.leave(); });
         m_trafficLoop.post([this] { m_callers.beginDrain(); });
         // After half of the time, few callers still choose a kept connection.
-        m_trafficLoop.after(m_options.balancerDetectionTime / 2, [this] { m_callers.closeIdle(); });
+        m_trafficLoop.after(m_options.balancerDetectionTime / 2, [this] { m_callers.closeIdleConnections(); });
         m_trafficLoop.after(m_options.balancerDetectionTime, [this] { m_traffic.refuseStreams(); });
         waitUntilDrained(drainStart);
         logEvent(Severity::Info, "stopped", {{"cut", std::to_string(openCallCount())}});
@@ -169,7 +169,7 @@
     {
         m_metrics.errors(kind).add();
         logEvent(Severity::Info, "refused", {{"kind", std::string(errorDescriptorFor(kind).name)}});
-        return m_adapter.trafficCodec->refusal({.kind = kind}, {});
+        return m_adapter.trafficCodec->errorResponse({.kind = kind}, {});
     }
 
     void answerMetrics(HttpExchange &exchange)
@@ -265,7 +265,7 @@
     {
         updateRebalancers();
         m_trafficLoop.post([this, table = std::move(table)] {
-            m_callers.setBounds(table->config().bounds);
+            m_callers.setLimits(table->config().bounds);
             m_traffic.setTable(table);
         });
     }
@@ -325,7 +325,7 @@
     CallerServer m_metricsServer;
     HttpClient m_client; ///< on the control thread, like the members below
     LogClients m_logClients;
-    SidecarRanks m_ranks;
+    SidecarRankClient m_ranks;
     std::random_device m_entropy;
     SystemClock m_clock;
     Gauge &m_groupSkew = m_metrics.gauge("heatherridge_group_skew_percent");
--- a/modules/heatherridge_transport/direct/gatewaytraffic.h
+++ b/modules/heatherridge_transport/direct/gatewaytraffic.h
@@ -7,7 +7,7 @@
 #include "heatherridge_transport/app/metrics.h"
 #include "heatherridge_transport/direct/crashguard.h"
 #include "heatherridge_transport/direct/gatewaytargets.h"
-#include "heatherridge_transport/direct/targetpool.h"
+#include "heatherridge_transport/direct/targetconnectionpool.h"
 #include "heatherridge_transport/direct/targetprobe.h"
 #include "heatherridge_transport/http/httpserver.h"
 
@@ -125,7 +125,7 @@
     Counters m_counters;
     std::shared_ptr<const RouteTable> m_table;
     GatewayTargets m_targets;
-    TargetPool m_pool;
+    TargetConnectionPool m_pool;
     TargetProbe m_probe;
     CrashGuard m_crashGuard;
     SeededRandom m_random;
--- a/modules/heatherridge_transport/platform/httplogservice.cpp
+++ b/modules/heatherridge_transport/platform/httplogservice.cpp
@@ -16,57 +16,57 @@
     return Error{.kind = ErrorKind::PlatformUnavailable, .detail = "log: " + reason, .ran = ran};
 }
 
-std::string pathOf(const StreamName &stream)
+std::string recordsPath(const StreamName &stream)
 {
     return "/streams/" + stream.text() + "/records";
 }
 
-/** Reads the offset out of the answer to an append. */
-Result<LogOffset> offsetFrom(const HttpResponse &response)
+/** Parses the offset in the response to an append. */
+Result<LogOffset> parseOffset(const HttpResponse &response)
 {
     if (response.status != StatusOk) {
-        // A refusal of the request proves that nothing was appended. A server error does not: it may come from a
-        // gateway that lost the log's answer, and an append told as "not done" would then take effect.
+        // A client error proves that nothing was appended. A server error does not: it may come from a gateway that
+        // lost the log's response, in which case an append reported as not executed would still take effect.
         const auto ran = response.status < FirstServerError ? ExecutionStatus::No : ExecutionStatus::Unknown;
         return unavailable("status " + std::to_string(response.status), ran);
     }
-    const auto answer = nlohmann::json::parse(response.body, nullptr, false);
-    if (!answer.is_object() || !answer.contains("offset") || !answer["offset"].is_number_unsigned()) {
-        return unavailable("answer without an offset", ExecutionStatus::Unknown);
+    const auto body = nlohmann::json::parse(response.body, nullptr, false);
+    if (!body.is_object() || !body.contains("offset") || !body["offset"].is_number_unsigned()) {
+        return unavailable("response has no offset", ExecutionStatus::Unknown);
     }
-    return static_cast<LogOffset>(answer["offset"].get<std::uint64_t>());
+    return static_cast<LogOffset>(body["offset"].get<std::uint64_t>());
 }
 
-Result<LogRecord> recordFrom(const nlohmann::json &map)
+Result<LogRecord> parseRecord(const nlohmann::json &map)
 {
     CborReader reader(map);
     LogRecord record{.offset = static_cast<LogOffset>(reader.number("o")),
                      .appended = WallTime(std::chrono::milliseconds(reader.integer("t", 0, INT64_MAX))),
                      .payload = reader.bytes("p")};
     if (!reader.ok()) {
-        return unavailable("damaged record", ExecutionStatus::No);
+        return unavailable("malformed record", ExecutionStatus::No);
     }
     return record;
 }
 
-Result<LogPage> pageFrom(const HttpResponse &response)
+Result<LogPage> parsePage(const HttpResponse &response)
 {
     if (response.status != StatusOk) {
         return unavailable("status " + std::to_string(response.status), ExecutionStatus::No);
     }
     nlohmann::json map;
     if (!CborReader::parse(Bytes(response.body.begin(), response.body.end()), map)) {
-        return unavailable("damaged page", ExecutionStatus::No);
+        return unavailable("malformed page", ExecutionStatus::No);
     }
     CborReader reader(map);
     LogPage page{.first = static_cast<LogOffset>(reader.number("first")),
                  .last = static_cast<LogOffset>(reader.number("last"))};
     const auto *records = reader.array("records");
     if (!reader.ok()) {
-        return unavailable("damaged page", ExecutionStatus::No);
+        return unavailable("malformed page", ExecutionStatus::No);
     }
     for (const auto &entry : *records) {
-        auto record = recordFrom(entry);
+        auto record = parseRecord(entry);
         if (const auto *error = errorIn(record)) {
             return *error;
         }
@@ -85,10 +85,11 @@
 
 void HttpLogService::append(const StreamName &stream, Bytes payload, AppendDone done)
 {
-    HttpRequest request{.method = "POST", .path = pathOf(stream), .body = std::string(payload.begin(), payload.end())};
+    HttpRequest request{
+        .method = "POST", .path = recordsPath(stream), .body = std::string(payload.begin(), payload.end())};
     request.headers.push_back({.name = "Content-Type", .value = "application/octet-stream"});
-    // A fresh connection: libcurl would repeat an append on its own when a reused one breaks, and a doubled record,
-    // though folded once, costs the log's rate.
+    // Uses a new connection: libcurl would silently retry an append if a reused connection broke. A duplicate record is
+    // applied only once, but counts against the log's rate limit.
     m_client.send({.endpoint = m_options.endpoint,
                    .request = std::move(request),
                    .timeout = m_options.timeout,
@@ -98,26 +99,27 @@
                           done(unavailable(failure->reason,
                                            failure->mayHaveArrived ? ExecutionStatus::Unknown : ExecutionStatus::No));
                       } else {
-                          done(offsetFrom(std::get<HttpResponse>(result)));
+                          done(parseOffset(std::get<HttpResponse>(result)));
                       }
                   });
 }
 
-void HttpLogService::read(const StreamName &stream, LogOffset from, std::size_t most, std::chrono::milliseconds wait,
-                          ReadDone done)
+void HttpLogService::read(const StreamName &stream, LogOffset from, std::size_t maxRecords,
+                          std::chrono::milliseconds maxWait, ReadDone done)
 {
     HttpRequest request{.method = "GET",
-                        .path = pathOf(stream),
-                        .query = "from=" + std::to_string(toNumber(from)) + "&most=" + std::to_string(most)
-                            + "&wait-ms=" + std::to_string(wait.count())};
-    m_client.send({.endpoint = m_options.endpoint, .request = std::move(request), .timeout = m_options.timeout + wait},
-                  [done = std::move(done)](const std::variant<HttpResponse, HttpClient::Failure> &result) {
-                      if (const auto *failure = std::get_if<HttpClient::Failure>(&result)) {
-                          done(unavailable(failure->reason, ExecutionStatus::No));
-                      } else {
-                          done(pageFrom(std::get<HttpResponse>(result)));
-                      }
-                  });
+                        .path = recordsPath(stream),
+                        .query = "from=" + std::to_string(toNumber(from)) + "&most=" + std::to_string(maxRecords)
+                            + "&wait-ms=" + std::to_string(maxWait.count())};
+    m_client.send(
+        {.endpoint = m_options.endpoint, .request = std::move(request), .timeout = m_options.timeout + maxWait},
+        [done = std::move(done)](const std::variant<HttpResponse, HttpClient::Failure> &result) {
+            if (const auto *failure = std::get_if<HttpClient::Failure>(&result)) {
+                done(unavailable(failure->reason, ExecutionStatus::No));
+            } else {
+                done(parsePage(std::get<HttpResponse>(result)));
+            }
+        });
 }
 
 } // namespace Heatherridge
--- a/tests/transport/peersocket_test.cpp
+++ b/tests/transport/peersocket_test.cpp
@@ -10,64 +10,68 @@
 
 using Frame = std::vector<std::uint8_t>;
 
-constexpr std::size_t FrameLimit = 1000;
+constexpr std::size_t FrameLimitBytes = 1000;
 
-TEST(PeerSocket, FramesArriveWholeInOrderAndBothWays)
+TEST(PeerSocket, EchoesFramesUnalteredAndInOrder)
 {
-    constexpr int count = 50;
+    constexpr int frameCount = 50;
     asio::io_context loop;
     std::vector<Frame> echoed;
     PeerListener listener(
         loop,
         {[](const auto &) {}, [](const auto &socket, const Frame &frame) { socket->send(frame); }, [](const auto &) {}},
-        FrameLimit);
+        FrameLimitBytes);
     int port = 0;
     ASSERT_EQ(listener.start("127.0.0.1", port), "");
-    PeerConnector connector(loop, FrameLimit);
-    const auto sendAll = [](const std::shared_ptr<PeerSocket> &socket) {
-        for (int i = 0; i < count; ++i) {
+    PeerConnector connector(loop, FrameLimitBytes);
+    const auto sendFrames = [](const std::shared_ptr<PeerSocket> &socket) {
+        for (int i = 0; i < frameCount; ++i) {
             socket->send(Frame(static_cast<std::size_t>(i + 1), static_cast<std::uint8_t>(i)));
         }
     };
-    const auto collect = [&](const std::shared_ptr<PeerSocket> &socket, const Frame &frame) {
+    const auto collectEcho = [&](const std::shared_ptr<PeerSocket> &socket, const Frame &frame) {
         echoed.push_back(frame);
-        if (echoed.size() == count) {
+        if (echoed.size() == frameCount) {
             socket->close();
             listener.stop();
         }
     };
-    connector.connect("127.0.0.1", port, {sendAll, collect, [](const auto &) {}});
+    connector.connect("127.0.0.1", port, {sendFrames, collectEcho, [](const auto &) {}});
     loop.run();
-    ASSERT_EQ(echoed.size(), count);
-    for (int i = 0; i < count; ++i) {
+    ASSERT_EQ(echoed.size(), frameCount);
+    for (int i = 0; i < frameCount; ++i) {
         EXPECT_EQ(echoed[static_cast<std::size_t>(i)],
                   Frame(static_cast<std::size_t>(i + 1), static_cast<std::uint8_t>(i)));
     }
 }
 
-// A process sends a frame beyond the bound, by fault or malice. The connection closes; the listener goes on, so that
-// one bad peer takes no memory and harms no other.
-TEST(PeerSocket, AnOversizedFrameClosesItsConnectionAlone)
+// A faulty or malicious process sends a frame above the limit. Its connection is closed and the listener continues, so
+// that one bad peer neither exhausts memory nor affects others.
+TEST(PeerSocket, ClosesOnlyTheConnectionWithAnOversizedFrame)
 {
     asio::io_context loop;
     int received = 0;
     int closed = 0;
-    PeerListener listener(
-        loop, {[](const auto &) {}, [&](const auto &, const Frame &) { ++received; }, [](const auto &) {}}, FrameLimit);
+    PeerListener listener(loop,
+                          {[](const auto &) {}, [&](const auto &, const Frame &) { ++received; }, [](const auto &) {}},
+                          FrameLimitBytes);
     int port = 0;
     ASSERT_EQ(listener.start("127.0.0.1", port), "");
-    PeerConnector connector(loop, FrameLimit);
-    const auto hostile = [](const std::shared_ptr<PeerSocket> &socket) { socket->send(Frame(FrameLimit + 1)); };
-    const auto honest = [](const std::shared_ptr<PeerSocket> &socket) {
-        socket->send(Frame(FrameLimit));
+    PeerConnector connector(loop, FrameLimitBytes);
+    const auto sendOversizedFrame = [](const std::shared_ptr<PeerSocket> &socket) {
+        socket->send(Frame(FrameLimitBytes + 1));
+    };
+    const auto sendLargestFrame = [](const std::shared_ptr<PeerSocket> &socket) {
+        socket->send(Frame(FrameLimitBytes));
         socket->close();
     };
-    const auto goOn = [&](const auto &) {
+    const auto reconnect = [&](const auto &) {
         ++closed;
-        connector.connect("127.0.0.1", port,
-                          {honest, [](const auto &, const Frame &) {}, [&](const auto &) { listener.stop(); }});
+        connector.connect(
+            "127.0.0.1", port,
+            {sendLargestFrame, [](const auto &, const Frame &) {}, [&](const auto &) { listener.stop(); }});
     };
-    connector.connect("127.0.0.1", port, {hostile, [](const auto &, const Frame &) {}, goOn});
+    connector.connect("127.0.0.1", port, {sendOversizedFrame, [](const auto &, const Frame &) {}, reconnect});
     loop.run();
     EXPECT_EQ(received, 1);
     EXPECT_EQ(closed, 1);
