--- a/modules/heatherridge_transport/direct/sidecarrankclient.cpp
+++ b/modules/heatherridge_transport/direct/sidecarrankclient.cpp
@@ -55,7 +55,7 @@
         received = {.target = target.id};
     }
     auto call = makeCall(target, SidecarPaths::Counts, {});
-    call.request.query = std::string(SidecarPaths::SinceParameter) + "=" + std::to_string(received.listener.mark());
+    call.request.query = std::string(SidecarPaths::SinceParameter) + "=" + std::to_string(received.listener.lastId());
     const auto unavailable = [done] {
         done(Error{.kind = ErrorKind::TargetUnreachable, .detail = "the sidecar of the rank does not answer"});
     };
@@ -66,13 +66,13 @@
 
 Result<RankCounts> SidecarRankClient::decodeCounts(const TargetEntry &target, std::string_view bytes)
 {
-    const auto decoded = decodeCountsReading(bytes);
+    const auto decoded = decodeCountsUpdate(bytes);
     if (const auto *error = errorIn(decoded)) {
         return *error;
     }
     auto &received = m_receivedCounts[target.address.address];
     const auto counts =
-        received.target == target.id ? received.listener.take(std::get<CountsReading>(decoded)) : std::nullopt;
+        received.target == target.id ? received.listener.apply(std::get<CountsUpdate>(decoded)) : std::nullopt;
     if (!counts) {
         return Error{.kind = ErrorKind::BackendFailed, .detail = "counts are relative to an unknown reading"};
     }
--- a/modules/heatherridge_transport/direct/sidecarrankclient.h
+++ b/modules/heatherridge_transport/direct/sidecarrankclient.h
@@ -89,7 +89,7 @@
     struct ReceivedCounts
     {
         TargetName target{};
-        CountsListener listener{};
+        CountsDeltaDecoder listener{};
     };
 
     std::map<std::string, Backoff> m_backoffs; ///< by address
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -130,7 +130,7 @@
                 exchange->respond(errorResponse(*error));
                 return;
             }
-            exchange->respond({.body = encode(m_countsTeller.tell(target.id, std::get<RankCounts>(counts), since))});
+            exchange->respond({.body = encode(m_countsTeller.createUpdate(target.id, std::get<RankCounts>(counts), since))});
         });
     }
 
@@ -163,7 +163,7 @@
     HttpClient m_client;
     std::unique_ptr<RankControl> m_rankControl;
     std::map<TargetName, CoalescedReader<RankStatus>> m_statusReaders; ///< by requested run of the engine
-    CountsTeller m_countsTeller{randomMark()};
+    CountsDeltaEncoder m_countsTeller{randomMark()};
     SteadyTime m_countsRequestedAt =
         std::chrono::steady_clock::now(); ///< last counts request of a keeper; initially the time of construction
     CallerServer m_server;
