--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -176,7 +176,7 @@
         return;
     }
     const double uncachedTokens = call->request.promptTokens - views[std::get<std::size_t>(choice)].prefixTokens;
-    call->request.submit.freshTokens = static_cast<std::uint64_t>(std::max(0.0, uncachedTokens));
+    call->request.submit.uncachedPromptTokens = static_cast<std::uint64_t>(std::max(0.0, uncachedTokens));
     dispatchAttempt(call, targets[std::get<std::size_t>(choice)]->name, remaining);
 }
 
@@ -314,7 +314,7 @@
                        [&](const AnswerChunk &chunk) { handleChunk(call, chunk); },
                        [&](const AnswerEnd &end) { handleEnd(call, end); },
                        [&](const AnswerError &error) {
-                           if (followRedirect(call, error.askAt)) {
+                           if (followRedirect(call, error.redirectTarget)) {
                                return;
                            }
                            handleAttemptFailure(call,
--- a/modules/heatherridge_transport/entry/targettracker.cpp
+++ b/modules/heatherridge_transport/entry/targettracker.cpp
@@ -35,8 +35,8 @@
     target.report = report;
     target.reportedAt = now;
     target.promptSent = 0;
-    if (report.pace.count() > 0) {
-        m_slowness.record(static_cast<std::size_t>(target.slot), report.pace, now);
+    if (report.tokenInterval.count() > 0) {
+        m_slowness.record(static_cast<std::size_t>(target.slot), report.tokenInterval, now);
     }
 }
 
@@ -51,7 +51,7 @@
 {
     auto &entry = stateOf(target);
     entry.ownLoad += static_cast<double>(request.cost);
-    entry.promptSent += static_cast<double>(request.freshTokens);
+    entry.promptSent += static_cast<double>(request.uncachedPromptTokens);
     ++entry.ownInFlight;
     m_prefixes.insert(entry.slot, chain, now);
 }
@@ -89,7 +89,7 @@
         views.push_back({.key = targetKey(target->name),
                          .reportedLoad = state.report.load,
                          .reportAge = std::chrono::duration_cast<std::chrono::microseconds>(age),
-                         .ownAtReport = state.report.ofEntry,
+                         .ownAtReport = state.report.loadOfEntry,
                          .reportedCapacity = state.report.capacity,
                          .reportedPressure = state.report.pressure,
                          .pendingPromptTokens = state.report.pendingPrompt + state.promptSent,
--- a/modules/heatherridge_transport/target/keyedcalls.cpp
+++ b/modules/heatherridge_transport/target/keyedcalls.cpp
@@ -331,7 +331,7 @@
                                                    .kind = ErrorKind::KeyNotDecidable,
                                                    .ran = ExecutionStatus::Unknown,
                                                    .detail = "another process holds the key's shard",
-                                                   .askAt = TargetName(redirect.holder.text())});
+                                                   .redirectTarget = TargetName(redirect.holder.text())});
                    },
                },
                reply);
--- a/modules/heatherridge_transport/target/targettraffic.cpp
+++ b/modules/heatherridge_transport/target/targettraffic.cpp
@@ -531,11 +531,11 @@
                       .pressure = load.pressure,
                       .pendingPrompt = pendingPromptTokens(),
                       .warmth = m_limit->warmth(),
-                      .pace = std::chrono::microseconds(static_cast<long long>(m_pace))};
+                      .tokenInterval = std::chrono::microseconds(static_cast<long long>(m_pace))};
     for (const auto &entry : m_entries) {
-        report.ofEntry = loadFromEntry(entry);
+        report.loadOfEntry = loadFromEntry(entry);
         // Entries with open requests here use the report soon; the others need it only as a keep-alive.
-        if (always || report.ofEntry > 0) {
+        if (always || report.loadOfEntry > 0) {
             send(entry, report);
         }
     }
@@ -558,7 +558,7 @@
 {
     double pending = 0;
     for (const auto &[id, work] : m_work) {
-        pending += work->startedAt && !work->headSent ? static_cast<double>(work->request.freshTokens) : 0;
+        pending += work->startedAt && !work->headSent ? static_cast<double>(work->request.uncachedPromptTokens) : 0;
     }
     return pending;
 }
