--- a/modules/heatherridge_coordination/config/configrelay.cpp
+++ b/modules/heatherridge_coordination/config/configrelay.cpp
@@ -445,8 +445,9 @@
 
 bool ConfigRelay::sourcesReportOutage() const
 {
-    return std::all_of(m_peers.begin(), m_peers.end(),
-                       [](const auto &entry) { return !entry.second.isConnected || entry.second.heartbeat.logUnreachable; });
+    return std::all_of(m_peers.begin(), m_peers.end(), [](const auto &entry) {
+        return !entry.second.isConnected || entry.second.heartbeat.logUnreachable;
+    });
 }
 
 void ConfigRelay::erasePeerIfUnused(const ProcessName &process)
