--- a/benchmarks/configrun.cpp
+++ b/benchmarks/configrun.cpp
@@ -114,7 +114,7 @@
 
     ~Deployment()
     {
-        m_loop.run([this] {
+        m_loop.runAndWait([this] {
             m_publisher.reset();
             m_service.reset();
             m_client.reset();
@@ -165,7 +165,7 @@
     /** Publishes @p text and waits for the outcome; @returns the offset, or 0 when it was not accepted. */
     std::uint64_t publish(DocumentKind document, const std::string &text)
     {
-        m_loop.run([&] {
+        m_loop.runAndWait([&] {
             m_publisher = std::make_unique<Publisher>(
                 *m_service, m_random,
                 PublishRequest{.document = document,
@@ -175,7 +175,7 @@
         });
         std::optional<PublishResult> result;
         while (!result) {
-            m_loop.run([&] {
+            m_loop.runAndWait([&] {
                 m_publisher->tick(std::chrono::steady_clock::now());
                 result = m_publisher->result();
             });
@@ -189,7 +189,7 @@
     std::int64_t appendedAt(std::uint64_t offset)
     {
         std::promise<std::int64_t> time;
-        m_loop.run([&] {
+        m_loop.runAndWait([&] {
             m_service->read(ControlStream, static_cast<LogOffset>(offset), 1, std::chrono::milliseconds(0),
                             [&time](const Result<LogPage> &page) {
                                 const auto at = std::get<LogPage>(page).records.front().appended.time_since_epoch();
@@ -202,7 +202,7 @@
     HttpResponse call(const Endpoint &endpoint, HttpRequest request)
     {
         std::promise<HttpResponse> answer;
-        m_loop.run([&] {
+        m_loop.runAndWait([&] {
             m_client->send({.endpoint = endpoint, .request = std::move(request)},
                            [&answer](const std::variant<HttpResponse, HttpClient::Failure> &result) {
                                const auto *response = std::get_if<HttpResponse>(&result);
--- a/extras/heatherridge-target/main.cpp
+++ b/extras/heatherridge-target/main.cpp
@@ -11,24 +11,24 @@
 const SettingSpec OwnSettings[] = {
     {.key = "listen",
      .type = SettingType::Address,
-     .fallback = "127.0.0.1:7100",
+     .defaultValue = "127.0.0.1:7100",
      .help = "where entries reach it; the target's gate in the inventory"},
     {.key = "admin",
      .type = SettingType::Address,
-     .fallback = "127.0.0.1:7101",
+     .defaultValue = "127.0.0.1:7101",
      .help = "where status and metrics are served"},
     {.key = "drain-timeout",
      .type = SettingType::Milliseconds,
-     .fallback = "60000",
-     .lowest = 0,
-     .highest = 3600000,
+     .defaultValue = "60000",
+     .minimum = 0,
+     .maximum = 3600000,
      .help = "longest wait for running requests at shutdown"},
 };
 
 TargetServer::Options optionsFrom(const Settings &settings)
 {
     return {.target = TargetName(settings.text("name")),
-            .incarnation = drawIncarnation(),
+            .incarnation = generateIncarnation(),
             .zone = ZoneName(settings.text("zone")),
             .listen = settings.address("listen"),
             .admin = settings.address("admin"),
--- a/modules/heatherridge_transport/app/adminanswers.cpp
+++ b/modules/heatherridge_transport/app/adminresponses.cpp
@@ -1,18 +1,18 @@
-#include "heatherridge_transport/app/adminanswers.h"
+#include "heatherridge_transport/app/adminresponses.h"
 
 #include "heatherridge_transport/app/problem.h"
 
 namespace Heatherridge
 {
 
-HttpResponse jsonAnswer(const nlohmann::ordered_json &json)
+HttpResponse jsonResponse(const nlohmann::ordered_json &json)
 {
     return {.status = 200,
             .headers = {{"Content-Type", "application/json"}},
             .body = json.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace)};
 }
 
-HttpResponse metricsAnswer(const Metrics &metrics)
+HttpResponse metricsResponse(const Metrics &metrics)
 {
     return {.status = 200, .headers = {{"Content-Type", "text/plain; version=0.0.4"}}, .body = metrics.exposition()};
 }
@@ -24,7 +24,7 @@
         peers.push_back({{"process", peer.process.text()},
                          {"role", peer.isSource ? "source" : "subscriber"},
                          {"offset", toNumber(peer.offset)},
-                         {"age_ms", peer.silentFor.count()}});
+                         {"age_ms", peer.timeSinceLastMessage.count()}});
     }
     auto missing = nlohmann::ordered_json::array();
     for (const auto &target : status.missingTargets) {
@@ -44,7 +44,7 @@
     return json;
 }
 
-HttpResponse notFoundAnswer(const std::string &path)
+HttpResponse notFoundResponse(const std::string &path)
 {
     return problemResponse(Error{.kind = ErrorKind::NotFound, .detail = path}, RequestId());
 }
@@ -53,8 +53,8 @@
 {
     constexpr std::string_view digits = "0123456789abcdef";
     std::string text(16, '0');
-    for (auto place = text.rbegin(); place != text.rend(); ++place, number >>= 4U) {
-        *place = digits[number & 15U];
+    for (auto position = text.rbegin(); position != text.rend(); ++position, number >>= 4U) {
+        *position = digits[number & 15U];
     }
     return text;
 }
--- a/modules/heatherridge_transport/app/adminanswers.h
+++ b/modules/heatherridge_transport/app/adminresponses.h
@@ -10,16 +10,16 @@
 {
 
 /** @p json as a whole answer. */
-HttpResponse jsonAnswer(const nlohmann::ordered_json &json);
+HttpResponse jsonResponse(const nlohmann::ordered_json &json);
 
 /** All metrics in the text exposition format. */
-HttpResponse metricsAnswer(const Metrics &metrics);
+HttpResponse metricsResponse(const Metrics &metrics);
 
 /** What the operator sees of how a process gets its configuration. */
 nlohmann::ordered_json controlStatusJson(const ControlStatus &status);
 
 /** There is nothing at @p path. */
-HttpResponse notFoundAnswer(const std::string &path);
+HttpResponse notFoundResponse(const std::string &path);
 
 /** @p number as 16 hexadecimal digits. */
 std::string hexText(std::uint64_t number);
--- a/modules/heatherridge_transport/app/configview.h
+++ b/modules/heatherridge_transport/app/configview.h
@@ -23,7 +23,7 @@
     std::set<TargetName> leaving{}; ///< targets whose hosts the platform's list marks as leaving; no part of the digest
 
     /** Whether @p target may be given new work: listed, not withdrawn, not about to stop, and its host not leaving. */
-    bool takesWork(const Target &target) const
+    bool acceptsNewWork(const Target &target) const
     {
         return !target.withdrawn && !rules->hasPlannedStop(target.name) && !leaving.contains(target.name);
     }
--- a/modules/heatherridge_transport/app/controlplane.cpp
+++ b/modules/heatherridge_transport/app/controlplane.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds CounterPeriod{1'000};
+constexpr std::chrono::milliseconds CounterExportPeriod{1'000};
 constexpr std::chrono::milliseconds HostCheckPeriod{200};
 
 } // namespace
@@ -42,7 +42,7 @@
         m_agent = std::make_unique<ConfigAgent>(*m_log, *m_links, m_random,
                                                 ConfigAgentOptions{.process = options.process,
                                                                    .zone = options.zone,
-                                                                   .relay = {.seeds = seedsFrom(options.peers)}});
+                                                                   .relay = {.seeds = relaySeeds(options.peers)}});
         m_agent->setListener(this);
         if (options.hostList.port != 0) {
             m_hostList = std::make_unique<HostListReader>(
@@ -50,8 +50,8 @@
                 [this](const auto &hosts) { m_membership.updateHostList(hosts, std::chrono::steady_clock::now()); });
         }
         m_links->setRelay(&m_agent->relay());
-        loop.every(options.tick, [this] { tick(); });
-        loop.every(CounterPeriod, [this] { showCounters(); });
+        loop.every(options.tickPeriod, [this] { tick(); });
+        loop.every(CounterExportPeriod, [this] { exportCounters(); });
         loop.start();
     }
 
@@ -83,14 +83,14 @@
         publish();
     }
 
-    void takeIncoming(IncomingControlLink connection, Envelope envelope)
+    void onIncomingFrame(IncomingControlLink connection, Envelope envelope)
     {
         loop.post([this, connection = std::move(connection), envelope = std::move(envelope)] {
             m_links->onIncomingFrame(connection, envelope);
         });
     }
 
-    void incomingGone(const std::shared_ptr<PeerSocket> &socket)
+    void onIncomingClosed(const std::shared_ptr<PeerSocket> &socket)
     {
         loop.post([this, socket] { m_links->onIncomingClosed(socket.get()); });
     }
@@ -103,13 +103,13 @@
     ControlStatus status()
     {
         ControlStatus status;
-        loop.run([this, &status] { status = statusNow(); });
+        loop.runAndWait([this, &status] { status = currentStatus(); });
         return status;
     }
 
     Options options;
     EventLoop loop;
-    std::vector<Changed> listeners;
+    std::vector<ViewListener> listeners;
 
 private:
     void tick()
@@ -120,13 +120,13 @@
             m_hostList->tick(now);
         }
         m_logReachable.set(m_agent->isLogReachable().value_or(false) ? 1 : 0);
-        if (m_agent->replica().isConfirmed() != view()->confirmed || hostsChanged(now)) {
+        if (m_agent->replica().isConfirmed() != view()->confirmed || haveLeavingTargetsChanged(now)) {
             publish();
         }
     }
 
     /** Whether other targets than before stand on leaving hosts; looked at now and then, a list lags anyway. */
-    bool hostsChanged(SteadyTime now)
+    bool haveLeavingTargetsChanged(SteadyTime now)
     {
         if (!m_hostList || now < m_nextHostCheck) {
             return false;
@@ -135,7 +135,7 @@
         return m_membership.targetsWithReason(EligibilityReason::HostLeaving, now) != view()->leaving;
     }
 
-    static std::vector<RelayMember> seedsFrom(const std::vector<Endpoint> &peers)
+    static std::vector<RelayMember> relaySeeds(const std::vector<Endpoint> &peers)
     {
         std::vector<RelayMember> seeds;
         seeds.reserve(peers.size());
@@ -145,7 +145,7 @@
         return seeds;
     }
 
-    ControlStatus statusNow() const
+    ControlStatus currentStatus() const
     {
         const auto now = std::chrono::steady_clock::now();
         const auto &replica = m_agent->replica();
@@ -165,54 +165,54 @@
             status.log = "out";
         }
         for (const auto &[process, peer] : relay.peers()) {
-            status.peers.push_back(
-                {.process = process,
-                 .isSource = peer.isSource,
-                 .offset = peer.offset,
-                 .silentFor = std::chrono::duration_cast<std::chrono::milliseconds>(now - peer.lastReceivedAt)});
+            status.peers.push_back({.process = process,
+                                    .isSource = peer.isSource,
+                                    .offset = peer.offset,
+                                    .timeSinceLastMessage = std::chrono::duration_cast<std::chrono::milliseconds>(
+                                        now - peer.lastReceivedAt)});
         }
         return status;
     }
 
     /** Shows the fold's and the relay's counters, one for each reason. */
-    void showCounters()
+    void exportCounters()
     {
         const auto &state = m_agent->replica().state();
         for (std::size_t i = 0; i < SkipReasonCount; ++i) {
             const auto reason = static_cast<SkipReason>(i);
-            show("heatherridge_config_skipped_records", toString(reason), state.skipped(reason));
+            exportCount("heatherridge_config_skipped_records", toString(reason), state.skipped(reason));
         }
         for (std::size_t i = 0; i < RefusalReasonCount; ++i) {
             const auto reason = static_cast<RefusalReason>(i);
-            show("heatherridge_config_refused_records", toString(reason), state.refused(reason));
+            exportCount("heatherridge_config_refused_records", toString(reason), state.refused(reason));
         }
         const auto &replica = m_agent->replica().counters();
-        show("heatherridge_config_received_records", "old", replica.outdated);
-        show("heatherridge_config_received_records", "early", replica.outOfOrder);
-        show("heatherridge_config_received_records", "dropped", replica.dropped);
+        exportCount("heatherridge_config_received_records", "old", replica.outdated);
+        exportCount("heatherridge_config_received_records", "early", replica.outOfOrder);
+        exportCount("heatherridge_config_received_records", "dropped", replica.dropped);
         const auto &relay = m_agent->relay().counters();
-        show("heatherridge_relay_events", "relayed", relay.relayed);
-        show("heatherridge_relay_events", "source-lost", relay.sourcesLost);
-        show("heatherridge_relay_events", "turned-away", relay.refusedSubscribers);
-        show("heatherridge_relay_events", "old-incarnation", relay.oldIncarnation);
-        show("heatherridge_relay_events", "fallback", relay.logFallbacks);
-        show("heatherridge_relay_events", "state-served", relay.statesServed);
-        show("heatherridge_relay_events", "state-adopted", relay.statesAdopted);
-        show("heatherridge_relay_events", "diverged", relay.diverged);
-        show("heatherridge_relay_events", "malformed", m_links->malformedFrames());
+        exportCount("heatherridge_relay_events", "relayed", relay.relayed);
+        exportCount("heatherridge_relay_events", "source-lost", relay.sourcesLost);
+        exportCount("heatherridge_relay_events", "turned-away", relay.refusedSubscribers);
+        exportCount("heatherridge_relay_events", "old-incarnation", relay.oldIncarnation);
+        exportCount("heatherridge_relay_events", "fallback", relay.logFallbacks);
+        exportCount("heatherridge_relay_events", "state-served", relay.statesServed);
+        exportCount("heatherridge_relay_events", "state-adopted", relay.statesAdopted);
+        exportCount("heatherridge_relay_events", "diverged", relay.diverged);
+        exportCount("heatherridge_relay_events", "malformed", m_links->malformedFrames());
         if (m_hostList) {
-            show("heatherridge_host_list_events", "failed-read", m_hostList->failures());
+            exportCount("heatherridge_host_list_events", "failed-read", m_hostList->failures());
         }
-        const auto reasons = m_membership.countByReason(std::chrono::steady_clock::now());
-        show("heatherridge_targets", toString(EligibilityReason::HostLeaving),
-             reasons.at(static_cast<std::size_t>(EligibilityReason::HostLeaving)));
-        show("heatherridge_targets", toString(EligibilityReason::Withdrawn),
-             reasons.at(static_cast<std::size_t>(EligibilityReason::Withdrawn)));
-        show("heatherridge_targets", toString(EligibilityReason::PlannedStop),
-             reasons.at(static_cast<std::size_t>(EligibilityReason::PlannedStop)));
+        const auto targetCounts = m_membership.countByReason(std::chrono::steady_clock::now());
+        exportCount("heatherridge_targets", toString(EligibilityReason::HostLeaving),
+                    targetCounts.at(static_cast<std::size_t>(EligibilityReason::HostLeaving)));
+        exportCount("heatherridge_targets", toString(EligibilityReason::Withdrawn),
+                    targetCounts.at(static_cast<std::size_t>(EligibilityReason::Withdrawn)));
+        exportCount("heatherridge_targets", toString(EligibilityReason::PlannedStop),
+                    targetCounts.at(static_cast<std::size_t>(EligibilityReason::PlannedStop)));
     }
 
-    void show(const std::string &name, std::string_view reason, std::uint64_t value)
+    void exportCount(const std::string &name, std::string_view reason, std::uint64_t value)
     {
         m_metrics.gauge(name, "reason=\"" + std::string(reason) + "\"").set(static_cast<std::int64_t>(value));
     }
@@ -223,23 +223,23 @@
         const auto &state = replica.state();
         const auto now = std::chrono::steady_clock::now();
         m_membership.updateConfiguration(state.inventory(), state.rules(), now);
-        const auto fresh = std::make_shared<const ConfigView>(
+        const auto newView = std::make_shared<const ConfigView>(
             ConfigView{.offset = state.offset(),
                        .digest = state.digest(),
                        .confirmed = replica.isConfirmed(),
                        .inventory = state.inventory(),
                        .rules = state.rules(),
                        .leaving = m_membership.targetsWithReason(EligibilityReason::HostLeaving, now)});
-        std::atomic_store(&m_view, fresh);
-        m_offset.set(static_cast<std::int64_t>(toNumber(fresh->offset)));
-        m_confirmed.set(fresh->confirmed ? 1 : 0);
+        std::atomic_store(&m_view, newView);
+        m_offset.set(static_cast<std::int64_t>(toNumber(newView->offset)));
+        m_confirmed.set(newView->confirmed ? 1 : 0);
         logEvent(Severity::Info, "config-in-force",
-                 {{"offset", std::to_string(toNumber(fresh->offset))},
-                  {"digest", std::to_string(toNumber(fresh->digest))},
-                  {"confirmed", fresh->confirmed ? "yes" : "no"},
-                  {"leaving", std::to_string(fresh->leaving.size())}});
+                 {{"offset", std::to_string(toNumber(newView->offset))},
+                  {"digest", std::to_string(toNumber(newView->digest))},
+                  {"confirmed", newView->confirmed ? "yes" : "no"},
+                  {"leaving", std::to_string(newView->leaving.size())}});
         for (const auto &listener : listeners) {
-            listener(fresh);
+            listener(newView);
         }
     }
 
@@ -269,9 +269,9 @@
     m_implementation->stop();
 }
 
-void ControlPlane::addListener(Changed changed)
+void ControlPlane::addListener(ViewListener listener)
 {
-    m_implementation->listeners.push_back(std::move(changed));
+    m_implementation->listeners.push_back(std::move(listener));
 }
 
 void ControlPlane::start()
@@ -289,14 +289,14 @@
     return m_implementation->view();
 }
 
-void ControlPlane::takeIncoming(IncomingControlLink connection, Envelope envelope)
+void ControlPlane::onIncomingFrame(IncomingControlLink connection, Envelope envelope)
 {
-    m_implementation->takeIncoming(std::move(connection), std::move(envelope));
+    m_implementation->onIncomingFrame(std::move(connection), std::move(envelope));
 }
 
-void ControlPlane::incomingGone(const std::shared_ptr<PeerSocket> &socket)
+void ControlPlane::onIncomingClosed(const std::shared_ptr<PeerSocket> &socket)
 {
-    m_implementation->incomingGone(socket);
+    m_implementation->onIncomingClosed(socket);
 }
 
 void ControlPlane::beginDrain()
--- a/modules/heatherridge_transport/app/controlplane.h
+++ b/modules/heatherridge_transport/app/controlplane.h
@@ -21,7 +21,7 @@
         ProcessName process{};
         bool isSource = false; ///< this process gets records from it
         LogOffset offset{};
-        std::chrono::milliseconds silentFor{};
+        std::chrono::milliseconds timeSinceLastMessage{};
     };
 
     std::string_view phase{};
@@ -53,11 +53,11 @@
         Endpoint logService{};
         Endpoint hostList{}; ///< where the platform's host list listens; port 0 when it is not used
         std::vector<Endpoint> peers{}; ///< gates that are asked for a state while there is no inventory
-        std::chrono::milliseconds tick{20}; ///< how often due work is looked for
+        std::chrono::milliseconds tickPeriod{20}; ///< how often due work is looked for
     };
 
     /** Called on the control thread with each new view. */
-    using Changed = std::function<void(const std::shared_ptr<const ConfigView> &)>;
+    using ViewListener = std::function<void(const std::shared_ptr<const ConfigView> &)>;
 
     /** Not started yet. @p metrics must outlive it. */
     ControlPlane(Options options, Metrics &metrics);
@@ -66,8 +66,8 @@
     ControlPlane(const ControlPlane &) = delete;
     ControlPlane &operator=(const ControlPlane &) = delete;
 
-    /** Adds @p changed to those who are told of new views. Before start(). */
-    void addListener(Changed changed);
+    /** Adds @p listener to those who are told of new views. Before start(). */
+    void addListener(ViewListener listener);
 
     /** Starts the control thread. */
     void start();
@@ -79,10 +79,10 @@
     std::shared_ptr<const ConfigView> view() const;
 
     /** Takes a control frame that a peer sent over a connection which it opened. Any thread, after start(). */
-    void takeIncoming(IncomingControlLink connection, Envelope envelope);
+    void onIncomingFrame(IncomingControlLink connection, Envelope envelope);
 
     /** A connection that a peer opened is gone. Any thread, after start(). */
-    void incomingGone(const std::shared_ptr<PeerSocket> &socket);
+    void onIncomingClosed(const std::shared_ptr<PeerSocket> &socket);
 
     /** From now on the heartbeats tell that this process drains. Any thread. */
     void beginDrain();
--- a/modules/heatherridge_transport/app/daemon.cpp
+++ b/modules/heatherridge_transport/app/daemon.cpp
@@ -17,7 +17,7 @@
 /** How often the settings file is looked at: it may change without a signal. */
 constexpr std::chrono::seconds FileCheckPeriod{2};
 
-const SettingSpec Common[] = {
+const SettingSpec CommonSettings[] = {
     {.key = "name", .required = true, .help = "name of this process, unique in the deployment; a target's own name"},
     {.key = "zone", .required = true, .help = "availability zone of this host, as in the inventory"},
     {.key = "log-service", .type = SettingType::Address, .required = true, .help = "where the platform's log listens"},
@@ -27,12 +27,12 @@
     {.key = "peers",
      .type = SettingType::AddressList,
      .help = "gates of some targets, asked for the configuration when the process starts while the log is out"},
-    {.key = "log-format", .fallback = "key-value", .help = "form of the process's own log: key-value or json"},
+    {.key = "log-format", .defaultValue = "key-value", .help = "form of the process's own log: key-value or json"},
     {.key = "log-stream",
-     .fallback = "standard-error",
+     .defaultValue = "standard-error",
      .help =
          "where the process's own log goes: standard-error, or standard-output without ever waiting for its reader"},
-    {.key = "log-level", .fallback = "info", .help = "lowest level that is written: debug, info, warning or error"},
+    {.key = "log-level", .defaultValue = "info", .help = "lowest level that is written: debug, info, warning or error"},
 };
 
 sigset_t handledSignals()
@@ -45,7 +45,7 @@
     return signals;
 }
 
-Severity severityFrom(std::string_view name)
+Severity parseSeverity(std::string_view name)
 {
     if (name == "debug") {
         return Severity::Debug;
@@ -56,10 +56,10 @@
     return name == "error" ? Severity::Error : Severity::Info;
 }
 
-std::vector<SettingSpec> withCommonSettings(std::span<const SettingSpec> own)
+std::vector<SettingSpec> withCommonSettings(std::span<const SettingSpec> daemonSettings)
 {
-    std::vector<SettingSpec> all(std::begin(Common), std::end(Common));
-    all.insert(all.end(), own.begin(), own.end());
+    std::vector<SettingSpec> all(std::begin(CommonSettings), std::end(CommonSettings));
+    all.insert(all.end(), daemonSettings.begin(), daemonSettings.end());
     return all;
 }
 
@@ -67,7 +67,7 @@
 {
     setUpLogger({.process = settings.text("name"),
                  .format = settings.text("log-format") == "json" ? LogFormat::Json : LogFormat::KeyValue,
-                 .lowest = severityFrom(settings.text("log-level")),
+                 .minimumSeverity = parseSeverity(settings.text("log-level")),
                  .stream = settings.text("log-stream") == "standard-output" ? LogStream::StandardOutput
                                                                             : LogStream::StandardError});
 }
@@ -89,7 +89,7 @@
 }
 
 /** When @p file was last written; the epoch when there is none. */
-std::filesystem::file_time_type writeTimeOf(const std::string &file)
+std::filesystem::file_time_type lastWriteTime(const std::string &file)
 {
     std::error_code error;
     const auto time = std::filesystem::last_write_time(file, error);
@@ -100,22 +100,22 @@
 void waitForStopSignal(const std::string &file, const std::function<void()> &reload)
 {
     const auto signals = handledSignals();
-    auto written = writeTimeOf(file);
+    auto lastWritten = lastWriteTime(file);
     while (true) {
         const timespec period{.tv_sec = FileCheckPeriod.count(), .tv_nsec = 0};
         const int received = sigtimedwait(&signals, nullptr, &period);
         if (received == SIGTERM || received == SIGINT) {
             return;
         }
-        const auto now = writeTimeOf(file);
-        if (received == SIGHUP || now != written) {
-            written = now;
+        const auto now = lastWriteTime(file);
+        if (received == SIGHUP || now != lastWritten) {
+            lastWritten = now;
             reload();
         }
     }
 }
 
-std::string joined(const std::vector<std::string> &words)
+std::string commaSeparated(const std::vector<std::string> &words)
 {
     std::string text;
     for (const auto &word : words) {
@@ -125,17 +125,18 @@
 }
 
 /** Hands settings that were read again to @p server, and logs what has changed or what is wrong. */
-void takeOver(const std::variant<Settings, Settings::Exit> &loaded, Settings &present, const DaemonServer &server)
+void applyReload(const std::variant<Settings, Settings::Exit> &loaded, Settings &currentSettings,
+                 const DaemonServer &server)
 {
     if (const auto *exit = std::get_if<Settings::Exit>(&loaded)) {
         logEvent(Severity::Warning, "reload-rejected", {{"reason", exit->text}});
         return;
     }
-    const auto &changed = std::get<Settings>(loaded);
-    logEvent(Severity::Info, "reloaded", {{"changed", joined(changed.differences(present))}});
-    present = changed;
+    const auto &newSettings = std::get<Settings>(loaded);
+    logEvent(Severity::Info, "reloaded", {{"changed", commaSeparated(newSettings.changedKeys(currentSettings))}});
+    currentSettings = newSettings;
     if (server.reload) {
-        server.reload(present);
+        server.reload(currentSettings);
     }
 }
 
@@ -143,10 +144,10 @@
 
 std::span<const SettingSpec> commonSettings()
 {
-    return Common;
+    return CommonSettings;
 }
 
-Incarnation drawIncarnation()
+Incarnation generateIncarnation()
 {
     std::random_device entropy;
     return static_cast<Incarnation>((static_cast<std::uint64_t>(entropy()) << 32U) | entropy());
@@ -174,7 +175,7 @@
     announceReady(description.role, std::get<std::vector<Endpoint>>(started));
     logEvent(Severity::Info, "started", {{"role", std::string(description.role)}});
     waitForStopSignal(settings.file(), [&] {
-        takeOver(Settings::load(description.program, description.role, specs, argc, argv), settings, server);
+        applyReload(Settings::load(description.program, description.role, specs, argc, argv), settings, server);
     });
     server.drainAndStop();
     stopLogger();
--- a/modules/heatherridge_transport/app/daemon.h
+++ b/modules/heatherridge_transport/app/daemon.h
@@ -16,7 +16,7 @@
 std::span<const SettingSpec> commonSettings();
 
 /** A number drawn from the machine's entropy, for this run of the process. */
-Incarnation drawIncarnation();
+Incarnation generateIncarnation();
 
 /** What is told apart between daemons. */
 struct DaemonDescription
@@ -34,7 +34,7 @@
     /** Ends gracefully; blocks until then. */
     std::function<void()> drainAndStop{};
     /** Takes over what may change while it runs; without it all settings wait for the next start. */
-    std::function<void(const Settings &changed)> reload{};
+    std::function<void(const Settings &newSettings)> reload{};
 };
 
 /**
--- a/modules/heatherridge_transport/app/eventloop.cpp
+++ b/modules/heatherridge_transport/app/eventloop.cpp
@@ -15,23 +15,23 @@
 {
 
 /** A timer that arms itself again; it lives as long as its pending wait does. */
-class Ticker : public std::enable_shared_from_this<Ticker>
+class RepeatingTimer : public std::enable_shared_from_this<RepeatingTimer>
 {
 public:
-    Ticker(asio::io_context &context, std::chrono::milliseconds period, std::function<void()> task)
+    RepeatingTimer(asio::io_context &context, std::chrono::milliseconds period, std::function<void()> task)
         : m_timer(context)
         , m_period(period)
         , m_task(std::move(task))
     {
     }
 
-    void arm()
+    void schedule()
     {
         m_timer.expires_after(m_period);
         m_timer.async_wait([self = shared_from_this()](const asio::error_code &error) {
             if (!error) {
                 self->m_task();
-                self->arm();
+                self->schedule();
             }
         });
     }
@@ -82,8 +82,8 @@
 
 void EventLoop::every(std::chrono::milliseconds period, std::function<void()> task)
 {
-    auto ticker = std::make_shared<Ticker>(m_implementation->context, period, std::move(task));
-    post([ticker] { ticker->arm(); });
+    auto timer = std::make_shared<RepeatingTimer>(m_implementation->context, period, std::move(task));
+    post([timer] { timer->schedule(); });
 }
 
 void EventLoop::after(std::chrono::microseconds delay, std::function<void()> task)
@@ -96,7 +96,7 @@
     });
 }
 
-void EventLoop::run(const std::function<void()> &task)
+void EventLoop::runAndWait(const std::function<void()> &task)
 {
     std::promise<void> done;
     post([&task, &done] {
--- a/modules/heatherridge_transport/app/eventloop.h
+++ b/modules/heatherridge_transport/app/eventloop.h
@@ -44,7 +44,7 @@
     void after(std::chrono::microseconds delay, std::function<void()> task);
 
     /** Runs @p task on the loop's thread and waits for it. Not from the loop's own thread. */
-    void run(const std::function<void()> &task);
+    void runAndWait(const std::function<void()> &task);
 
     /** The loop, for what needs to be constructed on it. */
     asio::io_context &context();
--- a/modules/heatherridge_transport/app/logger.cpp
+++ b/modules/heatherridge_transport/app/logger.cpp
@@ -1,6 +1,6 @@
 #include "heatherridge_transport/app/logger.h"
 
-#include "heatherridge_transport/app/logbudget.h"
+#include "heatherridge_transport/app/logratelimiter.h"
 
 #include <boost/core/null_deleter.hpp>
 #include <boost/log/core.hpp>
@@ -34,21 +34,21 @@
     return current;
 }
 
-std::atomic<bool> ready{false};
-std::atomic<std::uint64_t> dropped{0};
+std::atomic<bool> isSetUp{false};
+std::atomic<std::uint64_t> droppedLineCount{0};
 
 /** Lines that wait for the writing thread: two seconds of a busy gateway, at some 300 bytes each. */
-constexpr std::size_t QueuedLines = 512;
+constexpr std::size_t MaxQueuedLines = 512;
 
 /** Drops the newest line when the queue is full, and counts it. */
-class CountAndDrop
+class DropNewestAndCount
 {
 public:
     template<typename Lock>
     // NOLINTNEXTLINE(readability-identifier-naming): Boost.Log calls it by this name
     static bool on_overflow(const boost::log::record_view &, Lock &)
     {
-        dropped.fetch_add(1, std::memory_order_relaxed);
+        droppedLineCount.fetch_add(1, std::memory_order_relaxed);
         return false;
     }
 
@@ -64,7 +64,8 @@
 
 using Backend = boost::log::sinks::text_ostream_backend;
 using QueuedSink =
-    boost::log::sinks::asynchronous_sink<Backend, boost::log::sinks::bounded_fifo_queue<QueuedLines, CountAndDrop>>;
+    boost::log::sinks::asynchronous_sink<Backend,
+                                         boost::log::sinks::bounded_fifo_queue<MaxQueuedLines, DropNewestAndCount>>;
 
 boost::shared_ptr<QueuedSink> &queuedSink()
 {
@@ -73,17 +74,17 @@
 }
 
 /** The lines of each event within their budget; one thread at a time. */
-LogBudget::Verdict askBudget(std::string_view event)
+LogRateLimiter::Decision admitLine(std::string_view event)
 {
     static std::mutex mutex;
-    static LogBudget budget;
+    static LogRateLimiter limiter;
     const std::lock_guard lock(mutex);
-    return budget.ask(event, std::chrono::steady_clock::now());
+    return limiter.admit(event, std::chrono::steady_clock::now());
 }
 
-void write(std::string_view level, std::string_view event, std::initializer_list<LogField> fields);
+void writeLine(std::string_view level, std::string_view event, std::initializer_list<LogField> fields);
 
-std::string timeStamp()
+std::string currentTimestamp()
 {
     const auto now = std::chrono::system_clock::now();
     const auto seconds = std::chrono::system_clock::to_time_t(now);
@@ -98,9 +99,9 @@
     return std::string(text.data(), length) + fraction + "Z";
 }
 
-std::string asKeyValue(std::string_view level, std::string_view event, std::initializer_list<LogField> fields)
+std::string formatKeyValue(std::string_view level, std::string_view event, std::initializer_list<LogField> fields)
 {
-    std::string line = "time=" + timeStamp() + " level=" + std::string(level)
+    std::string line = "time=" + currentTimestamp() + " level=" + std::string(level)
         + " process=" + quotedLogValue(options().process) + " event=" + std::string(event);
     for (const auto &[key, value] : fields) {
         line += " " + std::string(key) + "=" + quotedLogValue(value);
@@ -108,20 +109,20 @@
     return line;
 }
 
-std::string asJson(std::string_view level, std::string_view event, std::initializer_list<LogField> fields)
+std::string formatJson(std::string_view level, std::string_view event, std::initializer_list<LogField> fields)
 {
     nlohmann::ordered_json line{
-        {"time", timeStamp()}, {"level", level}, {"process", options().process}, {"event", event}};
+        {"time", currentTimestamp()}, {"level", level}, {"process", options().process}, {"event", event}};
     for (const auto &[key, value] : fields) {
         line[std::string(key)] = value;
     }
     return line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
 }
 
-void write(std::string_view level, std::string_view event, std::initializer_list<LogField> fields)
+void writeLine(std::string_view level, std::string_view event, std::initializer_list<LogField> fields)
 {
     const auto line =
-        options().format == LogFormat::Json ? asJson(level, event, fields) : asKeyValue(level, event, fields);
+        options().format == LogFormat::Json ? formatJson(level, event, fields) : formatKeyValue(level, event, fields);
     static boost::log::sources::logger_mt source;
     BOOST_LOG(source) << line;
 }
@@ -142,7 +143,7 @@
     } else {
         boost::log::core::get()->add_sink(boost::make_shared<sinks::synchronous_sink<Backend>>(backend));
     }
-    ready = true;
+    isSetUp = true;
 }
 
 void stopLogger()
@@ -156,28 +157,29 @@
 
 std::uint64_t droppedLogLines()
 {
-    return dropped.load(std::memory_order_relaxed);
+    return droppedLineCount.load(std::memory_order_relaxed);
 }
 
 void logEvent(Severity severity, std::string_view event, std::initializer_list<LogField> fields)
 {
-    if (!ready || severity < options().lowest) {
+    if (!isSetUp || severity < options().minimumSeverity) {
         return;
     }
-    const auto verdict = askBudget(event);
-    if (verdict.leftOut > 0) {
-        write(LevelNames.at(static_cast<std::size_t>(Severity::Warning)), "lines-left-out",
-              {{"of", std::string(event)}, {"count", std::to_string(verdict.leftOut)}});
+    const auto decision = admitLine(event);
+    if (decision.suppressedLines > 0) {
+        writeLine(LevelNames.at(static_cast<std::size_t>(Severity::Warning)), "lines-left-out",
+                  {{"of", std::string(event)}, {"count", std::to_string(decision.suppressedLines)}});
     }
-    if (verdict.isWritten) {
-        write(LevelNames.at(static_cast<std::size_t>(severity)), event, fields);
+    if (decision.shouldWrite) {
+        writeLine(LevelNames.at(static_cast<std::size_t>(severity)), event, fields);
     }
 }
 
 std::string quotedLogValue(std::string_view text)
 {
-    constexpr std::string_view plain = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+@,%";
-    if (!text.empty() && text.find_first_not_of(plain) == std::string_view::npos) {
+    constexpr std::string_view unquotedCharacters =
+        "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+@,%";
+    if (!text.empty() && text.find_first_not_of(unquotedCharacters) == std::string_view::npos) {
         return std::string(text);
     }
     std::string quoted = "\"";
--- a/modules/heatherridge_transport/app/logger.h
+++ b/modules/heatherridge_transport/app/logger.h
@@ -34,7 +34,7 @@
 {
     std::string process{}; ///< name of this process, in every line
     LogFormat format = LogFormat::KeyValue;
-    Severity lowest = Severity::Info;
+    Severity minimumSeverity = Severity::Info;
     LogStream stream = LogStream::StandardError;
 };
 
@@ -51,7 +51,8 @@
 std::uint64_t droppedLogLines();
 
 /**
- * Writes one structured line, within the event's LogBudget. Any thread; never waits for a reader of standard output.
+ * Writes one structured line, within the event's LogRateLimiter. Any thread; never waits for a reader of standard
+ * output.
  * @param event stable name of what happened, in lower case with dashes
  * @param fields what belongs to it; "request" holds the request id, the same in all processes
  */
--- a/modules/heatherridge_transport/app/logbudget.cpp
+++ b/modules/heatherridge_transport/app/logratelimiter.cpp
@@ -1,11 +1,11 @@
-#include "heatherridge_transport/app/logbudget.h"
+#include "heatherridge_transport/app/logratelimiter.h"
 
 #include <utility>
 
 namespace Heatherridge
 {
 
-LogBudget::Verdict LogBudget::ask(std::string_view event, SteadyTime now)
+LogRateLimiter::Decision LogRateLimiter::admit(std::string_view event, SteadyTime now)
 {
     const auto second = std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
     auto found = m_windows.find(event);
@@ -13,16 +13,16 @@
         found = m_windows.emplace(std::string(event), Window{.second = second}).first;
     }
     auto &window = found->second;
-    Verdict verdict;
+    Decision decision;
     if (window.second != second) {
-        verdict.leftOut = std::exchange(window.leftOut, 0);
+        decision.suppressedLines = std::exchange(window.suppressedLines, 0);
         window.second = second;
         window.lines = 0;
     }
-    verdict.isWritten = window.lines < LinesPerSecond;
-    window.lines += verdict.isWritten ? 1 : 0;
-    window.leftOut += verdict.isWritten ? 0 : 1;
-    return verdict;
+    decision.shouldWrite = window.lines < LinesPerSecond;
+    window.lines += decision.shouldWrite ? 1 : 0;
+    window.suppressedLines += decision.shouldWrite ? 0 : 1;
+    return decision;
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/app/metrics.cpp
+++ b/modules/heatherridge_transport/app/metrics.cpp
@@ -15,33 +15,34 @@
 namespace histogram = boost::histogram;
 
 /** Upper bounds in seconds, around the latencies that users were promised (59 ms, 360 ms). */
-const std::vector<double> BucketBounds{0.0, 0.001, 0.002, 0.005, 0.01, 0.02, 0.04, 0.059, 0.1,
-                                       0.2, 0.36,  0.5,   1,     2,    5,    10,   30,    60};
+const std::vector<double> BucketBoundsSeconds{0.0, 0.001, 0.002, 0.005, 0.01, 0.02, 0.04, 0.059, 0.1,
+                                              0.2, 0.36,  0.5,   1,     2,    5,    10,   30,    60};
 
-using SafeStorage = histogram::dense_storage<histogram::accumulators::thread_safe<std::uint64_t>>;
-using Buckets = decltype(histogram::make_histogram_with(SafeStorage(), histogram::axis::variable<>(BucketBounds)));
+using ThreadSafeStorage = histogram::dense_storage<histogram::accumulators::thread_safe<std::uint64_t>>;
+using Buckets =
+    decltype(histogram::make_histogram_with(ThreadSafeStorage(), histogram::axis::variable<>(BucketBoundsSeconds)));
 
 using SeriesKey = std::pair<std::string, std::string>;
 
-void writeLine(std::string &into, const std::string &name, const std::string &labels, const std::string &value)
+void writeLine(std::string &output, const std::string &name, const std::string &labels, const std::string &value)
 {
-    into += name;
+    output += name;
     if (!labels.empty()) {
-        into += "{" + labels + "}";
+        output += "{" + labels + "}";
     }
-    into += " " + value + "\n";
+    output += " " + value + "\n";
 }
 
 template<typename Series>
-void writeAll(std::string &into, const Series &series, std::string_view type)
+void writeSeries(std::string &output, const Series &series, std::string_view type)
 {
-    std::string last;
+    std::string previousName;
     for (const auto &[key, value] : series) {
-        if (key.first != last) {
-            last = key.first;
-            into += "# TYPE " + last + " " + std::string(type) + "\n";
+        if (key.first != previousName) {
+            previousName = key.first;
+            output += "# TYPE " + previousName + " " + std::string(type) + "\n";
         }
-        writeLine(into, key.first, key.second, std::to_string(value->value()));
+        writeLine(output, key.first, key.second, std::to_string(value->value()));
     }
 }
 
@@ -50,7 +51,8 @@
 class DurationHistogram::Implementation
 {
 public:
-    Buckets buckets = histogram::make_histogram_with(SafeStorage(), histogram::axis::variable<>(BucketBounds));
+    Buckets buckets =
+        histogram::make_histogram_with(ThreadSafeStorage(), histogram::axis::variable<>(BucketBoundsSeconds));
     std::atomic<std::uint64_t> sumMicroseconds{0};
 };
 
@@ -68,20 +70,21 @@
                                                 std::memory_order_relaxed);
 }
 
-void DurationHistogram::write(std::string &into, std::string_view name) const
+void DurationHistogram::write(std::string &output, std::string_view name) const
 {
     const std::string base(name);
-    into += "# TYPE " + base + " histogram\n";
+    output += "# TYPE " + base + " histogram\n";
     std::uint64_t total = 0;
     for (auto &&bucket : histogram::indexed(m_implementation->buckets)) {
         total += static_cast<std::uint64_t>(*bucket);
-        writeLine(into, base + "_bucket", "le=\"" + std::to_string(bucket.bin().upper()) + "\"", std::to_string(total));
+        writeLine(output, base + "_bucket", "le=\"" + std::to_string(bucket.bin().upper()) + "\"",
+                  std::to_string(total));
     }
-    total += static_cast<std::uint64_t>(m_implementation->buckets.at(static_cast<int>(BucketBounds.size()) - 1));
-    writeLine(into, base + "_bucket", "le=\"+Inf\"", std::to_string(total));
-    writeLine(into, base + "_count", {}, std::to_string(total));
+    total += static_cast<std::uint64_t>(m_implementation->buckets.at(static_cast<int>(BucketBoundsSeconds.size()) - 1));
+    writeLine(output, base + "_bucket", "le=\"+Inf\"", std::to_string(total));
+    writeLine(output, base + "_count", {}, std::to_string(total));
     const auto sum = static_cast<double>(m_implementation->sumMicroseconds.load(std::memory_order_relaxed)) / 1e6;
-    writeLine(into, base + "_sum", {}, std::to_string(sum));
+    writeLine(output, base + "_sum", {}, std::to_string(sum));
 }
 
 class Metrics::Implementation
@@ -142,8 +145,8 @@
 {
     const std::lock_guard lock(m_implementation->mutex);
     std::string text;
-    writeAll(text, m_implementation->counters, "counter");
-    writeAll(text, m_implementation->gauges, "gauge");
+    writeSeries(text, m_implementation->counters, "counter");
+    writeSeries(text, m_implementation->gauges, "gauge");
     for (const auto &[key, value] : m_implementation->histograms) {
         value->write(text, key.first);
     }
--- a/modules/heatherridge_transport/app/metrics.h
+++ b/modules/heatherridge_transport/app/metrics.h
@@ -72,7 +72,7 @@
     void record(std::chrono::microseconds duration);
 
     /** Appends the buckets, the count and the sum in the text exposition format, as metric @p name. */
-    void write(std::string &into, std::string_view name) const;
+    void write(std::string &output, std::string_view name) const;
 
 private:
     class Implementation;
--- a/modules/heatherridge_transport/app/problem.cpp
+++ b/modules/heatherridge_transport/app/problem.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-nlohmann::ordered_json problemOf(const Error &error, const RequestId &id)
+nlohmann::ordered_json problemJson(const Error &error, const RequestId &id)
 {
     const auto &answer = errorDescriptorFor(error.kind);
     nlohmann::ordered_json problem{{"type", "urn:heatherridge:error:" + std::string(answer.name)},
@@ -23,13 +23,13 @@
     return problem;
 }
 
-std::string dumped(const nlohmann::ordered_json &json)
+std::string serialized(const nlohmann::ordered_json &json)
 {
     return json.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
 }
 
 /** Whole seconds for Retry-After, rounded up: coming back too early would be refused again. */
-std::string secondsOf(std::chrono::milliseconds duration)
+std::string retryAfterSeconds(std::chrono::milliseconds duration)
 {
     return std::to_string(std::max<std::int64_t>(1, std::chrono::ceil<std::chrono::seconds>(duration).count()));
 }
@@ -39,18 +39,18 @@
 HttpResponse problemResponse(const Error &error, const RequestId &id)
 {
     const auto &answer = errorDescriptorFor(error.kind);
-    HttpResponse response{.status = answer.httpStatus, .body = dumped(problemOf(error, id))};
+    HttpResponse response{.status = answer.httpStatus, .body = serialized(problemJson(error, id))};
     response.headers = {{"Content-Type", "application/problem+json"}, {std::string(RequestIdHeader), id.text()}};
     if (error.retryAfter || answer.isRetryable) {
-        constexpr std::chrono::milliseconds usual{1000};
-        response.headers.push_back({"Retry-After", secondsOf(error.retryAfter.value_or(usual))});
+        constexpr std::chrono::milliseconds defaultRetryAfter{1000};
+        response.headers.push_back({"Retry-After", retryAfterSeconds(error.retryAfter.value_or(defaultRetryAfter))});
     }
     return response;
 }
 
 std::string problemEvent(const Error &error, const RequestId &id)
 {
-    return "event: error\ndata: " + dumped({{"error", problemOf(error, id)}}) + "\n\n";
+    return "event: error\ndata: " + serialized({{"error", problemJson(error, id)}}) + "\n\n";
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/app/settings.cpp
+++ b/modules/heatherridge_transport/app/settings.cpp
@@ -40,35 +40,35 @@
     return "";
 }
 
-bool takesFractions(SettingType type)
+bool acceptsFraction(SettingType type)
 {
     return type == SettingType::Seconds || type == SettingType::Fraction;
 }
 
 bool isBounded(const SettingSpec &spec)
 {
-    return spec.type == SettingType::Number || spec.type == SettingType::Milliseconds || takesFractions(spec.type);
+    return spec.type == SettingType::Number || spec.type == SettingType::Milliseconds || acceptsFraction(spec.type);
 }
 
 bool isWithinBounds(const SettingSpec &spec, const std::string &value)
 {
-    if (!takesFractions(spec.type)) {
-        return parseNumber(value, spec.lowest, spec.highest).has_value();
+    if (!acceptsFraction(spec.type)) {
+        return parseNumber(value, spec.minimum, spec.maximum).has_value();
     }
     const auto number = parseFraction(value);
-    return number && *number >= static_cast<double>(spec.lowest) && *number <= static_cast<double>(spec.highest);
+    return number && *number >= static_cast<double>(spec.minimum) && *number <= static_cast<double>(spec.maximum);
 }
 
-std::string describe(const SettingSpec &spec)
+std::string helpText(const SettingSpec &spec)
 {
     auto text = std::string(spec.help) + " (" + std::string(typeName(spec.type));
     if (isBounded(spec)) {
-        text += ", " + std::to_string(spec.lowest) + " to " + std::to_string(spec.highest);
+        text += ", " + std::to_string(spec.minimum) + " to " + std::to_string(spec.maximum);
     }
     if (spec.required) {
         text += ", required";
-    } else if (!spec.fallback.empty()) {
-        text += ", default " + std::string(spec.fallback);
+    } else if (!spec.defaultValue.empty()) {
+        text += ", default " + std::string(spec.defaultValue);
     }
     return text + ")";
 }
@@ -88,7 +88,7 @@
 }
 
 /** What is wrong with @p value for @p spec, or an empty text. */
-std::string faultIn(const SettingSpec &spec, const std::string &value)
+std::string validationError(const SettingSpec &spec, const std::string &value)
 {
     const auto key = "'" + std::string(spec.key) + "'";
     switch (spec.type) {
@@ -112,7 +112,7 @@
     case SettingType::Fraction:
         return isWithinBounds(spec, value) ? ""
                                            : key + " must be " + std::string(typeName(spec.type)) + " from "
-                + std::to_string(spec.lowest) + " to " + std::to_string(spec.highest) + ", not '" + value + "'";
+                + std::to_string(spec.minimum) + " to " + std::to_string(spec.maximum) + ", not '" + value + "'";
     case SettingType::Switch:
         return parseBool(value) ? "" : key + " must be yes or no, not '" + value + "'";
     }
@@ -137,38 +137,39 @@
     std::ostringstream text;
     text << stream.rdbuf();
     const auto document = IniDocument::parse(text.str());
-    std::string faults;
-    const auto report = [&faults, &file](int line, const std::string &reason) {
-        faults += file + ":" + std::to_string(line) + ": " + reason + "\n";
+    std::string errors;
+    const auto report = [&errors, &file](int line, const std::string &reason) {
+        errors += file + ":" + std::to_string(line) + ": " + reason + "\n";
     };
-    for (const auto &fault : document.faults()) {
-        report(fault.line, fault.reason);
+    for (const auto &error : document.faults()) {
+        report(error.line, error.reason);
     }
-    for (const auto &part : document.sections()) {
-        if (part.kind != section || !part.name.empty()) {
-            report(part.line, "unknown section; this program reads [" + std::string(section) + "]");
+    for (const auto &iniSection : document.sections()) {
+        if (iniSection.kind != section || !iniSection.name.empty()) {
+            report(iniSection.line, "unknown section; this program reads [" + std::string(section) + "]");
             continue;
         }
-        for (const auto &entry : part.entries) {
+        for (const auto &entry : iniSection.entries) {
             const auto *spec = findSpec(specs, entry.key);
-            const auto fault = spec == nullptr ? "unknown key '" + entry.key + "'" : faultIn(*spec, entry.value);
-            if (!fault.empty()) {
-                report(entry.line, fault);
+            const auto error =
+                spec == nullptr ? "unknown key '" + entry.key + "'" : validationError(*spec, entry.value);
+            if (!error.empty()) {
+                report(entry.line, error);
             }
             values[entry.key] = entry.value;
         }
     }
-    return faults;
+    return errors;
 }
 
-options::options_description describeFlags(std::string_view program, std::span<const SettingSpec> specs)
+options::options_description flagsDescription(std::string_view program, std::span<const SettingSpec> specs)
 {
     options::options_description flags(std::string(program) + " [options]");
     flags.add_options()("help", "print this and end")("version", "print the version and end")(
         "sample", "print a commented settings file and end")("config", options::value<std::string>(),
                                                              "settings file (INI)");
     for (const auto &spec : specs) {
-        flags.add_options()(std::string(spec.key).c_str(), options::value<std::string>(), describe(spec).c_str());
+        flags.add_options()(std::string(spec.key).c_str(), options::value<std::string>(), helpText(spec).c_str());
     }
     return flags;
 }
@@ -184,46 +185,46 @@
                                                       std::span<const SettingSpec> specs, int argc,
                                                       const char *const *argv)
 {
-    const auto flags = describeFlags(program, specs);
-    options::variables_map given;
+    const auto flags = flagsDescription(program, specs);
+    options::variables_map flagValues;
     try {
-        options::store(options::parse_command_line(argc, argv, flags), given);
+        options::store(options::parse_command_line(argc, argv, flags), flagValues);
     } catch (const options::error &error) {
         return usageError(std::string(program) + ": " + error.what() + "\n");
     }
-    if (given.count("help") != 0) {
+    if (flagValues.count("help") != 0) {
         std::ostringstream help;
         help << flags;
         return Exit{.text = help.str()};
     }
-    if (given.count("version") != 0) {
+    if (flagValues.count("version") != 0) {
         return Exit{.text = std::string(program) + " " + HEATHERRIDGE_VERSION + "\n"};
     }
-    if (given.count("sample") != 0) {
+    if (flagValues.count("sample") != 0) {
         return Exit{.text = sampleSettings(section, specs)};
     }
     Settings settings;
-    std::string faults;
-    if (given.count("config") != 0) {
-        settings.m_file = given["config"].as<std::string>();
-        faults = readFile(settings.m_file, section, specs, settings.m_values);
+    std::string errors;
+    if (flagValues.count("config") != 0) {
+        settings.m_file = flagValues["config"].as<std::string>();
+        errors = readFile(settings.m_file, section, specs, settings.m_values);
     }
     for (const auto &spec : specs) {
         const std::string key(spec.key);
         settings.m_types[key] = spec.type;
-        if (given.count(key) != 0) {
-            settings.m_values[key] = given[key].as<std::string>();
-            const auto fault = faultIn(spec, settings.m_values[key]);
-            if (!fault.empty()) {
-                faults.append("--").append(key).append(": ").append(fault).append("\n");
+        if (flagValues.count(key) != 0) {
+            settings.m_values[key] = flagValues[key].as<std::string>();
+            const auto error = validationError(spec, settings.m_values[key]);
+            if (!error.empty()) {
+                errors.append("--").append(key).append(": ").append(error).append("\n");
             }
         } else if (!settings.m_values.contains(key)) {
-            faults += spec.required ? "'" + key + "' is missing\n" : "";
-            settings.m_values[key] = spec.fallback;
+            errors += spec.required ? "'" + key + "' is missing\n" : "";
+            settings.m_values[key] = spec.defaultValue;
         }
     }
-    if (!faults.empty()) {
-        return usageError(faults);
+    if (!errors.empty()) {
+        return usageError(errors);
     }
     return settings;
 }
@@ -233,7 +234,7 @@
     return m_file;
 }
 
-std::vector<std::string> Settings::differences(const Settings &other) const
+std::vector<std::string> Settings::changedKeys(const Settings &other) const
 {
     std::vector<std::string> keys;
     for (const auto &[key, value] : m_values) {
@@ -295,9 +296,9 @@
 {
     std::string text = "[" + std::string(section) + "]\n";
     for (const auto &spec : specs) {
-        text += "\n# " + describe(spec) + "\n";
-        const bool commented = spec.required || spec.fallback.empty();
-        text.append(commented ? "# " : "").append(spec.key).append(" = ").append(spec.fallback).append("\n");
+        text += "\n# " + helpText(spec) + "\n";
+        const bool isCommentedOut = spec.required || spec.defaultValue.empty();
+        text.append(isCommentedOut ? "# " : "").append(spec.key).append(" = ").append(spec.defaultValue).append("\n");
     }
     return text;
 }
--- a/modules/heatherridge_transport/app/settings.h
+++ b/modules/heatherridge_transport/app/settings.h
@@ -30,10 +30,10 @@
 {
     std::string_view key{};
     SettingType type = SettingType::Text;
-    std::string_view fallback{}; ///< value when neither file nor flag names one; empty for none
+    std::string_view defaultValue{}; ///< value when neither file nor flag names one; empty for none
     bool required = false; ///< whether it must be given
-    long long lowest = 0; ///< bounds of Number, Milliseconds, Seconds and Fraction
-    long long highest = 0;
+    long long minimum = 0; ///< bounds of Number, Milliseconds, Seconds and Fraction
+    long long maximum = 0;
     std::string_view help{}; ///< one line
 };
 
@@ -64,7 +64,7 @@
     const std::string &file() const;
 
     /** The keys whose values differ from those of @p other, of the same program. */
-    std::vector<std::string> differences(const Settings &other) const;
+    std::vector<std::string> changedKeys(const Settings &other) const;
 
     /** The text of @p key, which must be one of the specs. */
     const std::string &text(std::string_view key) const;
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -133,7 +133,7 @@
         m_trafficLoop.after(m_options.balancerDetectionTime, [this] { m_traffic.refuseStreams(); });
         waitUntilDrained(drainStart);
         logEvent(Severity::Info, "stopped", {{"cut", std::to_string(openCallCount())}});
-        m_trafficLoop.run([this] {
+        m_trafficLoop.runAndWait([this] {
             m_traffic.stop();
             m_callers.stop();
             m_readiness.stop();
@@ -161,7 +161,7 @@
     std::size_t openCallCount()
     {
         std::size_t open = 0;
-        m_trafficLoop.run([&] { open = std::max(m_traffic.openCallCount(), m_callers.busyConnections()); });
+        m_trafficLoop.runAndWait([&] { open = std::max(m_traffic.openCallCount(), m_callers.busyConnections()); });
         return open;
     }
 
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -77,7 +77,7 @@
         logEvent(Severity::Info, "stopping", {});
         m_loop.post([this] { m_server.beginDrain(); });
         std::this_thread::sleep_for(DrainTime);
-        m_loop.run([this] { m_server.stop(); });
+        m_loop.runAndWait([this] { m_server.stop(); });
         m_loop.stop();
     }
 
--- a/modules/heatherridge_transport/entry/entryserver.cpp
+++ b/modules/heatherridge_transport/entry/entryserver.cpp
@@ -1,6 +1,6 @@
 #include "heatherridge_transport/entry/entryserver.h"
 
-#include "heatherridge_transport/app/adminanswers.h"
+#include "heatherridge_transport/app/adminresponses.h"
 #include "heatherridge_transport/app/logger.h"
 #include "heatherridge_transport/app/problem.h"
 
@@ -111,7 +111,7 @@
         const bool ready = !m_draining && toNumber(m_control.view()->offset) > 0;
         exchange->respond({.status = ready ? 200 : 503, .body = ready ? "ready\n" : "not ready\n"});
     } else if (request.path == "/metrics") {
-        exchange->respond(metricsAnswer(m_metrics));
+        exchange->respond(metricsResponse(m_metrics));
     } else if (request.path.rfind("/admin/", 0) == 0) {
         exchange->respond(handleAdmin(request));
     } else {
@@ -157,7 +157,7 @@
     if (request.path == "/admin/explain") {
         return explainRequest(request);
     }
-    return notFoundAnswer(request.path);
+    return notFoundResponse(request.path);
 }
 
 HttpResponse EntryServer::status()
@@ -170,7 +170,7 @@
     answer.update(controlStatusJson(m_control.status()));
     answer.update(ordered_json{
         {"confirmed", m_control.view()->confirmed}, {"draining", m_draining.load()}, {"open", openCalls()}});
-    return jsonAnswer(answer);
+    return jsonResponse(answer);
 }
 
 HttpResponse EntryServer::targets()
@@ -185,7 +185,7 @@
         std::string state = "serving";
         if (target->withdrawn) {
             state = "withdrawn";
-        } else if (!view->takesWork(*target) || status.report.draining) {
+        } else if (!view->acceptsNewWork(*target) || status.report.draining) {
             state = "draining";
         } else if (!status.isLinked) {
             state = "not-linked";
@@ -200,7 +200,7 @@
                         {"waiting", status.report.queued},
                         {"limit", status.report.limit}});
     }
-    return jsonAnswer({{"targets", list}});
+    return jsonResponse({{"targets", list}});
 }
 
 HttpResponse EntryServer::explainRequest(const HttpRequest &request) const
@@ -217,7 +217,7 @@
                          {"target", step.target.text()},
                          {"reason", step.reason}});
     }
-    return jsonAnswer(
+    return jsonResponse(
         {{"request", id.text()}, {"outcome", entry->outcome.empty() ? "open" : entry->outcome}, {"steps", steps}});
 }
 
--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -127,7 +127,7 @@
 std::vector<EntryTraffic::TargetStatus> EntryTraffic::targets()
 {
     std::vector<TargetStatus> statuses;
-    m_loop.run([this, &statuses] {
+    m_loop.runAndWait([this, &statuses] {
         for (const auto &[name, target] : m_view->inventory->targets()) {
             statuses.push_back({.target = name,
                                 .isLinked = m_links->isWanted(name),
@@ -277,7 +277,7 @@
 
 bool EntryTraffic::isUsable(const Target &target, const EntryCall &call) const
 {
-    return m_view->takesWork(target) && m_links->acceptsNewRequests(target.name)
+    return m_view->acceptsNewWork(target) && m_links->acceptsNewRequests(target.name)
         && !call.triedTargets.contains(target.name);
 }
 
--- a/modules/heatherridge_transport/target/groupagent.cpp
+++ b/modules/heatherridge_transport/target/groupagent.cpp
@@ -222,7 +222,7 @@
             const int zone = zones.try_emplace(target->zone.text(), static_cast<int>(zones.size())).first->second;
             ranks.push_back({.rank = target->rank,
                              .slots = target->expertSlots,
-                             .isLeaving = !m_view->takesWork(*target),
+                             .isLeaving = !m_view->acceptsNewWork(*target),
                              .place = {.host = host, .zone = zone}});
         }
         return ranks;
@@ -495,7 +495,7 @@
 
 void GroupAgent::stop()
 {
-    m_loop.run([this] { m_implementation->stop(); });
+    m_loop.runAndWait([this] { m_implementation->stop(); });
 }
 
 void GroupAgent::setView(const std::shared_ptr<const ConfigView> &view)
@@ -511,7 +511,7 @@
 nlohmann::ordered_json GroupAgent::status()
 {
     nlohmann::ordered_json json;
-    m_loop.run([&] { json = m_implementation->status(); });
+    m_loop.runAndWait([&] { json = m_implementation->status(); });
     return json;
 }
 
--- a/modules/heatherridge_transport/target/keyedcalls.cpp
+++ b/modules/heatherridge_transport/target/keyedcalls.cpp
@@ -219,10 +219,10 @@
 {
     KeyPlacement placement;
     const auto *self = m_view->inventory->find(m_options.target);
-    placement.accepting = !m_draining && self != nullptr && m_view->takesWork(*self);
+    placement.accepting = !m_draining && self != nullptr && m_view->acceptsNewWork(*self);
     for (const auto *target : holdersOf(*m_view->inventory, m_service, shard)) {
         const bool isSelf = target->name == m_options.target;
-        if (!m_view->takesWork(*target) || (isSelf ? m_draining : !isAlive(*target, now))) {
+        if (!m_view->acceptsNewWork(*target) || (isSelf ? m_draining : !isAlive(*target, now))) {
             continue;
         }
         if (placement.preferredHolder.isEmpty()) {
--- a/modules/heatherridge_transport/target/targetserver.cpp
+++ b/modules/heatherridge_transport/target/targetserver.cpp
@@ -1,6 +1,6 @@
 #include "heatherridge_transport/target/targetserver.h"
 
-#include "heatherridge_transport/app/adminanswers.h"
+#include "heatherridge_transport/app/adminresponses.h"
 #include "heatherridge_transport/app/logger.h"
 
 #include <thread>
@@ -41,12 +41,12 @@
     m_traffic.setControlSink(
         {.frame =
              [this](const std::shared_ptr<PeerSocket> &peer, const Envelope &envelope) {
-                 m_control.takeIncoming(
+                 m_control.onIncomingFrame(
                      {.socket = peer,
                       .send = [this, peer](Bytes frame) { m_traffic.sendFrame(peer, std::move(frame)); }},
                      envelope);
              },
-         .disconnected = [this](const std::shared_ptr<PeerSocket> &peer) { m_control.incomingGone(peer); }});
+         .disconnected = [this](const std::shared_ptr<PeerSocket> &peer) { m_control.onIncomingClosed(peer); }});
     m_server = std::make_unique<HttpServer>(HttpServer::Options{.listen = m_options.admin},
                                             [this](const std::shared_ptr<HttpExchange> &exchange) {
                                                 exchange->respond(handleRequest(exchange->request()));
@@ -107,12 +107,12 @@
         return {.status = ready ? 200 : 503, .body = ready ? "ready\n" : "not ready\n"};
     }
     if (request.path == "/metrics") {
-        return metricsAnswer(m_metrics);
+        return metricsResponse(m_metrics);
     }
     if (request.path == "/admin/status") {
         return status();
     }
-    return notFoundAnswer(request.path);
+    return notFoundResponse(request.path);
 }
 
 HttpResponse TargetServer::status()
@@ -131,7 +131,7 @@
                                          {"limit", traffic.load.limit},
                                          {"drain", toJson(traffic.drain)},
                                          {"group", m_group.status()}});
-    return jsonAnswer(answer);
+    return jsonResponse(answer);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/target/targettraffic.cpp
+++ b/modules/heatherridge_transport/target/targettraffic.cpp
@@ -116,7 +116,7 @@
                                                             static_cast<std::size_t>(target->concurrency))});
             m_queue.setLimit(m_limit->limit());
         }
-        if (target == nullptr || !m_view->takesWork(*target)) {
+        if (target == nullptr || !m_view->acceptsNewWork(*target)) {
             rejectWaiting(ErrorKind::TargetWithdrawn);
         }
         m_keys->setView(m_view);
@@ -140,7 +140,7 @@
 TargetTraffic::Status TargetTraffic::status()
 {
     Status status;
-    m_loop.run([this, &status] {
+    m_loop.runAndWait([this, &status] {
         const auto now = std::chrono::steady_clock::now();
         status = {.load = m_queue.load(),
                   .draining = m_draining,
@@ -232,7 +232,7 @@
         return ErrorKind::Draining;
     }
     const auto *target = ownTarget();
-    if (target == nullptr || !m_view->takesWork(*target)) {
+    if (target == nullptr || !m_view->acceptsNewWork(*target)) {
         return ErrorKind::TargetWithdrawn;
     }
     return target->service == request.service ? std::nullopt : std::optional(ErrorKind::UnknownService);
@@ -525,7 +525,7 @@
                       .running = load.running,
                       .queued = load.waiting,
                       .limit = load.limit,
-                      .draining = m_draining || target == nullptr || !m_view->takesWork(*target),
+                      .draining = m_draining || target == nullptr || !m_view->acceptsNewWork(*target),
                       .load = load.runningCost + load.waitingCost,
                       .capacity = load.capacity,
                       .pressure = load.pressure,
--- a/tests/gateway/logclient_test.cpp
+++ b/tests/gateway/logclient_test.cpp
@@ -27,7 +27,7 @@
     void SetUp() override
     {
         m_loop.start();
-        m_loop.run([this] {
+        m_loop.runAndWait([this] {
             m_http = std::make_unique<HttpClient>(m_loop.context(), HttpClient::Options{});
             m_client = std::make_shared<LogClient>(
                 *m_http, LogClient::Options{.endpoint = m_log.endpoint()},
@@ -38,7 +38,7 @@
 
     void TearDown() override
     {
-        m_loop.run([this] {
+        m_loop.runAndWait([this] {
             m_client.reset();
             m_http.reset();
         });
--- a/tests/transport/settings_test.cpp
+++ b/tests/transport/settings_test.cpp
@@ -15,9 +15,19 @@
 {
 
 const SettingSpec Specs[] = {
-    {.key = "share", .type = SettingType::Fraction, .fallback = "0.2", .lowest = 0, .highest = 10, .help = "a share"},
-    {.key = "grace", .type = SettingType::Seconds, .fallback = "8", .lowest = 1, .highest = 600, .help = "a time"},
-    {.key = "pause", .type = SettingType::Milliseconds, .fallback = "50", .lowest = 0, .highest = 99, .help = "a time"},
+    {.key = "share",
+     .type = SettingType::Fraction,
+     .defaultValue = "0.2",
+     .minimum = 0,
+     .maximum = 10,
+     .help = "a share"},
+    {.key = "grace", .type = SettingType::Seconds, .defaultValue = "8", .minimum = 1, .maximum = 600, .help = "a time"},
+    {.key = "pause",
+     .type = SettingType::Milliseconds,
+     .defaultValue = "50",
+     .minimum = 0,
+     .maximum = 99,
+     .help = "a time"},
 };
 
 struct ValueRow
