--- a/modules/heatherridge_transport/direct/callerconnection.cpp
+++ b/modules/heatherridge_transport/direct/callerconnection.cpp
@@ -59,7 +59,7 @@
             responseHeadText(status, headers, {.isChunked = m_isChunked, .keepsConnection = m_keepAlive}), {});
     }
 
-    void write(std::string bytes, Written done) override
+    void write(std::string bytes, WriteCallback done) override
     {
         if (!m_connection) {
             done(false);
@@ -121,7 +121,7 @@
 
 bool expectsContinue(const HttpMessageHead &head)
 {
-    return sameHeaderName(headerValue(head.headers, "Expect"), "100-continue");
+    return isSameHeaderName(headerValue(head.headers, "Expect"), "100-continue");
 }
 
 HttpRequest makeRequest(const HttpMessageHead &head)
@@ -282,7 +282,7 @@
 bool CallerConnection::onHead(const HttpMessageHead &head)
 {
     m_request = makeRequest(head);
-    m_isKeepAlive = head.keepsConnection;
+    m_isKeepAlive = head.isKeepAlive;
     m_expectsContinue = expectsContinue(head);
     if (head.headBytes > m_server->limits.maxHeaderBytes) {
         m_rejection = ErrorKind::HeaderTooLarge;
@@ -313,7 +313,7 @@
          {});
 }
 
-void CallerConnection::send(std::string bytes, HttpExchange::Written done)
+void CallerConnection::send(std::string bytes, HttpExchange::WriteCallback done)
 {
     if (m_phase == Phase::Closed) {
         if (done) {
--- a/modules/heatherridge_transport/direct/callerconnection.h
+++ b/modules/heatherridge_transport/direct/callerconnection.h
@@ -79,7 +79,7 @@
     bool onHead(const HttpMessageHead &head);
     void dispatchRequest();
     void reject(ErrorKind kind);
-    void send(std::string bytes, HttpExchange::Written done);
+    void send(std::string bytes, HttpExchange::WriteCallback done);
     void writeNext();
     void onResponseFinished(bool keepAlive);
     void startNextRequest();
@@ -91,7 +91,7 @@
     struct PendingWrite
     {
         std::string bytes{};
-        HttpExchange::Written done{};
+        HttpExchange::WriteCallback done{};
     };
 
     asio::ip::tcp::socket m_socket;
--- a/modules/heatherridge_transport/direct/gatewayserver.cpp
+++ b/modules/heatherridge_transport/direct/gatewayserver.cpp
@@ -232,8 +232,8 @@
         for (const auto &target : allTargets) {
             targetsByService[target.service].push_back(target);
         }
-        m_client.setKeptConnections(ExtraKeptConnections
-                                    + KeptConnectionsPerTarget * static_cast<long>(allTargets.size()));
+        m_client.setMaxIdleConnections(ExtraKeptConnections
+                                       + KeptConnectionsPerTarget * static_cast<long>(allTargets.size()));
         for (const auto &service : rules->config().services) {
             if (!service.engine || service.engine->layerSets == 0) {
                 continue;
--- a/modules/heatherridge_transport/direct/httptext.cpp
+++ b/modules/heatherridge_transport/direct/httptext.cpp
@@ -31,7 +31,7 @@
 {
     std::vector<std::string> names;
     for (const auto &header : headers) {
-        if (!sameHeaderName(header.name, "Connection")) {
+        if (!isSameHeaderName(header.name, "Connection")) {
             continue;
         }
         std::string_view rest = header.value;
@@ -117,8 +117,8 @@
     kept.reserve(headers.size());
     for (const auto &header : headers) {
         const bool isListed = std::any_of(connectionTokens.begin(), connectionTokens.end(),
-                                          [&](const auto &name) { return sameHeaderName(name, header.name); });
-        if (!isListed && !isOneOf(HopByHopHeaders, header.name)) {
+                                          [&](const auto &name) { return isSameHeaderName(name, header.name); });
+        if (!isListed && !containsHeaderName(HopByHopHeaders, header.name)) {
             kept.push_back(header);
         }
     }
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -53,7 +53,7 @@
 public:
     Implementation(Options options, const RankControlFactory &makeRankControl)
         : m_options(std::move(options))
-        , m_client(m_loop.context(), {.connectTimeout = std::chrono::milliseconds(200), .keptConnections = 4})
+        , m_client(m_loop.context(), {.connectTimeout = std::chrono::milliseconds(200), .maxIdleConnections = 4})
         , m_rankControl(makeRankControl(m_client))
         , m_server(
               m_loop.context(), {.listen = m_options.listen, .maxConnections = 64},
--- a/modules/heatherridge_transport/direct/targetconnection.cpp
+++ b/modules/heatherridge_transport/direct/targetconnection.cpp
@@ -176,7 +176,7 @@
     }
     if (error == asio::error::eof) {
         m_isKeepAlive = false;
-        m_reader.feedEnd();
+        m_reader.feedEndOfStream();
         if (m_reader.state() == HttpMessageReader::State::Complete) {
             completeExchange(false);
         } else {
@@ -223,7 +223,7 @@
     if (m_isInterim || !m_isBusy) {
         return true;
     }
-    m_isKeepAlive = head.keepsConnection;
+    m_isKeepAlive = head.isKeepAlive;
     if (m_events.head) {
         m_events.head(head);
     }
--- a/modules/heatherridge_transport/entry/callerrequest.cpp
+++ b/modules/heatherridge_transport/entry/callerrequest.cpp
@@ -53,7 +53,7 @@
 {
     std::vector<HeaderField> forwarded;
     for (const auto &header : headers) {
-        if (!isOneOf(HopByHopHeaders, header.name)) {
+        if (!containsHeaderName(HopByHopHeaders, header.name)) {
             forwarded.push_back({.name = header.name, .value = header.value});
         }
     }
--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -30,7 +30,7 @@
 {
     std::vector<HttpHeader> headers{{.name = std::string(RequestIdHeader), .value = requestOfAttempt(head.id).text()}};
     for (const auto &header : head.headers) {
-        if (!isOneOf(HopByHopHeaders, header.name)) {
+        if (!containsHeaderName(HopByHopHeaders, header.name)) {
             headers.push_back({.name = header.name, .value = header.value});
         }
     }
--- a/modules/heatherridge_transport/entry/streamresume.cpp
+++ b/modules/heatherridge_transport/entry/streamresume.cpp
@@ -75,7 +75,7 @@
 {
     return head.status == StatusOk
         && std::any_of(head.headers.begin(), head.headers.end(), [](const HeaderField &field) {
-               return sameHeaderName(field.name, "Content-Type")
+               return isSameHeaderName(field.name, "Content-Type")
                    && field.value.substr(0, EventStreamType.size()) == EventStreamType;
            });
 }
--- a/modules/heatherridge_transport/http/httpclient.cpp
+++ b/modules/heatherridge_transport/http/httpclient.cpp
@@ -40,52 +40,52 @@
     HttpClient::Events events{};
     std::unique_ptr<CURL, EasyDeleter> easy{};
     std::unique_ptr<curl_slist, ListDeleter> headerList{};
-    std::vector<HttpHeader> answerHeaders{};
-    bool headSeen = false;
-    bool paused = false;
-    bool cancelled = false;
+    std::vector<HttpHeader> responseHeaders{};
+    bool isHeadReported = false;
+    bool isPaused = false;
+    bool isCancelled = false;
 };
 
-std::size_t onBody(char *bytes, std::size_t size, std::size_t count, void *user)
+std::size_t onBody(char *bytes, std::size_t size, std::size_t count, void *userData)
 {
-    auto &transfer = *static_cast<Transfer *>(user);
-    if (transfer.cancelled) {
+    auto &transfer = *static_cast<Transfer *>(userData);
+    if (transfer.isCancelled) {
         return 0;
     }
-    if (transfer.paused) {
+    if (transfer.isPaused) {
         return CURL_WRITEFUNC_PAUSE;
     }
     if (!transfer.events.data(std::string_view(bytes, size * count))) {
-        transfer.paused = true;
+        transfer.isPaused = true;
     }
     return size * count;
 }
 
 /** Collects the header lines and reports the head once its empty last line has come. */
-std::size_t onHeader(char *bytes, std::size_t size, std::size_t count, void *user)
+std::size_t onHeader(char *bytes, std::size_t size, std::size_t count, void *userData)
 {
     constexpr long firstFinalStatus = 200;
-    auto &transfer = *static_cast<Transfer *>(user);
+    auto &transfer = *static_cast<Transfer *>(userData);
     const std::string_view line(bytes, size * count);
     const auto content = line.substr(0, line.find_last_not_of("\r\n") + 1);
     const auto colon = content.find(':');
     if (content.empty()) {
         long status = 0;
         curl_easy_getinfo(transfer.easy.get(), CURLINFO_RESPONSE_CODE, &status);
-        if (status >= firstFinalStatus && !transfer.headSeen && !transfer.cancelled) {
-            transfer.headSeen = true;
-            transfer.events.head(static_cast<int>(status), transfer.answerHeaders);
+        if (status >= firstFinalStatus && !transfer.isHeadReported && !transfer.isCancelled) {
+            transfer.isHeadReported = true;
+            transfer.events.head(static_cast<int>(status), transfer.responseHeaders);
         }
-        transfer.answerHeaders.clear();
+        transfer.responseHeaders.clear();
     } else if (colon != std::string_view::npos && content.substr(0, 5) != "HTTP/") {
-        transfer.answerHeaders.push_back(
+        transfer.responseHeaders.push_back(
             {.name = std::string(content.substr(0, colon)), .value = std::string(trimmed(content.substr(colon + 1)))});
     }
     return size * count;
 }
 
 /** Whether nothing of the request can have reached the server. */
-bool neverSent(CURL *easy, CURLcode code)
+bool wasNeverSent(CURL *easy, CURLcode code)
 {
     curl_off_t pretransfer = 0;
     curl_easy_getinfo(easy, CURLINFO_PRETRANSFER_TIME_T, &pretransfer);
@@ -115,7 +115,7 @@
         curl_multi_setopt(m_multi, CURLMOPT_SOCKETDATA, this);
         curl_multi_setopt(m_multi, CURLMOPT_TIMERFUNCTION, &Implementation::onTimer);
         curl_multi_setopt(m_multi, CURLMOPT_TIMERDATA, this);
-        curl_multi_setopt(m_multi, CURLMOPT_MAXCONNECTS, m_options.keptConnections);
+        curl_multi_setopt(m_multi, CURLMOPT_MAXCONNECTS, m_options.maxIdleConnections);
         if (m_options.maxConnectionsPerHost > 0) {
             curl_multi_setopt(m_multi, CURLMOPT_MAX_HOST_CONNECTIONS, m_options.maxConnectionsPerHost);
         }
@@ -156,16 +156,16 @@
     void resume(CallId call)
     {
         const auto entry = m_transfers.find(call);
-        if (entry == m_transfers.end() || !entry->second->paused) {
+        if (entry == m_transfers.end() || !entry->second->isPaused) {
             return;
         }
-        entry->second->paused = false;
+        entry->second->isPaused = false;
         // Outside of libcurl's own callbacks only: resuming may call the data event at once.
         asio::post(m_loop, [self = shared_from_this(), call] {
             const auto found = self->m_transfers.find(call);
-            if (found != self->m_transfers.end() && !found->second->cancelled) {
+            if (found != self->m_transfers.end() && !found->second->isCancelled) {
                 curl_easy_pause(found->second->easy.get(), CURLPAUSE_CONT);
-                self->collectFinished();
+                self->processFinishedTransfers();
             }
         });
     }
@@ -176,7 +176,7 @@
         if (entry == m_transfers.end()) {
             return;
         }
-        entry->second->cancelled = true;
+        entry->second->isCancelled = true;
         asio::post(m_loop, [self = shared_from_this(), call] { self->remove(call); });
     }
 
@@ -185,11 +185,11 @@
         return m_transfers.size();
     }
 
-    void setKeptConnections(long keptConnections)
+    void setMaxIdleConnections(long maxIdleConnections)
     {
-        if (keptConnections != m_options.keptConnections) {
-            m_options.keptConnections = keptConnections;
-            curl_multi_setopt(m_multi, CURLMOPT_MAXCONNECTS, keptConnections);
+        if (maxIdleConnections != m_options.maxIdleConnections) {
+            m_options.maxIdleConnections = maxIdleConnections;
+            curl_multi_setopt(m_multi, CURLMOPT_MAXCONNECTS, maxIdleConnections);
         }
     }
 
@@ -248,15 +248,15 @@
         curl_easy_setopt(transfer.easy.get(), CURLOPT_HTTPHEADER, list);
     }
 
-    static int onSocket(CURL * /*easy*/, curl_socket_t socket, int what, void *user, void * /*socketData*/)
+    static int onSocket(CURL * /*easy*/, curl_socket_t socket, int what, void *userData, void * /*socketData*/)
     {
-        static_cast<Implementation *>(user)->watch(socket, what);
+        static_cast<Implementation *>(userData)->updateWatchedSocket(socket, what);
         return 0;
     }
 
-    static int onTimer(CURLM * /*multi*/, long timeoutMs, void *user)
+    static int onTimer(CURLM * /*multi*/, long timeoutMs, void *userData)
     {
-        static_cast<Implementation *>(user)->setTimer(timeoutMs);
+        static_cast<Implementation *>(userData)->setTimer(timeoutMs);
         return 0;
     }
 
@@ -286,7 +286,7 @@
         bool writePending = false;
     };
 
-    void watch(curl_socket_t socket, int what)
+    void updateWatchedSocket(curl_socket_t socket, int what)
     {
         if (what == CURL_POLL_REMOVE) {
             stopWatching(socket);
@@ -298,7 +298,7 @@
         }
         watched->wantRead = what == CURL_POLL_IN || what == CURL_POLL_INOUT;
         watched->wantWrite = what == CURL_POLL_OUT || what == CURL_POLL_INOUT;
-        arm(socket, watched);
+        startPendingWaits(socket, watched);
     }
 
     /** Lets go of @p socket at once, though ready() may still hold what watched it: libcurl may take the same socket
@@ -312,14 +312,14 @@
         }
     }
 
-    void arm(curl_socket_t socket, const std::shared_ptr<WatchedSocket> &watched)
+    void startPendingWaits(curl_socket_t socket, const std::shared_ptr<WatchedSocket> &watched)
     {
         if (watched->wantRead && !watched->readPending) {
             watched->readPending = true;
             watched->descriptor.async_wait(asio::posix::descriptor_base::wait_read,
                                            [this, self = shared_from_this(), socket,
                                             weak = std::weak_ptr(watched)](const asio::error_code &error) {
-                                               ready(socket, weak, CURL_CSELECT_IN, error);
+                                               onSocketReady(socket, weak, CURL_CSELECT_IN, error);
                                            });
         }
         if (watched->wantWrite && !watched->writePending) {
@@ -327,29 +327,30 @@
             watched->descriptor.async_wait(asio::posix::descriptor_base::wait_write,
                                            [this, self = shared_from_this(), socket,
                                             weak = std::weak_ptr(watched)](const asio::error_code &error) {
-                                               ready(socket, weak, CURL_CSELECT_OUT, error);
+                                               onSocketReady(socket, weak, CURL_CSELECT_OUT, error);
                                            });
         }
     }
 
-    void ready(curl_socket_t socket, const std::weak_ptr<WatchedSocket> &weak, int event, const asio::error_code &error)
+    void onSocketReady(curl_socket_t socket, const std::weak_ptr<WatchedSocket> &weak, int event,
+                       const asio::error_code &error)
     {
         const auto watched = weak.lock();
         if (!watched || m_multi == nullptr) {
             return;
         }
         auto &pending = event == CURL_CSELECT_IN ? watched->readPending : watched->writePending;
-        const bool wanted = event == CURL_CSELECT_IN ? watched->wantRead : watched->wantWrite;
+        const bool isWanted = event == CURL_CSELECT_IN ? watched->wantRead : watched->wantWrite;
         pending = false;
-        if (error || !wanted) {
+        if (error || !isWanted) {
             return;
         }
         int running = 0;
         curl_multi_socket_action(m_multi, socket, event, &running);
-        collectFinished();
+        processFinishedTransfers();
         const auto entry = m_sockets.find(socket);
         if (entry != m_sockets.end() && entry->second == watched) {
-            arm(socket, watched);
+            startPendingWaits(socket, watched);
         }
     }
 
@@ -364,16 +365,16 @@
             if (!error && self->m_multi != nullptr) {
                 int running = 0;
                 curl_multi_socket_action(self->m_multi, CURL_SOCKET_TIMEOUT, 0, &running);
-                self->collectFinished();
+                self->processFinishedTransfers();
             }
         });
     }
 
-    void collectFinished()
+    void processFinishedTransfers()
     {
-        int left = 0;
+        int remaining = 0;
         while (m_multi != nullptr) {
-            const auto *message = curl_multi_info_read(m_multi, &left);
+            const auto *message = curl_multi_info_read(m_multi, &remaining);
             if (message == nullptr) {
                 return;
             }
@@ -385,12 +386,12 @@
 
     void finish(CURL *easy, CURLcode code)
     {
-        char *user = nullptr;
-        curl_easy_getinfo(easy, CURLINFO_PRIVATE, &user);
-        const auto id = reinterpret_cast<Transfer *>(user)->id;
-        const Failure failure{.mayHaveArrived = !neverSent(easy, code), .reason = curl_easy_strerror(code)};
+        char *userData = nullptr;
+        curl_easy_getinfo(easy, CURLINFO_PRIVATE, &userData);
+        const auto id = reinterpret_cast<Transfer *>(userData)->id;
+        const Failure failure{.mayHaveArrived = !wasNeverSent(easy, code), .reason = curl_easy_strerror(code)};
         const auto transfer = remove(id);
-        if (!transfer || transfer->cancelled) {
+        if (!transfer || transfer->isCancelled) {
             return;
         }
         if (code == CURLE_OK) {
@@ -439,38 +440,38 @@
 HttpClient::CallId HttpClient::send(Call call, std::function<void(std::variant<HttpResponse, Failure>)> done,
                                     std::size_t maxBytes)
 {
-    struct Collected
+    struct ResponseCollector
     {
         HttpResponse response{};
         std::function<void(std::variant<HttpResponse, Failure>)> done{};
-        bool tooLarge = false;
+        bool isTooLarge = false;
     };
-    auto collected = std::make_shared<Collected>();
-    collected->done = std::move(done);
+    auto collector = std::make_shared<ResponseCollector>();
+    collector->done = std::move(done);
     return stream(std::move(call),
                   {.head =
-                       [collected](int status, const std::vector<HttpHeader> &headers) {
-                           collected->response.status = status;
-                           collected->response.headers = headers;
+                       [collector](int status, const std::vector<HttpHeader> &headers) {
+                           collector->response.status = status;
+                           collector->response.headers = headers;
                        },
                    .data =
-                       [collected, maxBytes](std::string_view bytes) {
-                           collected->tooLarge =
-                               collected->tooLarge || collected->response.body.size() + bytes.size() > maxBytes;
-                           if (!collected->tooLarge) {
-                               collected->response.body += bytes;
+                       [collector, maxBytes](std::string_view bytes) {
+                           collector->isTooLarge =
+                               collector->isTooLarge || collector->response.body.size() + bytes.size() > maxBytes;
+                           if (!collector->isTooLarge) {
+                               collector->response.body += bytes;
                            }
                            return true;
                        },
                    .finished =
-                       [collected] {
-                           if (collected->tooLarge) {
-                               collected->done(Failure{.reason = "answer too large"});
+                       [collector] {
+                           if (collector->isTooLarge) {
+                               collector->done(Failure{.reason = "answer too large"});
                            } else {
-                               collected->done(std::move(collected->response));
+                               collector->done(std::move(collector->response));
                            }
                        },
-                   .failed = [collected](const Failure &failure) { collected->done(failure); }});
+                   .failed = [collector](const Failure &failure) { collector->done(failure); }});
 }
 
 void HttpClient::resume(CallId call)
@@ -488,9 +489,9 @@
     return m_implementation->running();
 }
 
-void HttpClient::setKeptConnections(long keptConnections)
+void HttpClient::setMaxIdleConnections(long maxIdleConnections)
 {
-    m_implementation->setKeptConnections(keptConnections);
+    m_implementation->setMaxIdleConnections(maxIdleConnections);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/http/httpclient.h
+++ b/modules/heatherridge_transport/http/httpclient.h
@@ -31,7 +31,7 @@
         std::chrono::milliseconds connectTimeout{2000};
         /** Idle connections that are kept. libcurl's own bound, four times the running calls, closes those to all but a
          * few of the targets that are asked in turn: 570 new connections in 12 s instead of 60. */
-        long keptConnections = 256;
+        long maxIdleConnections = 256;
     };
 
     /** One request to one endpoint. */
@@ -92,8 +92,8 @@
     /** How many calls are running. */
     std::size_t running() const;
 
-    /** Idle connections that are kept from now on. @see Options::keptConnections */
-    void setKeptConnections(long keptConnections);
+    /** Idle connections that are kept from now on. @see Options::maxIdleConnections */
+    void setMaxIdleConnections(long maxIdleConnections);
 
 private:
     class Implementation;
--- a/modules/heatherridge_transport/http/httpmessagereader.cpp
+++ b/modules/heatherridge_transport/http/httpmessagereader.cpp
@@ -8,10 +8,10 @@
 class HttpMessageReader::Implementation
 {
 public:
-    Implementation(Side side, HeadTaken headTaken, BodyTaken bodyTaken)
+    Implementation(Side side, HeadCallback onHead, BodyCallback onBody)
         : m_type(side == Side::Requests ? HTTP_REQUEST : HTTP_RESPONSE)
-        , m_headTaken(std::move(headTaken))
-        , m_bodyTaken(std::move(bodyTaken))
+        , m_onHead(std::move(onHead))
+        , m_onBody(std::move(onBody))
     {
         http_parser_settings_init(&m_settings);
         m_settings.on_url = [](http_parser *parser, const char *at, std::size_t length) {
@@ -19,16 +19,16 @@
             return 0;
         };
         m_settings.on_header_field = [](http_parser *parser, const char *at, std::size_t length) {
-            self(parser).takeName({at, length});
+            self(parser).appendHeaderName({at, length});
             return 0;
         };
         m_settings.on_header_value = [](http_parser *parser, const char *at, std::size_t length) {
-            self(parser).takeValue({at, length});
+            self(parser).appendHeaderValue({at, length});
             return 0;
         };
-        m_settings.on_headers_complete = [](http_parser *parser) { return self(parser).takeHead(); };
+        m_settings.on_headers_complete = [](http_parser *parser) { return self(parser).completeHead(); };
         m_settings.on_body = [](http_parser *parser, const char *at, std::size_t length) {
-            self(parser).m_bodyTaken({at, length});
+            self(parser).m_onBody({at, length});
             return 0;
         };
         m_settings.on_message_complete = [](http_parser *parser) {
@@ -44,7 +44,7 @@
         http_parser_init(&m_parser, m_type);
         m_parser.data = this;
         m_head = {};
-        m_inValue = false;
+        m_isInHeaderValue = false;
         m_state = State::Idle;
     }
 
@@ -56,16 +56,16 @@
         if (m_state == State::Idle) {
             m_state = State::Head;
         }
-        const auto taken = http_parser_execute(&m_parser, &m_settings, bytes.data(), bytes.size());
+        const auto consumed = http_parser_execute(&m_parser, &m_settings, bytes.data(), bytes.size());
         const auto error = HTTP_PARSER_ERRNO(&m_parser);
         if (m_state != State::Complete && error != HPE_OK) {
             m_state = State::Malformed;
             m_headTooLarge = error == HPE_HEADER_OVERFLOW;
         }
-        return taken;
+        return consumed;
     }
 
-    void feedEnd()
+    void feedEndOfStream()
     {
         if (m_state != State::Body) {
             return;
@@ -92,22 +92,22 @@
         return *static_cast<Implementation *>(parser->data);
     }
 
-    void takeName(std::string_view piece)
+    void appendHeaderName(std::string_view piece)
     {
-        if (m_inValue || m_head.headers.empty()) {
+        if (m_isInHeaderValue || m_head.headers.empty()) {
             m_head.headers.emplace_back();
-            m_inValue = false;
+            m_isInHeaderValue = false;
         }
         m_head.headers.back().name.append(piece);
     }
 
-    void takeValue(std::string_view piece)
+    void appendHeaderValue(std::string_view piece)
     {
-        m_inValue = true;
+        m_isInHeaderValue = true;
         m_head.headers.back().value.append(piece);
     }
 
-    int takeHead()
+    int completeHead()
     {
         if (m_state == State::Body) {
             return 0; // trailers behind the last chunk
@@ -117,40 +117,40 @@
         }
         m_head.status = m_type == HTTP_RESPONSE ? static_cast<int>(m_parser.status_code) : 0;
         m_head.headBytes = headBytes();
-        m_head.keepsConnection = http_should_keep_alive(&m_parser) != 0;
+        m_head.isKeepAlive = http_should_keep_alive(&m_parser) != 0;
         if ((m_parser.flags & F_CONTENTLENGTH) != 0) {
             m_head.contentLength = m_parser.content_length;
         }
         m_state = State::Body;
-        return m_headTaken(m_head) ? 0 : 1;
+        return m_onHead(m_head) ? 0 : 1;
     }
 
     /** Size of the head as sent, but for blanks that the parser has dropped: it keeps no count of its own. */
     std::size_t headBytes() const
     {
-        constexpr std::size_t startLineRest = sizeof(" HTTP/1.1 \r\n") - 1;
-        constexpr std::size_t headerRest = sizeof(": \r\n") - 1;
-        constexpr std::size_t lineEnd = 2;
-        std::size_t size = m_head.method.size() + m_head.target.size() + startLineRest + lineEnd;
+        constexpr std::size_t startLineOverhead = sizeof(" HTTP/1.1 \r\n") - 1;
+        constexpr std::size_t headerOverhead = sizeof(": \r\n") - 1;
+        constexpr std::size_t lineEndBytes = 2;
+        std::size_t size = m_head.method.size() + m_head.target.size() + startLineOverhead + lineEndBytes;
         for (const auto &header : m_head.headers) {
-            size += header.name.size() + header.value.size() + headerRest;
+            size += header.name.size() + header.value.size() + headerOverhead;
         }
         return size;
     }
 
     http_parser_type m_type;
-    HeadTaken m_headTaken;
-    BodyTaken m_bodyTaken;
+    HeadCallback m_onHead;
+    BodyCallback m_onBody;
     http_parser_settings m_settings{};
     http_parser m_parser{};
     HttpMessageHead m_head;
-    bool m_inValue = false;
+    bool m_isInHeaderValue = false;
     bool m_headTooLarge = false;
     State m_state = State::Idle;
 };
 
-HttpMessageReader::HttpMessageReader(Side side, HeadTaken headTaken, BodyTaken bodyTaken)
-    : m_implementation(std::make_unique<Implementation>(side, std::move(headTaken), std::move(bodyTaken)))
+HttpMessageReader::HttpMessageReader(Side side, HeadCallback onHead, BodyCallback onBody)
+    : m_implementation(std::make_unique<Implementation>(side, std::move(onHead), std::move(onBody)))
 {
 }
 
@@ -161,9 +161,9 @@
     return m_implementation->feed(bytes);
 }
 
-void HttpMessageReader::feedEnd()
+void HttpMessageReader::feedEndOfStream()
 {
-    m_implementation->feedEnd();
+    m_implementation->feedEndOfStream();
 }
 
 void HttpMessageReader::reset()
--- a/modules/heatherridge_transport/http/httpmessagereader.h
+++ b/modules/heatherridge_transport/http/httpmessagereader.h
@@ -23,7 +23,7 @@
     std::vector<HttpHeader> headers{};
     std::size_t headBytes = 0; ///< size of the start line and all headers
     std::optional<std::uint64_t> contentLength{}; ///< nothing for chunks and for a body that ends with its connection
-    bool keepsConnection = true; ///< whether the sender leaves the connection open behind the message
+    bool isKeepAlive = true; ///< whether the sender leaves the connection open behind the message
 };
 
 /**
@@ -51,11 +51,11 @@
     };
 
     /** Told of body bytes as they come. */
-    using BodyTaken = std::function<void(std::string_view bytes)>;
+    using BodyCallback = std::function<void(std::string_view bytes)>;
     /** Told once the head is there. Returns whether a body may follow; false for answers to HEAD. */
-    using HeadTaken = std::function<bool(const HttpMessageHead &head)>;
+    using HeadCallback = std::function<bool(const HttpMessageHead &head)>;
 
-    HttpMessageReader(Side side, HeadTaken headTaken, BodyTaken bodyTaken);
+    HttpMessageReader(Side side, HeadCallback onHead, BodyCallback onBody);
     ~HttpMessageReader();
 
     HttpMessageReader(const HttpMessageReader &) = delete;
@@ -65,7 +65,7 @@
     std::size_t feed(std::string_view bytes);
 
     /** The peer closed in order: completes a body that ends so; cuts any other message off. */
-    void feedEnd();
+    void feedEndOfStream();
 
     /** Begins the next message. */
     void reset();
--- a/modules/heatherridge_transport/http/httpmessages.cpp
+++ b/modules/heatherridge_transport/http/httpmessages.cpp
@@ -29,21 +29,22 @@
 
 } // namespace
 
-bool sameHeaderName(std::string_view a, std::string_view b)
+bool isSameHeaderName(std::string_view a, std::string_view b)
 {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                       [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
 }
 
-bool isOneOf(std::span<const std::string_view> names, std::string_view name)
+bool containsHeaderName(std::span<const std::string_view> names, std::string_view name)
 {
-    return std::any_of(names.begin(), names.end(), [name](auto candidate) { return sameHeaderName(candidate, name); });
+    return std::any_of(names.begin(), names.end(),
+                       [name](auto candidate) { return isSameHeaderName(candidate, name); });
 }
 
 std::string_view headerValue(const std::vector<HttpHeader> &headers, std::string_view name)
 {
     const auto header = std::find_if(headers.begin(), headers.end(),
-                                     [name](const auto &entry) { return sameHeaderName(entry.name, name); });
+                                     [name](const auto &entry) { return isSameHeaderName(entry.name, name); });
     return header == headers.end() ? std::string_view{} : std::string_view(header->value);
 }
 
--- a/modules/heatherridge_transport/http/httpmessages.h
+++ b/modules/heatherridge_transport/http/httpmessages.h
@@ -19,10 +19,10 @@
 std::string_view headerValue(const std::vector<HttpHeader> &headers, std::string_view name);
 
 /** Whether two header names are the same, without case. */
-bool sameHeaderName(std::string_view a, std::string_view b);
+bool isSameHeaderName(std::string_view a, std::string_view b);
 
 /** Whether @p name is one of @p names, without case. */
-bool isOneOf(std::span<const std::string_view> names, std::string_view name);
+bool containsHeaderName(std::span<const std::string_view> names, std::string_view name);
 
 /** One HTTP request in whole. */
 struct HttpRequest
--- a/modules/heatherridge_transport/http/httpserver.cpp
+++ b/modules/heatherridge_transport/http/httpserver.cpp
@@ -14,22 +14,22 @@
 {
 
 /** How many requests of one connection are read ahead. More than one, or a caller's leaving is not seen in time. */
-constexpr std::size_t PipelinedRequests = 2;
+constexpr std::size_t MaxPipelinedRequests = 2;
 
 /** Tells exchanges that their connection has closed. Any thread. */
-class ClosedConnections
+class ConnectionCloseNotifier
 {
 public:
-    void watch(std::uint64_t connection, const std::function<void()> &closed)
+    void addListener(std::uint64_t connection, const std::function<void()> &closed)
     {
         const std::lock_guard lock(m_mutex);
-        m_watchers[connection].push_back(closed);
+        m_listeners[connection].push_back(closed);
     }
 
-    void forget(std::uint64_t connection)
+    void removeListeners(std::uint64_t connection)
     {
         const std::lock_guard lock(m_mutex);
-        m_watchers.erase(connection);
+        m_listeners.erase(connection);
     }
 
     /** The name is RESTinio's. */
@@ -38,47 +38,47 @@
         if (!std::holds_alternative<restinio::connection_state::closed_t>(notice.cause())) {
             return;
         }
-        std::vector<std::function<void()>> watchers;
+        std::vector<std::function<void()>> listeners;
         {
             const std::lock_guard lock(m_mutex);
-            const auto entry = m_watchers.find(notice.connection_id());
-            if (entry == m_watchers.end()) {
+            const auto entry = m_listeners.find(notice.connection_id());
+            if (entry == m_listeners.end()) {
                 return;
             }
-            watchers = std::move(entry->second);
-            m_watchers.erase(entry);
+            listeners = std::move(entry->second);
+            m_listeners.erase(entry);
         }
-        for (const auto &watcher : watchers) {
-            watcher();
+        for (const auto &listener : listeners) {
+            listener();
         }
     }
 
 private:
     std::mutex m_mutex;
-    std::unordered_map<std::uint64_t, std::vector<std::function<void()>>> m_watchers;
+    std::unordered_map<std::uint64_t, std::vector<std::function<void()>>> m_listeners;
 };
 
 /** The names are RESTinio's. */
 struct ServerTraits : restinio::default_traits_t
 {
-    using connection_state_listener_t = ClosedConnections;
+    using connection_state_listener_t = ConnectionCloseNotifier;
     // NOLINTNEXTLINE(readability-identifier-naming)
     static constexpr bool use_connection_count_limiter = true;
 };
 
 using ChunkedBuilder = restinio::response_builder_t<restinio::chunked_output_t>;
 
-std::string toText(restinio::string_view_t view)
+std::string toStdString(restinio::string_view_t view)
 {
     return {view.data(), view.size()};
 }
 
-HttpRequest requestFrom(const restinio::request_t &request)
+HttpRequest convertRequest(const restinio::request_t &request)
 {
     const auto &header = request.header();
     HttpRequest result{.method = std::string(header.method().c_str()),
-                       .path = toText(header.path()),
-                       .query = toText(header.query()),
+                       .path = toStdString(header.path()),
+                       .query = toStdString(header.query()),
                        .body = request.body()};
     header.for_each_field(
         [&result](const auto &field) { result.headers.push_back({.name = field.name(), .value = field.value()}); });
@@ -89,11 +89,11 @@
 {
 public:
     RestinioExchange(std::shared_ptr<void> server, restinio::request_handle_t handle,
-                     std::shared_ptr<ClosedConnections> closedConnections)
+                     std::shared_ptr<ConnectionCloseNotifier> closeNotifier)
         : m_server(std::move(server))
         , m_handle(std::move(handle))
-        , m_closedConnections(std::move(closedConnections))
-        , m_request(requestFrom(*m_handle))
+        , m_closeNotifier(std::move(closeNotifier))
+        , m_request(convertRequest(*m_handle))
     {
     }
 
@@ -103,7 +103,7 @@
             // Nobody answered: without this the caller would wait until the handle timeout.
             m_handle->create_response(restinio::status_internal_server_error()).connection_close().done();
         }
-        m_closedConnections->forget(m_handle->connection_id());
+        m_closeNotifier->removeListeners(m_handle->connection_id());
     }
 
     const HttpRequest &request() const override
@@ -134,7 +134,7 @@
         addHeaders(*m_stream, headers);
     }
 
-    void write(std::string bytes, Written done) override
+    void write(std::string bytes, WriteCallback done) override
     {
         const std::lock_guard lock(m_mutex);
         if (m_finished || !m_stream) {
@@ -162,27 +162,27 @@
         // A caller must not take a cut answer for a whole one. RESTinio closes the connection without the closing
         // chunk when a write notification throws; it offers no other way to do so.
         m_finished = true;
-        const auto fail = [](const auto &error) {
+        const auto throwAfterWrite = [](const auto &error) {
             if (!error) {
                 throw std::runtime_error("answer cut off");
             }
         };
         if (m_stream) {
-            m_stream->flush(fail);
+            m_stream->flush(throwAfterWrite);
             return;
         }
         const auto connection = std::move(restinio::impl::access_req_connection(*m_handle));
-        restinio::write_group_t nothing{restinio::writable_items_container_t{}};
-        nothing.after_write_notificator(fail);
+        restinio::write_group_t emptyGroup{restinio::writable_items_container_t{}};
+        emptyGroup.after_write_notificator(throwAfterWrite);
         connection->write_response_parts(
             m_handle->request_id(),
             {restinio::response_parts_attr_t::not_final_parts, restinio::response_connection_attr_t::connection_close},
-            std::move(nothing));
+            std::move(emptyGroup));
     }
 
     void onClosed(std::function<void()> closed) override
     {
-        m_closedConnections->watch(m_handle->connection_id(), [weak = weak_from_this(), closed = std::move(closed)] {
+        m_closeNotifier->addListener(m_handle->connection_id(), [weak = weak_from_this(), closed = std::move(closed)] {
             const auto exchange = weak.lock();
             if (exchange && !exchange->isFinished()) {
                 closed();
@@ -215,7 +215,7 @@
      * when the server went, as a long poll does, reached into freed memory. Destroyed after the handle. */
     std::shared_ptr<void> m_server;
     restinio::request_handle_t m_handle;
-    std::shared_ptr<ClosedConnections> m_closedConnections;
+    std::shared_ptr<ConnectionCloseNotifier> m_closeNotifier;
     HttpRequest m_request;
     std::mutex m_mutex;
     std::optional<ChunkedBuilder> m_stream;
@@ -238,24 +238,24 @@
 
     Result<Endpoint> start()
     {
-        Endpoint bound{.address = m_options.listen.address};
-        auto closedConnections = std::make_shared<ClosedConnections>();
+        Endpoint boundEndpoint{.address = m_options.listen.address};
+        auto closeNotifier = std::make_shared<ConnectionCloseNotifier>();
         try {
             m_server = std::make_shared<Server>(restinio::own_io_context(), [&](auto &settings) {
                 settings.address(m_options.listen.address)
                     .port(static_cast<std::uint16_t>(m_options.listen.port))
-                    .request_handler([this, closedConnections](auto request) {
-                        m_handler(std::make_shared<RestinioExchange>(m_server, std::move(request), closedConnections));
+                    .request_handler([this, closeNotifier](auto request) {
+                        m_handler(std::make_shared<RestinioExchange>(m_server, std::move(request), closeNotifier));
                         return restinio::request_accepted();
                     })
-                    .connection_state_listener(closedConnections)
+                    .connection_state_listener(closeNotifier)
                     // An answer in chunks leaves in several writes. With Nagle's algorithm the second waits for the
                     // caller's delayed acknowledgement of the first: 40 ms more on each answer.
                     .socket_options_setter([](auto &options) { options.set_option(asio::ip::tcp::no_delay(true)); })
                     .acceptor_post_bind_hook(
-                        [&bound](auto &acceptor) { bound.port = acceptor.local_endpoint().port(); })
+                        [&boundEndpoint](auto &acceptor) { boundEndpoint.port = acceptor.local_endpoint().port(); })
                     .max_parallel_connections(m_options.maxConnections)
-                    .max_pipelined_requests(PipelinedRequests)
+                    .max_pipelined_requests(MaxPipelinedRequests)
                     .concurrent_accepts_count(static_cast<std::size_t>(m_options.threads))
                     .read_next_http_message_timelimit(m_options.readTimeout)
                     .write_http_response_timelimit(m_options.writeTimeout)
@@ -275,7 +275,7 @@
             return Error{.kind = ErrorKind::Internal,
                          .detail = "cannot listen on " + toString(m_options.listen) + ": " + exception.what()};
         }
-        return bound;
+        return boundEndpoint;
     }
 
     void stop()
--- a/modules/heatherridge_transport/http/httpserver.h
+++ b/modules/heatherridge_transport/http/httpserver.h
@@ -22,7 +22,7 @@
 {
 public:
     /** Told whether the bytes left for the caller; false when the caller has gone. */
-    using Written = std::function<void(bool sent)>;
+    using WriteCallback = std::function<void(bool sent)>;
 
     virtual ~HttpExchange() = default;
 
@@ -39,7 +39,7 @@
      * Sends @p bytes as one chunk. @p done is called, on a server thread, once they have left or the caller has gone:
      * wait for it before taking more from the source, or chunks pile up for a slow reader without bound.
      */
-    virtual void write(std::string bytes, Written done) = 0;
+    virtual void write(std::string bytes, WriteCallback done) = 0;
 
     /** Ends an answer in chunks as complete. */
     virtual void end() = 0;
--- a/modules/heatherridge_transport/target/backendrequest.cpp
+++ b/modules/heatherridge_transport/target/backendrequest.cpp
@@ -32,7 +32,7 @@
 {
     AnswerHead head{.id = id, .status = status};
     for (const auto &header : headers) {
-        if (!isOneOf(HopHeaders, header.name)) {
+        if (!containsHeaderName(HopHeaders, header.name)) {
             head.headers.push_back({.name = header.name, .value = header.value});
         }
     }
--- a/modules/heatherridge_transport/target/targettraffic.cpp
+++ b/modules/heatherridge_transport/target/targettraffic.cpp
@@ -326,7 +326,7 @@
     if (work->key) {
         work->answer.status = status;
         for (const auto &header : headers) {
-            if (sameHeaderName(header.name, "Content-Type")) {
+            if (isSameHeaderName(header.name, "Content-Type")) {
                 work->answer.contentType = header.value;
             }
         }
--- a/tests/gateway/gatewayfixture.cpp
+++ b/tests/gateway/gatewayfixture.cpp
@@ -233,7 +233,7 @@
         if (m_buffered.empty()) {
             m_buffered = readSome();
             if (m_buffered.empty()) {
-                reader.feedEnd();
+                reader.feedEndOfStream();
                 break;
             }
         }
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -213,9 +213,10 @@
     EXPECT_EQ(headerValue(headers, "X-Heatherridge-Deadline-Ms"), "700");
     EXPECT_EQ(headerValue(headers, "X-Heatherridge-Model"), "m");
     EXPECT_EQ(headerValue(headers, "Last-Event-Id"), "4");
-    EXPECT_EQ(std::count_if(headers.begin(), headers.end(),
-                            [](const auto &header) { return sameHeaderName(header.name, "X-Heatherridge-Tenant-Id"); }),
-              1);
+    EXPECT_EQ(
+        std::count_if(headers.begin(), headers.end(),
+                      [](const auto &header) { return isSameHeaderName(header.name, "X-Heatherridge-Tenant-Id"); }),
+        1);
 }
 
 struct PriorityRow
