--- a/modules/heatherridge_transport/app/adminresponses.h
+++ b/modules/heatherridge_transport/app/adminresponses.h
@@ -9,19 +9,19 @@
 namespace Heatherridge
 {
 
-/** @p json as a whole answer. */
+/** Returns a 200 response with @p json as its body. */
 HttpResponse jsonResponse(const nlohmann::ordered_json &json);
 
-/** All metrics in the text exposition format. */
+/** Returns a 200 response with all metrics in the text exposition format. */
 HttpResponse metricsResponse(const Metrics &metrics);
 
-/** What the operator sees of how a process gets its configuration. */
+/** Returns the status of a process's configuration replication, as shown to the operator. */
 nlohmann::ordered_json controlStatusJson(const ControlStatus &status);
 
-/** There is nothing at @p path. */
+/** Returns the error response for a @p path that does not exist. */
 HttpResponse notFoundResponse(const std::string &path);
 
-/** @p number as 16 hexadecimal digits. */
+/** Returns @p number as 16 hexadecimal digits. */
 std::string hexText(std::uint64_t number);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/app/configview.h
+++ b/modules/heatherridge_transport/app/configview.h
@@ -9,20 +9,22 @@
 {
 
 /**
- * What traffic threads see of the agreed configuration: one immutable moment of it.
+ * An immutable snapshot of the agreed configuration, as used by the traffic threads.
  *
- * The control thread publishes a new one after each record; a request uses one from its begin to its end.
+ * The control thread publishes a new snapshot after each record. A request uses one snapshot from start to end.
  */
 struct ConfigView
 {
-    LogOffset offset{}; ///< folded up to here
-    Digest digest{}; ///< of the whole state at that offset
-    bool confirmed = false; ///< whether the log itself has said, since this process started, that nothing is missing
+    LogOffset offset{}; ///< offset of the last record applied
+    Digest digest{}; ///< digest of the whole state at that offset
+    bool confirmed = false; ///< whether the log itself has confirmed since process start that no record is missing
     std::shared_ptr<const Inventory> inventory = std::make_shared<Inventory>();
     std::shared_ptr<const RuleSet> rules = std::make_shared<RuleSet>();
-    std::set<TargetName> leaving{}; ///< targets whose hosts the platform's list marks as leaving; no part of the digest
+    std::set<TargetName>
+        leaving{}; ///< targets on hosts that the platform's list marks as leaving; not part of the digest
 
-    /** Whether @p target may be given new work: listed, not withdrawn, not about to stop, and its host not leaving. */
+    /** Returns whether @p target, which must be listed in the inventory, may receive new work: it is not withdrawn, has
+     * no planned stop, and its host is not leaving. */
     bool acceptsNewWork(const Target &target) const
     {
         return !target.withdrawn && !rules->hasPlannedStop(target.name) && !leaving.contains(target.name);
--- a/modules/heatherridge_transport/app/controlplane.cpp
+++ b/modules/heatherridge_transport/app/controlplane.cpp
@@ -125,7 +125,8 @@
         }
     }
 
-    /** Whether other targets than before stand on leaving hosts; looked at now and then, a list lags anyway. */
+    /** Returns whether the set of targets on leaving hosts has changed. Checks at most once per HostCheckPeriod, since
+     * the platform's list lags anyway. */
     bool haveLeavingTargetsChanged(SteadyTime now)
     {
         if (!m_hostList || now < m_nextHostCheck) {
@@ -174,7 +175,7 @@
         return status;
     }
 
-    /** Shows the fold's and the relay's counters, one for each reason. */
+    /** Exports the counters of the configuration state and the relay as gauges, one per reason. */
     void exportCounters()
     {
         const auto &state = m_agent->replica().state();
--- a/modules/heatherridge_transport/app/controlplane.h
+++ b/modules/heatherridge_transport/app/controlplane.h
@@ -12,33 +12,34 @@
 namespace Heatherridge
 {
 
-/** How a process gets its configuration, for the operator. */
+/** Status of a process's configuration replication, for the operator. */
 struct ControlStatus
 {
-    /** One process that this one exchanges configuration with. */
+    /** A process that this one exchanges configuration with. */
     struct Peer
     {
         ProcessName process{};
-        bool isSource = false; ///< this process gets records from it
+        bool isSource = false; ///< this process receives records from it
         LogOffset offset{};
         std::chrono::milliseconds timeSinceLastMessage{};
     };
 
     std::string_view phase{};
-    std::string_view log{}; ///< "following": reads it itself; "relayed": its sources do; "out": it does not answer
-    std::optional<std::chrono::milliseconds> freshAge{}; ///< since nothing newer was known to exist
+    std::string_view
+        log{}; ///< "following": this process reads the log; "relayed": its sources do; "out": the log does not answer
+    std::optional<std::chrono::milliseconds> freshAge{}; ///< time since this process was known to be up to date
     LogOffset offset{};
     LogOffset inventoryOffset{};
     LogOffset rulesOffset{};
     Digest digest{};
-    bool isCutOff = false; ///< records that it needs have expired: an operator must publish a reset
-    std::uint64_t diverged = 0; ///< peers seen with another digest at the same offset
+    bool isCutOff = false; ///< records that this process needs have expired: an operator must publish a reset
+    std::uint64_t diverged = 0; ///< peers found with a different digest at the same offset
     std::vector<Peer> peers{};
-    std::vector<TargetName> missingTargets{}; ///< named by rules, in no inventory
+    std::vector<TargetName> missingTargets{}; ///< named in the rules but not in the inventory
 };
 
 /**
- * The control thread of a process: follows the configuration and publishes what is in force.
+ * The control thread of a process: follows the configuration log and publishes the configuration in force.
  *
  * @see ConfigView, ConfigAgent
  */
@@ -51,22 +52,22 @@
         Incarnation incarnation{};
         ZoneName zone{};
         Endpoint logService{};
-        Endpoint hostList{}; ///< where the platform's host list listens; port 0 when it is not used
-        std::vector<Endpoint> peers{}; ///< gates that are asked for a state while there is no inventory
-        std::chrono::milliseconds tickPeriod{20}; ///< how often due work is looked for
+        Endpoint hostList{}; ///< address of the platform's host list; port 0 if it is not used
+        std::vector<Endpoint> peers{}; ///< gates to request the state from while there is no inventory
+        std::chrono::milliseconds tickPeriod{20}; ///< interval between checks for due work
     };
 
     /** Called on the control thread with each new view. */
     using ViewListener = std::function<void(const std::shared_ptr<const ConfigView> &)>;
 
-    /** Not started yet. @p metrics must outlive it. */
+    /** Creates a control plane that is not started yet. @p metrics must outlive it. */
     ControlPlane(Options options, Metrics &metrics);
     ~ControlPlane();
 
     ControlPlane(const ControlPlane &) = delete;
     ControlPlane &operator=(const ControlPlane &) = delete;
 
-    /** Adds @p listener to those who are told of new views. Before start(). */
+    /** Adds @p listener, to be called with each new view. Call before start(). */
     void addListener(ViewListener listener);
 
     /** Starts the control thread. */
@@ -75,25 +76,26 @@
     /** Stops the control thread and joins it. */
     void stop();
 
-    /** The newest view; never null. Any thread. */
+    /** Returns the current view; never null. May be called from any thread. */
     std::shared_ptr<const ConfigView> view() const;
 
-    /** Takes a control frame that a peer sent over a connection which it opened. Any thread, after start(). */
+    /** Handles a control frame received on a connection that a peer opened. May be called from any thread after
+     * start(). */
     void onIncomingFrame(IncomingControlLink connection, Envelope envelope);
 
-    /** A connection that a peer opened is gone. Any thread, after start(). */
+    /** Called when a connection that a peer opened has closed. May be called from any thread after start(). */
     void onIncomingClosed(const std::shared_ptr<PeerSocket> &socket);
 
-    /** From now on the heartbeats tell that this process drains. Any thread. */
+    /** Announces in all further heartbeats that this process is draining. May be called from any thread. */
     void beginDrain();
 
-    /** How the configuration comes here. Not from the control thread; after start(). */
+    /** Returns the replication status. Call after start(); must not be called on the control thread. */
     ControlStatus status();
 
-    /** The control thread's loop. */
+    /** Returns the control thread's event loop. */
     EventLoop &loop();
 
-    /** Who this process is. Any thread. */
+    /** Returns the options, which identify this process. May be called from any thread. */
     const Options &options() const;
 
 private:
--- a/modules/heatherridge_transport/app/daemon.cpp
+++ b/modules/heatherridge_transport/app/daemon.cpp
@@ -14,25 +14,31 @@
 namespace
 {
 
-/** How often the settings file is looked at: it may change without a signal. */
+/** Interval between checks of the settings file, which may change without a signal. */
 constexpr std::chrono::seconds FileCheckPeriod{2};
 
 const SettingSpec CommonSettings[] = {
     {.key = "name", .required = true, .help = "name of this process, unique in the deployment; a target's own name"},
     {.key = "zone", .required = true, .help = "availability zone of this host, as in the inventory"},
-    {.key = "log-service", .type = SettingType::Address, .required = true, .help = "where the platform's log listens"},
+    {.key = "log-service",
+     .type = SettingType::Address,
+     .required = true,
+     .help = "address of the platform's log service"},
     {.key = "host-list",
      .type = SettingType::Address,
-     .help = "where the platform's list of live and leaving hosts listens; without it only inventory and rules count"},
+     .help =
+         "address of the platform's list of live and leaving hosts; without it only the inventory and rules are used"},
     {.key = "peers",
      .type = SettingType::AddressList,
-     .help = "gates of some targets, asked for the configuration when the process starts while the log is out"},
-    {.key = "log-format", .defaultValue = "key-value", .help = "form of the process's own log: key-value or json"},
+     .help = "gates of some targets; if the log is unavailable when the process starts, it requests the configuration "
+             "from them"},
+    {.key = "log-format", .defaultValue = "key-value", .help = "format of the process's own log: key-value or json"},
     {.key = "log-stream",
      .defaultValue = "standard-error",
-     .help =
-         "where the process's own log goes: standard-error, or standard-output without ever waiting for its reader"},
-    {.key = "log-level", .defaultValue = "info", .help = "lowest level that is written: debug, info, warning or error"},
+     .help = "stream of the process's own log: standard-error, or standard-output, which never blocks on its reader"},
+    {.key = "log-level",
+     .defaultValue = "info",
+     .help = "minimum severity that is logged: debug, info, warning or error"},
 };
 
 sigset_t handledSignals()
@@ -88,7 +94,7 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-/** When @p file was last written; the epoch when there is none. */
+/** Returns when @p file was last written, or the epoch if it does not exist. */
 std::filesystem::file_time_type lastWriteTime(const std::string &file)
 {
     std::error_code error;
@@ -96,7 +102,7 @@
     return error ? std::filesystem::file_time_type() : time;
 }
 
-/** Waits for the signal to stop, and calls @p reload for SIGHUP and whenever @p file has changed. */
+/** Blocks until SIGTERM or SIGINT arrives. Calls @p reload on SIGHUP and whenever @p file has changed. */
 void waitForStopSignal(const std::string &file, const std::function<void()> &reload)
 {
     const auto signals = handledSignals();
@@ -124,7 +130,7 @@
     return text;
 }
 
-/** Hands settings that were read again to @p server, and logs what has changed or what is wrong. */
+/** Passes reloaded settings to @p server and logs the changed keys. Logs invalid settings and ignores them. */
 void applyReload(const std::variant<Settings, Settings::Exit> &loaded, Settings &currentSettings,
                  const DaemonServer &server)
 {
--- a/modules/heatherridge_transport/app/daemon.h
+++ b/modules/heatherridge_transport/app/daemon.h
@@ -12,39 +12,40 @@
 namespace Heatherridge
 {
 
-/** Settings that all daemons share: name, zone, log service, log format and level. */
+/** Returns the settings that all daemons share, such as name, zone, log service, log format and log level. */
 std::span<const SettingSpec> commonSettings();
 
-/** A number drawn from the machine's entropy, for this run of the process. */
+/** Returns a random number that identifies this run of the process, from the machine's entropy source. */
 Incarnation generateIncarnation();
 
-/** What is told apart between daemons. */
+/** The properties in which daemons differ. */
 struct DaemonDescription
 {
     std::string_view program{}; ///< name of the program
-    std::string_view role{}; ///< section of its settings file, and the word on its ready line
-    std::span<const SettingSpec> settings{}; ///< beside the common ones
+    std::string_view role{}; ///< section of its settings file; also printed on its ready line
+    std::span<const SettingSpec> settings{}; ///< in addition to the common settings
 };
 
-/** A daemon's server as its program drives it. */
+/** The operations of a daemon's server that runDaemon() calls. */
 struct DaemonServer
 {
-    /** Starts to serve. @returns where, in the order of the ready line; or why not */
+    /** Starts serving. @returns the listening addresses in the order of the ready line, or an error */
     std::function<Result<std::vector<Endpoint>>()> start{};
-    /** Ends gracefully; blocks until then. */
+    /** Drains and stops the server; blocks until it has stopped. */
     std::function<void()> drainAndStop{};
-    /** Takes over what may change while it runs; without it all settings wait for the next start. */
+    /** Applies the settings that can change at run time; if empty, all changes take effect at the next start. */
     std::function<void(const Settings &newSettings)> reload{};
 };
 
 /**
- * Runs a daemon from its settings to its end by SIGTERM or SIGINT. Call first in main(), on its thread: the signals are
- * blocked for all threads, or one could end the process on any thread in the midst of an answer.
+ * Runs a daemon: loads its settings, serves, and stops on SIGTERM or SIGINT. Call first in main(), on the main thread:
+ * it blocks these signals for all threads, because otherwise a signal could end the process on any thread in the middle
+ * of a response.
  *
- * Settings are read again on SIGHUP, and when their file has changed. Faulty ones are logged and change nothing.
+ * Settings are reloaded on SIGHUP and when their file has changed. Invalid settings are logged and change nothing.
  *
- * Prints one line "ready ROLE ADDRESS:PORT ..." on standard output once it serves.
- * @param create makes the server out of checked settings; called once, after the log is set up
+ * Prints one line "ready ROLE ADDRESS:PORT ..." on standard output once the daemon serves.
+ * @param create creates the server from validated settings; called once, after the log is set up
  * @returns the program's exit code
  */
 int runDaemon(const DaemonDescription &description, const std::function<DaemonServer(const Settings &)> &create,
--- a/modules/heatherridge_transport/app/eventloop.cpp
+++ b/modules/heatherridge_transport/app/eventloop.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/** A timer that arms itself again; it lives as long as its pending wait does. */
+/** A timer that reschedules itself after each run. Its pending wait keeps it alive. */
 class RepeatingTimer : public std::enable_shared_from_this<RepeatingTimer>
 {
 public:
--- a/modules/heatherridge_transport/app/eventloop.h
+++ b/modules/heatherridge_transport/app/eventloop.h
@@ -13,16 +13,16 @@
 {
 
 /**
- * A thread that runs one Asio loop until stop().
+ * A thread that runs one Asio I/O context until stop() is called.
  *
- * A process has one for control state and one or more for traffic; what belongs to a loop is touched on its thread
- * alone, and other threads reach it through post().
+ * A process has one loop for control state and one or more for traffic. Objects that belong to a loop are accessed only
+ * on its thread; other threads use post().
  */
 class EventLoop
 {
 public:
     EventLoop();
-    /** Stops, if stop() was not called. */
+    /** Stops the loop if stop() has not been called. */
     ~EventLoop();
 
     EventLoop(const EventLoop &) = delete;
@@ -31,22 +31,23 @@
     /** Starts the thread. */
     void start();
 
-    /** Ends the loop after the handler that runs now and joins the thread. Not from the loop's own thread. */
+    /** Stops the loop after the current handler returns and joins the thread. Must not be called on the loop's thread.
+     */
     void stop();
 
-    /** Runs @p task on the loop's thread. Any thread. */
+    /** Queues @p task to run on the loop's thread. May be called from any thread. */
     void post(std::function<void()> task);
 
-    /** Runs @p task on the loop's thread every @p period until the loop stops. Any thread. */
+    /** Runs @p task on the loop's thread every @p period until the loop stops. May be called from any thread. */
     void every(std::chrono::milliseconds period, std::function<void()> task);
 
-    /** Runs @p task on the loop's thread after @p delay, unless the loop stops before. Any thread. */
+    /** Runs @p task on the loop's thread after @p delay, unless the loop stops first. May be called from any thread. */
     void after(std::chrono::microseconds delay, std::function<void()> task);
 
-    /** Runs @p task on the loop's thread and waits for it. Not from the loop's own thread. */
+    /** Runs @p task on the loop's thread and blocks until it returns. Must not be called on the loop's thread. */
     void runAndWait(const std::function<void()> &task);
 
-    /** The loop, for what needs to be constructed on it. */
+    /** Returns the I/O context, to construct sockets and timers on. */
     asio::io_context &context();
 
 private:
--- a/modules/heatherridge_transport/app/logger.cpp
+++ b/modules/heatherridge_transport/app/logger.cpp
@@ -37,15 +37,15 @@
 std::atomic<bool> isSetUp{false};
 std::atomic<std::uint64_t> droppedLineCount{0};
 
-/** Lines that wait for the writing thread: two seconds of a busy gateway, at some 300 bytes each. */
+/** Capacity of the writer thread's queue: two seconds of a busy gateway's lines, at about 300 bytes each. */
 constexpr std::size_t MaxQueuedLines = 512;
 
-/** Drops the newest line when the queue is full, and counts it. */
+/** Overflow strategy of the queue: drops the newest line and counts it. */
 class DropNewestAndCount
 {
 public:
     template<typename Lock>
-    // NOLINTNEXTLINE(readability-identifier-naming): Boost.Log calls it by this name
+    // NOLINTNEXTLINE(readability-identifier-naming): name required by Boost.Log
     static bool on_overflow(const boost::log::record_view &, Lock &)
     {
         droppedLineCount.fetch_add(1, std::memory_order_relaxed);
@@ -73,7 +73,7 @@
     return sink;
 }
 
-/** The lines of each event within their budget; one thread at a time. */
+/** Applies the rate limit of @p event; serialises access to the limiter. */
 LogRateLimiter::Decision admitLine(std::string_view event)
 {
     static std::mutex mutex;
@@ -187,7 +187,7 @@
         if (character == '"' || character == '\\') {
             quoted.push_back('\\');
         }
-        // A line break in a caller's text must not look like a line of its own.
+        // Control characters become spaces: a line break in a caller's text must not start a new log line.
         quoted.push_back(static_cast<unsigned char>(character) < ' ' ? ' ' : character);
     }
     return quoted + "\"";
--- a/modules/heatherridge_transport/app/logger.h
+++ b/modules/heatherridge_transport/app/logger.h
@@ -9,7 +9,7 @@
 namespace Heatherridge
 {
 
-/** How much an entry of the log matters. */
+/** Severity of a log entry. */
 enum class Severity {
     Debug,
     Info,
@@ -17,22 +17,22 @@
     Error,
 };
 
-/** The form of the log. */
+/** Format of the log lines. */
 enum class LogFormat {
     KeyValue, ///< time=... level=... event=... key=value
-    Json, ///< one JSON map a line
+    Json, ///< one JSON object per line
 };
 
-/** Where the log goes. */
+/** Stream that the log is written to. */
 enum class LogStream {
-    StandardError, ///< written before the caller goes on
-    StandardOutput, ///< written by a thread of its own; lines are dropped and counted when the reader is too slow
+    StandardError, ///< written synchronously, before the call returns
+    StandardOutput, ///< written by a background thread; lines are dropped and counted when the reader is too slow
 };
 
-/** How the log is written. */
+/** Options of the process's log. */
 struct LoggerOptions
 {
-    std::string process{}; ///< name of this process, in every line
+    std::string process{}; ///< name of this process, included in every line
     LogFormat format = LogFormat::KeyValue;
     Severity minimumSeverity = Severity::Info;
     LogStream stream = LogStream::StandardError;
@@ -41,24 +41,24 @@
 /** One field of a log line. */
 using LogField = std::pair<std::string_view, std::string>;
 
-/** Sets up the process's log. Call once, before threads start. */
+/** Sets up the process's log. Call once, before any threads are started. */
 void setUpLogger(const LoggerOptions &options);
 
-/** Writes what is still queued. Call last. */
+/** Flushes the queued lines and stops the log. Call at process exit, after all other logging. */
 void stopLogger();
 
-/** Lines that were dropped because the reader of standard output was too slow. */
+/** Returns the number of lines dropped because the reader of standard output was too slow. */
 std::uint64_t droppedLogLines();
 
 /**
- * Writes one structured line, within the event's LogRateLimiter. Any thread; never waits for a reader of standard
- * output.
- * @param event stable name of what happened, in lower case with dashes
- * @param fields what belongs to it; "request" holds the request id, the same in all processes
+ * Writes one structured line, subject to its event's rate limit (see LogRateLimiter). May be called from any thread;
+ * never blocks on a reader of standard output.
+ * @param event stable event name, in lower case with dashes
+ * @param fields details of the event; "request" holds the request id, which is the same in all processes
  */
 void logEvent(Severity severity, std::string_view event, std::initializer_list<LogField> fields = {});
 
-/** @p text as a value of key=value: quoted, when it holds more than plain characters. */
+/** Returns @p text as the value of a key=value pair, in quotes if it contains characters that need them. */
 std::string quotedLogValue(std::string_view text);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/app/logratelimiter.h
+++ b/modules/heatherridge_transport/app/logratelimiter.h
@@ -11,26 +11,27 @@
 {
 
 /**
- * Bounds the lines of each event, so that a storm of one kind neither costs the processor nor hides the others.
+ * Limits the rate of log lines per event, so that a burst of one event neither uses up the processor nor hides the
+ * other events.
  *
- * Load pattern: an outage refuses every request for seconds. At the bound of 200 lines a second and event a gateway
- * with a fifth of a core spends under 2 in 100 of it on lines. One thread at a time.
+ * Load pattern: during an outage every request is refused for seconds. At the limit of 200 lines per second and event,
+ * a gateway with a fifth of a core spends less than 2 in 100 of it on logging. Not thread-safe: callers must serialise
+ * access.
  */
 class LogRateLimiter
 {
 public:
-    /** Lines of one event in one second; a busy gateway writes some 40. */
+    /** Maximum lines of one event per second; a busy gateway writes about 40. */
     static constexpr std::uint64_t LinesPerSecond = 200;
 
-    /** What is to be done with a line. */
+    /** Whether to write a line, and what to report before it. */
     struct Decision
     {
         bool shouldWrite = true;
-        std::uint64_t suppressedLines =
-            0; ///< lines of this event that were not written in its last second; to be said first
+        std::uint64_t suppressedLines = 0; ///< lines of this event dropped in its last second; report this count first
     };
 
-    /** Asks for one line of @p event. */
+    /** Decides whether one line of @p event may be written at @p now, and counts it. */
     Decision admit(std::string_view event, SteadyTime now);
 
 private:
--- a/modules/heatherridge_transport/app/metrics.cpp
+++ b/modules/heatherridge_transport/app/metrics.cpp
@@ -14,7 +14,7 @@
 
 namespace histogram = boost::histogram;
 
-/** Upper bounds in seconds, around the latencies that users were promised (59 ms, 360 ms). */
+/** Upper bucket bounds in seconds, chosen around the latencies promised to users (59 ms, 360 ms). */
 const std::vector<double> BucketBoundsSeconds{0.0, 0.001, 0.002, 0.005, 0.01, 0.02, 0.04, 0.059, 0.1,
                                               0.2, 0.36,  0.5,   1,     2,    5,    10,   30,    60};
 
--- a/modules/heatherridge_transport/app/metrics.h
+++ b/modules/heatherridge_transport/app/metrics.h
@@ -12,7 +12,7 @@
 namespace Heatherridge
 {
 
-/** A number that only grows. Any thread. */
+/** A monotonically increasing counter. Thread-safe. */
 class Counter
 {
 public:
@@ -22,7 +22,7 @@
         m_value.fetch_add(amount, std::memory_order_relaxed);
     }
 
-    /** The sum so far. */
+    /** Returns the current total. */
     std::uint64_t value() const
     {
         return m_value.load(std::memory_order_relaxed);
@@ -32,11 +32,11 @@
     std::atomic<std::uint64_t> m_value{0};
 };
 
-/** A number that goes up and down. Any thread. */
+/** A value that can increase and decrease. Thread-safe. */
 class Gauge
 {
 public:
-    /** Sets the number. */
+    /** Sets the value. */
     void set(std::int64_t value)
     {
         m_value.store(value, std::memory_order_relaxed);
@@ -48,7 +48,7 @@
         m_value.fetch_add(amount, std::memory_order_relaxed);
     }
 
-    /** The number now. */
+    /** Returns the current value. */
     std::int64_t value() const
     {
         return m_value.load(std::memory_order_relaxed);
@@ -58,7 +58,7 @@
     std::atomic<std::int64_t> m_value{0};
 };
 
-/** A distribution of durations (Boost.Histogram). Any thread. */
+/** A histogram of durations (Boost.Histogram). Thread-safe. */
 class DurationHistogram
 {
 public:
@@ -68,10 +68,10 @@
     DurationHistogram(const DurationHistogram &) = delete;
     DurationHistogram &operator=(const DurationHistogram &) = delete;
 
-    /** Counts one duration. */
+    /** Records one duration. */
     void record(std::chrono::microseconds duration);
 
-    /** Appends the buckets, the count and the sum in the text exposition format, as metric @p name. */
+    /** Appends the buckets, the count and the sum to @p output in the text exposition format, as metric @p name. */
     void write(std::string &output, std::string_view name) const;
 
 private:
@@ -80,9 +80,9 @@
 };
 
 /**
- * All counters, gauges and distributions of a process, and their text exposition.
+ * Registry of all counters, gauges and histograms of a process, with their text exposition.
  *
- * The objects live as long as the registry; look one up once and keep the reference. Any thread.
+ * Returned references stay valid as long as the registry; look a metric up once and keep the reference. Thread-safe.
  */
 class Metrics
 {
@@ -93,19 +93,20 @@
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
-    /** The counter @p name with @p labels in the exposition's own form, as `kind="queue-full"`. */
+    /** Returns the counter @p name with @p labels in exposition syntax, such as `kind="queue-full"`; creates it if
+     * needed. */
     Counter &counter(const std::string &name, const std::string &labels = {});
 
-    /** The gauge @p name with @p labels. */
+    /** Returns the gauge @p name with @p labels; creates it if needed. */
     Gauge &gauge(const std::string &name, const std::string &labels = {});
 
-    /** The distribution @p name. */
+    /** Returns the histogram @p name; creates it if needed. */
     DurationHistogram &histogram(const std::string &name);
 
-    /** The counter of refusals and failures of @p kind; one exists for every kind from the start. */
+    /** Returns the counter of refusals and failures of @p kind. The counters of all kinds exist from the start. */
     Counter &errors(ErrorKind kind);
 
-    /** Everything in the text exposition format, sorted by name. */
+    /** Returns all metrics in the text exposition format, sorted by name within each type. */
     std::string exposition() const;
 
 private:
--- a/modules/heatherridge_transport/app/problem.cpp
+++ b/modules/heatherridge_transport/app/problem.cpp
@@ -28,7 +28,7 @@
     return json.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
 }
 
-/** Whole seconds for Retry-After, rounded up: coming back too early would be refused again. */
+/** Returns whole seconds for Retry-After, rounded up: a request that is retried too early would be refused again. */
 std::string retryAfterSeconds(std::chrono::milliseconds duration)
 {
     return std::to_string(std::max<std::int64_t>(1, std::chrono::ceil<std::chrono::seconds>(duration).count()));
--- a/modules/heatherridge_transport/app/problem.h
+++ b/modules/heatherridge_transport/app/problem.h
@@ -6,13 +6,15 @@
 namespace Heatherridge
 {
 
-/** The name of the header that carries a request's id in every answer. */
+/** Name of the response header that carries the request id. Every response has it. */
 inline constexpr std::string_view RequestIdHeader = "X-Request-Id";
 
-/** The answer for @p error as `application/problem+json`, with kind, whether the request ran, and when to ask again. */
+/** Returns the response for @p error as `application/problem+json`: its kind, whether the request was executed, and
+ * when to retry. */
 HttpResponse problemResponse(const Error &error, const RequestId &id);
 
-/** The same as the last event of a stream that had begun, so that its end says plainly that it is broken. */
+/** Returns the same details as the final event of a stream that has already started, which tells the caller that the
+ * stream is incomplete. */
 std::string problemEvent(const Error &error, const RequestId &id);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_transport/app/settings.cpp
+++ b/modules/heatherridge_transport/app/settings.cpp
@@ -23,9 +23,9 @@
     case SettingType::Text:
         return "text";
     case SettingType::Address:
-        return "IP number:port";
+        return "IP address:port";
     case SettingType::AddressList:
-        return "IP number:port, ...";
+        return "IP address:port, ...";
     case SettingType::Number:
         return "whole number";
     case SettingType::Milliseconds:
@@ -73,7 +73,7 @@
     return text + ")";
 }
 
-/** @p text as an address whose port may be 0. */
+/** Parses @p text as an address whose port may be 0. */
 std::optional<Endpoint> parseListenAddress(std::string_view text)
 {
     constexpr std::string_view anyPort = ":0";
@@ -87,7 +87,7 @@
     return parseEndpoint(text);
 }
 
-/** What is wrong with @p value for @p spec, or an empty text. */
+/** Returns why @p value is invalid for @p spec, or an empty string if it is valid. */
 std::string validationError(const SettingSpec &spec, const std::string &value)
 {
     const auto key = "'" + std::string(spec.key) + "'";
@@ -95,12 +95,12 @@
     case SettingType::Text:
         return value.empty() && spec.required ? key + " must not be empty" : "";
     case SettingType::Address:
-        return parseListenAddress(value) ? "" : key + " must be an IP number, a colon and a port, not '" + value + "'";
+        return parseListenAddress(value) ? "" : key + " must be an IP address, a colon and a port, not '" + value + "'";
     case SettingType::AddressList:
         for (const auto &address : splitList(value)) {
             if (!parseEndpoint(address)) {
                 return std::string(key)
-                           .append(" must list IP numbers, each with a colon and a port, not '")
+                           .append(" must list IP addresses, each with a colon and a port, not '")
                            .append(address)
                     + "'";
             }
@@ -126,7 +126,7 @@
     return spec == specs.end() ? nullptr : &*spec;
 }
 
-/** Reads @p file into @p values; every fault becomes one line "file:line: reason". */
+/** Reads @p file into @p values. @returns the errors, each as one line "file:line: reason" */
 std::string readFile(const std::string &file, std::string_view section, std::span<const SettingSpec> specs,
                      Values &values)
 {
@@ -165,9 +165,9 @@
 options::options_description flagsDescription(std::string_view program, std::span<const SettingSpec> specs)
 {
     options::options_description flags(std::string(program) + " [options]");
-    flags.add_options()("help", "print this and end")("version", "print the version and end")(
-        "sample", "print a commented settings file and end")("config", options::value<std::string>(),
-                                                             "settings file (INI)");
+    flags.add_options()("help", "print this help and exit")("version", "print the version and exit")(
+        "sample", "print a commented settings file and exit")("config", options::value<std::string>(),
+                                                              "settings file (INI)");
     for (const auto &spec : specs) {
         flags.add_options()(std::string(spec.key).c_str(), options::value<std::string>(), helpText(spec).c_str());
     }
--- a/modules/heatherridge_transport/app/settings.h
+++ b/modules/heatherridge_transport/app/settings.h
@@ -13,78 +13,78 @@
 namespace Heatherridge
 {
 
-/** What values a setting takes. */
+/** Type of a setting's value. */
 enum class SettingType {
     Text, ///< any text
-    Address, ///< IP number, colon, port; port 0 lets the kernel choose where the program listens itself
-    AddressList, ///< addresses, separated by commas; may be empty
-    Number, ///< a whole number within bounds
-    Milliseconds, ///< a whole number of milliseconds within bounds
-    Seconds, ///< seconds within bounds, with or without a fraction
-    Fraction, ///< a number within bounds, with or without a fraction
+    Address, ///< IP address, colon, port; for a listening address, port 0 lets the kernel choose
+    AddressList, ///< comma-separated addresses; may be empty
+    Number, ///< integer within bounds
+    Milliseconds, ///< integer number of milliseconds within bounds
+    Seconds, ///< seconds within bounds, with or without a decimal fraction
+    Fraction, ///< number within bounds, with or without a decimal fraction
     Switch, ///< yes or no
 };
 
-/** One setting of a daemon: a key of its INI file and a flag of the same name. */
+/** One setting of a daemon: a key of its INI file and a command-line flag of the same name. */
 struct SettingSpec
 {
     std::string_view key{};
     SettingType type = SettingType::Text;
-    std::string_view defaultValue{}; ///< value when neither file nor flag names one; empty for none
-    bool required = false; ///< whether it must be given
+    std::string_view defaultValue{}; ///< used if neither file nor flag sets one; empty for none
+    bool required = false; ///< whether the file or a flag must set it
     long long minimum = 0; ///< bounds of Number, Milliseconds, Seconds and Fraction
     long long maximum = 0;
-    std::string_view help{}; ///< one line
+    std::string_view help{}; ///< one-line description
 };
 
-/** Settings that have been checked. Immutable; any thread. */
+/** Validated settings. Immutable, so they may be read from any thread. */
 class Settings
 {
 public:
-    /** The program does not go on: it printed what was asked for, or has to say what is wrong. */
+    /** The reason for the program to exit: it prints the requested information or describes the errors. */
     struct Exit
     {
         int code = 0; ///< ExitOk or ExitUsage
-        std::string text{}; ///< to standard output for code 0, to standard error otherwise
+        std::string text{}; ///< for standard output if code is 0, otherwise for standard error
     };
 
     static constexpr int ExitOk = 0;
     static constexpr int ExitUsage = 2;
 
     /**
-     * Reads the flags and the file that `--config` names; flags override the file.
-     * @param section the file's only section, named for the program
+     * Reads the command-line flags and the file named by `--config`; flags override the file.
+     * @param section name of the file's only section
      * @param specs all settings of the program
-     * @returns the settings, or why the program ends; an unknown key or a bad value names file, line and reason
+     * @returns the settings, or why the program must exit; errors in the file are reported with file, line and reason
      */
     static std::variant<Settings, Exit> load(std::string_view program, std::string_view section,
                                              std::span<const SettingSpec> specs, int argc, const char *const *argv);
 
-    /** The file that they were read from; empty for none. */
+    /** Returns the file that the settings were read from, or an empty string. */
     const std::string &file() const;
 
-    /** The keys whose values differ from those of @p other, of the same program. */
+    /** Returns the keys whose values differ from those in @p other, which must belong to the same program. */
     std::vector<std::string> changedKeys(const Settings &other) const;
 
-    /** The text of @p key, which must be one of the specs. */
+    /** Returns the text of @p key, which must be one of the specs. */
     const std::string &text(std::string_view key) const;
 
-    /** The address of @p key. */
+    /** Returns the value of @p key, an Address. */
     Endpoint address(std::string_view key) const;
 
-    /** The addresses of @p key. */
+    /** Returns the value of @p key, an AddressList. */
     std::vector<Endpoint> addresses(std::string_view key) const;
 
-    /** The whole number of @p key. */
+    /** Returns the integer value of @p key. */
     long long number(std::string_view key) const;
 
-    /** The number of @p key, a Fraction. */
+    /** Returns the value of @p key, a Fraction. */
     double fraction(std::string_view key) const;
 
-    /** The duration of @p key, Milliseconds or Seconds. */
+    /** Returns the value of @p key, Milliseconds or Seconds. */
     std::chrono::milliseconds duration(std::string_view key) const;
 
-    /** The switch of @p key. */
+    /** Returns the value of @p key, a Switch. */
     bool toggle(std::string_view key) const;
 
 private:
@@ -93,7 +93,7 @@
     std::map<std::string, SettingType, std::less<>> m_types;
 };
 
-/** Every setting of @p specs with type, range and default, as a commented INI file. */
+/** Returns a commented INI file that lists all @p specs with type, range and default. */
 std::string sampleSettings(std::string_view section, std::span<const SettingSpec> specs);
 
 } // namespace Heatherridge
