--- a/modules/heatherridge_transport/http/httpclient.cpp
+++ b/modules/heatherridge_transport/http/httpclient.cpp
@@ -32,7 +32,7 @@
     }
 };
 
-/** One running call and its handle. */
+/** A running call and its libcurl handle. */
 struct Transfer
 {
     HttpClient::CallId id{};
@@ -61,7 +61,7 @@
     return size * count;
 }
 
-/** Collects the header lines and reports the head once its empty last line has come. */
+/** Collects the header lines and reports the response head once its final empty line arrives. */
 std::size_t onHeader(char *bytes, std::size_t size, std::size_t count, void *userData)
 {
     constexpr long firstFinalStatus = 200;
@@ -84,7 +84,7 @@
     return size * count;
 }
 
-/** Whether nothing of the request can have reached the server. */
+/** Returns whether no part of the request can have reached the server. */
 bool wasNeverSent(CURL *easy, CURLcode code)
 {
     curl_off_t pretransfer = 0;
@@ -100,7 +100,7 @@
 
 } // namespace
 
-/** Joins libcurl's sockets and timer to the Asio loop. */
+/** Drives libcurl's sockets and timer from the Asio loop. */
 class HttpClient::Implementation : public std::enable_shared_from_this<HttpClient::Implementation>
 {
 public:
@@ -160,7 +160,7 @@
             return;
         }
         entry->second->isPaused = false;
-        // Outside of libcurl's own callbacks only: resuming may call the data event at once.
+        // Posted, because it must run outside of libcurl's callbacks: resuming may call the data callback immediately.
         asio::post(m_loop, [self = shared_from_this(), call] {
             const auto found = self->m_transfers.find(call);
             if (found != self->m_transfers.end() && !found->second->isCancelled) {
@@ -240,7 +240,7 @@
     {
         auto *list = curl_slist_append(nullptr, "Expect:");
         for (const auto &header : transfer.call.request.headers) {
-            // An empty value needs a semicolon, or libcurl takes the line as "leave this header out".
+            // An empty value needs a semicolon: libcurl treats "name:" as a request to remove the header.
             const auto line = header.value.empty() ? header.name + ";" : header.name + ": " + header.value;
             list = curl_slist_append(list, line.c_str());
         }
@@ -260,7 +260,7 @@
         return 0;
     }
 
-    /** One socket of libcurl's, watched for what libcurl wants to know. */
+    /** A socket owned by libcurl, watched for the events that libcurl requested. */
     struct WatchedSocket
     {
         explicit WatchedSocket(asio::io_context &loop, curl_socket_t socket)
@@ -270,7 +270,7 @@
 
         ~WatchedSocket()
         {
-            // libcurl owns the socket and closes it
+            // libcurl owns the socket and closes it.
             if (descriptor.is_open()) {
                 descriptor.release();
             }
@@ -301,8 +301,9 @@
         startPendingWaits(socket, watched);
     }
 
-    /** Lets go of @p socket at once, though ready() may still hold what watched it: libcurl may take the same socket
-     * for another call before ready() has returned, and the loop refuses a second watcher by an exception. */
+    /** Releases @p socket immediately, although onSocketReady() may still hold its WatchedSocket: libcurl may reuse the
+     * socket number for another call before onSocketReady() returns, and Asio throws if a descriptor is registered
+     * twice. */
     void stopWatching(curl_socket_t socket)
     {
         const auto entry = m_sockets.find(socket);
@@ -466,7 +467,7 @@
                    .finished =
                        [collector] {
                            if (collector->isTooLarge) {
-                               collector->done(Failure{.reason = "answer too large"});
+                               collector->done(Failure{.reason = "response body too large"});
                            } else {
                                collector->done(std::move(collector->response));
                            }
--- a/modules/heatherridge_transport/http/httpclient.h
+++ b/modules/heatherridge_transport/http/httpclient.h
@@ -27,10 +27,11 @@
 public:
     struct Options
     {
-        long maxConnectionsPerHost = 0; ///< 0: no bound
+        long maxConnectionsPerHost = 0; ///< 0: unlimited
         std::chrono::milliseconds connectTimeout{2000};
-        /** Idle connections that are kept. libcurl's own bound, four times the running calls, closes those to all but a
-         * few of the targets that are asked in turn: 570 new connections in 12 s instead of 60. */
+        /** Maximum number of idle connections kept open. libcurl's default, four times the number of running calls,
+         * closes the connections to most targets when they are called in turn: 570 new connections in 12 s instead of
+         * 60. */
         long maxIdleConnections = 256;
     };
 
@@ -41,58 +42,58 @@
         HttpRequest request{};
         std::chrono::milliseconds timeout{30'000}; ///< for the whole exchange
         /**
-         * Whether an idle connection may be used again. libcurl sends a request a second time by itself when a
-         * reused connection closes before the first byte of an answer; a call that must not run twice sets this to
-         * false, because a fresh connection is never retried.
+         * Whether an idle connection may be reused. libcurl resends a request on its own if a reused connection closes
+         * before the first byte of the response. A call that must not be executed twice sets this to false, because a
+         * request on a new connection is never retried.
          */
         bool reuseConnection = true;
     };
 
-    /** How a call ended without a whole answer. */
+    /** Describes a call that ended without a complete response. */
     struct Failure
     {
-        bool mayHaveArrived = true; ///< false when nothing of the request can have reached the server
+        bool mayHaveArrived = true; ///< false if no part of the request can have reached the server
         std::string reason{};
     };
 
-    /** What a caller of stream() is told; each on the loop's thread. */
+    /** Callbacks of stream(), all called on the loop's thread. */
     struct Events
     {
         std::function<void(int status, const std::vector<HttpHeader> &headers)> head{};
-        /** A piece of the body. Returns false to pause the transfer until resume(). */
+        /** Called with each piece of the body. Returns false to pause the transfer until resume(). */
         std::function<bool(std::string_view bytes)> data{};
-        std::function<void()> finished{}; ///< the answer is whole
-        std::function<void(const Failure &)> failed{}; ///< it is not; no event follows
+        std::function<void()> finished{}; ///< the response is complete
+        std::function<void(const Failure &)> failed{}; ///< the call failed; no further event follows
     };
 
-    /** Names a running call; never used twice. */
+    /** Identifies a call; ids are never reused. */
     enum class CallId : std::uint64_t {};
 
-    /** A client on @p loop, which must outlive it. */
+    /** Creates a client that runs on @p loop, which must outlive it. */
     HttpClient(asio::io_context &loop, Options options);
-    /** Drops running calls without calling back. */
+    /** Drops running calls without calling their callbacks. */
     ~HttpClient();
 
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /** Starts @p call, whose answer comes piece by piece through @p events. */
+    /** Starts @p call and reports its response piece by piece through @p events. */
     CallId stream(Call call, Events events);
 
-    /** Starts @p call and gives its whole answer to @p done; at most @p maxBytes of body. */
+    /** Starts @p call and passes its complete response to @p done. Fails if the body exceeds @p maxBytes. */
     CallId send(Call call, std::function<void(std::variant<HttpResponse, Failure>)> done,
                 std::size_t maxBytes = 64UL << 20U);
 
-    /** Goes on with a call whose data event returned false. Unknown calls are ignored. */
+    /** Resumes a call whose data callback returned false. Unknown calls are ignored. */
     void resume(CallId call);
 
-    /** Closes the connection of @p call; no further event is called. Unknown calls are ignored. */
+    /** Closes the connection of @p call; no further callbacks are called. Unknown calls are ignored. */
     void cancel(CallId call);
 
-    /** How many calls are running. */
+    /** Returns the number of running calls. */
     std::size_t running() const;
 
-    /** Idle connections that are kept from now on. @see Options::maxIdleConnections */
+    /** Sets the maximum number of idle connections kept open. @see Options::maxIdleConnections */
     void setMaxIdleConnections(long maxIdleConnections);
 
 private:
--- a/modules/heatherridge_transport/http/httpmessagereader.cpp
+++ b/modules/heatherridge_transport/http/httpmessagereader.cpp
@@ -110,7 +110,7 @@
     int completeHead()
     {
         if (m_state == State::Body) {
-            return 0; // trailers behind the last chunk
+            return 0; // trailers after the last chunk
         }
         if (m_type == HTTP_REQUEST) {
             m_head.method = http_method_str(static_cast<http_method>(m_parser.method));
@@ -125,7 +125,8 @@
         return m_onHead(m_head) ? 0 : 1;
     }
 
-    /** Size of the head as sent, but for blanks that the parser has dropped: it keeps no count of its own. */
+    /** Computes the size of the head as sent, excluding whitespace dropped by the parser, which does not count the
+     * bytes itself. */
     std::size_t headBytes() const
     {
         constexpr std::size_t startLineOverhead = sizeof(" HTTP/1.1 \r\n") - 1;
--- a/modules/heatherridge_transport/http/httpmessagereader.h
+++ b/modules/heatherridge_transport/http/httpmessagereader.h
@@ -17,42 +17,43 @@
 /** The head of one HTTP/1.1 message. */
 struct HttpMessageHead
 {
-    std::string method{}; ///< of a request
-    std::string target{}; ///< of a request, as it was sent: path and query
-    int status = 0; ///< of a response
+    std::string method{}; ///< only for requests
+    std::string target{}; ///< only for requests: path and query as sent
+    int status = 0; ///< only for responses
     std::vector<HttpHeader> headers{};
     std::size_t headBytes = 0; ///< size of the start line and all headers
-    std::optional<std::uint64_t> contentLength{}; ///< nothing for chunks and for a body that ends with its connection
-    bool isKeepAlive = true; ///< whether the sender leaves the connection open behind the message
+    std::optional<std::uint64_t>
+        contentLength{}; ///< empty for a chunked body and for one that ends when the connection closes
+    bool isKeepAlive = true; ///< whether the sender keeps the connection open after the message
 };
 
 /**
- * Takes the bytes of one connection apart into messages (http_parser).
+ * Splits the byte stream of one connection into HTTP messages (http_parser).
  *
- * Stops behind each message: bytes that follow are not looked at until reset(), so that what belongs to no message is
- * seen as such. One thread.
+ * Stops after each message: further bytes are not parsed until reset(), so that the caller can detect bytes that belong
+ * to no message. Not thread-safe.
  */
 class HttpMessageReader
 {
 public:
-    /** Which side's messages are read. */
+    /** Kind of messages to parse. */
     enum class Side {
         Requests,
         Responses,
     };
 
-    /** How far the present message has come. */
+    /** Parsing state of the current message. */
     enum class State {
-        Idle, ///< not a byte of it has come
+        Idle, ///< no byte received yet
         Head,
         Body,
         Complete,
-        Malformed, ///< the bytes are not HTTP; nothing more can be read
+        Malformed, ///< the bytes are not valid HTTP; nothing more can be parsed
     };
 
-    /** Told of body bytes as they come. */
+    /** Called with body bytes as they arrive. */
     using BodyCallback = std::function<void(std::string_view bytes)>;
-    /** Told once the head is there. Returns whether a body may follow; false for answers to HEAD. */
+    /** Called once the head is complete. Returns whether a body may follow; false for responses to HEAD. */
     using HeadCallback = std::function<bool(const HttpMessageHead &head)>;
 
     HttpMessageReader(Side side, HeadCallback onHead, BodyCallback onBody);
@@ -61,18 +62,19 @@
     HttpMessageReader(const HttpMessageReader &) = delete;
     HttpMessageReader &operator=(const HttpMessageReader &) = delete;
 
-    /** Reads @p bytes up to the end of the present message. @returns how many were taken */
+    /** Parses @p bytes up to the end of the current message. @returns the number of bytes consumed */
     std::size_t feed(std::string_view bytes);
 
-    /** The peer closed in order: completes a body that ends so; cuts any other message off. */
+    /** Called when the peer has closed the connection in an orderly way. Completes a body that is delimited by the
+     * close; any other body becomes Malformed. */
     void feedEndOfStream();
 
-    /** Begins the next message. */
+    /** Prepares for the next message. */
     void reset();
 
     State state() const;
 
-    /** Whether the head was larger than the parser's own bound of 80 kB. */
+    /** Returns whether the head exceeded the parser's built-in limit of 80 kB. */
     bool isHeadTooLarge() const;
 
 private:
--- a/modules/heatherridge_transport/http/httpmessages.h
+++ b/modules/heatherridge_transport/http/httpmessages.h
@@ -15,33 +15,33 @@
     std::string value{};
 };
 
-/** The value of the header @p name in @p headers (names compare without case), or an empty text. */
+/** Returns the value of the header @p name in @p headers, or an empty string. Names are case-insensitive. */
 std::string_view headerValue(const std::vector<HttpHeader> &headers, std::string_view name);
 
-/** Whether two header names are the same, without case. */
+/** Returns whether two header names are equal, ignoring case. */
 bool isSameHeaderName(std::string_view a, std::string_view b);
 
-/** Whether @p name is one of @p names, without case. */
+/** Returns whether @p names contains @p name, ignoring case. */
 bool containsHeaderName(std::span<const std::string_view> names, std::string_view name);
 
-/** One HTTP request in whole. */
+/** A complete HTTP request. */
 struct HttpRequest
 {
     std::string method{}; ///< upper case
     std::string path{}; ///< without the query
-    std::string query{}; ///< behind the `?`, without it
-    std::string target{}; ///< path and query as they were sent, where the server keeps them; else empty
+    std::string query{}; ///< the part after the `?`, without the `?`
+    std::string target{}; ///< path and query as sent, if the server preserves them; otherwise empty
     std::vector<HttpHeader> headers{};
     std::string body{};
 
-    /** The value of the header @p name, or an empty text. */
+    /** Returns the value of the header @p name, or an empty string. */
     std::string_view header(std::string_view name) const;
 
-    /** The decoded value of the query parameter @p name, or an empty text. */
+    /** Returns the decoded value of the query parameter @p name, or an empty string. */
     std::string queryParameter(std::string_view name) const;
 };
 
-/** One HTTP response in whole. */
+/** A complete HTTP response. */
 struct HttpResponse
 {
     int status = 200;
--- a/modules/heatherridge_transport/http/httpserver.cpp
+++ b/modules/heatherridge_transport/http/httpserver.cpp
@@ -13,10 +13,11 @@
 namespace
 {
 
-/** How many requests of one connection are read ahead. More than one, or a caller's leaving is not seen in time. */
+/** Number of requests of one connection that are read ahead. With only one, a caller's disconnect is not detected in
+ * time. */
 constexpr std::size_t MaxPipelinedRequests = 2;
 
-/** Tells exchanges that their connection has closed. Any thread. */
+/** Notifies exchanges when their connection closes. Thread-safe. */
 class ConnectionCloseNotifier
 {
 public:
@@ -32,7 +33,7 @@
         m_listeners.erase(connection);
     }
 
-    /** The name is RESTinio's. */
+    /** Called by RESTinio, which requires this name. */
     void state_changed(const restinio::connection_state::notice_t &notice) noexcept
     {
         if (!std::holds_alternative<restinio::connection_state::closed_t>(notice.cause())) {
@@ -58,7 +59,7 @@
     std::unordered_map<std::uint64_t, std::vector<std::function<void()>>> m_listeners;
 };
 
-/** The names are RESTinio's. */
+/** Server traits; RESTinio requires the member names. */
 struct ServerTraits : restinio::default_traits_t
 {
     using connection_state_listener_t = ConnectionCloseNotifier;
@@ -100,7 +101,7 @@
     ~RestinioExchange() override
     {
         if (!m_finished && !m_stream) {
-            // Nobody answered: without this the caller would wait until the handle timeout.
+            // No response was sent: without this the caller would wait until the handle timeout.
             m_handle->create_response(restinio::status_internal_server_error()).connection_close().done();
         }
         m_closeNotifier->removeListeners(m_handle->connection_id());
@@ -159,12 +160,12 @@
         if (m_finished) {
             return;
         }
-        // A caller must not take a cut answer for a whole one. RESTinio closes the connection without the closing
-        // chunk when a write notification throws; it offers no other way to do so.
+        // A caller must not mistake a truncated response for a complete one. RESTinio closes the connection without the
+        // final chunk if a write notificator throws; it offers no other way to do so.
         m_finished = true;
         const auto throwAfterWrite = [](const auto &error) {
             if (!error) {
-                throw std::runtime_error("answer cut off");
+                throw std::runtime_error("response aborted");
             }
         };
         if (m_stream) {
@@ -199,7 +200,7 @@
 
     static restinio::http_status_line_t statusLine(int status)
     {
-        // Callers go by the number; HTTP/1.1 lets the words be anything.
+        // Callers use only the status code; HTTP/1.1 allows any reason phrase.
         return {restinio::http_status_code_t(static_cast<std::uint16_t>(status)), status < 400 ? "OK" : "Error"};
     }
 
@@ -211,8 +212,9 @@
         }
     }
 
-    /** A connection needs its server's loop, limits and timers even to be closed: a handler that still held an exchange
-     * when the server went, as a long poll does, reached into freed memory. Destroyed after the handle. */
+    /** Keeps the server alive, and is destroyed after the handle: closing a connection uses the server's loop, limits
+     * and timers, so a handler that held an exchange beyond the server's lifetime, as a long poll does, accessed freed
+     * memory. */
     std::shared_ptr<void> m_server;
     restinio::request_handle_t m_handle;
     std::shared_ptr<ConnectionCloseNotifier> m_closeNotifier;
@@ -249,8 +251,8 @@
                         return restinio::request_accepted();
                     })
                     .connection_state_listener(closeNotifier)
-                    // An answer in chunks leaves in several writes. With Nagle's algorithm the second waits for the
-                    // caller's delayed acknowledgement of the first: 40 ms more on each answer.
+                    // A chunked response is sent in several writes. With Nagle's algorithm the second waits for the
+                    // caller's delayed acknowledgement of the first, which adds 40 ms to each response.
                     .socket_options_setter([](auto &options) { options.set_option(asio::ip::tcp::no_delay(true)); })
                     .acceptor_post_bind_hook(
                         [&boundEndpoint](auto &acceptor) { boundEndpoint.port = acceptor.local_endpoint().port(); })
