--- a/tests/transport/callerrequest_test.cpp
+++ b/tests/transport/callerrequest_test.cpp
@@ -35,7 +35,7 @@
 timeout-ms = 1234
 )";
 
-ConfigView view()
+ConfigView makeConfigView()
 {
     ConfigView config;
     config.inventory =
@@ -44,96 +44,101 @@
     return config;
 }
 
-HttpRequest chat(std::vector<HttpHeader> headers, std::string body = R"({"model":"chip","messages":[]})")
+HttpRequest makeChatRequest(std::vector<HttpHeader> headers, std::string body = R"({"model":"chip","messages":[]})")
 {
     return {.method = "POST", .path = "/v1/chat/completions", .headers = std::move(headers), .body = std::move(body)};
 }
 
-HttpRequest call(std::string method, std::string path)
+HttpRequest makeServiceRequest(std::string method, std::string path)
 {
     return {.method = std::move(method), .path = std::move(path), .headers = {{"X-Workspace", "mills"}}};
 }
 
-struct RefusalRow
+struct RejectionCase
 {
-    const char *story;
+    const char *description;
     HttpRequest request;
     ErrorKind kind;
 };
 
-const RefusalRow Refusals[] = {
-    {"no workspace", chat({}), ErrorKind::UnknownWorkspace},
-    {"a workspace that nobody configured", chat({{"X-Workspace", "nobody"}}), ErrorKind::UnknownWorkspace},
-    {"a workspace with a key, named without it", chat({{"X-Workspace", "buyers"}}), ErrorKind::UnknownWorkspace},
-    {"an empty bearer key", chat({{"Authorization", "Bearer "}}), ErrorKind::UnknownWorkspace},
-    {"priority out of range", chat({{"X-Workspace", "mills"}, {"X-Priority", "11"}}), ErrorKind::BadRequest},
-    {"negative deadline", chat({{"X-Workspace", "mills"}, {"X-Deadline-Ms", "-1"}}), ErrorKind::BadDeadline},
-    {"deadline that is no number", chat({{"X-Workspace", "mills"}, {"X-Deadline-Ms", "soon"}}), ErrorKind::BadDeadline},
-    {"broken JSON", chat({{"X-Workspace", "mills"}}, "{\"model\":"), ErrorKind::BadRequest},
-    {"no messages", chat({{"X-Workspace", "mills"}}, R"({"model":"chip"})"), ErrorKind::BadRequest},
-    {"unknown model", chat({{"X-Workspace", "mills"}}, R"({"model":"oak","messages":[]})"), ErrorKind::UnknownModel},
-    {"too large a body", chat({{"X-Workspace", "mills"}}, std::string(2UL << 20U, 'x')), ErrorKind::BodyTooLarge},
-    {"too large a header", chat({{"X-Workspace", "mills"}, {"X-A", std::string(9000, 'x')}}),
+const RejectionCase RejectionCases[] = {
+    {"no workspace", makeChatRequest({}), ErrorKind::UnknownWorkspace},
+    {"a workspace that nobody configured", makeChatRequest({{"X-Workspace", "nobody"}}), ErrorKind::UnknownWorkspace},
+    {"a workspace with a key, named without it", makeChatRequest({{"X-Workspace", "buyers"}}),
+     ErrorKind::UnknownWorkspace},
+    {"an empty bearer key", makeChatRequest({{"Authorization", "Bearer "}}), ErrorKind::UnknownWorkspace},
+    {"priority out of range", makeChatRequest({{"X-Workspace", "mills"}, {"X-Priority", "11"}}), ErrorKind::BadRequest},
+    {"negative deadline", makeChatRequest({{"X-Workspace", "mills"}, {"X-Deadline-Ms", "-1"}}), ErrorKind::BadDeadline},
+    {"deadline that is no number", makeChatRequest({{"X-Workspace", "mills"}, {"X-Deadline-Ms", "soon"}}),
+     ErrorKind::BadDeadline},
+    {"broken JSON", makeChatRequest({{"X-Workspace", "mills"}}, "{\"model\":"), ErrorKind::BadRequest},
+    {"no messages", makeChatRequest({{"X-Workspace", "mills"}}, R"({"model":"chip"})"), ErrorKind::BadRequest},
+    {"unknown model", makeChatRequest({{"X-Workspace", "mills"}}, R"({"model":"oak","messages":[]})"),
+     ErrorKind::UnknownModel},
+    {"too large a body", makeChatRequest({{"X-Workspace", "mills"}}, std::string(2UL << 20U, 'x')),
+     ErrorKind::BodyTooLarge},
+    {"too large a header", makeChatRequest({{"X-Workspace", "mills"}, {"X-A", std::string(9000, 'x')}}),
      ErrorKind::HeaderTooLarge},
     {"chat by another method",
      {.method = "GET", .path = "/v1/chat/completions", .headers = {{"X-Workspace", "mills"}}},
      ErrorKind::MethodNotAllowed},
-    {"unknown service", call("GET", "/services/none/x"), ErrorKind::UnknownService},
-    {"an engine is no plain service", call("GET", "/services/chip-llm/x"), ErrorKind::UnknownService},
-    {"nothing at this path", call("GET", "/other"), ErrorKind::NotFound},
+    {"unknown service", makeServiceRequest("GET", "/services/none/x"), ErrorKind::UnknownService},
+    {"an engine is no plain service", makeServiceRequest("GET", "/services/chip-llm/x"), ErrorKind::UnknownService},
+    {"nothing at this path", makeServiceRequest("GET", "/other"), ErrorKind::NotFound},
 };
 
-class RefusedRequests : public testing::TestWithParam<RefusalRow>
+class RejectedRequests : public testing::TestWithParam<RejectionCase>
 {
 };
 
-TEST_P(RefusedRequests, GetTheirOwnKindAndAreNotRun)
+TEST_P(RejectedRequests, HaveExpectedErrorKindAndAreNotExecuted)
 {
-    const auto result = readCallerRequest(GetParam().request, RequestId("id"), view(), {});
-    ASSERT_NE(errorIn(result), nullptr) << GetParam().story;
-    EXPECT_EQ(errorIn(result)->kind, GetParam().kind) << GetParam().story;
-    EXPECT_EQ(errorIn(result)->ranOrDefault(), ExecutionStatus::No) << GetParam().story;
+    const auto result = readCallerRequest(GetParam().request, RequestId("id"), makeConfigView(), {});
+    ASSERT_NE(errorIn(result), nullptr) << GetParam().description;
+    EXPECT_EQ(errorIn(result)->kind, GetParam().kind) << GetParam().description;
+    EXPECT_EQ(errorIn(result)->ranOrDefault(), ExecutionStatus::No) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, RefusedRequests, testing::ValuesIn(Refusals));
+INSTANTIATE_TEST_SUITE_P(Table, RejectedRequests, testing::ValuesIn(RejectionCases));
 
-TEST(CallerRequest, CarriesWhatTheRulesSay)
+TEST(CallerRequest, AppliesTheRules)
 {
-    auto request = call("GET", "/services/yard-app/availability/7");
+    auto request = makeServiceRequest("GET", "/services/yard-app/availability/7");
     request.headers.push_back({"X-Priority", "3"});
-    const auto result = readCallerRequest(request, RequestId("id"), view(), {});
-    const auto &read = std::get<CallerRequest>(result);
-    EXPECT_EQ(read.submit.path, "/availability/7");
-    EXPECT_EQ(read.submit.priority, 5);
-    EXPECT_TRUE(read.submit.mayRepeat);
-    EXPECT_EQ(read.timeout, std::chrono::milliseconds(1234));
-    EXPECT_FALSE(std::get<CallerRequest>(
-                     readCallerRequest(call("POST", "/services/yard-app/bookings"), RequestId("id"), view(), {}))
+    const auto result = readCallerRequest(request, RequestId("id"), makeConfigView(), {});
+    const auto &parsed = std::get<CallerRequest>(result);
+    EXPECT_EQ(parsed.submit.path, "/availability/7");
+    EXPECT_EQ(parsed.submit.priority, 5);
+    EXPECT_TRUE(parsed.submit.mayRepeat);
+    EXPECT_EQ(parsed.timeout, std::chrono::milliseconds(1234));
+    EXPECT_FALSE(std::get<CallerRequest>(readCallerRequest(makeServiceRequest("POST", "/services/yard-app/bookings"),
+                                                           RequestId("id"), makeConfigView(), {}))
                      .submit.mayRepeat);
 }
 
-TEST(CallerRequest, ABearerKeyNamesItsWorkspaceAndGoesNoFurther)
+TEST(CallerRequest, BearerKeySelectsWorkspaceAndIsNotForwarded)
 {
-    const auto result = readCallerRequest(chat({{"Authorization", "Bearer secret"}}), RequestId("id"), view(), {});
-    const auto &read = std::get<CallerRequest>(result);
-    EXPECT_EQ(read.submit.workspace, WorkspaceName("buyers"));
-    for (const auto &header : read.submit.headers) {
+    const auto result =
+        readCallerRequest(makeChatRequest({{"Authorization", "Bearer secret"}}), RequestId("id"), makeConfigView(), {});
+    const auto &parsed = std::get<CallerRequest>(result);
+    EXPECT_EQ(parsed.submit.workspace, WorkspaceName("buyers"));
+    for (const auto &header : parsed.submit.headers) {
         EXPECT_NE(header.value, "Bearer secret");
     }
 }
 
-RC_GTEST_PROP(CallerRequest, AnyInputIsReadOrRefusedAsNotRun,
+RC_GTEST_PROP(CallerRequest, AnyInputIsParsedOrRejectedAsNotExecuted,
               (const std::string &path, const std::string &name, const std::string &value, const std::string &body))
 {
     for (const auto &route : {path, std::string("/v1/chat/completions"), "/services/" + path}) {
         const auto result = readCallerRequest(
             {.method = "POST", .path = route, .headers = {{"X-Workspace", "mills"}, {name, value}}, .body = body},
-            RequestId("id"), view(), {});
+            RequestId("id"), makeConfigView(), {});
         RC_ASSERT(errorIn(result) == nullptr || errorIn(result)->ranOrDefault() == ExecutionStatus::No);
     }
 }
 
-RC_GTEST_PROP(IniDocument, AnyTextIsReadWithoutHarm, (const std::string &text))
+RC_GTEST_PROP(IniDocument, ParsesAnyText, (const std::string &text))
 {
     const auto document = IniDocument::parse("[a]\n" + text);
     RC_ASSERT(!document.sections().empty());
--- a/tests/transport/heldrequests_test.cpp
+++ b/tests/transport/heldrequests_test.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-HeldRequest held(const char *id, std::uint64_t requiredOffset, SteadyTime arrived)
+HeldRequest makeHeldRequest(const char *id, std::uint64_t requiredOffset, SteadyTime arrived)
 {
     return {
         .request = {.id = RequestId(id)}, .requiredOffset = static_cast<LogOffset>(requiredOffset), .arrived = arrived};
@@ -16,13 +16,13 @@
 
 // An operator withdraws a target; an entry hears of it first and sends a request by the new configuration. The target's
 // process must not decide by the old one: the request waits until it has caught up, and is handed back if that is late.
-TEST(HeldRequests, WaitForTheirConfigurationButNotForLong)
+TEST(HeldRequests, AreReleasedOnceConfiguredOrReportedLate)
 {
     const SteadyTime start{};
     HeldRequests requests;
-    ASSERT_TRUE(requests.add(held("soon", 5, start)));
-    ASSERT_TRUE(requests.add(held("later", 6, start + 10ms)));
-    ASSERT_TRUE(requests.add(held("gone", 5, start)));
+    ASSERT_TRUE(requests.add(makeHeldRequest("soon", 5, start)));
+    ASSERT_TRUE(requests.add(makeHeldRequest("later", 6, start + 10ms)));
+    ASSERT_TRUE(requests.add(makeHeldRequest("gone", 5, start)));
     requests.remove(RequestId("gone"));
     const auto first = requests.release(static_cast<LogOffset>(5), start - 1ms);
     ASSERT_EQ(first.ready.size(), 1U);
@@ -39,9 +39,9 @@
 {
     HeldRequests requests;
     for (std::size_t i = 0; i < HeldRequests::MaxRequests; ++i) {
-        ASSERT_TRUE(requests.add(held("x", 1, {})));
+        ASSERT_TRUE(requests.add(makeHeldRequest("x", 1, {})));
     }
-    EXPECT_FALSE(requests.add(held("x", 1, {})));
+    EXPECT_FALSE(requests.add(makeHeldRequest("x", 1, {})));
 }
 
 } // namespace
--- a/tests/transport/hostlist_test.cpp
+++ b/tests/transport/hostlist_test.cpp
@@ -7,13 +7,13 @@
 namespace
 {
 
-struct ListRow
+struct HostListCase
 {
     const char *body;
-    std::optional<std::vector<HostState>> marks;
+    std::optional<std::vector<HostState>> states;
 };
 
-const ListRow ListRows[] = {
+const HostListCase HostListCases[] = {
     {R"({"hosts":[]})", std::vector<HostState>{}},
     {R"({"hosts":[{"host":"h","state":"live"},{"host":"h","state":"leaving"}]})",
      std::vector<HostState>{HostState::Live, HostState::Leaving}},
@@ -24,25 +24,25 @@
     {"", std::nullopt},
 };
 
-class HostListBody : public testing::TestWithParam<ListRow>
+class HostListBody : public testing::TestWithParam<HostListCase>
 {
 };
 
-TEST_P(HostListBody, IsReadWholeOrNotAtAll)
+TEST_P(HostListBody, IsParsedCompletelyOrRejected)
 {
     const auto hosts = parseHostList(GetParam().body);
-    ASSERT_EQ(hosts.has_value(), GetParam().marks.has_value()) << GetParam().body;
+    ASSERT_EQ(hosts.has_value(), GetParam().states.has_value()) << GetParam().body;
     if (!hosts) {
         return;
     }
-    std::vector<HostState> marks;
-    marks.reserve(hosts->size());
+    std::vector<HostState> states;
+    states.reserve(hosts->size());
     for (const auto &host : *hosts) {
-        marks.push_back(host.state);
+        states.push_back(host.state);
     }
-    EXPECT_EQ(marks, *GetParam().marks) << GetParam().body;
+    EXPECT_EQ(states, *GetParam().states) << GetParam().body;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, HostListBody, testing::ValuesIn(ListRows));
+INSTANTIATE_TEST_SUITE_P(Table, HostListBody, testing::ValuesIn(HostListCases));
 
 } // namespace
--- a/tests/transport/http_test.cpp
+++ b/tests/transport/http_test.cpp
@@ -13,7 +13,7 @@
 {
 
 /** Answers by path: an echo, a stream of ten chunks, a stream that is cut off. */
-void answer(const std::shared_ptr<HttpExchange> &exchange)
+void handleRequest(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
     if (request.path == "/echo") {
@@ -40,15 +40,15 @@
     }
 }
 
-struct ExchangeRow
+struct ExchangeCase
 {
-    const char *story;
+    const char *description;
     HttpRequest request;
     int status; // 0: no whole answer
     std::string body;
 };
 
-const ExchangeRow ExchangeRows[] = {
+const ExchangeCase ExchangeCases[] = {
     {"a body comes back whole", {.method = "POST", .path = "/echo", .query = "q=a%20b", .body = "hello"}, 201, "hello"},
     {"an empty body", {.method = "GET", .path = "/echo"}, 201, ""},
     {"a method of its own", {.method = "DELETE", .path = "/echo"}, 201, ""},
@@ -61,19 +61,19 @@
     {"an exchange dropped without an answer ends at once", {.method = "GET", .path = "/silent"}, 500, ""},
 };
 
-class HttpRoundTrip : public testing::TestWithParam<ExchangeRow>
+class HttpRoundTrip : public testing::TestWithParam<ExchangeCase>
 {
 };
 
-TEST_P(HttpRoundTrip, AnswersAreWholeOrReportedAsNot)
+TEST_P(HttpRoundTrip, ResponsesAreCompleteOrReportedAsFailed)
 {
-    HttpServer server({.listen = {.address = "127.0.0.1"}, .threads = 2}, answer);
-    const auto bound = std::get<Endpoint>(server.start());
+    HttpServer server({.listen = {.address = "127.0.0.1"}, .threads = 2}, handleRequest);
+    const auto serverEndpoint = std::get<Endpoint>(server.start());
     asio::io_context loop;
     HttpClient client(loop, {});
     int status = -1;
     std::string body;
-    client.send({.endpoint = bound, .request = GetParam().request},
+    client.send({.endpoint = serverEndpoint, .request = GetParam().request},
                 [&](std::variant<HttpResponse, HttpClient::Failure> result) {
                     const auto *response = std::get_if<HttpResponse>(&result);
                     status = response == nullptr ? 0 : response->status;
@@ -81,45 +81,45 @@
                     loop.stop();
                 });
     loop.run();
-    EXPECT_EQ(status, GetParam().status) << GetParam().story;
-    EXPECT_EQ(body, GetParam().body) << GetParam().story;
+    EXPECT_EQ(status, GetParam().status) << GetParam().description;
+    EXPECT_EQ(body, GetParam().body) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, HttpRoundTrip, testing::ValuesIn(ExchangeRows));
+INSTANTIATE_TEST_SUITE_P(Table, HttpRoundTrip, testing::ValuesIn(ExchangeCases));
 
 // A handler holds exchanges it has not answered, as the long polls of a log do, when its server is stopped and goes.
 // The program used to crash at its end, now and then, as the exchange reached for the server's loop.
-TEST(HttpServer, AnExchangeMayOutliveItsServer)
+TEST(HttpServer, ExchangeMayOutliveServer)
 {
     asio::io_context loop;
-    std::vector<std::shared_ptr<HttpExchange>> held;
+    std::vector<std::shared_ptr<HttpExchange>> heldExchanges;
     {
         HttpServer server({.listen = {.address = "127.0.0.1"}},
-                          [&held, &loop](const std::shared_ptr<HttpExchange> &exchange) {
-                              held.push_back(exchange);
+                          [&heldExchanges, &loop](const std::shared_ptr<HttpExchange> &exchange) {
+                              heldExchanges.push_back(exchange);
                               loop.stop();
                           });
-        const auto bound = std::get<Endpoint>(server.start());
+        const auto serverEndpoint = std::get<Endpoint>(server.start());
         HttpClient client(loop, {});
-        client.send({.endpoint = bound, .request = {.method = "GET", .path = "/"}}, [](const auto &) {});
+        client.send({.endpoint = serverEndpoint, .request = {.method = "GET", .path = "/"}}, [](const auto &) {});
         loop.run();
     }
-    ASSERT_EQ(held.size(), 1U);
-    held.front()->onClosed([] {});
-    held.clear();
+    ASSERT_EQ(heldExchanges.size(), 1U);
+    heldExchanges.front()->onClosed([] {});
+    heldExchanges.clear();
 }
 
-TEST(HttpClient, ARefusedConnectionProvesThatNothingArrived)
+TEST(HttpClient, RefusedConnectionReportsThatNothingArrived)
 {
-    Endpoint closed;
+    Endpoint closedEndpoint;
     {
-        HttpServer server({.listen = {.address = "127.0.0.1"}}, answer);
-        closed = std::get<Endpoint>(server.start());
+        HttpServer server({.listen = {.address = "127.0.0.1"}}, handleRequest);
+        closedEndpoint = std::get<Endpoint>(server.start());
     }
     asio::io_context loop;
     HttpClient client(loop, {});
     bool mayHaveArrived = true;
-    client.send({.endpoint = closed, .request = {.method = "GET", .path = "/"}},
+    client.send({.endpoint = closedEndpoint, .request = {.method = "GET", .path = "/"}},
                 [&](std::variant<HttpResponse, HttpClient::Failure> result) {
                     mayHaveArrived = std::get<HttpClient::Failure>(result).mayHaveArrived;
                     loop.stop();
@@ -132,29 +132,31 @@
 // the streams of all its callers. A server closes a kept connection as the next request arrives on it: libcurl closes
 // the socket, opens another for the repeat and gets the same number, all in one step, while the loop still watches that
 // number for the closed one.
-TEST(HttpClient, ASocketMayGetTheNumberOfTheOneThatWasJustClosed)
+TEST(HttpClient, SocketMayReuseDescriptorOfClosedSocket)
 {
-    std::atomic<bool> hangsUp{false};
-    HttpServer server({.listen = {.address = "127.0.0.1"}}, [&hangsUp](const std::shared_ptr<HttpExchange> &exchange) {
-        hangsUp.exchange(false) ? exchange->abort() : exchange->respond({.status = 200});
-    });
-    const auto bound = std::get<Endpoint>(server.start());
+    std::atomic<bool> shouldAbort{false};
+    HttpServer server({.listen = {.address = "127.0.0.1"}},
+                      [&shouldAbort](const std::shared_ptr<HttpExchange> &exchange) {
+                          shouldAbort.exchange(false) ? exchange->abort() : exchange->respond({.status = 200});
+                      });
+    const auto serverEndpoint = std::get<Endpoint>(server.start());
     asio::io_context loop;
     HttpClient client(loop, {});
-    constexpr int calls = 10;
-    int answered = 0;
-    for (int call = 0; call < calls; ++call) {
-        hangsUp = call > 0;
-        client.send(
-            {.endpoint = bound, .request = {.method = "GET", .path = "/"}, .timeout = std::chrono::milliseconds(2'000)},
-            [&](const std::variant<HttpResponse, HttpClient::Failure> &result) {
-                answered += std::holds_alternative<HttpResponse>(result) ? 1 : 0;
-                loop.stop();
-            });
+    constexpr int callCount = 10;
+    int responseCount = 0;
+    for (int call = 0; call < callCount; ++call) {
+        shouldAbort = call > 0;
+        client.send({.endpoint = serverEndpoint,
+                     .request = {.method = "GET", .path = "/"},
+                     .timeout = std::chrono::milliseconds(2'000)},
+                    [&](const std::variant<HttpResponse, HttpClient::Failure> &result) {
+                        responseCount += std::holds_alternative<HttpResponse>(result) ? 1 : 0;
+                        loop.stop();
+                    });
         loop.run();
         loop.restart();
     }
-    EXPECT_EQ(answered, calls);
+    EXPECT_EQ(responseCount, callCount);
 }
 
 } // namespace
--- a/tests/transport/settings_test.cpp
+++ b/tests/transport/settings_test.cpp
@@ -30,14 +30,14 @@
      .help = "a time"},
 };
 
-struct ValueRow
+struct ValueCase
 {
-    const char *story;
+    const char *description;
     std::vector<const char *> flags;
     std::optional<std::pair<double, std::chrono::milliseconds>> values; ///< share and grace; nothing for a fault
 };
 
-const ValueRow ValueRows[] = {
+const ValueCase ValueCases[] = {
     {"defaults", {}, std::pair(0.2, 8'000ms)},
     {"whole numbers", {"--share=1", "--grace=30"}, std::pair(1.0, 30'000ms)},
     // A platform gives its bounds with or without a fraction; a gateway that took only one form would not start.
@@ -49,11 +49,11 @@
     {"a fraction of a whole number", {"--pause=1.5"}, std::nullopt},
 };
 
-class SettingValues : public testing::TestWithParam<ValueRow>
+class SettingValues : public testing::TestWithParam<ValueCase>
 {
 };
 
-TEST_P(SettingValues, AreReadAndChecked)
+TEST_P(SettingValues, AreParsedAndValidated)
 {
     const auto &row = GetParam();
     std::vector<const char *> arguments{"program"};
@@ -61,35 +61,35 @@
     const auto loaded =
         Settings::load("program", "section", Specs, static_cast<int>(arguments.size()), arguments.data());
     const auto *settings = std::get_if<Settings>(&loaded);
-    ASSERT_EQ(settings != nullptr, row.values.has_value()) << row.story;
+    ASSERT_EQ(settings != nullptr, row.values.has_value()) << row.description;
     if (settings != nullptr) {
-        EXPECT_DOUBLE_EQ(settings->fraction("share"), row.values->first) << row.story;
-        EXPECT_EQ(settings->duration("grace"), row.values->second) << row.story;
+        EXPECT_DOUBLE_EQ(settings->fraction("share"), row.values->first) << row.description;
+        EXPECT_EQ(settings->duration("grace"), row.values->second) << row.description;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, SettingValues, testing::ValuesIn(ValueRows));
+INSTANTIATE_TEST_SUITE_P(All, SettingValues, testing::ValuesIn(ValueCases));
 
 /** Writes settings of a sidecar to @p file. */
-void writeSettings(const std::filesystem::path &file, const std::string &more)
+void writeSidecarSettings(const std::filesystem::path &file, const std::string &extraLines)
 {
     std::ofstream(file) << "[sidecar]\nname = s\nzone = z\nlisten = 127.0.0.1:0\nengine = 127.0.0.1:1\n"
                         << "log-service = 127.0.0.1:1\nlog-stream = standard-output\n"
-                        << more;
+                        << extraLines;
 }
 
 // An operator changes a setting and signals the process, then makes a typing error: the process dies, or cuts what it
 // is at work on, or goes on with half of the file.
-TEST(Reload, TakesGoodSettingsAndLeavesBadOnes)
+TEST(Reload, AppliesValidSettingsAndRejectsInvalidOnes)
 {
     const auto file = std::filesystem::temp_directory_path() / ("reload-" + std::to_string(getpid()) + ".ini");
-    writeSettings(file, "");
+    writeSidecarSettings(file, "");
     ChildProcess sidecar("heatherridge-sidecar", {"--config", file.string()});
     ASSERT_FALSE(sidecar.endpoints().empty());
-    writeSettings(file, "log-level = warning\n");
+    writeSidecarSettings(file, "log-level = warning\n");
     sidecar.signal(SIGHUP);
     std::this_thread::sleep_for(1s);
-    writeSettings(file, "colour = red\n");
+    writeSidecarSettings(file, "colour = red\n");
     sidecar.signal(SIGHUP);
     std::this_thread::sleep_for(1s);
     sidecar.signal(SIGTERM);
