--- a/tests/agreement/logfollowing_test.cpp
+++ b/tests/agreement/logfollowing_test.cpp
@@ -101,23 +101,23 @@
     const auto &row = GetParam();
     Simulation simulation;
     appendChanges(simulation.log, 5);
-    simulation.log.isOut = row.fault == LogFault::Out;
+    simulation.log.isUnavailable = row.fault == LogFault::Out;
     simulation.log.delay = std::chrono::milliseconds(row.fault == LogFault::Slow ? 2000 : 0);
-    simulation.log.loseReplies = row.fault == LogFault::ReplyLost ? 1 : row.fault == LogFault::TwoRepliesLost ? 2 : 0;
-    simulation.log.dropAppends = row.fault == LogFault::AppendDropped ? 1 : 0;
+    simulation.log.repliesToLose = row.fault == LogFault::ReplyLost ? 1 : row.fault == LogFault::TwoRepliesLost ? 2 : 0;
+    simulation.log.appendsToDrop = row.fault == LogFault::AppendDropped ? 1 : 0;
     SeededRandom random(1);
     Publisher publisher(
         simulation.log, random,
         {.document = DocumentKind::Rules, .operation = OperationId("mine"), .text = workspaceSection("yard", 2)});
     simulation.run(std::chrono::seconds(10), publisher);
     if (row.faultEnds) {
-        simulation.log.isOut = false;
+        simulation.log.isUnavailable = false;
     }
     simulation.run(std::chrono::seconds(25), publisher);
     ASSERT_TRUE(publisher.result()) << row.description;
     EXPECT_EQ(publisher.result()->index(), row.expected) << row.description;
 
-    simulation.log.isOut = false;
+    simulation.log.isUnavailable = false;
     Process reader(simulation.log);
     simulation.run(std::chrono::seconds(10), reader.follower);
     ASSERT_TRUE(reader.replica.isConfirmed());
@@ -143,16 +143,16 @@
     const PublishRequest request{
         .document = DocumentKind::Rules, .operation = OperationId("mine"), .text = workspaceSection("yard", 2)};
     Publisher first(simulation.log, random, request);
-    simulation.log.loseReplies = 1;
+    simulation.log.repliesToLose = 1;
     while (first.counters().appends == 0) {
         simulation.run(Step);
         first.tick(simulation.now);
     }
-    simulation.log.isOut = true;
+    simulation.log.isUnavailable = true;
     simulation.run(std::chrono::seconds(31), first);
     ASSERT_TRUE(first.result());
     ASSERT_EQ(first.result()->index(), Unknown);
-    simulation.log.isOut = false;
+    simulation.log.isUnavailable = false;
     appendChanges(simulation.log, 2);
     Publisher second(simulation.log, random, request);
     simulation.run(std::chrono::seconds(5), second);
@@ -252,10 +252,10 @@
     appendChanges(simulation.log, 5);
     Process running(simulation.log);
     simulation.run(std::chrono::seconds(5), running.follower);
-    simulation.log.isOut = true;
+    simulation.log.isUnavailable = true;
     simulation.run(std::chrono::seconds(60), running.follower);
     simulation.log.expireBelow(ControlStream, LogOffset{6});
-    simulation.log.isOut = false;
+    simulation.log.isUnavailable = false;
     simulation.run(std::chrono::seconds(10), running.follower);
     EXPECT_FALSE(running.replica.isCutOff());
     running.writer.tick(simulation.now, running.replica, 0);
--- a/tests/agreement/relay_test.cpp
+++ b/tests/agreement/relay_test.cpp
@@ -154,8 +154,8 @@
             fleet.network.kill(reader);
         }
     }
-    fleet.network.doubleMessages = GetParam().fault == Fault::MessagesDoubled;
-    fleet.access[0].isCut = GetParam().fault == Fault::ZoneCutFromLog;
+    fleet.network.duplicateMessages = GetParam().fault == Fault::MessagesDoubled;
+    fleet.access[0].isDisconnected = GetParam().fault == Fault::ZoneCutFromLog;
     const auto offset = fleet.publish();
     fleet.run(GetParam().timeLimit);
     EXPECT_EQ(fleet.countBehind(offset), 0U) << GetParam().description;
@@ -175,14 +175,14 @@
         fleet.publish();
     }
     fleet.run(SettleTime);
-    fleet.log.isOut = true;
+    fleet.log.isUnavailable = true;
     fleet.run(std::chrono::seconds(5));
     fleet.network.kill(Fleet::nameOf(3));
     auto &replaced = fleet.start(3);
     fleet.run(SettleTime);
     EXPECT_EQ(replaced.agent.replica().state().offset(), LogOffset{5});
     EXPECT_EQ(replaced.agent.phase(), ProcessPhase::Unconfirmed);
-    fleet.log.isOut = false;
+    fleet.log.isUnavailable = false;
     const auto offset = fleet.publish();
     fleet.run(SettleTime);
     EXPECT_EQ(fleet.countBehind(offset), 0U);
@@ -195,14 +195,14 @@
 {
     Fleet fleet(40);
     fleet.run(SettleTime);
-    fleet.log.isOut = true;
+    fleet.log.isUnavailable = true;
     fleet.run(std::chrono::minutes(2), LongStep);
     const auto before = fleet.log.counts.reads;
     fleet.run(std::chrono::minutes(10), LongStep);
     const auto perMinute = (fleet.log.counts.reads - before) / 10;
     // Four readers with one attempt every 2.5 s on average make 96; each of the other 76 tries about once a minute.
     EXPECT_LT(perMinute, 250);
-    fleet.log.isOut = false;
+    fleet.log.isUnavailable = false;
     const auto offset = fleet.publish();
     fleet.run(std::chrono::seconds(12));
     EXPECT_EQ(fleet.countBehind(offset), 0U);
@@ -217,8 +217,8 @@
     Fleet fleet(10);
     fleet.publish();
     fleet.run(SettleTime);
-    fleet.access[1].isCut = true;
-    fleet.network.passes = [](const ProcessName &a, const ProcessName &b) {
+    fleet.access[1].isDisconnected = true;
+    fleet.network.canDeliver = [](const ProcessName &a, const ProcessName &b) {
         return (std::stoi(a.text().substr(7)) + std::stoi(b.text().substr(7))) % Zones == 0;
     };
     fleet.run(std::chrono::seconds(2)); // lets the log end the long polls that it holds open
@@ -230,8 +230,8 @@
         const auto age = fleet.network.node(Fleet::nameOf(i)).agent.relay().freshAge(fleet.network.now());
         EXPECT_GE(age, std::chrono::minutes(59));
     }
-    fleet.access[1].isCut = false;
-    fleet.network.passes = [](const auto &, const auto &) { return true; };
+    fleet.access[1].isDisconnected = false;
+    fleet.network.canDeliver = [](const auto &, const auto &) { return true; };
     fleet.run(std::chrono::seconds(8));
     EXPECT_EQ(fleet.countBehind(offset), 0U);
 }
--- a/tests/e2e/badinput_test.cpp
+++ b/tests/e2e/badinput_test.cpp
@@ -119,7 +119,7 @@
 protected:
     static void SetUpTestSuite() // NOLINT(readability-identifier-naming): GoogleTest's name
     {
-        s_site = std::make_unique<TestSite>(TestSite::Options{.engines = 1, .plains = 1});
+        s_site = std::make_unique<TestSite>(TestSite::Options{.engines = 1, .plainServices = 1});
     }
 
     static void TearDownTestSuite() // NOLINT(readability-identifier-naming): GoogleTest's name
@@ -173,13 +173,13 @@
                     .path = "/v1/chat/completions",
                     .headers = {MillsHeader},
                     .body = R"({"model":"chip-llm","messages":[],"max_tokens":50000,"stream":true})"},
-        .leaveAfterBytes = 2'000};
+        .disconnectAfterBytes = 2'000};
     auto connected = disconnecting;
-    connected.leaveAfterBytes = 0;
+    connected.disconnectAfterBytes = 0;
     connected.request.body = R"({"model":"chip-llm","messages":[],"max_tokens":100,"stream":true})";
     const auto answers = callAll({disconnecting, connected});
-    EXPECT_FALSE(answers[0].whole);
-    EXPECT_TRUE(answers[1].whole);
+    EXPECT_FALSE(answers[0].isComplete);
+    EXPECT_TRUE(answers[1].isComplete);
     EXPECT_NE(answers[1].body.find("[DONE]"), std::string::npos);
     nlohmann::json load;
     do { // ctest's time limit fails the test if the engine never stops
--- a/tests/e2e/overload_test.cpp
+++ b/tests/e2e/overload_test.cpp
@@ -100,7 +100,7 @@
     for (std::size_t number = 0; number < answers.size(); ++number) {
         const auto &answer = answers[number];
         if (answer.status == 200) {
-            EXPECT_TRUE(answer.whole);
+            EXPECT_TRUE(answer.isComplete);
             ++served;
             servedMills += number >= GetParam().buyers ? 1 : 0;
             continue;
--- a/tests/e2e/removal_test.cpp
+++ b/tests/e2e/removal_test.cpp
@@ -14,7 +14,7 @@
 // soon as the section is removed, so that the caller gets the answer that the outcome is unknown.
 TEST(RemovedTarget, CompletesTheRunningBooking)
 {
-    TestSite site({.engines = 1, .plains = 1, .entries = 1});
+    TestSite site({.engines = 1, .plainServices = 1, .entries = 1});
     call(site.plain(0), "POST", "/faults", R"({"delay-ms": 1500})");
     auto booking = std::async(std::launch::async, [&site] {
         return call(site.entry(0), "POST", "/services/yard-app/bookings", "load-9",
--- a/tests/e2e/shutdown_test.cpp
+++ b/tests/e2e/shutdown_test.cpp
@@ -69,7 +69,7 @@
     EXPECT_EQ(stopped.wait(), 0);
     std::size_t wholeCount = 0;
     for (const auto &answer : answers) {
-        wholeCount += answer.whole && answer.status == 200 ? 1 : 0;
+        wholeCount += answer.isComplete && answer.status == 200 ? 1 : 0;
     }
     if (row.mustAllBeWhole) {
         EXPECT_EQ(wholeCount, Streams);
--- a/tests/e2e/streams_test.cpp
+++ b/tests/e2e/streams_test.cpp
@@ -25,7 +25,8 @@
 }
 
 /** Returns the answers of an engine that is called directly, without load balancer, with the same prompts and ids. */
-std::vector<HttpAnswer> referenceAnswers(const std::vector<HttpCall> &calls, const std::vector<HttpAnswer> &answers)
+std::vector<HttpCallResult> referenceAnswers(const std::vector<HttpCall> &calls,
+                                             const std::vector<HttpCallResult> &answers)
 {
     const ChildProcess reference("heatherridge-standin",
                                  {"engine", "--step-ms", "0", "--step-us-per-request", "0", "--prefill-us", "0"});
@@ -42,10 +43,10 @@
  * Returns whether @p answer is a refusal that a chat caller can act on: the answer had not started, and the refusal
  * states when to retry. Its "ran" may be "unknown" if an attempt was lost with its target before the refusal.
  */
-bool isValidRefusal(const HttpAnswer &answer)
+bool isValidRefusal(const HttpCallResult &answer)
 {
     const auto problem = nlohmann::json::parse(answer.body, nullptr, false);
-    return answer.whole && (answer.status == 429 || answer.status == 503) && problem.is_object()
+    return answer.isComplete && (answer.status == 429 || answer.status == 503) && problem.is_object()
         && problem.value("ran", "yes") != "yes" && !headerValue(answer.headers, "Retry-After").empty();
 }
 
@@ -124,7 +125,7 @@
         for (std::size_t index = 0; index < calls.size(); ++index) {
             const auto &answer = answers[index];
             const bool entryIsDead = GetParam().killsEntry && calls[index].endpoint == site.entry(1);
-            if (entryIsDead && !answer.whole) {
+            if (entryIsDead && !answer.isComplete) {
                 ++truncatedCount;
                 EXPECT_EQ(answer.body.find(DoneEvent), std::string::npos);
             } else if (isValidRefusal(answer)) {
@@ -133,7 +134,7 @@
                 }
             } else {
                 ++wholeCount;
-                EXPECT_TRUE(answer.whole) << answer.status << " after " << answer.body.size() << " bytes";
+                EXPECT_TRUE(answer.isComplete) << answer.status << " after " << answer.body.size() << " bytes";
                 EXPECT_EQ(answer.body, expected[index].body);
             }
         }
--- a/tests/e2e_keys/bookings_test.cpp
+++ b/tests/e2e_keys/bookings_test.cpp
@@ -48,15 +48,15 @@
                         .body = body.empty() ? makeBookingBody(key) : std::move(body)}};
 }
 
-std::string stringField(const HttpAnswer &answer, const std::string &field)
+std::string stringField(const HttpCallResult &answer, const std::string &field)
 {
     const auto json = nlohmann::json::parse(answer.body, nullptr, false);
     return json.is_object() && json.contains(field) && json[field].is_string() ? json[field].get<std::string>() : "";
 }
 
-bool isBooked(const HttpAnswer &answer)
+bool isBooked(const HttpCallResult &answer)
 {
-    return answer.whole && answer.status >= 200 && answer.status < 300;
+    return answer.isComplete && answer.status >= 200 && answer.status < 300;
 }
 
 void setFault(const Endpoint &standIn, const std::string &faults)
@@ -88,9 +88,9 @@
 
 /** Sends all bookings through the other entry, and repeats those that are not booked, up to @p maxAttempts attempts in
  * all. */
-std::vector<HttpAnswer> retryUnbooked(const TestSite &site, const std::vector<Uuid7> &keys, int maxAttempts)
+std::vector<HttpCallResult> retryUnbooked(const TestSite &site, const std::vector<Uuid7> &keys, int maxAttempts)
 {
-    std::vector<HttpAnswer> answers(keys.size());
+    std::vector<HttpCallResult> answers(keys.size());
     for (int attempt = 0; attempt < maxAttempts; ++attempt) {
         std::vector<HttpCall> calls;
         std::vector<std::size_t> indexes;
@@ -187,7 +187,7 @@
     int notRun = 0;
     int withoutAnswer = 0;
 
-    void add(const HttpAnswer &answer)
+    void add(const HttpCallResult &answer)
     {
         const auto ran = stringField(answer, "ran");
         bookedCount += isBooked(answer) ? 1 : 0;
@@ -202,7 +202,7 @@
 // request reported as not run must not have run by then, and all answers to one key must be the same.
 TEST_P(BookingFaults, RunAtMostOnce)
 {
-    TestSite site({.engines = 0, .plains = PlainTargets, .entries = 2});
+    TestSite site({.engines = 0, .plainServices = PlainTargets, .entries = 2});
     waitForShardHolders(site);
     GetParam().beforeCalls(site);
     std::vector<Uuid7> keys;
@@ -270,7 +270,7 @@
 
 TEST(IdempotencyKeyReuse, SameKeyForAnotherRequestIsRefused)
 {
-    TestSite site({.engines = 0, .plains = PlainTargets, .entries = 1});
+    TestSite site({.engines = 0, .plainServices = PlainTargets, .entries = 1});
     waitForShardHolders(site);
     const auto key = newKey(0);
     ASSERT_EQ(callAll({makeBookingCall(site, 0, key)}).front().status, 201);
@@ -302,7 +302,7 @@
 TEST(BookingLatency, IsMeasuredWithTheLogAvailableSlowAndDown)
 {
     constexpr std::size_t count = 100;
-    TestSite site({.engines = 0, .plains = PlainTargets, .entries = 1});
+    TestSite site({.engines = 0, .plainServices = PlainTargets, .entries = 1});
     waitForShardHolders(site);
     for (const auto &row : LatencyRows) {
         setFault(site.log(), row.logFaults);
--- a/tests/feed/registerfollower_test.cpp
+++ b/tests/feed/registerfollower_test.cpp
@@ -1,5 +1,5 @@
 #include "heatherridge_coordination/feed/registerfollower.h"
-#include "support/silentregisters.h"
+#include "support/stubregisterlog.h"
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 const SteadyTime Start{};
 
 /** A register whose calls the test answers. */
-class ManualRegister final : public SilentRegisters
+class ManualRegister final : public StubRegisterLog
 {
 public:
     struct Call
--- a/tests/feed/rulescopies_test.cpp
+++ b/tests/feed/rulescopies_test.cpp
@@ -1,5 +1,5 @@
 #include "heatherridge_coordination/feed/rulescopies.h"
-#include "support/silentregisters.h"
+#include "support/stubregisterlog.h"
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 constexpr int CopyCount = 3;
 
 /** Copies of rules in partitions that can be unavailable; every call is answered at once. */
-class RulesCopyLog final : public SilentRegisters
+class RulesCopyLog final : public StubRegisterLog
 {
 public:
     void readCopy(int copy, std::function<void(Result<RulesCopy>)> done) override
--- a/tests/gateway/gatewayfixture.cpp
+++ b/tests/gateway/gatewayfixture.cpp
@@ -1,7 +1,7 @@
 #include "gateway/gatewayfixture.h"
 
-#include "support/silentranks.h"
-#include "support/silentregisters.h"
+#include "support/stubrankcontrol.h"
+#include "support/stubregisterlog.h"
 
 #include <asio/write.hpp>
 
@@ -55,7 +55,7 @@
 } // namespace
 
 /** Registers that never change: one configuration and the given targets. */
-class GatewayFixture::FixedRegisters final : public SilentRegisters
+class GatewayFixture::FixedRegisters final : public StubRegisterLog
 {
 public:
     FixedRegisters(RoutingConfig config, std::vector<TargetEntry> targets)
@@ -114,9 +114,9 @@
                                            return GatewayServer::LogClients{
                                                .registers = std::make_unique<FixedRegisters>(defaultConfig(), entries),
                                                .shares = std::make_unique<FixedShares>(options.partitions),
-                                               .reports = std::make_unique<SharedReports>(options.reports)};
+                                               .reports = std::make_unique<SharedReportLog>(options.reports)};
                                        },
-                                   .makeRankControl = [](HttpClient &) { return std::make_unique<SilentRanks>(); }};
+                                   .makeRankControl = [](HttpClient &) { return std::make_unique<StubRankControl>(); }};
     m_server = std::make_unique<GatewayServer>(GatewayServer::Options{.process = ProcessName("g"),
                                                                       .zone = ZoneName("z"),
                                                                       .listen = {.address = "127.0.0.1"},
--- a/tests/gateway/gatewayfixture.h
+++ b/tests/gateway/gatewayfixture.h
@@ -3,7 +3,7 @@
 #include "gateway/scriptedtarget.h"
 #include "heatherridge_platform.h"
 #include "heatherridge_transport/direct/gatewayserver.h"
-#include "support/sharedreports.h"
+#include "support/sharedreportlog.h"
 
 #include <atomic>
 #include <functional>
--- a/tests/gateway/sidecarrankclient_test.cpp
+++ b/tests/gateway/sidecarrankclient_test.cpp
@@ -1,6 +1,6 @@
 #include "heatherridge_transport/app/metrics.h"
 #include "heatherridge_transport/direct/sidecarrankclient.h"
-#include "support/silentranks.h"
+#include "support/stubrankcontrol.h"
 
 #include <asio/io_context.hpp>
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 {
 
 /** Counts the calls that bypass the sidecar. */
-class CountingRankControl final : public SilentRanks
+class CountingRankControl final : public StubRankControl
 {
 public:
     explicit CountingRankControl(int &orders, int *counts = nullptr)
--- a/tests/groupsite/groupdeployment.cpp
+++ b/tests/groupsite/groupdeployment.cpp
@@ -99,7 +99,7 @@
 int GroupDeployment::leaderRank() const
 {
     for (int rank = 0; rank < Ranks; ++rank) {
-        const auto response = m_gates[rank] ? call(m_adminEndpoints[rank], "GET", "/admin/status") : HttpAnswer{};
+        const auto response = m_gates[rank] ? call(m_adminEndpoints[rank], "GET", "/admin/status") : HttpCallResult{};
         const auto report = nlohmann::json::parse(response.body, nullptr, false);
         if (report.is_object() && report["group"].is_object() && report["group"].value("leads", false)) {
             return rank;
--- a/tests/heldgroups/mapswitch_test.cpp
+++ b/tests/heldgroups/mapswitch_test.cpp
@@ -1,5 +1,5 @@
 #include "heatherridge_coordination/groups/mapswitch.h"
-#include "support/silentranks.h"
+#include "support/stubrankcontrol.h"
 
 #include <gtest/gtest.h>
 
@@ -106,7 +106,7 @@
 INSTANTIATE_TEST_SUITE_P(All, MapSwitches, testing::ValuesIn(MapSwitchCases));
 
 /** Ranks that reply to orders only when the test calls replyToFirst(). */
-class ManualReplyRanks final : public SilentRanks
+class ManualReplyRanks final : public StubRankControl
 {
 public:
     void sendOrder(const TargetEntry &, const RankOrder &, std::uint64_t, std::function<void(OrderReply)> done) override
--- a/tests/heldgroups/passtime_test.cpp
+++ b/tests/heldgroups/passtime_test.cpp
@@ -1,5 +1,5 @@
 #include "heatherridge_coordination/groups/rankmonitor.h"
-#include "support/silentranks.h"
+#include "support/stubrankcontrol.h"
 
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 const SteadyTime Start(1h);
 
 /** A group of one rank whose passes all take the same time. */
-class FixedPassRank final : public SilentRanks
+class FixedPassRank final : public StubRankControl
 {
 public:
     void fetchStatus(const TargetEntry &, std::function<void(Result<RankStatus>)> done) override
--- a/tests/heldgroups/pendingswitchpass_test.cpp
+++ b/tests/heldgroups/pendingswitchpass_test.cpp
@@ -1,5 +1,5 @@
 #include "heatherridge_coordination/groups/expertrebalancer.h"
-#include "support/silentranks.h"
+#include "support/stubrankcontrol.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/standin/contract_test.cpp
+++ b/tests/standin/contract_test.cpp
@@ -120,7 +120,7 @@
       {"PUT", "/hosts", R"({"hosts":[{"host":"a","state":"gone"}]})", 400, nullptr}}},
 };
 
-nlohmann::json parsed(const HttpAnswer &answer)
+nlohmann::json parsed(const HttpCallResult &answer)
 {
     if (headerValue(answer.headers, "Content-Type") != "application/cbor") {
         return nlohmann::json::parse(answer.body, nullptr, false);
@@ -190,8 +190,8 @@
                   .request = {.method = "POST",
                               .path = "/v1/chat/completions",
                               .body = R"({"messages":[{"content":"hi"}],"max_tokens":100000,"stream":true})"}};
-    chat.leaveAfterBytes = 1000;
-    EXPECT_FALSE(callAll({chat}).front().whole);
+    chat.disconnectAfterBytes = 1000;
+    EXPECT_FALSE(callAll({chat}).front().isComplete);
     while (!holds(parsed(call(endpoint, "GET", "/counters")), {{"callers-gone", 1}})) {
         std::this_thread::yield(); // ctest's time limit fails the test if it never comes
     }
@@ -204,7 +204,7 @@
     const auto answer = call(engine.endpoints().front(), "POST", "/v1/chat/completions",
                              R"({"messages":[{"content":"hi"}],"max_tokens":9,"stream":true})");
     EXPECT_EQ(answer.status, 200);
-    EXPECT_FALSE(answer.whole);
+    EXPECT_FALSE(answer.isComplete);
     EXPECT_EQ(answer.body.find("[DONE]"), std::string::npos);
 }
 
--- a/tests/support/childprocess.cpp
+++ b/tests/support/childprocess.cpp
@@ -16,7 +16,7 @@
 
 constexpr int ExecFailed = 127;
 
-std::vector<Endpoint> endpointsIn(const std::string &readyLine)
+std::vector<Endpoint> parseEndpoints(const std::string &readyLine)
 {
     std::vector<Endpoint> endpoints;
     std::istringstream words(readyLine);
@@ -39,33 +39,33 @@
         words.push_back(const_cast<char *>(argument.c_str()));
     }
     words.push_back(nullptr);
-    int ends[2] = {-1, -1};
-    if (::pipe2(ends, O_CLOEXEC) != 0) {
+    int pipeEnds[2] = {-1, -1};
+    if (::pipe2(pipeEnds, O_CLOEXEC) != 0) {
         return;
     }
-    m_id = ::fork();
-    if (m_id == 0) {
+    m_processId = ::fork();
+    if (m_processId == 0) {
         ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-        ::dup2(ends[1], STDOUT_FILENO);
+        ::dup2(pipeEnds[1], STDOUT_FILENO);
         ::execv(path.c_str(), words.data());
         ::_exit(ExecFailed);
     }
-    ::close(ends[1]);
-    m_output = ends[0];
+    ::close(pipeEnds[1]);
+    m_outputDescriptor = pipeEnds[0];
     for (auto line = readLine(); !line.empty(); line = readLine()) {
         if (line.rfind("ready ", 0) == 0) {
-            m_endpoints = endpointsIn(line);
+            m_endpoints = parseEndpoints(line);
             break;
         }
-        m_early += line;
+        m_linesBeforeReady += line;
     }
 }
 
 ChildProcess::~ChildProcess()
 {
     kill();
-    if (m_output >= 0) {
-        ::close(m_output);
+    if (m_outputDescriptor >= 0) {
+        ::close(m_outputDescriptor);
     }
 }
 
@@ -76,7 +76,7 @@
 
 void ChildProcess::kill()
 {
-    if (m_id > 0) {
+    if (m_processId > 0) {
         signal(SIGKILL);
         wait();
     }
@@ -84,25 +84,25 @@
 
 void ChildProcess::signal(int signal) const
 {
-    if (m_id > 0) {
-        ::kill(m_id, signal);
+    if (m_processId > 0) {
+        ::kill(m_processId, signal);
     }
 }
 
 int ChildProcess::wait()
 {
     int status = 0;
-    ::waitpid(m_id, &status, 0);
-    m_id = 0;
+    ::waitpid(m_processId, &status, 0);
+    m_processId = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
 std::string ChildProcess::output()
 {
-    auto text = m_early;
+    auto text = m_linesBeforeReady;
     char buffer[4096];
-    for (ssize_t got = 0; (got = ::read(m_output, buffer, sizeof buffer)) > 0;) {
-        text.append(buffer, static_cast<std::size_t>(got));
+    for (ssize_t byteCount = 0; (byteCount = ::read(m_outputDescriptor, buffer, sizeof buffer)) > 0;) {
+        text.append(buffer, static_cast<std::size_t>(byteCount));
     }
     return text;
 }
@@ -110,9 +110,9 @@
 std::string ChildProcess::readLine() const
 {
     std::string line;
-    for (char letter = 0; ::read(m_output, &letter, 1) == 1;) {
-        line += letter;
-        if (letter == '\n') {
+    for (char character = 0; ::read(m_outputDescriptor, &character, 1) == 1;) {
+        line += character;
+        if (character == '\n') {
             break;
         }
     }
--- a/tests/support/childprocess.h
+++ b/tests/support/childprocess.h
@@ -44,9 +44,9 @@
 private:
     std::string readLine() const;
 
-    pid_t m_id = 0; // 0 once waited for
-    int m_output = -1;
-    std::string m_early; // lines that came before the ready line, or in its place
+    pid_t m_processId = 0; // 0 once waited for
+    int m_outputDescriptor = -1;
+    std::string m_linesBeforeReady; // lines that came before the ready line, or in its place
     std::vector<Endpoint> m_endpoints;
 };
 
--- a/tests/support/fakelog.h
+++ b/tests/support/fakelog.h
@@ -27,55 +27,55 @@
 public:
     using Counts = FakeLogCounts;
 
-    bool isOut = false; ///< every call fails, without effect; an append says that it may have run
-    int loseReplies = 0; ///< so many appends take effect and report a failure
-    int dropAppends = 0; ///< so many appends have no effect and report that they may have run
+    bool isUnavailable = false; ///< every call fails, without effect; an append says that it may have run
+    int repliesToLose = 0; ///< so many appends take effect and report a failure
+    int appendsToDrop = 0; ///< so many appends have no effect and report that they may have run
     std::chrono::milliseconds delay{0}; ///< before each answer
     Counts counts;
 
     void append(const StreamName &stream, Bytes payload, AppendDone done) override
     {
         ++counts.appends;
-        if (isOut || dropAppends > 0) {
-            dropAppends -= isOut ? 0 : 1;
-            later([done = std::move(done)] { done(failure()); });
+        if (isUnavailable || appendsToDrop > 0) {
+            appendsToDrop -= isUnavailable ? 0 : 1;
+            scheduleReply([done = std::move(done)] { done(failure()); });
             return;
         }
         const auto offset = put(stream, std::move(payload));
-        if (loseReplies > 0) {
-            --loseReplies;
-            later([done = std::move(done)] { done(failure()); });
+        if (repliesToLose > 0) {
+            --repliesToLose;
+            scheduleReply([done = std::move(done)] { done(failure()); });
             return;
         }
-        later([done = std::move(done), offset] { done(offset); });
+        scheduleReply([done = std::move(done), offset] { done(offset); });
     }
 
-    void read(const StreamName &stream, LogOffset from, std::size_t most, std::chrono::milliseconds wait,
+    void read(const StreamName &stream, LogOffset from, std::size_t maxRecords, std::chrono::milliseconds wait,
               ReadDone done) override
     {
         ++counts.reads;
-        if (isOut) {
-            later([done = std::move(done)] { done(failure()); });
+        if (isUnavailable) {
+            scheduleReply([done = std::move(done)] { done(failure()); });
             return;
         }
-        m_reads.push_back({stream, from, most, m_now + wait, std::move(done)});
+        m_reads.push_back({stream, from, maxRecords, m_now + wait, std::move(done)});
     }
 
     /** Appends a record at once, past any switch; @returns its offset. */
     LogOffset put(const StreamName &stream, Bytes payload)
     {
-        auto &kept = m_streams[stream];
-        kept.last = next(kept.last);
-        kept.records.push_back({.offset = kept.last, .payload = std::move(payload)});
-        return kept.last;
+        auto &stored = m_streams[stream];
+        stored.last = next(stored.last);
+        stored.records.push_back({.offset = stored.last, .payload = std::move(payload)});
+        return stored.last;
     }
 
     /** Forgets all records of @p stream below @p offset, as when their time is over. */
     void expireBelow(const StreamName &stream, LogOffset offset)
     {
-        auto &kept = m_streams[stream];
-        while (!kept.records.empty() && kept.records.front().offset < offset) {
-            kept.records.pop_front();
+        auto &stored = m_streams[stream];
+        while (!stored.records.empty() && stored.records.front().offset < offset) {
+            stored.records.pop_front();
         }
     }
 
@@ -99,15 +99,15 @@
         auto reads = std::move(m_reads);
         m_reads.clear();
         for (auto &read : reads) {
-            answer(read);
+            processRead(read);
         }
-        auto answers = std::move(m_answers);
-        m_answers.clear();
-        for (auto &[due, call] : answers) {
+        auto pendingReplies = std::move(m_pendingReplies);
+        m_pendingReplies.clear();
+        for (auto &[due, call] : pendingReplies) {
             if (due <= now) {
                 call();
             } else {
-                m_answers.emplace_back(due, std::move(call));
+                m_pendingReplies.emplace_back(due, std::move(call));
             }
         }
     }
@@ -123,8 +123,8 @@
     {
         StreamName stream;
         LogOffset from;
-        std::size_t most;
-        SteadyTime until;
+        std::size_t maxRecords;
+        SteadyTime deadline;
         ReadDone done;
     };
 
@@ -133,36 +133,36 @@
         return {.kind = ErrorKind::PlatformUnavailable, .ran = ExecutionStatus::Unknown};
     }
 
-    void later(std::function<void()> call)
+    void scheduleReply(std::function<void()> call)
     {
-        m_answers.emplace_back(m_now + delay, std::move(call));
+        m_pendingReplies.emplace_back(m_now + delay, std::move(call));
     }
 
-    void answer(PendingRead &read)
+    void processRead(PendingRead &read)
     {
-        if (isOut) {
-            later([done = std::move(read.done)] { done(failure()); });
+        if (isUnavailable) {
+            scheduleReply([done = std::move(read.done)] { done(failure()); });
             return;
         }
-        const auto &kept = m_streams[read.stream];
-        const auto first = kept.records.empty() ? next(kept.last) : kept.records.front().offset;
-        if (read.from > kept.last && m_now < read.until) {
+        const auto &stored = m_streams[read.stream];
+        const auto first = stored.records.empty() ? next(stored.last) : stored.records.front().offset;
+        if (read.from > stored.last && m_now < read.deadline) {
             m_reads.push_back(std::move(read));
             return;
         }
-        LogPage page{.first = first, .last = kept.last};
-        for (const auto &record : kept.records) {
-            if (read.from >= first && record.offset >= read.from && page.records.size() < read.most) {
+        LogPage page{.first = first, .last = stored.last};
+        for (const auto &record : stored.records) {
+            if (read.from >= first && record.offset >= read.from && page.records.size() < read.maxRecords) {
                 page.records.push_back(record);
             }
         }
-        later([done = std::move(read.done), page = std::move(page)] { done(page); });
+        scheduleReply([done = std::move(read.done), page = std::move(page)] { done(page); });
     }
 
     SteadyTime m_now{};
     std::map<StreamName, Stream> m_streams;
     std::deque<PendingRead> m_reads;
-    std::vector<std::pair<SteadyTime, std::function<void()>>> m_answers;
+    std::vector<std::pair<SteadyTime, std::function<void()>>> m_pendingReplies;
 };
 
 /** The way of one zone to the log, which can be cut while others reach it. One thread. */
@@ -174,24 +174,24 @@
     {
     }
 
-    bool isCut = false;
+    bool isDisconnected = false;
 
     void append(const StreamName &stream, Bytes payload, AppendDone done) override
     {
-        if (isCut) {
+        if (isDisconnected) {
             m_failures.emplace_back([done = std::move(done)] { done(Error{.kind = ErrorKind::PlatformUnavailable}); });
         } else {
             m_log.append(stream, std::move(payload), std::move(done));
         }
     }
 
-    void read(const StreamName &stream, LogOffset from, std::size_t most, std::chrono::milliseconds wait,
+    void read(const StreamName &stream, LogOffset from, std::size_t maxRecords, std::chrono::milliseconds wait,
               ReadDone done) override
     {
-        if (isCut) {
+        if (isDisconnected) {
             m_failures.emplace_back([done = std::move(done)] { done(Error{.kind = ErrorKind::PlatformUnavailable}); });
         } else {
-            m_log.read(stream, from, most, wait, std::move(done));
+            m_log.read(stream, from, maxRecords, wait, std::move(done));
         }
     }
 
--- a/tests/support/httpcalls.cpp
+++ b/tests/support/httpcalls.cpp
@@ -23,7 +23,7 @@
     const HttpCall *call = nullptr;
     std::size_t index = 0;
     const CallProgress *progress = nullptr;
-    HttpAnswer *answer = nullptr;
+    HttpCallResult *answer = nullptr;
     CURL *handle = nullptr;
     curl_slist *headers = nullptr;
 
@@ -34,7 +34,7 @@
     }
 };
 
-std::size_t takeBody(char *data, std::size_t, std::size_t size, void *context)
+std::size_t onBody(char *data, std::size_t, std::size_t size, void *context)
 {
     auto &transfer = *static_cast<Transfer *>(context);
     transfer.answer->body.append(data, size);
@@ -42,11 +42,11 @@
     if (*transfer.progress) {
         (*transfer.progress)(transfer.index, bytes);
     }
-    const auto limit = transfer.call->leaveAfterBytes;
+    const auto limit = transfer.call->disconnectAfterBytes;
     return limit != 0 && bytes >= limit ? 0 : size; // 0 makes curl close the connection
 }
 
-std::size_t takeHeader(char *data, std::size_t, std::size_t size, void *context)
+std::size_t onHeader(char *data, std::size_t, std::size_t size, void *context)
 {
     const std::string_view line(data, size);
     if (const auto colon = line.find(':'); colon != std::string_view::npos) {
@@ -76,9 +76,9 @@
     }
     curl_easy_setopt(handle, CURLOPT_HTTPHEADER, transfer.headers);
     curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, static_cast<long>(transfer.call->timeout.count()));
-    curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, takeBody);
+    curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, onBody);
     curl_easy_setopt(handle, CURLOPT_WRITEDATA, &transfer);
-    curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, takeHeader);
+    curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, onHeader);
     curl_easy_setopt(handle, CURLOPT_HEADERDATA, &transfer);
     curl_easy_setopt(handle, CURLOPT_PRIVATE, &transfer);
     curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
@@ -91,14 +91,14 @@
     long status = 0;
     curl_easy_getinfo(message.easy_handle, CURLINFO_RESPONSE_CODE, &status);
     transfer->answer->status = static_cast<int>(status);
-    transfer->answer->whole = message.data.result == CURLE_OK;
+    transfer->answer->isComplete = message.data.result == CURLE_OK;
 }
 
 } // namespace
 
-std::vector<HttpAnswer> callAll(const std::vector<HttpCall> &calls, const CallProgress &progress)
+std::vector<HttpCallResult> callAll(const std::vector<HttpCall> &calls, const CallProgress &progress)
 {
-    std::vector<HttpAnswer> answers(calls.size());
+    std::vector<HttpCallResult> answers(calls.size());
     std::vector<std::unique_ptr<Transfer>> transfers;
     auto *multi = curl_multi_init();
     for (std::size_t index = 0; index < calls.size(); ++index) {
@@ -113,8 +113,8 @@
     }
     for (int running = 1; running > 0;) {
         curl_multi_perform(multi, &running);
-        int left = 0;
-        while (const auto *message = curl_multi_info_read(multi, &left)) {
+        int remaining = 0;
+        while (const auto *message = curl_multi_info_read(multi, &remaining)) {
             finish(*message);
         }
         if (running > 0) {
@@ -128,30 +128,30 @@
     return answers;
 }
 
-HttpAnswer call(const Endpoint &endpoint, const std::string &method, const std::string &target, const std::string &body,
-                const std::vector<HttpHeader> &headers)
+HttpCallResult call(const Endpoint &endpoint, const std::string &method, const std::string &target,
+                    const std::string &body, const std::vector<HttpHeader> &headers)
 {
-    const auto question = target.find('?');
-    HttpRequest request{.method = method, .path = target.substr(0, question), .headers = headers, .body = body};
-    if (question != std::string::npos) {
-        request.query = target.substr(question + 1);
+    const auto queryStart = target.find('?');
+    HttpRequest request{.method = method, .path = target.substr(0, queryStart), .headers = headers, .body = body};
+    if (queryStart != std::string::npos) {
+        request.query = target.substr(queryStart + 1);
     }
     return callAll({HttpCall{.endpoint = endpoint, .request = std::move(request)}}).front();
 }
 
-std::string sendRaw(const Endpoint &endpoint, const std::string &bytes, std::chrono::milliseconds patience)
+std::string sendRaw(const Endpoint &endpoint, const std::string &bytes, std::chrono::milliseconds readTimeout)
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in address{.sin_family = AF_INET, .sin_port = htons(static_cast<std::uint16_t>(endpoint.port))};
     ::inet_pton(AF_INET, endpoint.address.c_str(), &address.sin_addr);
-    const timeval limit{.tv_sec = patience.count() / 1000, .tv_usec = patience.count() % 1000 * 1000};
+    const timeval limit{.tv_sec = readTimeout.count() / 1000, .tv_usec = readTimeout.count() % 1000 * 1000};
     ::setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     std::string answer;
     if (::connect(socket, reinterpret_cast<const sockaddr *>(&address), sizeof address) == 0
         && ::send(socket, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size())) {
         char buffer[4096];
-        for (ssize_t got = 0; (got = ::recv(socket, buffer, sizeof buffer, 0)) > 0;) {
-            answer.append(buffer, static_cast<std::size_t>(got));
+        for (ssize_t byteCount = 0; (byteCount = ::recv(socket, buffer, sizeof buffer, 0)) > 0;) {
+            answer.append(buffer, static_cast<std::size_t>(byteCount));
         }
     }
     ::close(socket);
--- a/tests/support/httpcalls.h
+++ b/tests/support/httpcalls.h
@@ -18,14 +18,15 @@
     Endpoint endpoint{};
     HttpRequest request{};
     std::chrono::milliseconds timeout{60'000};
-    std::size_t leaveAfterBytes = 0; ///< close the connection once so much of the body has come; 0 reads to the end
+    std::size_t disconnectAfterBytes =
+        0; ///< close the connection once so much of the body has come; 0 reads to the end
 };
 
 /** What came back. */
-struct HttpAnswer
+struct HttpCallResult
 {
     int status = 0; ///< 0 when no answer came
-    bool whole = false; ///< the answer ended as HTTP says it must
+    bool isComplete = false; ///< the answer ended as HTTP says it must
     std::vector<HttpHeader> headers{};
     std::string body{};
 };
@@ -34,14 +35,14 @@
 using CallProgress = std::function<void(std::size_t call, std::size_t bytes)>;
 
 /** Makes all @p calls at the same time, on the calling thread, with libcurl. @returns the answers in the same order. */
-std::vector<HttpAnswer> callAll(const std::vector<HttpCall> &calls, const CallProgress &progress = {});
+std::vector<HttpCallResult> callAll(const std::vector<HttpCall> &calls, const CallProgress &progress = {});
 
 /** Makes one call. */
-HttpAnswer call(const Endpoint &endpoint, const std::string &method, const std::string &target,
-                const std::string &body = {}, const std::vector<HttpHeader> &headers = {});
+HttpCallResult call(const Endpoint &endpoint, const std::string &method, const std::string &target,
+                    const std::string &body = {}, const std::vector<HttpHeader> &headers = {});
 
 /** Sends @p bytes as they are over one connection and reads until the other side closes it or falls silent for
- * @p patience. */
-std::string sendRaw(const Endpoint &endpoint, const std::string &bytes, std::chrono::milliseconds patience);
+ * @p readTimeout. */
+std::string sendRaw(const Endpoint &endpoint, const std::string &bytes, std::chrono::milliseconds readTimeout);
 
 } // namespace Heatherridge
--- a/tests/support/relaynetwork.h
+++ b/tests/support/relaynetwork.h
@@ -81,11 +81,11 @@
     };
 
     /** Whether frames pass between two processes; by default all do. */
-    std::function<bool(const ProcessName &, const ProcessName &)> passes = [](const auto &, const auto &) {
+    std::function<bool(const ProcessName &, const ProcessName &)> canDeliver = [](const auto &, const auto &) {
         return true;
     };
     std::chrono::microseconds delay{500};
-    bool doubleMessages = false;
+    bool duplicateMessages = false;
 
     /** Starts a process that reaches the log through @p log. */
     Node &add(LogService &log, ConfigAgentOptions options)
@@ -124,18 +124,19 @@
         return m_now;
     }
 
-    /** Lets @p span pass; the agents tick every @p step. */
-    void run(std::chrono::milliseconds span, std::chrono::milliseconds step, const std::function<void()> &eachStep = {})
+    /** Lets @p duration pass; the agents tick every @p step. */
+    void run(std::chrono::milliseconds duration, std::chrono::milliseconds step,
+             const std::function<void()> &onStep = {})
     {
-        for (const auto end = m_now + span; m_now < end; m_now += step) {
+        for (const auto end = m_now + duration; m_now < end; m_now += step) {
             for (auto &[name, node] : m_nodes) {
                 if (!node->isPaused) {
                     node->agent.tick(m_now);
                 }
             }
             deliverUntil(m_now + step);
-            if (eachStep) {
-                eachStep();
+            if (onStep) {
+                onStep();
             }
         }
     }
@@ -144,18 +145,18 @@
     struct Event
     {
         SteadyTime due;
-        std::uint64_t order;
+        std::uint64_t sequence;
         std::function<void()> call;
 
         bool operator>(const Event &other) const
         {
-            return std::pair(due, order) > std::pair(other.due, other.order);
+            return std::pair(due, sequence) > std::pair(other.due, other.sequence);
         }
     };
 
-    void later(std::function<void()> call)
+    void schedule(std::function<void()> call)
     {
-        m_events.push({m_now + delay, ++m_order, std::move(call)});
+        m_events.push({m_now + delay, ++m_sequence, std::move(call)});
     }
 
     void deliverUntil(SteadyTime end)
@@ -172,14 +173,14 @@
 
     void connect(Node &from, const ProcessName &to)
     {
-        later([this, fromName = from.name, to] {
+        schedule([this, fromName = from.name, to] {
             const auto source = m_nodes.find(fromName);
             const auto target = m_nodes.find(to);
             if (source == m_nodes.end()) {
                 return;
             }
-            const bool reached = target != m_nodes.end() && passes(fromName, to);
-            if (!reached || !target->second->agent.relay().linkUp(fromName, LinkDirection::Incoming, m_now)) {
+            const bool isReachable = target != m_nodes.end() && canDeliver(fromName, to);
+            if (!isReachable || !target->second->agent.relay().linkUp(fromName, LinkDirection::Incoming, m_now)) {
                 source->second->agent.relay().linkDown(to, LinkDirection::Outgoing, m_now);
                 return;
             }
@@ -195,7 +196,7 @@
     void disconnect(Node &from, const ProcessName &to)
     {
         from.outgoing.erase(to);
-        later([this, fromName = from.name, to] {
+        schedule([this, fromName = from.name, to] {
             const auto target = m_nodes.find(to);
             if (target != m_nodes.end() && target->second->incoming.erase(fromName) > 0) {
                 target->second->agent.relay().linkDown(fromName, LinkDirection::Incoming, m_now);
@@ -215,15 +216,15 @@
                                      .payload = encodeControlMessage(message)});
         ++from.sent.messages;
         from.sent.bytes += frame.size();
-        for (int copy = 0; copy < (doubleMessages ? 2 : 1); ++copy) {
-            later([this, fromName = from.name, to, frame] { deliver(fromName, to, frame); });
+        for (int copy = 0; copy < (duplicateMessages ? 2 : 1); ++copy) {
+            schedule([this, fromName = from.name, to, frame] { deliver(fromName, to, frame); });
         }
     }
 
     void deliver(const ProcessName &from, const ProcessName &to, const Bytes &frame)
     {
         const auto target = m_nodes.find(to);
-        if (target == m_nodes.end() || target->second->isPaused || !passes(from, to)) {
+        if (target == m_nodes.end() || target->second->isPaused || !canDeliver(from, to)) {
             return;
         }
         auto &node = *target->second;
@@ -236,7 +237,7 @@
 
     std::map<ProcessName, std::unique_ptr<Node>> m_nodes;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
-    std::uint64_t m_order = 0;
+    std::uint64_t m_sequence = 0;
     std::uint64_t m_seed = 0;
     SteadyTime m_now{};
 };
--- a/tests/support/sharedreports.h
+++ b/tests/support/sharedreportlog.h
@@ -19,7 +19,7 @@
         m_records.insert(m_records.end(), records.begin(), records.end());
     }
 
-    std::vector<std::string> from(std::uint64_t offset) const
+    std::vector<std::string> recordsFrom(std::uint64_t offset) const
     {
         const std::lock_guard lock(m_mutex);
         return {m_records.begin() + static_cast<std::ptrdiff_t>(offset), m_records.end()};
@@ -31,10 +31,10 @@
 };
 
 /** One process's end of a report log that answers at once. */
-class SharedReports final : public ReportLog
+class SharedReportLog final : public ReportLog
 {
 public:
-    explicit SharedReports(std::shared_ptr<SharedRecords> records)
+    explicit SharedReportLog(std::shared_ptr<SharedRecords> records)
         : m_records(std::move(records))
     {
     }
@@ -47,7 +47,7 @@
 
     void read(std::uint64_t from, std::chrono::milliseconds, std::function<void(Result<ReportPage>)> done) override
     {
-        ReportPage page{.records = m_records->from(from)};
+        ReportPage page{.records = m_records->recordsFrom(from)};
         page.end = from + page.records.size();
         done(std::move(page));
     }
--- a/tests/support/silentranks.h
+++ b/tests/support/stubrankcontrol.h
@@ -9,7 +9,7 @@
 {
 
 /** Ranks that answer nothing; a test overrides what its ranks answer. */
-class SilentRanks : public RankControl
+class StubRankControl : public RankControl
 {
 public:
     std::chrono::milliseconds maxStatusAge(const TargetEntry &) const override
--- a/tests/support/silentregisters.h
+++ b/tests/support/stubregisterlog.h
@@ -6,7 +6,7 @@
 {
 
 /** Registers that answer nothing and hold nothing that can be read; a test overrides what its registers do. */
-class SilentRegisters : public RegisterLog
+class StubRegisterLog : public RegisterLog
 {
 public:
     void readNewest(RegisterKind, Done) override
--- a/tests/support/testsite.cpp
+++ b/tests/support/testsite.cpp
@@ -19,12 +19,12 @@
 constexpr const char *Rules = "[workspace.mills]\nweight = 4\n[workspace.buyers]\n[workspace.keyed]\nkey = secret\n"
                               "[service.yard-app]\nrepeatable = GET /contracts/*, GET /availability/*\n";
 constexpr const char *AnyPort = "127.0.0.1:0";
-constexpr std::chrono::milliseconds StatusPoll{5};
+constexpr std::chrono::milliseconds StatusPollInterval{5};
 
-std::unique_ptr<ChildProcess> start(const std::string &program, std::vector<std::string> arguments,
-                                    const std::vector<std::string> &more = {})
+std::unique_ptr<ChildProcess> startProgram(const std::string &program, std::vector<std::string> arguments,
+                                           const std::vector<std::string> &extraArguments = {})
 {
-    arguments.insert(arguments.end(), more.begin(), more.end());
+    arguments.insert(arguments.end(), extraArguments.begin(), extraArguments.end());
     auto process = std::make_unique<ChildProcess>(program, arguments);
     if (process->endpoints().empty()) {
         throw std::runtime_error(program + " did not start");
@@ -32,7 +32,7 @@
     return process;
 }
 
-std::string nameOf(std::size_t index)
+std::string targetName(std::size_t index)
 {
     return "t" + std::to_string(index);
 }
@@ -41,30 +41,30 @@
 
 TestSite::TestSite(const Options &options)
     : m_options(options)
-    , m_log(start("heatherridge-standin", {"log"}))
+    , m_log(startProgram("heatherridge-standin", {"log"}))
 {
     const auto logAddress = toString(log());
     for (int index = 0; index < options.engines; ++index) {
-        m_backends.push_back(start("heatherridge-standin", {"engine"}, options.engineFlags));
+        m_backends.push_back(startProgram("heatherridge-standin", {"engine"}, options.engineFlags));
     }
-    for (int index = 0; index < options.plains; ++index) {
-        m_backends.push_back(start("heatherridge-standin", {"plain"}));
+    for (int index = 0; index < options.plainServices; ++index) {
+        m_backends.push_back(startProgram("heatherridge-standin", {"plain"}));
     }
     for (std::size_t index = 0; index < m_backends.size(); ++index) {
-        m_targets.push_back(start("heatherridge-target",
-                                  {"--name", nameOf(index), "--zone", "a", "--log-service", logAddress, "--listen",
-                                   AnyPort, "--admin", AnyPort, "--log-level", "error"}));
+        m_targets.push_back(startProgram("heatherridge-target",
+                                         {"--name", targetName(index), "--zone", "a", "--log-service", logAddress,
+                                          "--listen", AnyPort, "--admin", AnyPort, "--log-level", "error"}));
     }
     for (int index = 0; index < options.entries; ++index) {
-        m_entries.push_back(start("heatherridge-entry",
-                                  {"--name", "entry-" + std::to_string(index), "--zone", "a", "--log-service",
-                                   logAddress, "--listen", AnyPort, "--log-level", "error"},
-                                  options.entryFlags));
+        m_entries.push_back(startProgram("heatherridge-entry",
+                                         {"--name", "entry-" + std::to_string(index), "--zone", "a", "--log-service",
+                                          logAddress, "--listen", AnyPort, "--log-level", "error"},
+                                         options.entryFlags));
     }
     publish("rules", Rules);
     publish("inventory", inventory({}));
     for (int index = 0; index < options.entries; ++index) {
-        awaitTargets(entry(static_cast<std::size_t>(index)));
+        waitForTargets(entry(static_cast<std::size_t>(index)));
     }
 }
 
@@ -123,20 +123,20 @@
             if (answer.status == 0 || (status.is_object() && status.value("offset", 0ULL) >= offset)) {
                 break;
             }
-            std::this_thread::sleep_for(StatusPoll);
+            std::this_thread::sleep_for(StatusPollInterval);
         }
     }
 }
 
-void TestSite::awaitTargets(const Endpoint &entry) const
+void TestSite::waitForTargets(const Endpoint &entry) const
 {
-    std::size_t serving = 0;
-    while (serving < m_targets.size()) {
+    std::size_t servingCount = 0;
+    while (servingCount < m_targets.size()) {
         const auto answer = nlohmann::json::parse(call(entry, "GET", "/admin/targets").body, nullptr, false);
         const auto targets = answer.is_object() ? answer.value("targets", nlohmann::json::array()) : nlohmann::json();
-        serving = static_cast<std::size_t>(std::count_if(
+        servingCount = static_cast<std::size_t>(std::count_if(
             targets.begin(), targets.end(), [](const auto &target) { return target.value("state", "") == "serving"; }));
-        std::this_thread::sleep_for(StatusPoll);
+        std::this_thread::sleep_for(StatusPollInterval);
     }
 }
 
@@ -145,7 +145,7 @@
     std::string text = "[zone.a]\nregion = r\n";
     for (std::size_t index = 0; index < m_backends.size(); ++index) {
         const bool isEngine = index < static_cast<std::size_t>(m_options.engines);
-        text += "[target." + nameOf(index) + "]\nhost = h" + std::to_string(index) + "\nzone = a\n";
+        text += "[target." + targetName(index) + "]\nhost = h" + std::to_string(index) + "\nzone = a\n";
         text += isEngine ? "service = chip\nkind = engine\nmodels = chip-llm\n" : "service = yard-app\nkind = plain\n";
         text += "gate = " + toString(m_targets[index]->endpoints().front()) + "\n";
         text += "backend = " + toString(m_backends[index]->endpoints().front()) + "\n";
--- a/tests/support/testsite.h
+++ b/tests/support/testsite.h
@@ -23,7 +23,7 @@
     struct Options
     {
         int engines = 2;
-        int plains = 0;
+        int plainServices = 0;
         int entries = 1;
         std::vector<std::string> engineFlags{}; ///< beyond the mode
         std::vector<std::string> entryFlags{}; ///< beyond name, zone, addresses
@@ -58,7 +58,7 @@
     void publish(const std::string &kind, const std::string &text);
 
 private:
-    void awaitTargets(const Endpoint &entry) const;
+    void waitForTargets(const Endpoint &entry) const;
     std::string inventory(const std::set<std::size_t> &withdrawn) const;
 
     Options m_options;
