--- a/tests/support/childprocess.h
+++ b/tests/support/childprocess.h
@@ -11,53 +11,53 @@
 {
 
 /**
- * One of the project's programs, run by a test.
+ * One of the project's programs, started by a test.
  *
- * The program dies with the test: at destruction by its process id, and when the test itself is killed by the kernel's
- * parent-death signal.
+ * The program never outlives the test: the destructor kills it by its process id, and the kernel's parent-death signal
+ * kills it if the test itself is killed.
  */
 class ChildProcess
 {
 public:
-    /** Starts the program named @p program of the build with @p arguments and waits for its ready line. */
+    /** Starts @p program from the build directory with @p arguments and waits for its ready line. */
     ChildProcess(const std::string &program, const std::vector<std::string> &arguments);
-    /** Kills the program, if it still runs. */
+    /** Kills the program if it is still running. */
     ~ChildProcess();
     ChildProcess(const ChildProcess &) = delete;
     ChildProcess &operator=(const ChildProcess &) = delete;
 
-    /** The addresses on the ready line, in its order; empty when the program ended without one. */
+    /** Returns the addresses on the ready line, in order; empty if the program ended without a ready line. */
     const std::vector<Endpoint> &endpoints() const;
 
-    /** Kills the program at once, as a power cut would. */
+    /** Kills the program immediately with SIGKILL, as a power failure would, and waits for its end. */
     void kill();
 
-    /** Sends @p signal. */
+    /** Sends @p signal to the program. */
     void signal(int signal) const;
 
-    /** Waits for the end of the program. @returns its exit code, or minus the signal that ended it. */
+    /** Waits for the program to end. @returns its exit code, or the negated number of the signal that ended it */
     int wait();
 
-    /** What the program writes to its standard output, but for a ready line; returns at its end. */
+    /** Returns the program's standard output without the ready line; blocks until the program ends. */
     std::string output();
 
 private:
     std::string readLine() const;
 
-    pid_t m_processId = 0; // 0 once waited for
+    pid_t m_processId = 0; // 0 after wait()
     int m_outputDescriptor = -1;
-    std::string m_linesBeforeReady; // lines that came before the ready line, or in its place
+    std::string m_linesBeforeReady; // output before the ready line, or all output if there is none
     std::vector<Endpoint> m_endpoints;
 };
 
-/** How a program ended and what it wrote to its standard output. */
+/** Exit code and standard output of a finished program. */
 struct ProgramRun
 {
-    int exitCode = 0; ///< or minus the signal that ended it
+    int exitCode = 0; ///< or the negated number of the signal that ended it
     std::string output{};
 };
 
-/** Runs the program named @p program of the build to its end. */
+/** Runs @p program from the build directory to its end. */
 ProgramRun runProgram(const std::string &program, const std::vector<std::string> &arguments);
 
 } // namespace Heatherridge
--- a/tests/support/fakelog.h
+++ b/tests/support/fakelog.h
@@ -10,7 +10,7 @@
 namespace Heatherridge
 {
 
-/** Counts of the calls that a FakeLog has been given. */
+/** Numbers of calls that a FakeLog has received. */
 struct FakeLogCounts
 {
     int appends = 0;
@@ -18,19 +18,20 @@
 };
 
 /**
- * The platform's log in memory, on virtual time, with switches for its failures.
+ * An in-memory fake of the platform's log on virtual time, with switches that inject failures.
  *
- * Nothing is answered from within a call: run() answers what is due. One thread.
+ * Callbacks are never called from within append() or read(), only from run(). Not thread-safe.
  */
 class FakeLog final : public LogService
 {
 public:
     using Counts = FakeLogCounts;
 
-    bool isUnavailable = false; ///< every call fails, without effect; an append says that it may have run
-    int repliesToLose = 0; ///< so many appends take effect and report a failure
-    int appendsToDrop = 0; ///< so many appends have no effect and report that they may have run
-    std::chrono::milliseconds delay{0}; ///< before each answer
+    bool isUnavailable = false; ///< every call fails without effect; an append reports that it may have been executed
+    int repliesToLose = 0; ///< number of further appends that take effect but report a failure
+    int appendsToDrop =
+        0; ///< number of further appends that have no effect but report that they may have been executed
+    std::chrono::milliseconds delay{0}; ///< before each reply
     Counts counts;
 
     void append(const StreamName &stream, Bytes payload, AppendDone done) override
@@ -61,7 +62,7 @@
         m_reads.push_back({stream, from, maxRecords, m_now + wait, std::move(done)});
     }
 
-    /** Appends a record at once, past any switch; @returns its offset. */
+    /** Appends a record immediately, ignoring the failure switches. @returns its offset */
     LogOffset put(const StreamName &stream, Bytes payload)
     {
         auto &stored = m_streams[stream];
@@ -70,7 +71,7 @@
         return stored.last;
     }
 
-    /** Forgets all records of @p stream below @p offset, as when their time is over. */
+    /** Removes all records of @p stream below @p offset, as if their retention time had passed. */
     void expireBelow(const StreamName &stream, LogOffset offset)
     {
         auto &stored = m_streams[stream];
@@ -79,20 +80,21 @@
         }
     }
 
-    /** The record of @p stream at @p offset, to damage it; it must be kept. */
+    /** Returns the payload of the record of @p stream at @p offset, for a test to corrupt. The record must not have
+     * expired. */
     Bytes &payloadAt(const StreamName &stream, LogOffset offset)
     {
         auto &records = m_streams[stream].records;
         return records.at(toNumber(offset) - toNumber(records.front().offset)).payload;
     }
 
-    /** The newest offset of @p stream. */
+    /** Returns the newest offset of @p stream. */
     LogOffset last(const StreamName &stream)
     {
         return m_streams[stream].last;
     }
 
-    /** Answers all that is due at @p now. */
+    /** Sets the time to @p now and sends all replies that are due. */
     void run(SteadyTime now)
     {
         m_now = now;
@@ -165,7 +167,7 @@
     std::vector<std::pair<SteadyTime, std::function<void()>>> m_pendingReplies;
 };
 
-/** The way of one zone to the log, which can be cut while others reach it. One thread. */
+/** One zone's connection to the log, which can be cut while other zones still reach it. Not thread-safe. */
 class LogAccess final : public LogService
 {
 public:
@@ -195,7 +197,7 @@
         }
     }
 
-    /** Reports the calls that failed. */
+    /** Reports the failures of the calls made while disconnected. */
     void run()
     {
         const auto failures = std::move(m_failures);
--- a/tests/support/httpcalls.cpp
+++ b/tests/support/httpcalls.cpp
@@ -17,7 +17,7 @@
 
 constexpr int PollMilliseconds = 100;
 
-/** One running transfer. Stays where it is while curl holds its address. */
+/** A running transfer. Its address must not change, because curl stores it. */
 struct Transfer
 {
     const HttpCall *call = nullptr;
--- a/tests/support/httpcalls.h
+++ b/tests/support/httpcalls.h
@@ -12,37 +12,36 @@
 namespace Heatherridge
 {
 
-/** One call that a test makes as a caller would. */
+/** A call that a test makes in the role of a caller. */
 struct HttpCall
 {
     Endpoint endpoint{};
     HttpRequest request{};
     std::chrono::milliseconds timeout{60'000};
-    std::size_t disconnectAfterBytes =
-        0; ///< close the connection once so much of the body has come; 0 reads to the end
+    std::size_t disconnectAfterBytes = 0; ///< closes the connection after this many body bytes; 0: reads to the end
 };
 
-/** What came back. */
+/** Result of an HttpCall. */
 struct HttpCallResult
 {
-    int status = 0; ///< 0 when no answer came
-    bool isComplete = false; ///< the answer ended as HTTP says it must
+    int status = 0; ///< 0 if no response arrived
+    bool isComplete = false; ///< whether the response ended as HTTP requires
     std::vector<HttpHeader> headers{};
     std::string body{};
 };
 
-/** Told after each piece of an answer: the place of its call and the bytes of body so far. */
+/** Called after each piece of a response with the index of its call and the body bytes received so far. */
 using CallProgress = std::function<void(std::size_t call, std::size_t bytes)>;
 
-/** Makes all @p calls at the same time, on the calling thread, with libcurl. @returns the answers in the same order. */
+/** Makes all @p calls concurrently on the calling thread, with libcurl. @returns the results in the same order */
 std::vector<HttpCallResult> callAll(const std::vector<HttpCall> &calls, const CallProgress &progress = {});
 
-/** Makes one call. */
+/** Makes one call and returns its result. */
 HttpCallResult call(const Endpoint &endpoint, const std::string &method, const std::string &target,
                     const std::string &body = {}, const std::vector<HttpHeader> &headers = {});
 
-/** Sends @p bytes as they are over one connection and reads until the other side closes it or falls silent for
- * @p readTimeout. */
+/** Sends @p bytes unchanged over a new connection and reads until the peer closes it or sends nothing for
+ * @p readTimeout. @returns the bytes received */
 std::string sendRaw(const Endpoint &endpoint, const std::string &bytes, std::chrono::milliseconds readTimeout);
 
 } // namespace Heatherridge
--- a/tests/support/relaynetwork.h
+++ b/tests/support/relaynetwork.h
@@ -12,7 +12,7 @@
 namespace Heatherridge
 {
 
-/** What one node has sent and received, as frames on the wire would count it. */
+/** Number and size of the frames that a node has sent or received. */
 struct TrafficCount
 {
     std::uint64_t messages = 0;
@@ -20,10 +20,11 @@
 };
 
 /**
- * Processes with their real agents, joined by links in memory on virtual time. Frames go through the real codecs.
+ * Simulates processes that run the real agents, connected by in-memory links on virtual time. Frames pass through the
+ * real codecs.
  *
- * Faults: a paused node neither runs nor answers, its connections stay; a killed one loses them; two groups of nodes
- * can be parted, and messages can be doubled. One thread.
+ * Faults: a paused node neither runs nor responds but keeps its connections; a killed node loses them; two groups of
+ * nodes can be partitioned; messages can be duplicated. Not thread-safe.
  */
 class RelayNetwork
 {
@@ -80,14 +81,14 @@
         bool isPaused = false;
     };
 
-    /** Whether frames pass between two processes; by default all do. */
+    /** Returns whether frames can pass between two processes; by default always true. */
     std::function<bool(const ProcessName &, const ProcessName &)> canDeliver = [](const auto &, const auto &) {
         return true;
     };
     std::chrono::microseconds delay{500};
     bool duplicateMessages = false;
 
-    /** Starts a process that reaches the log through @p log. */
+    /** Starts a process that accesses the log through @p log. */
     Node &add(LogService &log, ConfigAgentOptions options)
     {
         const auto name = options.process;
@@ -124,7 +125,7 @@
         return m_now;
     }
 
-    /** Lets @p duration pass; the agents tick every @p step. */
+    /** Advances the time by @p duration; the agents tick every @p step, and @p onStep is called after each step. */
     void run(std::chrono::milliseconds duration, std::chrono::milliseconds step,
              const std::function<void()> &onStep = {})
     {
--- a/tests/support/sharedreportlog.h
+++ b/tests/support/sharedreportlog.h
@@ -9,7 +9,7 @@
 namespace Heatherridge
 {
 
-/** The records of a report log, for several processes' ends of it on threads of their own. */
+/** The records of a report log, shared by the SharedReportLogs of several processes. Thread-safe. */
 class SharedRecords
 {
 public:
@@ -30,7 +30,7 @@
     std::vector<std::string> m_records;
 };
 
-/** One process's end of a report log that answers at once. */
+/** One process's access to a shared report log. Calls its callbacks immediately. */
 class SharedReportLog final : public ReportLog
 {
 public:
--- a/tests/support/stubrankcontrol.h
+++ b/tests/support/stubrankcontrol.h
@@ -8,7 +8,7 @@
 namespace Heatherridge
 {
 
-/** Ranks that answer nothing; a test overrides what its ranks answer. */
+/** RankControl whose calls never reply; a test overrides the calls that it needs. */
 class StubRankControl : public RankControl
 {
 public:
@@ -34,7 +34,7 @@
     }
 };
 
-/** Targets for @p count ranks, each named by its rank. */
+/** Returns targets for @p count ranks, each named after its rank number. */
 inline std::vector<TargetEntry> numberedRanks(int count)
 {
     std::vector<TargetEntry> ranks;
--- a/tests/support/stubregisterlog.h
+++ b/tests/support/stubregisterlog.h
@@ -5,7 +5,7 @@
 namespace Heatherridge
 {
 
-/** Registers that answer nothing and hold nothing that can be read; a test overrides what its registers do. */
+/** RegisterLog whose calls never reply and whose changes cannot be parsed; a test overrides the calls that it needs. */
 class StubRegisterLog : public RegisterLog
 {
 public:
--- a/tests/support/testsite.h
+++ b/tests/support/testsite.h
@@ -12,8 +12,8 @@
 {
 
 /**
- * A small deployment of the real programs on ports that the kernel chose: a log, engines and a booking service, each
- * with the process beside it, and entries.
+ * A small deployment of the real programs on ports chosen by the kernel: a log, engines and booking services, each with
+ * its target process, and entries.
  *
  * Engines serve the model `chip-llm`, the plain targets the service `yard-app`; workspaces are `mills` and `buyers`.
  */
@@ -25,36 +25,36 @@
         int engines = 2;
         int plainServices = 0;
         int entries = 1;
-        std::vector<std::string> engineFlags{}; ///< beyond the mode
-        std::vector<std::string> entryFlags{}; ///< beyond name, zone, addresses
+        std::vector<std::string> engineFlags{}; ///< in addition to the mode
+        std::vector<std::string> entryFlags{}; ///< in addition to name, zone and addresses
     };
 
-    /** Starts all programs, publishes inventory and rules, and waits until each entry has them in force
-     * and reaches each target. */
+    /** Starts all programs, publishes the inventory and the rules, and waits until each entry has applied them and is
+     * connected to each target. */
     explicit TestSite(const Options &options);
 
-    /** The log stand-in. */
+    /** Returns the address of the log stand-in. */
     const Endpoint &log() const;
 
-    /** Where entry @p index serves callers. */
+    /** Returns the address at which entry @p index serves callers. */
     const Endpoint &entry(std::size_t index) const;
 
-    /** Engine @p index itself, behind the target process of the same index. */
+    /** Returns the address of engine @p index itself, behind the target process of the same index. */
     const Endpoint &engine(std::size_t index) const;
 
-    /** Plain service @p index itself. */
+    /** Returns the address of plain service @p index itself. */
     const Endpoint &plain(std::size_t index) const;
 
-    /** The entry's program. */
+    /** Returns the process of entry @p index. */
     ChildProcess &entryProcess(std::size_t index);
 
-    /** The process beside target @p index; engines come first, then plain services. */
+    /** Returns the target process @p index; engines come first, then plain services. */
     ChildProcess &targetProcess(std::size_t index);
 
-    /** Publishes the inventory again with the targets of these indexes withdrawn. */
+    /** Publishes the inventory again with the given targets withdrawn. */
     void withdraw(const std::set<std::size_t> &targets);
 
-    /** Publishes @p text with the operator's command and waits until it is in force at each entry that answers. */
+    /** Publishes @p text with the operator's command and waits until each entry that responds has applied it. */
     void publish(const std::string &kind, const std::string &text);
 
 private:
@@ -63,8 +63,8 @@
 
     Options m_options;
     std::unique_ptr<ChildProcess> m_log;
-    std::vector<std::unique_ptr<ChildProcess>> m_backends; // engines, then plain services
-    std::vector<std::unique_ptr<ChildProcess>> m_targets; // in the order of the backends
+    std::vector<std::unique_ptr<ChildProcess>> m_backends; // engines first, then plain services
+    std::vector<std::unique_ptr<ChildProcess>> m_targets; // in the order of m_backends
     std::vector<std::unique_ptr<ChildProcess>> m_entries;
 };
 
--- a/tests/transport/heldrequests_test.cpp
+++ b/tests/transport/heldrequests_test.cpp
@@ -14,8 +14,9 @@
         .request = {.id = RequestId(id)}, .requiredOffset = static_cast<LogOffset>(requiredOffset), .arrived = arrived};
 }
 
-// An operator withdraws a target; an entry hears of it first and sends a request by the new configuration. The target's
-// process must not decide by the old one: the request waits until it has caught up, and is handed back if that is late.
+// An operator withdraws a target. An entry receives the change first and sends a request based on the new
+// configuration. The target's process must not decide with the old one: the request is held until the process has
+// caught up, and is returned if that takes too long.
 TEST(HeldRequests, AreReleasedOnceConfiguredOrReportedLate)
 {
     const SteadyTime start{};
--- a/tests/transport/http_test.cpp
+++ b/tests/transport/http_test.cpp
@@ -12,7 +12,8 @@
 namespace
 {
 
-/** Answers by path: an echo, a stream of ten chunks, a stream that is cut off. */
+/** Responds according to the path: an echo, a stream of ten chunks, a truncated stream, an aborted connection, or no
+ * response. */
 void handleRequest(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
@@ -44,21 +45,24 @@
 {
     const char *description;
     HttpRequest request;
-    int status; // 0: no whole answer
+    int status; // 0: no complete response
     std::string body;
 };
 
 const ExchangeCase ExchangeCases[] = {
-    {"a body comes back whole", {.method = "POST", .path = "/echo", .query = "q=a%20b", .body = "hello"}, 201, "hello"},
+    {"a body is echoed completely",
+     {.method = "POST", .path = "/echo", .query = "q=a%20b", .body = "hello"},
+     201,
+     "hello"},
     {"an empty body", {.method = "GET", .path = "/echo"}, 201, ""},
-    {"a method of its own", {.method = "DELETE", .path = "/echo"}, 201, ""},
-    {"a stream comes whole and in order",
+    {"another method", {.method = "DELETE", .path = "/echo"}, 201, ""},
+    {"a stream arrives complete and in order",
      {.method = "GET", .path = "/stream"},
      200,
      "chunk0chunk1chunk2chunk3chunk4chunk5chunk6chunk7chunk8chunk9"},
-    {"a stream that is cut off is not taken for whole", {.method = "GET", .path = "/cut"}, 0, ""},
-    {"a connection closed without any answer", {.method = "POST", .path = "/hang-up", .body = "x"}, 0, ""},
-    {"an exchange dropped without an answer ends at once", {.method = "GET", .path = "/silent"}, 500, ""},
+    {"a truncated stream is not reported as complete", {.method = "GET", .path = "/cut"}, 0, ""},
+    {"a connection closed without any response", {.method = "POST", .path = "/hang-up", .body = "x"}, 0, ""},
+    {"an exchange dropped without a response ends immediately", {.method = "GET", .path = "/silent"}, 500, ""},
 };
 
 class HttpRoundTrip : public testing::TestWithParam<ExchangeCase>
@@ -87,8 +91,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, HttpRoundTrip, testing::ValuesIn(ExchangeCases));
 
-// A handler holds exchanges it has not answered, as the long polls of a log do, when its server is stopped and goes.
-// The program used to crash at its end, now and then, as the exchange reached for the server's loop.
+// A handler still holds unanswered exchanges, as a log's long polls do, when its server is stopped and destroyed. The
+// program used to crash occasionally at exit, because the exchange accessed the server's loop.
 TEST(HttpServer, ExchangeMayOutliveServer)
 {
     asio::io_context loop;
@@ -128,10 +132,10 @@
     EXPECT_FALSE(mayHaveArrived);
 }
 
-// Calls to engines get no answer until their time is over, or a gateway ends by itself, "assign: File exists", and cuts
-// the streams of all its callers. A server closes a kept connection as the next request arrives on it: libcurl closes
-// the socket, opens another for the repeat and gets the same number, all in one step, while the loop still watches that
-// number for the closed one.
+// Guards against calls to engines that get no response until they time out, and against a gateway that terminates with
+// "assign: File exists" and cuts the streams of all its callers. A server closes an idle connection as the next request
+// arrives on it: within one call, libcurl closes the socket and opens another for the retry, which gets the same
+// descriptor number while the loop still watches that number for the closed socket.
 TEST(HttpClient, SocketMayReuseDescriptorOfClosedSocket)
 {
     std::atomic<bool> shouldAbort{false};
--- a/tests/transport/settings_test.cpp
+++ b/tests/transport/settings_test.cpp
@@ -34,19 +34,20 @@
 {
     const char *description;
     std::vector<const char *> flags;
-    std::optional<std::pair<double, std::chrono::milliseconds>> values; ///< share and grace; nothing for a fault
+    std::optional<std::pair<double, std::chrono::milliseconds>>
+        values; ///< share and grace; empty if the flags are invalid
 };
 
 const ValueCase ValueCases[] = {
     {"defaults", {}, std::pair(0.2, 8'000ms)},
     {"whole numbers", {"--share=1", "--grace=30"}, std::pair(1.0, 30'000ms)},
-    // A platform gives its bounds with or without a fraction; a gateway that took only one form would not start.
+    // A platform writes its bounds with or without a fraction; a gateway that accepted only one form would not start.
     {"fractions", {"--share=0.35", "--grace=8.5"}, std::pair(0.35, 8'500ms)},
-    {"a fraction of zero", {"--share=88.0"}, std::nullopt},
-    {"below the bound", {"--grace=0.5"}, std::nullopt},
-    {"no number", {"--grace=8s"}, std::nullopt},
-    {"nothing", {"--share="}, std::nullopt},
-    {"a fraction of a whole number", {"--pause=1.5"}, std::nullopt},
+    {"above the upper bound", {"--share=88.0"}, std::nullopt},
+    {"below the lower bound", {"--grace=0.5"}, std::nullopt},
+    {"not a number", {"--grace=8s"}, std::nullopt},
+    {"empty value", {"--share="}, std::nullopt},
+    {"a fraction for an integer setting", {"--pause=1.5"}, std::nullopt},
 };
 
 class SettingValues : public testing::TestWithParam<ValueCase>
@@ -70,7 +71,7 @@
 
 INSTANTIATE_TEST_SUITE_P(All, SettingValues, testing::ValuesIn(ValueCases));
 
-/** Writes settings of a sidecar to @p file. */
+/** Writes a sidecar's settings to @p file. */
 void writeSidecarSettings(const std::filesystem::path &file, const std::string &extraLines)
 {
     std::ofstream(file) << "[sidecar]\nname = s\nzone = z\nlisten = 127.0.0.1:0\nengine = 127.0.0.1:1\n"
@@ -78,8 +79,8 @@
                         << extraLines;
 }
 
-// An operator changes a setting and signals the process, then makes a typing error: the process dies, or cuts what it
-// is at work on, or goes on with half of the file.
+// An operator changes a setting and signals the process, then saves the file with a typing error. Guards against a
+// process that exits, interrupts its running work, or applies half of the file.
 TEST(Reload, AppliesValidSettingsAndRejectsInvalidOnes)
 {
     const auto file = std::filesystem::temp_directory_path() / ("reload-" + std::to_string(getpid()) + ".ini");
