--- a/modules/heatherridge_transport/app/daemon.cpp
+++ b/modules/heatherridge_transport/app/daemon.cpp
@@ -14,25 +14,31 @@
 namespace
 {
 
-/** How often the settings file is looked at: it may change without a signal. */
+/** Interval between checks of the settings file, which may change without a signal. */
 constexpr std::chrono::seconds FileCheckPeriod{2};
 
-const SettingSpec Common[] = {
+const SettingSpec CommonSettings[] = {
     {.key = "name", .required = true, .help = "name of this process, unique in the deployment; a target's own name"},
     {.key = "zone", .required = true, .help = "availability zone of this host, as in the inventory"},
-    {.key = "log-service", .type = SettingType::Address, .required = true, .help = "where the platform's log listens"},
+    {.key = "log-service",
+     .type = SettingType::Address,
+     .required = true,
+     .help = "address of the platform's log service"},
     {.key = "host-list",
      .type = SettingType::Address,
-     .help = "where the platform's list of live and leaving hosts listens; without it only inventory and rules count"},
+     .help =
+         "address of the platform's list of live and leaving hosts; without it only the inventory and rules are used"},
     {.key = "peers",
      .type = SettingType::AddressList,
-     .help = "gates of some targets, asked for the configuration when the process starts while the log is out"},
-    {.key = "log-format", .fallback = "key-value", .help = "form of the process's own log: key-value or json"},
+     .help = "gates of some targets; if the log is unavailable when the process starts, it requests the configuration "
+             "from them"},
+    {.key = "log-format", .defaultValue = "key-value", .help = "format of the process's own log: key-value or json"},
     {.key = "log-stream",
-     .fallback = "standard-error",
-     .help =
-         "where the process's own log goes: standard-error, or standard-output without ever waiting for its reader"},
-    {.key = "log-level", .fallback = "info", .help = "lowest level that is written: debug, info, warning or error"},
+     .defaultValue = "standard-error",
+     .help = "stream of the process's own log: standard-error, or standard-output, which never blocks on its reader"},
+    {.key = "log-level",
+     .defaultValue = "info",
+     .help = "minimum severity that is logged: debug, info, warning or error"},
 };
 
 sigset_t handledSignals()
@@ -45,7 +51,7 @@
     return signals;
 }
 
-Severity severityFrom(std::string_view name)
+Severity parseSeverity(std::string_view name)
 {
     if (name == "debug") {
         return Severity::Debug;
@@ -56,10 +62,10 @@
     return name == "error" ? Severity::Error : Severity::Info;
 }
 
-std::vector<SettingSpec> withCommonSettings(std::span<const SettingSpec> own)
+std::vector<SettingSpec> withCommonSettings(std::span<const SettingSpec> daemonSettings)
 {
-    std::vector<SettingSpec> all(std::begin(Common), std::end(Common));
-    all.insert(all.end(), own.begin(), own.end());
+    std::vector<SettingSpec> all(std::begin(CommonSettings), std::end(CommonSettings));
+    all.insert(all.end(), daemonSettings.begin(), daemonSettings.end());
     return all;
 }
 
@@ -67,7 +73,7 @@
 {
     setUpLogger({.process = settings.text("name"),
                  .format = settings.text("log-format") == "json" ? LogFormat::Json : LogFormat::KeyValue,
-                 .lowest = severityFrom(settings.text("log-level")),
+                 .minimumSeverity = parseSeverity(settings.text("log-level")),
                  .stream = settings.text("log-stream") == "standard-output" ? LogStream::StandardOutput
                                                                             : LogStream::StandardError});
 }
@@ -88,34 +94,34 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-/** When @p file was last written; the epoch when there is none. */
-std::filesystem::file_time_type writeTimeOf(const std::string &file)
+/** Returns when @p file was last written, or the epoch if it does not exist. */
+std::filesystem::file_time_type lastWriteTime(const std::string &file)
 {
     std::error_code error;
     const auto time = std::filesystem::last_write_time(file, error);
     return error ? std::filesystem::file_time_type() : time;
 }
 
-/** Waits for the signal to stop, and calls @p reload for SIGHUP and whenever @p file has changed. */
+/** Blocks until SIGTERM or SIGINT arrives. Calls @p reload on SIGHUP and whenever @p file has changed. */
 void waitForStopSignal(const std::string &file, const std::function<void()> &reload)
 {
     const auto signals = handledSignals();
-    auto written = writeTimeOf(file);
+    auto lastWritten = lastWriteTime(file);
     while (true) {
         const timespec period{.tv_sec = FileCheckPeriod.count(), .tv_nsec = 0};
         const int received = sigtimedwait(&signals, nullptr, &period);
         if (received == SIGTERM || received == SIGINT) {
             return;
         }
-        const auto now = writeTimeOf(file);
-        if (received == SIGHUP || now != written) {
-            written = now;
+        const auto now = lastWriteTime(file);
+        if (received == SIGHUP || now != lastWritten) {
+            lastWritten = now;
             reload();
         }
     }
 }
 
-std::string joined(const std::vector<std::string> &words)
+std::string commaSeparated(const std::vector<std::string> &words)
 {
     std::string text;
     for (const auto &word : words) {
@@ -124,18 +130,19 @@
     return text;
 }
 
-/** Hands settings that were read again to @p server, and logs what has changed or what is wrong. */
-void takeOver(const std::variant<Settings, Settings::Exit> &loaded, Settings &present, const DaemonServer &server)
+/** Passes reloaded settings to @p server and logs the changed keys. Logs invalid settings and ignores them. */
+void applyReload(const std::variant<Settings, Settings::Exit> &loaded, Settings &currentSettings,
+                 const DaemonServer &server)
 {
     if (const auto *exit = std::get_if<Settings::Exit>(&loaded)) {
         logEvent(Severity::Warning, "reload-rejected", {{"reason", exit->text}});
         return;
     }
-    const auto &changed = std::get<Settings>(loaded);
-    logEvent(Severity::Info, "reloaded", {{"changed", joined(changed.differences(present))}});
-    present = changed;
+    const auto &newSettings = std::get<Settings>(loaded);
+    logEvent(Severity::Info, "reloaded", {{"changed", commaSeparated(newSettings.changedKeys(currentSettings))}});
+    currentSettings = newSettings;
     if (server.reload) {
-        server.reload(present);
+        server.reload(currentSettings);
     }
 }
 
@@ -143,10 +150,10 @@
 
 std::span<const SettingSpec> commonSettings()
 {
-    return Common;
+    return CommonSettings;
 }
 
-Incarnation drawIncarnation()
+Incarnation generateIncarnation()
 {
     std::random_device entropy;
     return static_cast<Incarnation>((static_cast<std::uint64_t>(entropy()) << 32U) | entropy());
@@ -174,7 +181,7 @@
     announceReady(description.role, std::get<std::vector<Endpoint>>(started));
     logEvent(Severity::Info, "started", {{"role", std::string(description.role)}});
     waitForStopSignal(settings.file(), [&] {
-        takeOver(Settings::load(description.program, description.role, specs, argc, argv), settings, server);
+        applyReload(Settings::load(description.program, description.role, specs, argc, argv), settings, server);
     });
     server.drainAndStop();
     stopLogger();
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -53,7 +53,7 @@
 public:
     Implementation(Options options, const RankControlFactory &makeRankControl)
         : m_options(std::move(options))
-        , m_client(m_loop.context(), {.connectTimeout = std::chrono::milliseconds(200), .keptConnections = 4})
+        , m_client(m_loop.context(), {.connectTimeout = std::chrono::milliseconds(200), .maxIdleConnections = 4})
         , m_rankControl(makeRankControl(m_client))
         , m_server(
               m_loop.context(), {.listen = m_options.listen, .maxConnections = 64},
@@ -77,7 +77,7 @@
         logEvent(Severity::Info, "stopping", {});
         m_loop.post([this] { m_server.beginDrain(); });
         std::this_thread::sleep_for(DrainTime);
-        m_loop.run([this] { m_server.stop(); });
+        m_loop.runAndWait([this] { m_server.stop(); });
         m_loop.stop();
     }
 
--- a/tests/support/fakelog.h
+++ b/tests/support/fakelog.h
@@ -10,7 +10,7 @@
 namespace Heatherridge
 {
 
-/** Counts of the calls that a FakeLog has been given. */
+/** Numbers of calls that a FakeLog has received. */
 struct FakeLogCounts
 {
     int appends = 0;
@@ -18,96 +18,98 @@
 };
 
 /**
- * The platform's log in memory, on virtual time, with switches for its failures.
+ * An in-memory fake of the platform's log on virtual time, with switches that inject failures.
  *
- * Nothing is answered from within a call: run() answers what is due. One thread.
+ * Callbacks are never called from within append() or read(), only from run(). Not thread-safe.
  */
 class FakeLog final : public LogService
 {
 public:
     using Counts = FakeLogCounts;
 
-    bool isOut = false; ///< every call fails, without effect; an append says that it may have run
-    int loseReplies = 0; ///< so many appends take effect and report a failure
-    int dropAppends = 0; ///< so many appends have no effect and report that they may have run
-    std::chrono::milliseconds delay{0}; ///< before each answer
+    bool isUnavailable = false; ///< every call fails without effect; an append reports that it may have been executed
+    int repliesToLose = 0; ///< number of further appends that take effect but report a failure
+    int appendsToDrop =
+        0; ///< number of further appends that have no effect but report that they may have been executed
+    std::chrono::milliseconds delay{0}; ///< before each reply
     Counts counts;
 
     void append(const StreamName &stream, Bytes payload, AppendDone done) override
     {
         ++counts.appends;
-        if (isOut || dropAppends > 0) {
-            dropAppends -= isOut ? 0 : 1;
-            later([done = std::move(done)] { done(failure()); });
+        if (isUnavailable || appendsToDrop > 0) {
+            appendsToDrop -= isUnavailable ? 0 : 1;
+            scheduleReply([done = std::move(done)] { done(failure()); });
             return;
         }
         const auto offset = put(stream, std::move(payload));
-        if (loseReplies > 0) {
-            --loseReplies;
-            later([done = std::move(done)] { done(failure()); });
+        if (repliesToLose > 0) {
+            --repliesToLose;
+            scheduleReply([done = std::move(done)] { done(failure()); });
             return;
         }
-        later([done = std::move(done), offset] { done(offset); });
+        scheduleReply([done = std::move(done), offset] { done(offset); });
     }
 
-    void read(const StreamName &stream, LogOffset from, std::size_t most, std::chrono::milliseconds wait,
+    void read(const StreamName &stream, LogOffset from, std::size_t maxRecords, std::chrono::milliseconds wait,
               ReadDone done) override
     {
         ++counts.reads;
-        if (isOut) {
-            later([done = std::move(done)] { done(failure()); });
+        if (isUnavailable) {
+            scheduleReply([done = std::move(done)] { done(failure()); });
             return;
         }
-        m_reads.push_back({stream, from, most, m_now + wait, std::move(done)});
+        m_reads.push_back({stream, from, maxRecords, m_now + wait, std::move(done)});
     }
 
-    /** Appends a record at once, past any switch; @returns its offset. */
+    /** Appends a record immediately, ignoring the failure switches. @returns its offset */
     LogOffset put(const StreamName &stream, Bytes payload)
     {
-        auto &kept = m_streams[stream];
-        kept.last = next(kept.last);
-        kept.records.push_back({.offset = kept.last, .payload = std::move(payload)});
-        return kept.last;
+        auto &stored = m_streams[stream];
+        stored.last = next(stored.last);
+        stored.records.push_back({.offset = stored.last, .payload = std::move(payload)});
+        return stored.last;
     }
 
-    /** Forgets all records of @p stream below @p offset, as when their time is over. */
+    /** Removes all records of @p stream below @p offset, as if their retention time had passed. */
     void expireBelow(const StreamName &stream, LogOffset offset)
     {
-        auto &kept = m_streams[stream];
-        while (!kept.records.empty() && kept.records.front().offset < offset) {
-            kept.records.pop_front();
+        auto &stored = m_streams[stream];
+        while (!stored.records.empty() && stored.records.front().offset < offset) {
+            stored.records.pop_front();
         }
     }
 
-    /** The record of @p stream at @p offset, to damage it; it must be kept. */
+    /** Returns the payload of the record of @p stream at @p offset, for a test to corrupt. The record must not have
+     * expired. */
     Bytes &payloadAt(const StreamName &stream, LogOffset offset)
     {
         auto &records = m_streams[stream].records;
         return records.at(toNumber(offset) - toNumber(records.front().offset)).payload;
     }
 
-    /** The newest offset of @p stream. */
+    /** Returns the newest offset of @p stream. */
     LogOffset last(const StreamName &stream)
     {
         return m_streams[stream].last;
     }
 
-    /** Answers all that is due at @p now. */
+    /** Sets the time to @p now and sends all replies that are due. */
     void run(SteadyTime now)
     {
         m_now = now;
         auto reads = std::move(m_reads);
         m_reads.clear();
         for (auto &read : reads) {
-            answer(read);
+            processRead(read);
         }
-        auto answers = std::move(m_answers);
-        m_answers.clear();
-        for (auto &[due, call] : answers) {
+        auto pendingReplies = std::move(m_pendingReplies);
+        m_pendingReplies.clear();
+        for (auto &[due, call] : pendingReplies) {
             if (due <= now) {
                 call();
             } else {
-                m_answers.emplace_back(due, std::move(call));
+                m_pendingReplies.emplace_back(due, std::move(call));
             }
         }
     }
@@ -123,8 +125,8 @@
     {
         StreamName stream;
         LogOffset from;
-        std::size_t most;
-        SteadyTime until;
+        std::size_t maxRecords;
+        SteadyTime deadline;
         ReadDone done;
     };
 
@@ -133,39 +135,39 @@
         return {.kind = ErrorKind::PlatformUnavailable, .ran = ExecutionStatus::Unknown};
     }
 
-    void later(std::function<void()> call)
+    void scheduleReply(std::function<void()> call)
     {
-        m_answers.emplace_back(m_now + delay, std::move(call));
+        m_pendingReplies.emplace_back(m_now + delay, std::move(call));
     }
 
-    void answer(PendingRead &read)
+    void processRead(PendingRead &read)
     {
-        if (isOut) {
-            later([done = std::move(read.done)] { done(failure()); });
+        if (isUnavailable) {
+            scheduleReply([done = std::move(read.done)] { done(failure()); });
             return;
         }
-        const auto &kept = m_streams[read.stream];
-        const auto first = kept.records.empty() ? next(kept.last) : kept.records.front().offset;
-        if (read.from > kept.last && m_now < read.until) {
+        const auto &stored = m_streams[read.stream];
+        const auto first = stored.records.empty() ? next(stored.last) : stored.records.front().offset;
+        if (read.from > stored.last && m_now < read.deadline) {
             m_reads.push_back(std::move(read));
             return;
         }
-        LogPage page{.first = first, .last = kept.last};
-        for (const auto &record : kept.records) {
-            if (read.from >= first && record.offset >= read.from && page.records.size() < read.most) {
+        LogPage page{.first = first, .last = stored.last};
+        for (const auto &record : stored.records) {
+            if (read.from >= first && record.offset >= read.from && page.records.size() < read.maxRecords) {
                 page.records.push_back(record);
             }
         }
-        later([done = std::move(read.done), page = std::move(page)] { done(page); });
+        scheduleReply([done = std::move(read.done), page = std::move(page)] { done(page); });
     }
 
     SteadyTime m_now{};
     std::map<StreamName, Stream> m_streams;
     std::deque<PendingRead> m_reads;
-    std::vector<std::pair<SteadyTime, std::function<void()>>> m_answers;
+    std::vector<std::pair<SteadyTime, std::function<void()>>> m_pendingReplies;
 };
 
-/** The way of one zone to the log, which can be cut while others reach it. One thread. */
+/** One zone's connection to the log, which can be cut while other zones still reach it. Not thread-safe. */
 class LogAccess final : public LogService
 {
 public:
@@ -174,28 +176,28 @@
     {
     }
 
-    bool isCut = false;
+    bool isDisconnected = false;
 
     void append(const StreamName &stream, Bytes payload, AppendDone done) override
     {
-        if (isCut) {
+        if (isDisconnected) {
             m_failures.emplace_back([done = std::move(done)] { done(Error{.kind = ErrorKind::PlatformUnavailable}); });
         } else {
             m_log.append(stream, std::move(payload), std::move(done));
         }
     }
 
-    void read(const StreamName &stream, LogOffset from, std::size_t most, std::chrono::milliseconds wait,
+    void read(const StreamName &stream, LogOffset from, std::size_t maxRecords, std::chrono::milliseconds wait,
               ReadDone done) override
     {
-        if (isCut) {
+        if (isDisconnected) {
             m_failures.emplace_back([done = std::move(done)] { done(Error{.kind = ErrorKind::PlatformUnavailable}); });
         } else {
-            m_log.read(stream, from, most, wait, std::move(done));
+            m_log.read(stream, from, maxRecords, wait, std::move(done));
         }
     }
 
-    /** Reports the calls that failed. */
+    /** Reports the failures of the calls made while disconnected. */
     void run()
     {
         const auto failures = std::move(m_failures);
--- a/tests/support/sharedreports.h
+++ b/tests/support/sharedreportlog.h
@@ -9,7 +9,7 @@
 namespace Heatherridge
 {
 
-/** The records of a report log, for several processes' ends of it on threads of their own. */
+/** The records of a report log, shared by the SharedReportLogs of several processes. Thread-safe. */
 class SharedRecords
 {
 public:
@@ -19,7 +19,7 @@
         m_records.insert(m_records.end(), records.begin(), records.end());
     }
 
-    std::vector<std::string> from(std::uint64_t offset) const
+    std::vector<std::string> recordsFrom(std::uint64_t offset) const
     {
         const std::lock_guard lock(m_mutex);
         return {m_records.begin() + static_cast<std::ptrdiff_t>(offset), m_records.end()};
@@ -30,11 +30,11 @@
     std::vector<std::string> m_records;
 };
 
-/** One process's end of a report log that answers at once. */
-class SharedReports final : public ReportLog
+/** One process's access to a shared report log. Calls its callbacks immediately. */
+class SharedReportLog final : public ReportLog
 {
 public:
-    explicit SharedReports(std::shared_ptr<SharedRecords> records)
+    explicit SharedReportLog(std::shared_ptr<SharedRecords> records)
         : m_records(std::move(records))
     {
     }
@@ -47,7 +47,7 @@
 
     void read(std::uint64_t from, std::chrono::milliseconds, std::function<void(Result<ReportPage>)> done) override
     {
-        ReportPage page{.records = m_records->from(from)};
+        ReportPage page{.records = m_records->recordsFrom(from)};
         page.end = from + page.records.size();
         done(std::move(page));
     }
--- a/tests/support/silentranks.h
+++ b/tests/support/stubrankcontrol.h
@@ -8,8 +8,8 @@
 namespace Heatherridge
 {
 
-/** Ranks that answer nothing; a test overrides what its ranks answer. */
-class SilentRanks : public RankControl
+/** RankControl whose calls never reply; a test overrides the calls that it needs. */
+class StubRankControl : public RankControl
 {
 public:
     std::chrono::milliseconds maxStatusAge(const TargetEntry &) const override
@@ -34,7 +34,7 @@
     }
 };
 
-/** Targets for @p count ranks, each named by its rank. */
+/** Returns targets for @p count ranks, each named after its rank number. */
 inline std::vector<TargetEntry> numberedRanks(int count)
 {
     std::vector<TargetEntry> ranks;
--- a/tests/transport/settings_test.cpp
+++ b/tests/transport/settings_test.cpp
@@ -15,35 +15,46 @@
 {
 
 const SettingSpec Specs[] = {
-    {.key = "share", .type = SettingType::Fraction, .fallback = "0.2", .lowest = 0, .highest = 10, .help = "a share"},
-    {.key = "grace", .type = SettingType::Seconds, .fallback = "8", .lowest = 1, .highest = 600, .help = "a time"},
-    {.key = "pause", .type = SettingType::Milliseconds, .fallback = "50", .lowest = 0, .highest = 99, .help = "a time"},
+    {.key = "share",
+     .type = SettingType::Fraction,
+     .defaultValue = "0.2",
+     .minimum = 0,
+     .maximum = 10,
+     .help = "a share"},
+    {.key = "grace", .type = SettingType::Seconds, .defaultValue = "8", .minimum = 1, .maximum = 600, .help = "a time"},
+    {.key = "pause",
+     .type = SettingType::Milliseconds,
+     .defaultValue = "50",
+     .minimum = 0,
+     .maximum = 99,
+     .help = "a time"},
 };
 
-struct ValueRow
+struct ValueCase
 {
-    const char *story;
+    const char *description;
     std::vector<const char *> flags;
-    std::optional<std::pair<double, std::chrono::milliseconds>> values; ///< share and grace; nothing for a fault
+    std::optional<std::pair<double, std::chrono::milliseconds>>
+        values; ///< share and grace; empty if the flags are invalid
 };
 
-const ValueRow ValueRows[] = {
+const ValueCase ValueCases[] = {
     {"defaults", {}, std::pair(0.2, 8'000ms)},
     {"whole numbers", {"--share=1", "--grace=30"}, std::pair(1.0, 30'000ms)},
-    // A platform gives its bounds with or without a fraction; a gateway that took only one form would not start.
+    // A platform writes its bounds with or without a fraction; a gateway that accepted only one form would not start.
     {"fractions", {"--share=0.35", "--grace=8.5"}, std::pair(0.35, 8'500ms)},
-    {"a fraction of zero", {"--share=88.0"}, std::nullopt},
-    {"below the bound", {"--grace=0.5"}, std::nullopt},
-    {"no number", {"--grace=8s"}, std::nullopt},
-    {"nothing", {"--share="}, std::nullopt},
-    {"a fraction of a whole number", {"--pause=1.5"}, std::nullopt},
+    {"above the upper bound", {"--share=88.0"}, std::nullopt},
+    {"below the lower bound", {"--grace=0.5"}, std::nullopt},
+    {"not a number", {"--grace=8s"}, std::nullopt},
+    {"empty value", {"--share="}, std::nullopt},
+    {"a fraction for an integer setting", {"--pause=1.5"}, std::nullopt},
 };
 
-class SettingValues : public testing::TestWithParam<ValueRow>
+class SettingValues : public testing::TestWithParam<ValueCase>
 {
 };
 
-TEST_P(SettingValues, AreReadAndChecked)
+TEST_P(SettingValues, AreParsedAndValidated)
 {
     const auto &row = GetParam();
     std::vector<const char *> arguments{"program"};
@@ -51,35 +62,35 @@
     const auto loaded =
         Settings::load("program", "section", Specs, static_cast<int>(arguments.size()), arguments.data());
     const auto *settings = std::get_if<Settings>(&loaded);
-    ASSERT_EQ(settings != nullptr, row.values.has_value()) << row.story;
+    ASSERT_EQ(settings != nullptr, row.values.has_value()) << row.description;
     if (settings != nullptr) {
-        EXPECT_DOUBLE_EQ(settings->fraction("share"), row.values->first) << row.story;
-        EXPECT_EQ(settings->duration("grace"), row.values->second) << row.story;
+        EXPECT_DOUBLE_EQ(settings->fraction("share"), row.values->first) << row.description;
+        EXPECT_EQ(settings->duration("grace"), row.values->second) << row.description;
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, SettingValues, testing::ValuesIn(ValueRows));
+INSTANTIATE_TEST_SUITE_P(All, SettingValues, testing::ValuesIn(ValueCases));
 
-/** Writes settings of a sidecar to @p file. */
-void writeSettings(const std::filesystem::path &file, const std::string &more)
+/** Writes a sidecar's settings to @p file. */
+void writeSidecarSettings(const std::filesystem::path &file, const std::string &extraLines)
 {
     std::ofstream(file) << "[sidecar]\nname = s\nzone = z\nlisten = 127.0.0.1:0\nengine = 127.0.0.1:1\n"
                         << "log-service = 127.0.0.1:1\nlog-stream = standard-output\n"
-                        << more;
+                        << extraLines;
 }
 
-// An operator changes a setting and signals the process, then makes a typing error: the process dies, or cuts what it
-// is at work on, or goes on with half of the file.
-TEST(Reload, TakesGoodSettingsAndLeavesBadOnes)
+// An operator changes a setting and signals the process, then saves the file with a typing error. Guards against a
+// process that exits, interrupts its running work, or applies half of the file.
+TEST(Reload, AppliesValidSettingsAndRejectsInvalidOnes)
 {
     const auto file = std::filesystem::temp_directory_path() / ("reload-" + std::to_string(getpid()) + ".ini");
-    writeSettings(file, "");
+    writeSidecarSettings(file, "");
     ChildProcess sidecar("heatherridge-sidecar", {"--config", file.string()});
     ASSERT_FALSE(sidecar.endpoints().empty());
-    writeSettings(file, "log-level = warning\n");
+    writeSidecarSettings(file, "log-level = warning\n");
     sidecar.signal(SIGHUP);
     std::this_thread::sleep_for(1s);
-    writeSettings(file, "colour = red\n");
+    writeSidecarSettings(file, "colour = red\n");
     sidecar.signal(SIGHUP);
     std::this_thread::sleep_for(1s);
     sidecar.signal(SIGTERM);
