--- a/extras/heatherridge-entry/main.cpp
+++ b/extras/heatherridge-entry/main.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-const SettingSpec OwnSettings[] = {
+const SettingSpec RoleSettings[] = {
     {.key = "listen", .type = SettingType::Address, .fallback = "127.0.0.1:8080", .help = "where callers are served"},
     {.key = "http-threads",
      .type = SettingType::Number,
@@ -95,5 +95,5 @@
         return DaemonServer{.start = [server] { return server->start(); },
                             .drainAndStop = [server] { server->drainAndStop(); }};
     };
-    return runDaemon({.program = "heatherridge-entry", .role = "entry", .settings = OwnSettings}, create, argc, argv);
+    return runDaemon({.program = "heatherridge-entry", .role = "entry", .settings = RoleSettings}, create, argc, argv);
 }
--- a/extras/heatherridge-gateway/main.cpp
+++ b/extras/heatherridge-gateway/main.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-const SettingSpec OwnSettings[] = {
+const SettingSpec RoleSettings[] = {
     {.key = "listen", .type = SettingType::Address, .required = true, .help = "where callers are served"},
     {.key = "ready-listen",
      .type = SettingType::Address,
@@ -155,6 +155,6 @@
                             .drainAndStop = [server] { server->drainAndStop(); },
                             .reload = [server](const Settings &changed) { server->reload(optionsFrom(changed)); }};
     };
-    return runDaemon({.program = "heatherridge-gateway", .role = "gateway", .settings = OwnSettings}, create, argc,
+    return runDaemon({.program = "heatherridge-gateway", .role = "gateway", .settings = RoleSettings}, create, argc,
                      argv);
 }
--- a/extras/heatherridge-sidecar/main.cpp
+++ b/extras/heatherridge-sidecar/main.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-const SettingSpec OwnSettings[] = {
+const SettingSpec RoleSettings[] = {
     {.key = "listen", .type = SettingType::Address, .required = true, .help = "where keepers of groups are served"},
     {.key = "engine", .type = SettingType::Address, .required = true, .help = "the model engine on this host"},
 };
@@ -33,6 +33,6 @@
         return DaemonServer{.start = [server] { return server->start(); },
                             .drainAndStop = [server] { server->drainAndStop(); }};
     };
-    return runDaemon({.program = "heatherridge-sidecar", .role = "sidecar", .settings = OwnSettings}, create, argc,
+    return runDaemon({.program = "heatherridge-sidecar", .role = "sidecar", .settings = RoleSettings}, create, argc,
                      argv);
 }
--- a/extras/heatherridge-target/main.cpp
+++ b/extras/heatherridge-target/main.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-const SettingSpec OwnSettings[] = {
+const SettingSpec RoleSettings[] = {
     {.key = "listen",
      .type = SettingType::Address,
      .fallback = "127.0.0.1:7100",
@@ -47,5 +47,5 @@
         return DaemonServer{.start = [server] { return server->start(); },
                             .drainAndStop = [server] { server->drainAndStop(); }};
     };
-    return runDaemon({.program = "heatherridge-target", .role = "target", .settings = OwnSettings}, create, argc, argv);
+    return runDaemon({.program = "heatherridge-target", .role = "target", .settings = RoleSettings}, create, argc, argv);
 }
