--- a/extras/heatherridge/commandline.cpp
+++ b/extras/heatherridge/commandline.cpp
@@ -15,8 +15,8 @@
 
 namespace Options = boost::program_options;
 
-constexpr std::chrono::milliseconds ShortestTimeout{100};
-constexpr std::chrono::milliseconds LongestTimeout{600'000};
+constexpr std::chrono::milliseconds MinTimeout{100};
+constexpr std::chrono::milliseconds MaxTimeout{600'000};
 
 constexpr const char *Usage = R"(usage: heatherridge [options] COMMAND
 
@@ -37,12 +37,12 @@
 )";
 
 /** Raised within this file for a command line that cannot be carried out. */
-struct UsageFault
+struct UsageError
 {
     std::string reason{};
 };
 
-Options::options_description describe()
+Options::options_description describeOptions()
 {
     Options::options_description description("options");
     description.add_options()("help", "print this and exit")("version", "print the version and exit")(
@@ -59,37 +59,37 @@
     return description;
 }
 
-Endpoint endpointFrom(const std::string &text)
+Endpoint endpointArgument(const std::string &text)
 {
     const auto endpoint = parseEndpoint(text);
     if (!endpoint) {
-        throw UsageFault{"'" + text + "' is not an IP number, a colon and a port"};
+        throw UsageError{"'" + text + "' is not an IP number, a colon and a port"};
     }
     return *endpoint;
 }
 
-DocumentKind kindFrom(const std::string &word)
+DocumentKind documentKindArgument(const std::string &argument)
 {
     for (const auto kind : {DocumentKind::Inventory, DocumentKind::Rules}) {
-        if (word == toString(kind)) {
+        if (argument == toString(kind)) {
             return kind;
         }
     }
-    throw UsageFault{"'" + word + "' is neither 'inventory' nor 'rules'"};
+    throw UsageError{"'" + argument + "' is neither 'inventory' nor 'rules'"};
 }
 
-Command commandFrom(const std::vector<std::string> &words, const Options::variables_map &values)
+Command parseCommand(const std::vector<std::string> &words, const Options::variables_map &values)
 {
     const auto is = [&words](std::string_view name, std::size_t count) {
         return words.size() == count && words.front() == name;
     };
     if (is("publish", 3)) {
-        return PublishCommand{.document = kindFrom(words[1]), .file = words[2]};
+        return PublishCommand{.document = documentKindArgument(words[1]), .file = words[2]};
     }
     if (is("check", 2)) {
         CheckCommand check{.file = words[1]};
         if (values.count("as") != 0) {
-            check.document = kindFrom(values["as"].as<std::string>());
+            check.document = documentKindArgument(values["as"].as<std::string>());
         }
         return check;
     }
@@ -105,7 +105,7 @@
     if (is("drain", 2)) {
         return DrainCommand{.target = TargetName(words[1])};
     }
-    throw UsageFault{words.empty() ? "no command" : "'" + words.front() + "' with these arguments is no command"};
+    throw UsageError{words.empty() ? "no command" : "'" + words.front() + "' with these arguments is no command"};
 }
 
 /** Takes the defaults from the settings file; options on the command line go before them. */
@@ -113,7 +113,7 @@
 {
     const auto text = readTextFile(path);
     if (!text) {
-        throw UsageFault{path + ": cannot be read"};
+        throw UsageError{path + ": cannot be read"};
     }
     const auto document = IniDocument::parse(*text);
     auto faults = document.faults();
@@ -125,11 +125,11 @@
         SectionReader reader(section, faults);
         const auto endpoints = [&](std::string_view key) {
             std::vector<Endpoint> found;
-            for (const auto &word : reader.list(key)) {
-                if (const auto endpoint = parseEndpoint(word)) {
+            for (const auto &argument : reader.list(key)) {
+                if (const auto endpoint = parseEndpoint(argument)) {
                     found.push_back(*endpoint);
                 } else {
-                    reader.addFault(key, "'" + word + "' is not an IP number, a colon and a port");
+                    reader.addFault(key, "'" + argument + "' is not an IP number, a colon and a port");
                 }
             }
             return found;
@@ -138,29 +138,29 @@
             line.log = log.front();
         }
         line.processes = endpoints("processes");
-        line.timeout = reader.duration("timeout-ms", line.timeout, ShortestTimeout, LongestTimeout);
+        line.timeout = reader.duration("timeout-ms", line.timeout, MinTimeout, MaxTimeout);
         reader.reportUnknownKeys();
     }
     if (!faults.empty()) {
-        throw UsageFault{path + ":" + std::to_string(faults.front().line) + ": " + faults.front().reason};
+        throw UsageError{path + ":" + std::to_string(faults.front().line) + ": " + faults.front().reason};
     }
 }
 
-CommandLine lineFrom(const Options::variables_map &values, const std::vector<std::string> &words)
+CommandLine buildCommandLine(const Options::variables_map &values, const std::vector<std::string> &words)
 {
     CommandLine line;
     if (values.count("settings") != 0) {
         readSettings(values["settings"].as<std::string>(), line);
     }
-    line.command = commandFrom(words, values);
+    line.command = parseCommand(words, values);
     line.json = values.count("json") != 0;
     if (values.count("log") != 0) {
-        line.log = endpointFrom(values["log"].as<std::string>());
+        line.log = endpointArgument(values["log"].as<std::string>());
     }
     if (const auto &processes = values["process"].as<std::vector<std::string>>(); !processes.empty()) {
         line.processes.clear();
         for (const auto &process : processes) {
-            line.processes.push_back(endpointFrom(process));
+            line.processes.push_back(endpointArgument(process));
         }
     }
     if (values.count("operation") != 0) {
@@ -171,37 +171,37 @@
     }
     if (values.count("timeout-ms") != 0) {
         line.timeout = std::chrono::milliseconds(values["timeout-ms"].as<long long>());
-        if (line.timeout < ShortestTimeout || line.timeout > LongestTimeout) {
-            throw UsageFault{"--timeout-ms must be from 100 to 600000"};
+        if (line.timeout < MinTimeout || line.timeout > MaxTimeout) {
+            throw UsageError{"--timeout-ms must be from 100 to 600000"};
         }
     }
     return line;
 }
 
-void checkAddresses(const CommandLine &line)
+void checkRequiredAddresses(const CommandLine &line)
 {
-    const auto needsLog = [&line] {
+    const auto requireLog = [&line] {
         if (!line.log) {
-            throw UsageFault{"this command needs --log"};
+            throw UsageError{"this command needs --log"};
         }
     };
-    const auto needsProcess = [&line] {
+    const auto requireProcess = [&line] {
         if (line.processes.empty()) {
-            throw UsageFault{"this command needs --process"};
+            throw UsageError{"this command needs --process"};
         }
     };
-    std::visit(Visitor{[&](const PublishCommand &) { needsLog(); }, [&](const DrainCommand &) { needsLog(); },
-                       [&](const CheckCommand &) {}, [&](const StatusCommand &) { needsProcess(); },
-                       [&](const TargetsCommand &) { needsProcess(); },
-                       [&](const ExplainCommand &) { needsProcess(); }},
+    std::visit(Visitor{[&](const PublishCommand &) { requireLog(); }, [&](const DrainCommand &) { requireLog(); },
+                       [&](const CheckCommand &) {}, [&](const StatusCommand &) { requireProcess(); },
+                       [&](const TargetsCommand &) { requireProcess(); },
+                       [&](const ExplainCommand &) { requireProcess(); }},
                line.command);
 }
 
 } // namespace
 
-std::variant<CommandLine, CommandLineStop> parseCommandLine(const std::vector<std::string> &arguments)
+std::variant<CommandLine, CommandLineExit> parseCommandLine(const std::vector<std::string> &arguments)
 {
-    const auto visible = describe();
+    const auto visible = describeOptions();
     try {
         Options::options_description all;
         all.add(visible).add_options()("words", Options::value<std::vector<std::string>>()->default_value({}, ""));
@@ -212,18 +212,18 @@
         if (values.count("help") != 0) {
             std::ostringstream help;
             help << Usage << visible << ExitCodes;
-            return CommandLineStop{.text = help.str()};
+            return CommandLineExit{.text = help.str()};
         }
         if (values.count("version") != 0) {
-            return CommandLineStop{.text = std::string("heatherridge ") + HEATHERRIDGE_VERSION + "\n"};
+            return CommandLineExit{.text = std::string("heatherridge ") + HEATHERRIDGE_VERSION + "\n"};
         }
-        auto line = lineFrom(values, values["words"].as<std::vector<std::string>>());
-        checkAddresses(line);
+        auto line = buildCommandLine(values, values["words"].as<std::vector<std::string>>());
+        checkRequiredAddresses(line);
         return line;
-    } catch (const UsageFault &fault) {
-        return CommandLineStop{.isFault = true, .text = "heatherridge: " + fault.reason + "; see --help\n"};
+    } catch (const UsageError &fault) {
+        return CommandLineExit{.isError = true, .text = "heatherridge: " + fault.reason + "; see --help\n"};
     } catch (const Options::error &error) {
-        return CommandLineStop{.isFault = true,
+        return CommandLineExit{.isError = true,
                                .text = std::string("heatherridge: ") + error.what() + "; see --help\n"};
     }
 }
--- a/extras/heatherridge/commandline.h
+++ b/extras/heatherridge/commandline.h
@@ -63,9 +63,9 @@
 };
 
 /** Print this text and end with this code: help, version, or what is wrong with the command line. */
-struct CommandLineStop
+struct CommandLineExit
 {
-    bool isFault = false;
+    bool isError = false;
     std::string text{};
 };
 
@@ -73,6 +73,6 @@
  * Reads the command line, and the settings file that it names.
  * @param arguments without the program's own name
  */
-std::variant<CommandLine, CommandLineStop> parseCommandLine(const std::vector<std::string> &arguments);
+std::variant<CommandLine, CommandLineExit> parseCommandLine(const std::vector<std::string> &arguments);
 
 } // namespace Heatherridge
--- a/extras/heatherridge/main.cpp
+++ b/extras/heatherridge/main.cpp
@@ -28,9 +28,9 @@
 {
     std::signal(SIGPIPE, SIG_IGN);
     const auto parsed = parseCommandLine({argv + 1, argv + argc});
-    if (const auto *stop = std::get_if<CommandLineStop>(&parsed)) {
-        (stop->isFault ? std::cerr : std::cout) << stop->text;
-        return static_cast<int>(stop->isFault ? ExitCode::Usage : ExitCode::Done);
+    if (const auto *exitRequest = std::get_if<CommandLineExit>(&parsed)) {
+        (exitRequest->isError ? std::cerr : std::cout) << exitRequest->text;
+        return static_cast<int>(exitRequest->isError ? ExitCode::Usage : ExitCode::Done);
     }
     const auto &line = std::get<CommandLine>(parsed);
     const auto report = run(line);
