--- a/extras/heatherridge/admincommands.cpp
+++ b/extras/heatherridge/admincommands.cpp
@@ -16,7 +16,7 @@
 constexpr int StatusOk = 200;
 
 /** The field @p key of @p map as text; "-" when absent. */
-std::string cell(const nlohmann::json &map, const char *key)
+std::string fieldText(const nlohmann::json &map, const char *key)
 {
     const auto field = map.find(key);
     if (field == map.end() || field->is_null()) {
@@ -25,35 +25,35 @@
     return field->is_string() ? field->get<std::string>() : field->dump();
 }
 
-std::uint64_t numberAt(const nlohmann::json &map, const char *key)
+std::uint64_t numberField(const nlohmann::json &map, const char *key)
 {
     const auto field = map.find(key);
     return field != map.end() && field->is_number_unsigned() ? field->get<std::uint64_t>() : 0;
 }
 
-bool isUsable(const AdminAnswer &answer)
+bool isUsable(const AdminResponse &answer)
 {
     return answer.status == StatusOk && answer.body.is_object();
 }
 
-std::string whyNot(const AdminAnswer &answer)
+std::string failureReason(const AdminResponse &answer)
 {
     return answer.status == 0 ? answer.failure : "status " + std::to_string(answer.status);
 }
 
 /** The highest offset that anyone is known to have folded. */
-std::uint64_t newestOffset(const std::optional<InForce> &log, const std::vector<AdminAnswer> &answers)
+std::uint64_t newestKnownOffset(const std::optional<InForce> &log, const std::vector<AdminResponse> &answers)
 {
     auto newest = log ? toNumber(log->offset) : 0;
     for (const auto &answer : answers) {
         if (isUsable(answer)) {
-            newest = std::max(newest, numberAt(answer.body, "offset"));
+            newest = std::max(newest, numberField(answer.body, "offset"));
         }
     }
     return newest;
 }
 
-void reportLog(const std::optional<InForce> &log, Report &report)
+void addLogStatus(const std::optional<InForce> &log, Report &report)
 {
     if (!log) {
         report.text = "log: not reachable\n";
@@ -72,17 +72,17 @@
                           {"workspaces", log->rules->workspaces().size()}};
 }
 
-std::string escaped(std::string_view text)
+std::string percentEncoded(std::string_view text)
 {
     constexpr std::string_view digits = "0123456789ABCDEF";
     std::string result;
-    for (const unsigned char letter : text) {
-        if (std::isalnum(letter) != 0 || letter == '-' || letter == '_' || letter == '.') {
-            result += static_cast<char>(letter);
+    for (const unsigned char character : text) {
+        if (std::isalnum(character) != 0 || character == '-' || character == '_' || character == '.') {
+            result += static_cast<char>(character);
         } else {
             result += '%';
-            result += digits[letter >> 4U];
-            result += digits[letter & 0xFU];
+            result += digits[character >> 4U];
+            result += digits[character & 0xFU];
         }
     }
     return result;
@@ -96,26 +96,26 @@
     if (line.log) {
         log = LogSession(*line.log, line.timeout).inForce();
     }
-    const auto answers = askAll(line.processes, "/admin/status", {}, line.timeout);
-    const auto newest = newestOffset(log, answers);
+    const auto answers = queryAll(line.processes, "/admin/status", {}, line.timeout);
+    const auto newest = newestKnownOffset(log, answers);
     Report report{.code = ExitCode::Unreachable};
     if (line.log) {
-        reportLog(log, report);
+        addLogStatus(log, report);
     }
     TextTable table({"PROCESS", "ROLE", "ZONE", "OFFSET", "LAG", "INVENTORY", "RULES", "DIGEST", "LOG", "ADDRESS"});
     auto list = nlohmann::json::array();
     for (const auto &answer : answers) {
         const auto address = toString(answer.process);
         if (!isUsable(answer)) {
-            table.add({"?", whyNot(answer), "", "", "", "", "", "", "", address});
-            list.push_back({{"address", address}, {"failure", whyNot(answer)}});
+            table.add({"?", failureReason(answer), "", "", "", "", "", "", "", address});
+            list.push_back({{"address", address}, {"failure", failureReason(answer)}});
             continue;
         }
         report.code = ExitCode::Done;
-        const auto lag = newest - numberAt(answer.body, "offset");
-        table.add({cell(answer.body, "process"), cell(answer.body, "role"), cell(answer.body, "zone"),
-                   cell(answer.body, "offset"), std::to_string(lag), cell(answer.body, "inventory_offset"),
-                   cell(answer.body, "rules_offset"), cell(answer.body, "digest"), cell(answer.body, "log"), address});
+        const auto lag = newest - numberField(answer.body, "offset");
+        table.add({fieldText(answer.body, "process"), fieldText(answer.body, "role"), fieldText(answer.body, "zone"),
+                   fieldText(answer.body, "offset"), std::to_string(lag), fieldText(answer.body, "inventory_offset"),
+                   fieldText(answer.body, "rules_offset"), fieldText(answer.body, "digest"), fieldText(answer.body, "log"), address});
         auto entry = answer.body;
         entry["address"] = address;
         entry["lag"] = lag;
@@ -128,19 +128,19 @@
 
 Report runTargets(const CommandLine &line)
 {
-    const auto answers = askAll(line.processes, "/admin/targets", {}, line.timeout);
-    const auto answer = std::find_if(answers.begin(), answers.end(), [](const AdminAnswer &candidate) {
+    const auto answers = queryAll(line.processes, "/admin/targets", {}, line.timeout);
+    const auto answer = std::find_if(answers.begin(), answers.end(), [](const AdminResponse &candidate) {
         return isUsable(candidate) && candidate.body.contains("targets") && candidate.body["targets"].is_array();
     });
     if (answer == answers.end()) {
         return {.code = ExitCode::Unreachable,
-                .text = "no process told its targets: " + whyNot(answers.front()) + "\n",
+                .text = "no process told its targets: " + failureReason(answers.front()) + "\n",
                 .json = {{"result", "unreachable"}}};
     }
     TextTable table({"TARGET", "SERVICE", "ZONE", "STATE", "RUNNING", "WAITING", "LIMIT", "OFFSET"});
     for (const auto &target : answer->body["targets"]) {
-        table.add({cell(target, "target"), cell(target, "service"), cell(target, "zone"), cell(target, "state"),
-                   cell(target, "running"), cell(target, "waiting"), cell(target, "limit"), cell(target, "offset")});
+        table.add({fieldText(target, "target"), fieldText(target, "service"), fieldText(target, "zone"), fieldText(target, "state"),
+                   fieldText(target, "running"), fieldText(target, "waiting"), fieldText(target, "limit"), fieldText(target, "offset")});
     }
     return {.text = table.text(), .json = answer->body};
 }
@@ -148,23 +148,23 @@
 Report runExplain(const ExplainCommand &command, const CommandLine &line)
 {
     const auto &request = command.request.text();
-    const auto answers = askAll(line.processes, "/admin/explain", "request=" + escaped(request), line.timeout);
+    const auto answers = queryAll(line.processes, "/admin/explain", "request=" + percentEncoded(request), line.timeout);
     const auto answer = std::find_if(answers.begin(), answers.end(), isUsable);
     if (answer == answers.end()) {
         const bool anyAnswered = std::any_of(answers.begin(), answers.end(),
-                                             [](const AdminAnswer &candidate) { return candidate.status != 0; });
+                                             [](const AdminResponse &candidate) { return candidate.status != 0; });
         return {.code = anyAnswered ? ExitCode::NotFound : ExitCode::Unreachable,
-                .text = request + ": " + (anyAnswered ? "no process that was asked knows it" : whyNot(answers.front()))
+                .text = request + ": " + (anyAnswered ? "no process that was asked knows it" : failureReason(answers.front()))
                     + "\n",
                 .json = {{"result", anyAnswered ? "not-found" : "unreachable"}, {"request", request}}};
     }
     TextTable table({"MS", "EVENT", "TARGET", "REASON"});
     if (const auto steps = answer->body.find("steps"); steps != answer->body.end() && steps->is_array()) {
         for (const auto &step : *steps) {
-            table.add({cell(step, "ms"), cell(step, "event"), cell(step, "target"), cell(step, "reason")});
+            table.add({fieldText(step, "ms"), fieldText(step, "event"), fieldText(step, "target"), fieldText(step, "reason")});
         }
     }
-    return {.text = request + ": " + cell(answer->body, "outcome") + "\n" + table.text(), .json = answer->body};
+    return {.text = request + ": " + fieldText(answer->body, "outcome") + "\n" + table.text(), .json = answer->body};
 }
 
 } // namespace Heatherridge
--- a/extras/heatherridge/adminquery.cpp
+++ b/extras/heatherridge/adminquery.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t MostAnswerBytes = 64UL << 20U;
 
-void fill(AdminAnswer &answer, const std::variant<HttpResponse, HttpClient::Failure> &result)
+void fill(AdminResponse &answer, const std::variant<HttpResponse, HttpClient::Failure> &result)
 {
     if (const auto *failure = std::get_if<HttpClient::Failure>(&result)) {
         answer.failure = failure->reason;
@@ -28,10 +28,10 @@
 
 } // namespace
 
-std::vector<AdminAnswer> askAll(const std::vector<Endpoint> &processes, const std::string &path,
+std::vector<AdminResponse> queryAll(const std::vector<Endpoint> &processes, const std::string &path,
                                 const std::string &query, std::chrono::milliseconds timeout)
 {
-    std::vector<AdminAnswer> answers;
+    std::vector<AdminResponse> answers;
     answers.reserve(processes.size());
     for (const auto &process : processes) {
         answers.push_back({.process = process});
--- a/extras/heatherridge/adminquery.h
+++ b/extras/heatherridge/adminquery.h
@@ -12,7 +12,7 @@
 {
 
 /** What one process's administration interface answered. */
-struct AdminAnswer
+struct AdminResponse
 {
     Endpoint process{};
     int status = 0; ///< HTTP status; 0 when no answer came
@@ -24,7 +24,7 @@
  * Asks all @p processes for @p path with @p query at the same time.
  * @returns their answers in the same order; blocks up to @p timeout
  */
-std::vector<AdminAnswer> askAll(const std::vector<Endpoint> &processes, const std::string &path,
+std::vector<AdminResponse> queryAll(const std::vector<Endpoint> &processes, const std::string &path,
                                 const std::string &query, std::chrono::milliseconds timeout);
 
 } // namespace Heatherridge
