--- a/extras/heatherridge/admincommands.cpp
+++ b/extras/heatherridge/admincommands.cpp
@@ -42,7 +42,7 @@
 }
 
 /** The highest offset that anyone is known to have folded. */
-std::uint64_t newestKnownOffset(const std::optional<InForce> &log, const std::vector<AdminResponse> &answers)
+std::uint64_t newestKnownOffset(const std::optional<ActiveConfig> &log, const std::vector<AdminResponse> &answers)
 {
     auto newest = log ? toNumber(log->offset) : 0;
     for (const auto &answer : answers) {
@@ -53,7 +53,7 @@
     return newest;
 }
 
-void addLogStatus(const std::optional<InForce> &log, Report &report)
+void addLogStatus(const std::optional<ActiveConfig> &log, Report &report)
 {
     if (!log) {
         report.text = "log: not reachable\n";
@@ -92,9 +92,9 @@
 
 Report runStatus(const CommandLine &line)
 {
-    std::optional<InForce> log;
+    std::optional<ActiveConfig> log;
     if (line.log) {
-        log = LogSession(*line.log, line.timeout).inForce();
+        log = LogSession(*line.log, line.timeout).readActiveConfig();
     }
     const auto answers = queryAll(line.processes, "/admin/status", {}, line.timeout);
     const auto newest = newestKnownOffset(log, answers);
--- a/extras/heatherridge/documentcheck.cpp
+++ b/extras/heatherridge/documentcheck.cpp
@@ -11,7 +11,7 @@
 {
 
 template<typename Document>
-std::vector<ConfigFault> faultsAs(const IniDocument &text)
+std::vector<ConfigFault> findFaultsAs(const IniDocument &text)
 {
     auto result = Document::fromDocument(text);
     auto *faults = std::get_if<std::vector<ConfigFault>>(&result);
@@ -20,7 +20,7 @@
 
 } // namespace
 
-DocumentKind guessKind(const std::string &text)
+DocumentKind inferDocumentKind(const std::string &text)
 {
     const auto document = IniDocument::parse(text);
     const auto &sections = document.sections();
@@ -31,10 +31,10 @@
     return isRules ? DocumentKind::Rules : DocumentKind::Inventory;
 }
 
-std::vector<ConfigFault> faultsOf(DocumentKind kind, const std::string &text)
+std::vector<ConfigFault> findFaults(DocumentKind kind, const std::string &text)
 {
     const auto document = IniDocument::parse(text);
-    return kind == DocumentKind::Rules ? faultsAs<RuleSet>(document) : faultsAs<Inventory>(document);
+    return kind == DocumentKind::Rules ? findFaultsAs<RuleSet>(document) : findFaultsAs<Inventory>(document);
 }
 
 Report faultReport(const std::string &file, const std::vector<ConfigFault> &faults)
@@ -55,11 +55,11 @@
     if (!text) {
         return unreadableReport(file);
     }
-    const auto as = kind.value_or(guessKind(*text));
-    if (const auto faults = faultsOf(as, *text); !faults.empty()) {
+    const auto documentKind = kind.value_or(inferDocumentKind(*text));
+    if (const auto faults = findFaults(documentKind, *text); !faults.empty()) {
         return faultReport(file, faults);
     }
-    const std::string name(toString(as));
+    const std::string name(toString(documentKind));
     return {.text = file + ": no faults as " + name + "\n",
             .json = {{"result", "ok"}, {"file", file}, {"document", name}}};
 }
--- a/extras/heatherridge/documentcheck.h
+++ b/extras/heatherridge/documentcheck.h
@@ -13,10 +13,10 @@
 {
 
 /** Which document @p text is by its sections: rules when one of them belongs into rules, else an inventory. */
-DocumentKind guessKind(const std::string &text);
+DocumentKind inferDocumentKind(const std::string &text);
 
 /** All faults of @p text as a document of @p kind, in the order of their lines. */
-std::vector<ConfigFault> faultsOf(DocumentKind kind, const std::string &text);
+std::vector<ConfigFault> findFaults(DocumentKind kind, const std::string &text);
 
 /** Each of @p faults as one line `FILE:LINE: REASON`, with the exit code that says so. */
 Report faultReport(const std::string &file, const std::vector<ConfigFault> &faults);
--- a/extras/heatherridge/logsession.cpp
+++ b/extras/heatherridge/logsession.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::chrono::milliseconds TickPeriod{5};
 
-std::uint64_t entropy()
+std::uint64_t randomSeed()
 {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 32U) | device();
@@ -21,7 +21,7 @@
 
 LogSession::LogSession(const Endpoint &log, std::chrono::milliseconds timeout)
     : m_timeout(timeout)
-    , m_random(entropy())
+    , m_random(randomSeed())
     , m_client(std::make_unique<HttpClient>(m_loop.context(), HttpClient::Options{}))
     , m_log(std::make_unique<HttpLogService>(*m_client, HttpLogService::Options{.endpoint = log}))
 {
@@ -33,20 +33,20 @@
     m_loop.stop();
 }
 
-std::optional<InForce> LogSession::inForce()
+std::optional<ActiveConfig> LogSession::readActiveConfig()
 {
     ConfigReplica replica;
     std::optional<LogFollower> follower;
-    std::optional<InForce> found;
+    std::optional<ActiveConfig> found;
     const auto deadline = m_clock.steadyNow() + m_timeout;
-    driveUntil([&](SteadyTime now) {
+    runUntil([&](SteadyTime now) {
         if (!follower) {
             follower.emplace(*m_log, replica, m_random);
         }
         follower->tick(now);
         if (replica.isConfirmed()) {
             const auto &state = replica.state();
-            found = InForce{.offset = state.offset(),
+            found = ActiveConfig{.offset = state.offset(),
                             .inventoryOffset = state.inventoryOffset(),
                             .rulesOffset = state.rulesOffset(),
                             .digest = state.digest(),
@@ -67,7 +67,7 @@
 {
     std::optional<Publisher> publisher;
     std::optional<PublishResult> result;
-    driveUntil([&](SteadyTime now) {
+    runUntil([&](SteadyTime now) {
         if (!publisher) {
             publisher.emplace(*m_log, m_random, std::move(request), PublisherOptions{.timeout = m_timeout});
         }
@@ -81,7 +81,7 @@
     return *std::move(result);
 }
 
-void LogSession::driveUntil(const std::function<bool(SteadyTime now)> &step)
+void LogSession::runUntil(const std::function<bool(SteadyTime now)> &step)
 {
     std::promise<void> done;
     std::function<void()> tick = [&] {
--- a/extras/heatherridge/logsession.h
+++ b/extras/heatherridge/logsession.h
@@ -14,7 +14,7 @@
 {
 
 /** What the log's fold says is in force. */
-struct InForce
+struct ActiveConfig
 {
     LogOffset offset{}; ///< folded up to here
     LogOffset inventoryOffset{}; ///< the record that last changed the inventory; 0 for none
@@ -41,13 +41,13 @@
     LogSession &operator=(const LogSession &) = delete;
 
     /** What is in force by all records that the log holds now; nothing when the log did not answer in time. */
-    std::optional<InForce> inForce();
+    std::optional<ActiveConfig> readActiveConfig();
 
     /** Publishes @p request and waits for its outcome. @see Publisher */
     PublishResult publish(PublishRequest request);
 
 private:
-    void driveUntil(const std::function<bool(SteadyTime now)> &step);
+    void runUntil(const std::function<bool(SteadyTime now)> &step);
 
     std::chrono::milliseconds m_timeout;
     SystemClock m_clock;
--- a/extras/heatherridge/publishcommands.cpp
+++ b/extras/heatherridge/publishcommands.cpp
@@ -17,7 +17,7 @@
 {
 
 /** An id that no other publish has: 128 random bits. */
-OperationId drawOperation()
+OperationId generateOperationId()
 {
     constexpr std::string_view digits = "0123456789abcdef";
     std::random_device device;
@@ -34,7 +34,7 @@
  * The fold settles a repeated id by its first outcome. An id that is used again for another file by mistake would then
  * be told the outcome of the first file; with the hash in it, it is a publish of its own.
  */
-OperationId boundTo(const OperationId &id, const std::string &content)
+OperationId bindToContent(const OperationId &id, const std::string &content)
 {
     std::array<char, 17> hash{};
     std::snprintf(hash.data(), hash.size(), "%016llx",
@@ -129,8 +129,8 @@
 Report publish(LogSession &session, const std::string &subject, const CommandLine &line, const std::string &content,
                PublishRequest request)
 {
-    const auto operation = line.operation.isEmpty() ? drawOperation() : line.operation;
-    request.operation = boundTo(operation, content);
+    const auto operation = line.operation.isEmpty() ? generateOperationId() : line.operation;
+    request.operation = bindToContent(operation, content);
     return std::visit(PublishReporter(subject, operation), session.publish(std::move(request)));
 }
 
@@ -149,7 +149,7 @@
     if (!text) {
         return unreadableReport(command.file);
     }
-    if (const auto faults = faultsOf(command.document, *text); !faults.empty()) {
+    if (const auto faults = findFaults(command.document, *text); !faults.empty()) {
         return faultReport(command.file, faults);
     }
     LogSession session(*line.log, line.timeout);
@@ -161,24 +161,24 @@
 Report runDrain(const DrainCommand &command, const CommandLine &line)
 {
     LogSession session(*line.log, line.timeout);
-    const auto inForce = session.inForce();
-    if (!inForce) {
+    const auto activeConfig = session.readActiveConfig();
+    if (!activeConfig) {
         return unreachable();
     }
     const auto &target = command.target.text();
-    if (inForce->inventory->find(command.target) == nullptr) {
+    if (activeConfig->inventory->find(command.target) == nullptr) {
         return {.code = ExitCode::NotFound,
                 .text = target + ": no such target in the inventory in force\n",
                 .json = {{"result", "not-found"}, {"target", target}}};
     }
-    if (line.operation.isEmpty() && inForce->rules->hasPlannedStop(command.target)) {
+    if (line.operation.isEmpty() && activeConfig->rules->hasPlannedStop(command.target)) {
         return {.text = target + ": a stop is planned already\n",
-                .json = {{"result", "unchanged"}, {"offset", toNumber(inForce->rulesOffset)}}};
+                .json = {{"result", "unchanged"}, {"offset", toNumber(activeConfig->rulesOffset)}}};
     }
     return publish(session, target, line, "drain " + target,
                    {.document = DocumentKind::Rules,
-                    .basedOn = line.basedOn.value_or(inForce->offset),
-                    .text = inForce->rulesText + "\n[planned-stop.drain-" + target + "]\ntarget = " + target + "\n"});
+                    .basedOn = line.basedOn.value_or(activeConfig->offset),
+                    .text = activeConfig->rulesText + "\n[planned-stop.drain-" + target + "]\ntarget = " + target + "\n"});
 }
 
 } // namespace Heatherridge
