--- a/extras/heatherridge/admincommands.cpp
+++ b/extras/heatherridge/admincommands.cpp
@@ -115,7 +115,8 @@
         const auto lag = newest - numberField(answer.body, "offset");
         table.add({fieldText(answer.body, "process"), fieldText(answer.body, "role"), fieldText(answer.body, "zone"),
                    fieldText(answer.body, "offset"), std::to_string(lag), fieldText(answer.body, "inventory_offset"),
-                   fieldText(answer.body, "rules_offset"), fieldText(answer.body, "digest"), fieldText(answer.body, "log"), address});
+                   fieldText(answer.body, "rules_offset"), fieldText(answer.body, "digest"),
+                   fieldText(answer.body, "log"), address});
         auto entry = answer.body;
         entry["address"] = address;
         entry["lag"] = lag;
@@ -139,8 +140,9 @@
     }
     TextTable table({"TARGET", "SERVICE", "ZONE", "STATE", "RUNNING", "WAITING", "LIMIT", "OFFSET"});
     for (const auto &target : answer->body["targets"]) {
-        table.add({fieldText(target, "target"), fieldText(target, "service"), fieldText(target, "zone"), fieldText(target, "state"),
-                   fieldText(target, "running"), fieldText(target, "waiting"), fieldText(target, "limit"), fieldText(target, "offset")});
+        table.add({fieldText(target, "target"), fieldText(target, "service"), fieldText(target, "zone"),
+                   fieldText(target, "state"), fieldText(target, "running"), fieldText(target, "waiting"),
+                   fieldText(target, "limit"), fieldText(target, "offset")});
     }
     return {.text = table.text(), .json = answer->body};
 }
@@ -154,14 +156,15 @@
         const bool anyAnswered = std::any_of(answers.begin(), answers.end(),
                                              [](const AdminResponse &candidate) { return candidate.status != 0; });
         return {.code = anyAnswered ? ExitCode::NotFound : ExitCode::Unreachable,
-                .text = request + ": " + (anyAnswered ? "no process that was asked knows it" : failureReason(answers.front()))
-                    + "\n",
+                .text = request + ": "
+                    + (anyAnswered ? "no process that was asked knows it" : failureReason(answers.front())) + "\n",
                 .json = {{"result", anyAnswered ? "not-found" : "unreachable"}, {"request", request}}};
     }
     TextTable table({"MS", "EVENT", "TARGET", "REASON"});
     if (const auto steps = answer->body.find("steps"); steps != answer->body.end() && steps->is_array()) {
         for (const auto &step : *steps) {
-            table.add({fieldText(step, "ms"), fieldText(step, "event"), fieldText(step, "target"), fieldText(step, "reason")});
+            table.add({fieldText(step, "ms"), fieldText(step, "event"), fieldText(step, "target"),
+                       fieldText(step, "reason")});
         }
     }
     return {.text = request + ": " + fieldText(answer->body, "outcome") + "\n" + table.text(), .json = answer->body};
--- a/extras/heatherridge/adminquery.cpp
+++ b/extras/heatherridge/adminquery.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 std::vector<AdminResponse> queryAll(const std::vector<Endpoint> &processes, const std::string &path,
-                                const std::string &query, std::chrono::milliseconds timeout)
+                                    const std::string &query, std::chrono::milliseconds timeout)
 {
     std::vector<AdminResponse> answers;
     answers.reserve(processes.size());
--- a/extras/heatherridge/adminquery.h
+++ b/extras/heatherridge/adminquery.h
@@ -25,6 +25,6 @@
  * @returns their answers in the same order; blocks up to @p timeout
  */
 std::vector<AdminResponse> queryAll(const std::vector<Endpoint> &processes, const std::string &path,
-                                const std::string &query, std::chrono::milliseconds timeout);
+                                    const std::string &query, std::chrono::milliseconds timeout);
 
 } // namespace Heatherridge
--- a/extras/heatherridge/commandline.cpp
+++ b/extras/heatherridge/commandline.cpp
@@ -80,29 +80,29 @@
 
 Command parseCommand(const std::vector<std::string> &words, const Options::variables_map &values)
 {
-    const auto is = [&words](std::string_view name, std::size_t count) {
+    const auto matches = [&words](std::string_view name, std::size_t count) {
         return words.size() == count && words.front() == name;
     };
-    if (is("publish", 3)) {
+    if (matches("publish", 3)) {
         return PublishCommand{.document = documentKindArgument(words[1]), .file = words[2]};
     }
-    if (is("check", 2)) {
+    if (matches("check", 2)) {
         CheckCommand check{.file = words[1]};
         if (values.count("as") != 0) {
             check.document = documentKindArgument(values["as"].as<std::string>());
         }
         return check;
     }
-    if (is("status", 1)) {
+    if (matches("status", 1)) {
         return StatusCommand{};
     }
-    if (is("targets", 1)) {
+    if (matches("targets", 1)) {
         return TargetsCommand{};
     }
-    if (is("explain", 2)) {
+    if (matches("explain", 2)) {
         return ExplainCommand{.request = RequestId(words[1])};
     }
-    if (is("drain", 2)) {
+    if (matches("drain", 2)) {
         return DrainCommand{.target = TargetName(words[1])};
     }
     throw UsageError{words.empty() ? "no command" : "'" + words.front() + "' with these arguments is no command"};
--- a/extras/heatherridge/logsession.cpp
+++ b/extras/heatherridge/logsession.cpp
@@ -37,7 +37,7 @@
 {
     ConfigReplica replica;
     std::optional<LogFollower> follower;
-    std::optional<ActiveConfig> found;
+    std::optional<ActiveConfig> config;
     const auto deadline = m_clock.steadyNow() + m_timeout;
     runUntil([&](SteadyTime now) {
         if (!follower) {
@@ -46,21 +46,21 @@
         follower->tick(now);
         if (replica.isConfirmed()) {
             const auto &state = replica.state();
-            found = ActiveConfig{.offset = state.offset(),
-                            .inventoryOffset = state.inventoryOffset(),
-                            .rulesOffset = state.rulesOffset(),
-                            .digest = state.digest(),
-                            .rulesText = state.document(DocumentKind::Rules).text(),
-                            .inventory = state.inventory(),
-                            .rules = state.rules()};
+            config = ActiveConfig{.offset = state.offset(),
+                                  .inventoryOffset = state.inventoryOffset(),
+                                  .rulesOffset = state.rulesOffset(),
+                                  .digest = state.digest(),
+                                  .rulesText = state.document(DocumentKind::Rules).text(),
+                                  .inventory = state.inventory(),
+                                  .rules = state.rules()};
         }
-        const bool done = found || now >= deadline;
+        const bool done = config || now >= deadline;
         if (done) {
             follower.reset();
         }
         return done;
     });
-    return found;
+    return config;
 }
 
 PublishResult LogSession::publish(PublishRequest request)
--- a/extras/heatherridge/publishcommands.cpp
+++ b/extras/heatherridge/publishcommands.cpp
@@ -175,10 +175,11 @@
         return {.text = target + ": a stop is planned already\n",
                 .json = {{"result", "unchanged"}, {"offset", toNumber(activeConfig->rulesOffset)}}};
     }
-    return publish(session, target, line, "drain " + target,
-                   {.document = DocumentKind::Rules,
-                    .basedOn = line.basedOn.value_or(activeConfig->offset),
-                    .text = activeConfig->rulesText + "\n[planned-stop.drain-" + target + "]\ntarget = " + target + "\n"});
+    return publish(
+        session, target, line, "drain " + target,
+        {.document = DocumentKind::Rules,
+         .basedOn = line.basedOn.value_or(activeConfig->offset),
+         .text = activeConfig->rulesText + "\n[planned-stop.drain-" + target + "]\ntarget = " + target + "\n"});
 }
 
 } // namespace Heatherridge
