--- a/extras/heatherridge/adminquery.cpp
+++ b/extras/heatherridge/adminquery.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr std::size_t MostAnswerBytes = 64UL << 20U;
+constexpr std::size_t MaxResponseBytes = 64UL << 20U;
 
-void fill(AdminResponse &answer, const std::variant<HttpResponse, HttpClient::Failure> &result)
+void storeResult(AdminResponse &answer, const std::variant<HttpResponse, HttpClient::Failure> &result)
 {
     if (const auto *failure = std::get_if<HttpClient::Failure>(&result)) {
         answer.failure = failure->reason;
@@ -36,7 +36,7 @@
     for (const auto &process : processes) {
         answers.push_back({.process = process});
     }
-    std::size_t left = answers.size();
+    std::size_t pending = answers.size();
     std::promise<void> done;
     EventLoop loop;
     HttpClient client(loop.context(), {});
@@ -48,12 +48,12 @@
             client.send(
                 std::move(call),
                 [&](const std::variant<HttpResponse, HttpClient::Failure> &result) {
-                    fill(answer, result);
-                    if (--left == 0) {
+                    storeResult(answer, result);
+                    if (--pending == 0) {
                         done.set_value();
                     }
                 },
-                MostAnswerBytes);
+                MaxResponseBytes);
         }
     });
     loop.start();
