--- a/extras/heatherridge-sidecar/main.cpp
+++ b/extras/heatherridge-sidecar/main.cpp
@@ -10,7 +10,10 @@
 {
 
 const SettingSpec RoleSettings[] = {
-    {.key = "listen", .type = SettingType::Address, .required = true, .help = "where keepers of groups are served"},
+    {.key = "listen",
+     .type = SettingType::Address,
+     .required = true,
+     .help = "address that serves the keepers of groups"},
     {.key = "engine", .type = SettingType::Address, .required = true, .help = "the model engine on this host"},
 };
 
--- a/extras/heatherridge-target/main.cpp
+++ b/extras/heatherridge-target/main.cpp
@@ -12,11 +12,11 @@
     {.key = "listen",
      .type = SettingType::Address,
      .fallback = "127.0.0.1:7100",
-     .help = "where entries reach it; the target's gate in the inventory"},
+     .help = "address that serves entries; the target's gate in the inventory"},
     {.key = "admin",
      .type = SettingType::Address,
      .fallback = "127.0.0.1:7101",
-     .help = "where status and metrics are served"},
+     .help = "address that serves status and metrics"},
     {.key = "drain-timeout",
      .type = SettingType::Milliseconds,
      .fallback = "60000",
@@ -47,5 +47,6 @@
         return DaemonServer{.start = [server] { return server->start(); },
                             .drainAndStop = [server] { server->drainAndStop(); }};
     };
-    return runDaemon({.program = "heatherridge-target", .role = "target", .settings = RoleSettings}, create, argc, argv);
+    return runDaemon({.program = "heatherridge-target", .role = "target", .settings = RoleSettings}, create, argc,
+                     argv);
 }
