--- a/extras/heatherridge/admincommands.cpp
+++ b/extras/heatherridge/admincommands.cpp
@@ -15,7 +15,7 @@
 
 constexpr int StatusOk = 200;
 
-/** The field @p key of @p map as text; "-" when absent. */
+/** Returns the field @p key of @p map as text, or "-" when absent. */
 std::string fieldText(const nlohmann::json &map, const char *key)
 {
     const auto field = map.find(key);
@@ -41,7 +41,7 @@
     return answer.status == 0 ? answer.failure : "status " + std::to_string(answer.status);
 }
 
-/** The highest offset that anyone is known to have folded. */
+/** Returns the highest offset that the log or any process has folded. */
 std::uint64_t newestKnownOffset(const std::optional<ActiveConfig> &log, const std::vector<AdminResponse> &answers)
 {
     auto newest = log ? toNumber(log->offset) : 0;
@@ -135,7 +135,7 @@
     });
     if (answer == answers.end()) {
         return {.code = ExitCode::Unreachable,
-                .text = "no process told its targets: " + failureReason(answers.front()) + "\n",
+                .text = "no process reported its targets: " + failureReason(answers.front()) + "\n",
                 .json = {{"result", "unreachable"}}};
     }
     TextTable table({"TARGET", "SERVICE", "ZONE", "STATE", "RUNNING", "WAITING", "LIMIT", "OFFSET"});
@@ -157,7 +157,8 @@
                                              [](const AdminResponse &candidate) { return candidate.status != 0; });
         return {.code = anyAnswered ? ExitCode::NotFound : ExitCode::Unreachable,
                 .text = request + ": "
-                    + (anyAnswered ? "no process that was asked knows it" : failureReason(answers.front())) + "\n",
+                    + (anyAnswered ? "unknown to all processes that were asked" : failureReason(answers.front()))
+                    + "\n",
                 .json = {{"result", anyAnswered ? "not-found" : "unreachable"}, {"request", request}}};
     }
     TextTable table({"MS", "EVENT", "TARGET", "REASON"});
--- a/extras/heatherridge/admincommands.h
+++ b/extras/heatherridge/admincommands.h
@@ -6,13 +6,13 @@
 namespace Heatherridge
 {
 
-/** What is in force by the log, where the log's address is known, and by each process, and which of them lag. */
+/** Reports the active configuration of each process and, if the log's address is known, of the log; shows which lag. */
 Report runStatus(const CommandLine &line);
 
-/** The state of each target as the first process that answers sees it. */
+/** Reports the state of each target as seen by the first process that answers. */
 Report runTargets(const CommandLine &line);
 
-/** What became of the request of @p command, from the process that took it. */
+/** Reports the outcome of the request of @p command, from the process that accepted it. */
 Report runExplain(const ExplainCommand &command, const CommandLine &line);
 
 } // namespace Heatherridge
--- a/extras/heatherridge/adminquery.h
+++ b/extras/heatherridge/adminquery.h
@@ -11,18 +11,18 @@
 namespace Heatherridge
 {
 
-/** What one process's administration interface answered. */
+/** The response of one process's administration interface. */
 struct AdminResponse
 {
     Endpoint process{};
-    int status = 0; ///< HTTP status; 0 when no answer came
-    nlohmann::json body{}; ///< null when the answer was no JSON
-    std::string failure{}; ///< why no answer came
+    int status = 0; ///< HTTP status; 0 when no response arrived
+    nlohmann::json body{}; ///< null when the response was not JSON
+    std::string failure{}; ///< why no response arrived
 };
 
 /**
- * Asks all @p processes for @p path with @p query at the same time.
- * @returns their answers in the same order; blocks up to @p timeout
+ * Requests @p path with @p query from all @p processes concurrently; blocks up to @p timeout.
+ * @returns the responses in the order of @p processes
  */
 std::vector<AdminResponse> queryAll(const std::vector<Endpoint> &processes, const std::string &path,
                                     const std::string &query, std::chrono::milliseconds timeout);
--- a/extras/heatherridge/commandline.cpp
+++ b/extras/heatherridge/commandline.cpp
@@ -23,11 +23,11 @@
 commands:
   publish inventory FILE   put an inventory in force
   publish rules FILE       put a rule set in force
-  check FILE               tell all faults of a document, without publishing it
-  status                   what is in force, at which offset, in which process, and who lags
-  targets                  the state of each target
-  explain REQUEST-ID       why a request was placed, refused or repeated
-  drain TARGET             plan a stop: the target finishes its work and gets none
+  check FILE               list all faults of a document without publishing it
+  status                   show the active configuration and offset of each process, and which lag
+  targets                  show the state of each target
+  explain REQUEST-ID       show why a request was placed, refused or retried
+  drain TARGET             plan a stop: the target finishes its work and receives no new work
 
 )";
 
@@ -36,7 +36,7 @@
             4 outcome unknown (run again with --operation), 5 not reachable, 6 no such target or request
 )";
 
-/** Raised within this file for a command line that cannot be carried out. */
+/** Thrown within this file for an invalid command line. */
 struct UsageError
 {
     std::string reason{};
@@ -50,11 +50,11 @@
                               "INI with [operator]: log = ADDRESS:PORT, processes = list, timeout-ms")(
         "log", Options::value<std::string>()->value_name("ADDRESS:PORT"), "the platform's log service")(
         "process", Options::value<std::vector<std::string>>()->value_name("ADDRESS:PORT")->default_value({}, ""),
-        "administration interface of an entry or target process; may stand several times")(
-        "operation", Options::value<std::string>()->value_name("ID"), "run a publish again whose outcome was unknown")(
+        "administration interface of an entry or target process; may be repeated")(
+        "operation", Options::value<std::string>()->value_name("ID"), "repeat a publish whose outcome was unknown")(
         "based-on", Options::value<std::uint64_t>()->value_name("OFFSET"),
-        "refuse the publish if what it changes was changed after this offset")(
-        "timeout-ms", Options::value<long long>()->value_name("MS"), "until the command gives up; default 30000")(
+        "refuse the publish if what it changes has changed since this offset")(
+        "timeout-ms", Options::value<long long>()->value_name("MS"), "time until the command fails; default 30000")(
         "as", Options::value<std::string>()->value_name("KIND"), "with check: inventory or rules");
     return description;
 }
@@ -63,7 +63,7 @@
 {
     const auto endpoint = parseEndpoint(text);
     if (!endpoint) {
-        throw UsageError{"'" + text + "' is not an IP number, a colon and a port"};
+        throw UsageError{"'" + text + "' is not of the form ADDRESS:PORT with a numeric IP address"};
     }
     return *endpoint;
 }
@@ -105,10 +105,10 @@
     if (matches("drain", 2)) {
         return DrainCommand{.target = TargetName(words[1])};
     }
-    throw UsageError{words.empty() ? "no command" : "'" + words.front() + "' with these arguments is no command"};
+    throw UsageError{words.empty() ? "no command" : "'" + words.front() + "' with these arguments is not a command"};
 }
 
-/** Takes the defaults from the settings file; options on the command line go before them. */
+/** Reads defaults from the settings file; options on the command line take precedence. */
 void readSettings(const std::string &path, CommandLine &line)
 {
     const auto text = readTextFile(path);
@@ -129,7 +129,8 @@
                 if (const auto endpoint = parseEndpoint(argument)) {
                     found.push_back(*endpoint);
                 } else {
-                    reader.addFault(key, "'" + argument + "' is not an IP number, a colon and a port");
+                    reader.addFault(key,
+                                    "'" + argument + "' is not of the form ADDRESS:PORT with a numeric IP address");
                 }
             }
             return found;
--- a/extras/heatherridge/commandline.h
+++ b/extras/heatherridge/commandline.h
@@ -12,37 +12,37 @@
 namespace Heatherridge
 {
 
-/** Put a document in force. */
+/** Publishes a document. */
 struct PublishCommand
 {
     DocumentKind document = DocumentKind::Inventory;
     std::string file{};
 };
 
-/** Tell the faults of a document. */
+/** Lists the faults of a document. */
 struct CheckCommand
 {
     std::string file{};
-    std::optional<DocumentKind> document{}; ///< told by its sections when absent
+    std::optional<DocumentKind> document{}; ///< inferred from its sections when absent
 };
 
-/** Tell what is in force, and who lags. */
+/** Shows the active configuration and the processes that lag. */
 struct StatusCommand
 {
 };
 
-/** Tell the state of each target. */
+/** Shows the state of each target. */
 struct TargetsCommand
 {
 };
 
-/** Tell what became of a request and why. */
+/** Shows the outcome of a request and the reasons for it. */
 struct ExplainCommand
 {
     RequestId request{};
 };
 
-/** Add a planned stop to the rules in force. */
+/** Adds a planned stop to the active rules. */
 struct DrainCommand
 {
     TargetName target{};
@@ -50,19 +50,19 @@
 
 using Command = std::variant<PublishCommand, CheckCommand, StatusCommand, TargetsCommand, ExplainCommand, DrainCommand>;
 
-/** What the operator typed, checked. */
+/** The validated command line. */
 struct CommandLine
 {
     Command command{};
     std::optional<Endpoint> log{}; ///< the platform's log service
-    std::vector<Endpoint> processes{}; ///< daemons whose administration interface is asked
-    OperationId operation{}; ///< of a publish that is run again; empty draws one
-    std::optional<LogOffset> basedOn{}; ///< what the operator had seen; absent for the newest
-    std::chrono::milliseconds timeout{30'000}; ///< until the command gives up
+    std::vector<Endpoint> processes{}; ///< daemons whose administration interface is queried
+    OperationId operation{}; ///< id of a publish that is repeated; a new one is generated when empty
+    std::optional<LogOffset> basedOn{}; ///< offset that the change is based on; absent for the newest
+    std::chrono::milliseconds timeout{30'000}; ///< time until the command fails
     bool json = false; ///< print JSON
 };
 
-/** Print this text and end with this code: help, version, or what is wrong with the command line. */
+/** A text to print before exiting without running a command: help, version or an error in the command line. */
 struct CommandLineExit
 {
     bool isError = false;
@@ -70,8 +70,8 @@
 };
 
 /**
- * Reads the command line, and the settings file that it names.
- * @param arguments without the program's own name
+ * Parses the command line and the settings file that it names.
+ * @param arguments the arguments without the program name
  */
 std::variant<CommandLine, CommandLineExit> parseCommandLine(const std::vector<std::string> &arguments);
 
--- a/extras/heatherridge/documentcheck.h
+++ b/extras/heatherridge/documentcheck.h
@@ -12,19 +12,19 @@
 namespace Heatherridge
 {
 
-/** Which document @p text is by its sections: rules when one of them belongs into rules, else an inventory. */
+/** Infers the kind of @p text from its sections: rules if it has a section of a rules document, else an inventory. */
 DocumentKind inferDocumentKind(const std::string &text);
 
-/** All faults of @p text as a document of @p kind, in the order of their lines. */
+/** Returns all faults of @p text as a document of @p kind, ordered by line. */
 std::vector<ConfigFault> findFaults(DocumentKind kind, const std::string &text);
 
-/** Each of @p faults as one line `FILE:LINE: REASON`, with the exit code that says so. */
+/** Returns a report with one line `FILE:LINE: REASON` for each of @p faults, and exit code Faults. */
 Report faultReport(const std::string &file, const std::vector<ConfigFault> &faults);
 
-/** What `check` says about the file at @p file. */
+/** Returns the report of `check` for the file at @p file. */
 Report checkFile(const std::string &file, std::optional<DocumentKind> kind);
 
-/** What is said when @p file cannot be read. */
+/** Returns the report for a @p file that cannot be read. */
 Report unreadableReport(const std::string &file);
 
 } // namespace Heatherridge
--- a/extras/heatherridge/logsession.h
+++ b/extras/heatherridge/logsession.h
@@ -13,10 +13,10 @@
 namespace Heatherridge
 {
 
-/** What the log's fold says is in force. */
+/** The active configuration as folded from the log. */
 struct ActiveConfig
 {
-    LogOffset offset{}; ///< folded up to here
+    LogOffset offset{}; ///< offset of the last folded record
     LogOffset inventoryOffset{}; ///< the record that last changed the inventory; 0 for none
     LogOffset rulesOffset{}; ///< the record that last changed the rules; 0 for none
     Digest digest{}; ///< of the whole state
@@ -26,24 +26,24 @@
 };
 
 /**
- * The command's way to the platform's log: folds the control stream itself and publishes to it.
+ * Client of the platform's log for the operator's command: folds the control stream and publishes to it.
  *
- * All methods block. One thread; a loop of its own drives the network.
+ * All methods block. Not thread-safe: use from one thread; an event loop of its own drives the network.
  */
 class LogSession
 {
 public:
-    /** A session with the log at @p log, in which each call gives up after @p timeout. */
+    /** Creates a session with the log at @p log in which each call times out after @p timeout. */
     LogSession(const Endpoint &log, std::chrono::milliseconds timeout);
-    /** Drops what is still under way. */
+    /** Cancels pending calls. */
     ~LogSession();
     LogSession(const LogSession &) = delete;
     LogSession &operator=(const LogSession &) = delete;
 
-    /** What is in force by all records that the log holds now; nothing when the log did not answer in time. */
+    /** Returns the configuration after all current records of the log, or nothing if the log did not answer in time. */
     std::optional<ActiveConfig> readActiveConfig();
 
-    /** Publishes @p request and waits for its outcome. @see Publisher */
+    /** Publishes @p request and waits for the outcome. @see Publisher */
     PublishResult publish(PublishRequest request);
 
 private:
--- a/extras/heatherridge/publishcommands.cpp
+++ b/extras/heatherridge/publishcommands.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/** An id that no other publish has: 128 random bits. */
+/** Returns a unique operation id of 128 random bits. */
 OperationId generateOperationId()
 {
     constexpr std::string_view digits = "0123456789abcdef";
@@ -29,10 +29,10 @@
 }
 
 /**
- * The operation as the log knows it: the operator's id and a hash of what is published.
+ * Returns the operation id to write to the log: the operator's id and a hash of the published content.
  *
- * The fold settles a repeated id by its first outcome. An id that is used again for another file by mistake would then
- * be told the outcome of the first file; with the hash in it, it is a publish of its own.
+ * The fold answers a repeated id with its first outcome. Without the hash, an id reused for another file by mistake
+ * would receive the outcome of the first file; with it, the second file is a publish of its own.
  */
 OperationId bindToContent(const OperationId &id, const std::string &content)
 {
@@ -47,7 +47,7 @@
     return std::to_string(toNumber(offset));
 }
 
-/** What one outcome of a publish reads like. */
+/** Converts the outcome of a publish into a report. */
 class PublishReporter
 {
 public:
@@ -125,7 +125,7 @@
     OperationId m_operation;
 };
 
-/** Publishes @p request as the operation of @p line, or as a new one; @p content is what its outcome is bound to. */
+/** Publishes @p request with the operation id of @p line, or a new one; the id is bound to @p content. */
 Report publish(LogSession &session, const std::string &subject, const CommandLine &line, const std::string &content,
                PublishRequest request)
 {
--- a/extras/heatherridge/report.h
+++ b/extras/heatherridge/report.h
@@ -9,7 +9,7 @@
 namespace Heatherridge
 {
 
-/** What one run of the command has to say: the same for people and for scripts. */
+/** The result of one run of the command, with the same content for people and for scripts. */
 struct Report
 {
     ExitCode code = ExitCode::Done;
--- a/extras/heatherridge/textfile.h
+++ b/extras/heatherridge/textfile.h
@@ -6,7 +6,7 @@
 namespace Heatherridge
 {
 
-/** The whole text of the file at @p path, or nothing when it cannot be read. */
+/** Returns the contents of the file at @p path, or nothing if it cannot be read. */
 std::optional<std::string> readTextFile(const std::string &path);
 
 } // namespace Heatherridge
--- a/extras/heatherridge/texttable.h
+++ b/extras/heatherridge/texttable.h
@@ -6,17 +6,17 @@
 namespace Heatherridge
 {
 
-/** Rows of text whose columns are aligned when printed. */
+/** A table of text with aligned columns. */
 class TextTable
 {
 public:
-    /** A table with these column titles. */
+    /** Creates a table with the given column titles. */
     explicit TextTable(std::vector<std::string> titles);
 
     /** Adds one row; missing cells stay empty. */
     void add(std::vector<std::string> cells);
 
-    /** The whole table, each row with its line feed. */
+    /** Returns the whole table; each row ends with a line feed. */
     std::string text() const;
 
 private:
--- a/tests/command/command_test.cpp
+++ b/tests/command/command_test.cpp
@@ -80,7 +80,7 @@
     {"ProcessesThatDoNotAnswerAreSaidSo",
      "{}",
      {{{"status", "--process", "127.0.0.1:1"}, Unreachable, "127.0.0.1:1"},
-      {{"targets", "--process", "127.0.0.1:1"}, Unreachable, "no process told"},
+      {{"targets", "--process", "127.0.0.1:1"}, Unreachable, "no process reported"},
       {{"explain", "r-1", "--process", "127.0.0.1:1"}, Unreachable, "r-1"}}},
 };
 
