--- a/extras/heatherridge-standin/enginestandin.cpp
+++ b/extras/heatherridge-standin/enginestandin.cpp
@@ -22,18 +22,18 @@
 
 std::vector<FaultSwitch> engineSwitches()
 {
-    return {{.name = "step-ms", .value = 5, .meaning = "milliseconds of a step with an empty batch"},
-            {.name = "step-us-per-request", .value = 100, .meaning = "microseconds that each request adds to a step"},
-            {.name = "prefill-us", .value = 20, .meaning = "microseconds for each token of prefill not in the cache"},
-            {.name = "batch", .value = 64, .meaning = "most requests in one step"},
-            {.name = "cache-blocks", .value = 4096, .meaning = "prefix cache, in blocks of 64 bytes of prompt"},
-            {.name = "checks-orders", .value = 0, .meaning = "1: orders with an old fencing number are refused"},
-            {.name = "stall", .value = 0, .meaning = "1: no step is begun"},
-            {.name = "break-after-tokens", .value = 0, .meaning = "close each stream after so many tokens; 0 is off"},
-            {.name = "refuse", .value = 0, .meaning = "1: chats are answered 503"},
-            {.name = "load-lag-ms", .value = 0, .meaning = "age of the load that is reported"},
-            {.name = "cache-lag-ms", .value = 0, .meaning = "age of the newest cache event that is told"},
-            {.name = "cache-gap", .value = 0, .meaning = "every so many-th cache event is lost; 0 is off"}};
+    return {{.name = "step-ms", .value = 5, .summary = "milliseconds of a step with an empty batch"},
+            {.name = "step-us-per-request", .value = 100, .summary = "microseconds that each request adds to a step"},
+            {.name = "prefill-us", .value = 20, .summary = "microseconds for each token of prefill not in the cache"},
+            {.name = "batch", .value = 64, .summary = "most requests in one step"},
+            {.name = "cache-blocks", .value = 4096, .summary = "prefix cache, in blocks of 64 bytes of prompt"},
+            {.name = "checks-orders", .value = 0, .summary = "1: orders with an old fencing number are refused"},
+            {.name = "stall", .value = 0, .summary = "1: no step is begun"},
+            {.name = "break-after-tokens", .value = 0, .summary = "close each stream after so many tokens; 0 is off"},
+            {.name = "refuse", .value = 0, .summary = "1: chats are answered 503"},
+            {.name = "load-lag-ms", .value = 0, .summary = "age of the load that is reported"},
+            {.name = "cache-lag-ms", .value = 0, .summary = "age of the newest cache event that is told"},
+            {.name = "cache-gap", .value = 0, .summary = "every so many-th cache event is lost; 0 is off"}};
 }
 
 } // namespace
@@ -41,7 +41,7 @@
 EngineStandIn::EngineStandIn(EventLoop &loop)
     : StandIn(loop, engineSwitches())
     , m_cache([this](std::uint64_t block, bool stored) {
-        const auto gap = static_cast<std::uint64_t>(fault("cache-gap"));
+        const auto gap = static_cast<std::uint64_t>(switchValue("cache-gap"));
         m_cacheEvents.add(block, stored, wallMilliseconds(), gap != 0 && ++m_cacheChanges % gap == 0);
     })
 {
@@ -63,13 +63,13 @@
     } else if (request.path == "/cache-events") {
         respondJson(*exchange, 200,
                     m_cacheEvents.page(static_cast<std::uint64_t>(queryNumber(request, "from", 1)), wallMilliseconds(),
-                                       fault("cache-lag-ms")));
+                                       switchValue("cache-lag-ms")));
     } else if (request.path == "/orders") {
         order(exchange);
     } else if (parts.size() == 2 && parts[0] == "kv") {
         keyValueCache(parts[1], exchange);
     } else {
-        respondFailure(*exchange, 404, "the engine has no such path");
+        respondError(*exchange, 404, "the engine has no such path");
     }
 }
 
@@ -78,12 +78,12 @@
     const auto &request = exchange->request();
     const auto body = nlohmann::json::parse(request.body, nullptr, false);
     if (!body.is_object()) {
-        respondFailure(*exchange, 400, "the request is no JSON object");
+        respondError(*exchange, 400, "the request is no JSON object");
         return;
     }
-    if (fault("refuse") != 0) {
+    if (switchValue("refuse") != 0) {
         count("refused");
-        respondFailure(*exchange, 503, "the engine refuses as it was told to");
+        respondError(*exchange, 503, "the engine refuses as it was told to");
         return;
     }
     EngineRequest::Options options{
@@ -127,11 +127,11 @@
     const auto body = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!body.is_object() || !body.contains("order") || !body.contains("fencing")
         || !body["fencing"].is_number_unsigned()) {
-        respondFailure(*exchange, 400, "an order has 'fencing', a whole number, and 'order'");
+        respondError(*exchange, 400, "an order has 'fencing', a whole number, and 'order'");
         return;
     }
     const auto fencing = body["fencing"].get<std::uint64_t>();
-    if (fault("checks-orders") != 0 && fencing < m_highestFencing) {
+    if (switchValue("checks-orders") != 0 && fencing < m_highestFencing) {
         count("orders-fenced-off");
         respondJson(*exchange, 409, {{"accepted", false}, {"highest", m_highestFencing}});
         return;
@@ -150,14 +150,14 @@
     const auto &request = exchange->request();
     if (request.method == "PUT") {
         const auto known = m_cache.store(PromptText(request.body).blocks(),
-                                         static_cast<std::size_t>(std::max(0LL, fault("cache-blocks"))));
+                                         static_cast<std::size_t>(std::max(0LL, switchValue("cache-blocks"))));
         count("imports");
         respondJson(*exchange, 200, {{"known-blocks", known}});
         return;
     }
     const auto kept = m_exports.find(id);
     if (kept == m_exports.end()) {
-        respondFailure(*exchange, 404, "no cache is kept for this request");
+        respondError(*exchange, 404, "no cache is kept for this request");
         return;
     }
     count("exports");
@@ -192,7 +192,7 @@
     if (m_stepping) {
         return;
     }
-    if (fault("stall") != 0) {
+    if (switchValue("stall") != 0) {
         m_stepping = true;
         loop().after(StallPoll, [this] {
             m_stepping = false;
@@ -205,24 +205,24 @@
         return;
     }
     m_stepping = true;
-    m_stepTime = milliseconds(fault("step-ms"))
-        + microseconds(fault("step-us-per-request")) * static_cast<long long>(m_batch.size()) + prefill;
+    m_stepTime = milliseconds(switchValue("step-ms"))
+        + microseconds(switchValue("step-us-per-request")) * static_cast<long long>(m_batch.size()) + prefill;
     loop().after(m_stepTime, [this] { endStep(); });
 }
 
 microseconds EngineStandIn::admit()
 {
     microseconds prefill{0};
-    const auto slots = static_cast<std::size_t>(std::max(1LL, fault("batch")));
+    const auto slots = static_cast<std::size_t>(std::max(1LL, switchValue("batch")));
     for (auto &[priority, queue] : m_waiting) {
         while (!queue.empty() && m_batch.size() < slots) {
             const auto request = queue.front();
             queue.pop_front();
             const auto &prompt = request->prompt();
             const auto hits =
-                m_cache.store(prompt.blocks(), static_cast<std::size_t>(std::max(0LL, fault("cache-blocks"))));
+                m_cache.store(prompt.blocks(), static_cast<std::size_t>(std::max(0LL, switchValue("cache-blocks"))));
             const auto cached = hits * PromptText::BytesPerBlock / PromptText::BytesPerToken;
-            prefill += microseconds(fault("prefill-us")) * static_cast<long long>(prompt.tokens() - cached);
+            prefill += microseconds(switchValue("prefill-us")) * static_cast<long long>(prompt.tokens() - cached);
             count("cached-tokens", cached);
             count("prefill-tokens", prompt.tokens() - cached);
             remember(*request);
@@ -259,7 +259,7 @@
 
 bool EngineStandIn::breaksOff(const EngineRequest &request) const
 {
-    const auto limit = fault("break-after-tokens");
+    const auto limit = switchValue("break-after-tokens");
     return limit > 0 && request.progress() - request.options().resumeFrom >= static_cast<std::uint64_t>(limit);
 }
 
@@ -290,7 +290,7 @@
 
 nlohmann::json EngineStandIn::reportedLoad()
 {
-    const auto lag = milliseconds(fault("load-lag-ms"));
+    const auto lag = milliseconds(switchValue("load-lag-ms"));
     if (lag.count() == 0) {
         return presentLoad();
     }
--- a/extras/heatherridge-standin/faultswitches.cpp
+++ b/extras/heatherridge-standin/faultswitches.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-Error badSwitch(const std::string &reason)
+Error invalidSwitch(const std::string &reason)
 {
     return Error{.kind = ErrorKind::BadRequest, .detail = reason};
 }
@@ -33,14 +33,14 @@
 Outcome FaultSwitches::set(const nlohmann::json &map)
 {
     if (!map.is_object()) {
-        return badSwitch("the switches come as a JSON map");
+        return invalidSwitch("the switches come as a JSON map");
     }
     for (const auto &[name, value] : map.items()) {
         if (!m_switches.contains(name)) {
-            return badSwitch("no switch is named '" + name + "'");
+            return invalidSwitch("no switch is named '" + name + "'");
         }
         if (!value.is_number_integer() && !value.is_boolean()) {
-            return badSwitch("'" + name + "' takes a whole number");
+            return invalidSwitch("'" + name + "' takes a whole number");
         }
     }
     for (const auto &[name, value] : map.items()) {
--- a/extras/heatherridge-standin/faultswitches.h
+++ b/extras/heatherridge-standin/faultswitches.h
@@ -17,7 +17,7 @@
 {
     std::string name{}; ///< as in the JSON map and after `--` on the command line
     long long value = 0; ///< the value at start; 0 is off for faults
-    std::string meaning{}; ///< one line for --help
+    std::string summary{}; ///< one line for --help
 };
 
 /** The switches of one stand-in. All values are whole numbers; yes and no are 1 and 0. One thread. */
--- a/extras/heatherridge-standin/hoststandin.cpp
+++ b/extras/heatherridge-standin/hoststandin.cpp
@@ -26,19 +26,19 @@
 
 HostStandIn::HostStandIn(EventLoop &loop)
     : StandIn(loop,
-              {{.name = "lag-ms", .value = 0, .meaning = "milliseconds until a change of the list is told"},
-               {.name = "duplicates", .value = 0, .meaning = "1: every host is told twice"},
-               {.name = "out", .value = 0, .meaning = "1: every request is answered 503 at once"}})
+              {{.name = "lag-ms", .value = 0, .summary = "milliseconds until a change of the list is told"},
+               {.name = "duplicates", .value = 0, .summary = "1: every host is told twice"},
+               {.name = "out", .value = 0, .summary = "1: every request is answered 503 at once"}})
 {
 }
 
 void HostStandIn::serve(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
-    if (fault("out") != 0) {
-        respondFailure(*exchange, 503, "the host list is out");
+    if (switchValue("out") != 0) {
+        respondError(*exchange, 503, "the host list is out");
     } else if (request.path != "/hosts") {
-        respondFailure(*exchange, 404, "the host list has /hosts");
+        respondError(*exchange, 404, "the host list has /hosts");
     } else if (request.method == "PUT") {
         replace(exchange);
     } else {
@@ -51,7 +51,7 @@
 {
     const auto body = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!isHostList(body)) {
-        respondFailure(*exchange, 400, "the list is {\"hosts\":[{\"host\":NAME,\"state\":\"live\"|\"leaving\"}]}");
+        respondError(*exchange, 400, "the list is {\"hosts\":[{\"host\":NAME,\"state\":\"live\"|\"leaving\"}]}");
         return;
     }
     count("changes");
@@ -64,11 +64,11 @@
 
 nlohmann::json HostStandIn::lagging() const
 {
-    const auto limit = wallMilliseconds() - fault("lag-ms");
+    const auto limit = wallMilliseconds() - switchValue("lag-ms");
     auto version = std::find_if(m_versions.rbegin(), m_versions.rend(),
                                 [limit](const Version &candidate) { return candidate.since <= limit; });
     auto hosts = version == m_versions.rend() ? m_versions.front().hosts : version->hosts;
-    if (fault("duplicates") != 0) {
+    if (switchValue("duplicates") != 0) {
         const auto once = hosts;
         hosts.insert(hosts.end(), once.begin(), once.end());
     }
--- a/extras/heatherridge-standin/logstandin.cpp
+++ b/extras/heatherridge-standin/logstandin.cpp
@@ -20,29 +20,29 @@
     : StandIn(loop,
               {{.name = "hang-after-append",
                 .value = 0,
-                .meaning = "1: the first append takes effect, and from it on nothing is answered"},
-               {.name = "out", .value = 0, .meaning = "1: every request is answered 503 at once"},
-               {.name = "hang", .value = 0, .meaning = "1: requests are taken and never answered"},
-               {.name = "slow-ms", .value = 0, .meaning = "milliseconds before a request is looked at"},
+                .summary = "1: the first append takes effect, and from it on nothing is answered"},
+               {.name = "out", .value = 0, .summary = "1: every request is answered 503 at once"},
+               {.name = "hang", .value = 0, .summary = "1: requests are taken and never answered"},
+               {.name = "slow-ms", .value = 0, .summary = "milliseconds before a request is looked at"},
                {.name = "lose-reply",
                 .value = 0,
-                .meaning = "for this many appends: take effect, then close without an answer; -1 for all"},
-               {.name = "retention-records", .value = 0, .meaning = "records kept of a stream; 0 keeps all"},
-               {.name = "retention-ms", .value = 0, .meaning = "age up to which records are kept; 0 keeps all"},
-               {.name = "rate", .value = 0, .meaning = "appends a second, further ones wait their turn; 0: no bound"}})
+                .summary = "for this many appends: take effect, then close without an answer; -1 for all"},
+               {.name = "retention-records", .value = 0, .summary = "records kept of a stream; 0 keeps all"},
+               {.name = "retention-ms", .value = 0, .summary = "age up to which records are kept; 0 keeps all"},
+               {.name = "rate", .value = 0, .summary = "appends a second, further ones wait their turn; 0: no bound"}})
 {
 }
 
 void LogStandIn::serve(const std::shared_ptr<HttpExchange> &exchange)
 {
-    if (fault("out") != 0) {
+    if (switchValue("out") != 0) {
         count("refused-out");
-        respondFailure(*exchange, 503, "the log is out");
-    } else if (fault("hang") != 0) {
+        respondError(*exchange, 503, "the log is out");
+    } else if (switchValue("hang") != 0) {
         count("held");
         m_held.push_back(exchange);
-    } else if (fault("slow-ms") > 0) {
-        loop().after(std::chrono::milliseconds(fault("slow-ms")), [this, exchange] { dispatch(exchange); });
+    } else if (switchValue("slow-ms") > 0) {
+        loop().after(std::chrono::milliseconds(switchValue("slow-ms")), [this, exchange] { dispatch(exchange); });
     } else {
         m_held.clear();
         dispatch(exchange);
@@ -54,22 +54,22 @@
     const auto &request = exchange->request();
     const auto parts = pathParts(request.path);
     if (parts.size() != 3 || parts[0] != "streams" || parts[2] != "records") {
-        respondFailure(*exchange, 404, "the log has /streams/NAME/records");
+        respondError(*exchange, 404, "the log has /streams/NAME/records");
     } else if (request.method == "GET") {
         read(parts[1], exchange);
     } else if (request.method != "POST") {
-        respondFailure(*exchange, 405, "append with POST, read with GET");
+        respondError(*exchange, 405, "append with POST, read with GET");
     } else if (request.body.size() > MostRecordBytes) {
-        respondFailure(*exchange, 413, "a record has at most 1 MiB");
-    } else if (fault("rate") > 0) {
+        respondError(*exchange, 413, "a record has at most 1 MiB");
+    } else if (switchValue("rate") > 0) {
         const auto now = std::chrono::steady_clock::now();
         const auto turn = std::max(now, m_nextAppend);
         if (turn - now > LongestBacklog) {
             count("refused-rate");
-            respondFailure(*exchange, 503, "too many appends");
+            respondError(*exchange, 503, "too many appends");
             return;
         }
-        m_nextAppend = turn + std::chrono::microseconds(std::chrono::seconds(1)) / fault("rate");
+        m_nextAppend = turn + std::chrono::microseconds(std::chrono::seconds(1)) / switchValue("rate");
         loop().after(std::chrono::duration_cast<std::chrono::microseconds>(turn - now),
                      [this, name = parts[1], exchange] { append(name, exchange); });
     } else {
@@ -84,10 +84,10 @@
     const auto offset = stream.append(exchange->request().body, now);
     stream.expire(retention(), now);
     count("appends");
-    if (fault("hang-after-append") != 0) {
+    if (switchValue("hang-after-append") != 0) {
         faults().set({{"hang", 1}});
         m_held.push_back(exchange);
-    } else if (const auto lost = fault("lose-reply"); lost != 0) {
+    } else if (const auto lost = switchValue("lose-reply"); lost != 0) {
         count("replies-lost");
         exchange->abort();
         if (lost > 0) {
@@ -114,7 +114,7 @@
     }
     m_waiters[name].push_back(waiter);
     loop().after(std::chrono::milliseconds(wait), [this, name, waiter] {
-        if (waiter->exchange && fault("hang") != 0) {
+        if (waiter->exchange && switchValue("hang") != 0) {
             m_held.push_back(waiter->exchange);
         } else if (waiter->exchange) {
             answer(name, *waiter);
@@ -134,7 +134,7 @@
 
 void LogStandIn::wake(const std::string &name)
 {
-    if (fault("hang") != 0) {
+    if (switchValue("hang") != 0) {
         return;
     }
     for (const auto &waiter : std::exchange(m_waiters[name], {})) {
@@ -145,8 +145,8 @@
 
 LogStream::Retention LogStandIn::retention() const
 {
-    return {.records = static_cast<std::size_t>(std::max(0LL, fault("retention-records"))),
-            .age = std::chrono::milliseconds(fault("retention-ms"))};
+    return {.records = static_cast<std::size_t>(std::max(0LL, switchValue("retention-records"))),
+            .age = std::chrono::milliseconds(switchValue("retention-ms"))};
 }
 
 } // namespace Heatherridge
--- a/extras/heatherridge-standin/main.cpp
+++ b/extras/heatherridge-standin/main.cpp
@@ -28,7 +28,7 @@
 struct Mode
 {
     std::string name{};
-    std::string meaning{};
+    std::string summary{};
     std::function<std::unique_ptr<StandIn>(EventLoop &)> make{};
 };
 
@@ -41,12 +41,12 @@
 const std::vector<Mode> &modes()
 {
     static const std::vector<Mode> All{
-        {.name = "log", .meaning = "the platform's append-only log", .make = make<LogStandIn>},
-        {.name = "hosts", .meaning = "the platform's lagging host list", .make = make<HostStandIn>},
-        {.name = "weights", .meaning = "the platform's rate-limited weight store", .make = make<WeightStandIn>},
-        {.name = "engine", .meaning = "a model engine", .make = make<EngineStandIn>},
-        {.name = "rank", .meaning = "one rank's engine of a lock-step group", .make = make<RankStandIn>},
-        {.name = "plain", .meaning = "a booking service", .make = make<PlainStandIn>},
+        {.name = "log", .summary = "the platform's append-only log", .make = make<LogStandIn>},
+        {.name = "hosts", .summary = "the platform's lagging host list", .make = make<HostStandIn>},
+        {.name = "weights", .summary = "the platform's rate-limited weight store", .make = make<WeightStandIn>},
+        {.name = "engine", .summary = "a model engine", .make = make<EngineStandIn>},
+        {.name = "rank", .summary = "one rank's engine of a lock-step group", .make = make<RankStandIn>},
+        {.name = "plain", .summary = "a booking service", .make = make<PlainStandIn>},
     };
     return All;
 }
@@ -57,7 +57,7 @@
            "Plays one part of the platform or one back end. Port 0 lets the kernel choose; the line\n"
            "`ready MODE ADDRESS:PORT` says where it listens. POST /faults sets switches at run time.\n\nmodes:\n";
     for (const auto &mode : modes()) {
-        out << "  " << mode.name << "\t" << mode.meaning << "\n";
+        out << "  " << mode.name << "\t" << mode.summary << "\n";
     }
     out << "\nheatherridge-standin MODE --help lists the mode's switches.\n";
 }
@@ -90,7 +90,7 @@
         "listen", Options::value<std::string>()->default_value("127.0.0.1:0"), "where to listen");
     for (const auto &[name, entry] : switches.all()) {
         description.add_options()(name.c_str(), Options::value<long long>()->default_value(entry.value),
-                                  entry.meaning.c_str());
+                                  entry.summary.c_str());
     }
     return description;
 }
--- a/extras/heatherridge-standin/plainstandin.cpp
+++ b/extras/heatherridge-standin/plainstandin.cpp
@@ -22,7 +22,7 @@
     return body;
 }
 
-/** @p fault as a count of calls that it still strikes: -1 strikes all. */
+/** @p switchValue as a count of calls that it still strikes: -1 strikes all. */
 bool strikes(FaultSwitches &faults, const std::string &fault)
 {
     const auto left = faults.value(fault);
@@ -37,13 +37,13 @@
 PlainStandIn::PlainStandIn(EventLoop &loop)
     : StandIn(
         loop,
-        {{.name = "delay-ms", .value = 0, .meaning = "milliseconds between a call's execution and its answer"},
-         {.name = "hang", .value = 0, .meaning = "1: calls are taken, neither executed nor answered"},
-         {.name = "close-before-run", .value = 0, .meaning = "calls whose connection closes unexecuted; -1 for all"},
+        {{.name = "delay-ms", .value = 0, .summary = "milliseconds between a call's execution and its answer"},
+         {.name = "hang", .value = 0, .summary = "1: calls are taken, neither executed nor answered"},
+         {.name = "close-before-run", .value = 0, .summary = "calls whose connection closes unexecuted; -1 for all"},
          {.name = "close-after-run",
           .value = 0,
-          .meaning = "calls whose connection closes after the execution; -1 for all"},
-         {.name = "fail-status", .value = 0, .meaning = "answer with this status without executing; 0 is off"}})
+          .summary = "calls whose connection closes after the execution; -1 for all"},
+         {.name = "fail-status", .value = 0, .summary = "answer with this status without executing; 0 is off"}})
 {
 }
 
@@ -54,7 +54,7 @@
         return;
     }
     count("calls");
-    if (fault("hang") != 0) {
+    if (switchValue("hang") != 0) {
         count("held");
         m_held.push_back(exchange);
         return;
@@ -65,9 +65,9 @@
         exchange->abort();
         return;
     }
-    if (const auto status = fault("fail-status"); status != 0) {
+    if (const auto status = switchValue("fail-status"); status != 0) {
         count("failed");
-        respondFailure(*exchange, static_cast<int>(status), "the service fails as it was told to");
+        respondError(*exchange, static_cast<int>(status), "the service fails as it was told to");
         return;
     }
     run(exchange);
@@ -77,7 +77,7 @@
 {
     const auto &request = exchange->request();
     if (request.method == "GET" || request.method == "HEAD") {
-        loop().after(std::chrono::milliseconds(fault("delay-ms")), [this, exchange] { lookUp(exchange); });
+        loop().after(std::chrono::milliseconds(switchValue("delay-ms")), [this, exchange] { lookUp(exchange); });
     } else {
         execute(exchange);
     }
@@ -100,7 +100,7 @@
                                 {"executions", executions},
                                 {"bytes", request.body.size()}};
     const int status = request.path == "/bookings" || request.path == "/deposits" ? 201 : 200;
-    loop().after(std::chrono::milliseconds(fault("delay-ms")),
+    loop().after(std::chrono::milliseconds(switchValue("delay-ms")),
                  [exchange, status, answer] { respondJson(*exchange, status, answer); });
 }
 
--- a/extras/heatherridge-standin/rankstandin.cpp
+++ b/extras/heatherridge-standin/rankstandin.cpp
@@ -25,18 +25,18 @@
 
 RankStandIn::RankStandIn(EventLoop &loop)
     : StandIn(loop,
-              {{.name = "step-ms", .value = 20, .meaning = "time of a step"},
-               {.name = "layers", .value = 2, .meaning = "layers of the model"},
-               {.name = "experts", .value = 8, .meaning = "experts a layer"},
-               {.name = "expert-bytes", .value = 1'000'000, .meaning = "weights of one expert"},
-               {.name = "load-ms", .value = 100, .meaning = "time that loading a map's weights takes"},
-               {.name = "load-fails", .value = 0, .meaning = "1: loading fails"},
-               {.name = "window-ms", .value = 1000, .meaning = "time between load reports"},
-               {.name = "tokens", .value = 100'000, .meaning = "tokens a layer in a window"},
-               {.name = "hot-expert", .value = -1, .meaning = "expert that gets hot-factor times the tokens"},
-               {.name = "hot-factor", .value = 10, .meaning = "see hot-expert"},
-               {.name = "slowness-percent", .value = 100, .meaning = "time a token, against a healthy rank"},
-               {.name = "checks-orders", .value = 1, .meaning = "0: orders of a dead run of the gate are followed"}})
+              {{.name = "step-ms", .value = 20, .summary = "time of a step"},
+               {.name = "layers", .value = 2, .summary = "layers of the model"},
+               {.name = "experts", .value = 8, .summary = "experts a layer"},
+               {.name = "expert-bytes", .value = 1'000'000, .summary = "weights of one expert"},
+               {.name = "load-ms", .value = 100, .summary = "time that loading a map's weights takes"},
+               {.name = "load-fails", .value = 0, .summary = "1: loading fails"},
+               {.name = "window-ms", .value = 1000, .summary = "time between load reports"},
+               {.name = "tokens", .value = 100'000, .summary = "tokens a layer in a window"},
+               {.name = "hot-expert", .value = -1, .summary = "expert that gets hot-factor times the tokens"},
+               {.name = "hot-factor", .value = 10, .summary = "see hot-expert"},
+               {.name = "slowness-percent", .value = 100, .summary = "time a token, against a healthy rank"},
+               {.name = "checks-orders", .value = 1, .summary = "0: orders of a dead run of the gate are followed"}})
     , m_engine(drawRun())
 {
 }
@@ -65,7 +65,7 @@
                      {"limited", state.limit.has_value()},
                      {"changes", m_changes}});
     } else {
-        respondFailure(*exchange, 404, "a rank serves /group/orders, /group/ranks, /group/started and /group/steps");
+        respondError(*exchange, 404, "a rank serves /group/orders, /group/ranks, /group/started and /group/steps");
     }
 }
 
@@ -74,7 +74,7 @@
     m_begun = true;
     m_client = std::make_unique<HttpClient>(loop().context(), HttpClient::Options{});
     tick();
-    loop().after(std::chrono::milliseconds(fault("window-ms")), [this] { closeWindow(); });
+    loop().after(std::chrono::milliseconds(switchValue("window-ms")), [this] { closeWindow(); });
 }
 
 void RankStandIn::takeOrder(const std::shared_ptr<HttpExchange> &exchange)
@@ -82,17 +82,17 @@
     const auto &body = exchange->request().body;
     const auto decoded = decodeSignedOrder(Bytes(body.begin(), body.end()));
     if (const auto *error = errorIn(decoded)) {
-        respondFailure(*exchange, 400, error->detail);
+        respondError(*exchange, 400, error->detail);
         return;
     }
     const auto &[run, order] = std::get<SignedOrder>(decoded);
     count("orders");
-    if (!m_engine.acceptsRun(run) && fault("checks-orders") != 0) {
+    if (!m_engine.acceptsRun(run) && switchValue("checks-orders") != 0) {
         count("refused");
     } else if (const auto *load = std::get_if<LoadWeights>(&order)) {
         m_maps.insert_or_assign(load->map.number(), load->map);
-        loop().after(std::chrono::milliseconds(fault("load-ms")),
-                     [this, load = *load] { m_engine.execute(EngineOrder(load), fault("load-fails") == 0); });
+        loop().after(std::chrono::milliseconds(switchValue("load-ms")),
+                     [this, load = *load] { m_engine.execute(EngineOrder(load), switchValue("load-fails") == 0); });
     } else {
         m_engine.execute(order);
     }
@@ -106,7 +106,7 @@
 {
     const auto json = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!json.is_object() || !json.contains("self") || !json.contains("ranks")) {
-        respondFailure(*exchange, 400, "expected {\"self\": RANK, \"ranks\": [ADDRESS:PORT, ...]}");
+        respondError(*exchange, 400, "expected {\"self\": RANK, \"ranks\": [ADDRESS:PORT, ...]}");
         return;
     }
     m_rank = json["self"].get<int>();
@@ -125,7 +125,7 @@
 {
     const auto json = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!json.is_object()) {
-        respondFailure(*exchange, 400, "expected rank, epoch and next");
+        respondError(*exchange, 400, "expected rank, epoch and next");
         return;
     }
     const auto epoch = static_cast<EpochNumber>(json.value("epoch", std::uint64_t{0}));
@@ -150,7 +150,7 @@
         noteStep(*started);
     }
     tell();
-    loop().after(std::chrono::milliseconds(fault("step-ms")), [this] { tick(); });
+    loop().after(std::chrono::milliseconds(switchValue("step-ms")), [this] { tick(); });
 }
 
 /** Tells the others how far this rank is, in every tick, so that a lost word is repeated. */
@@ -184,15 +184,16 @@
 std::vector<std::uint32_t> RankStandIn::tokensOf(const ExpertMap &map) const
 {
     std::vector<std::uint32_t> tokens;
-    const auto hot = fault("hot-expert");
-    const auto experts = static_cast<double>(fault("experts"));
-    const double hotLoad = hot >= 0 ? static_cast<double>(fault("hot-factor")) : 1;
+    const auto hot = switchValue("hot-expert");
+    const auto experts = static_cast<double>(switchValue("experts"));
+    const double hotLoad = hot >= 0 ? static_cast<double>(switchValue("hot-factor")) : 1;
     for (const auto &layer : map.layers()) {
         for (const auto &slot : layer) {
             if (slot.rank == m_rank) {
                 const double load = slot.expert == hot ? hotLoad : 1;
                 const double part = load / (experts - 1 + hotLoad) * slot.share / ExpertSlot::WholeShare;
-                tokens.push_back(static_cast<std::uint32_t>(std::lround(part * static_cast<double>(fault("tokens")))));
+                tokens.push_back(
+                    static_cast<std::uint32_t>(std::lround(part * static_cast<double>(switchValue("tokens")))));
             }
         }
     }
@@ -202,7 +203,7 @@
 void RankStandIn::closeWindow()
 {
     // By the machine's clock, so that all ranks number their windows alike, restarted ones too.
-    const auto window = static_cast<std::uint64_t>(wallMilliseconds() / std::max(1LL, fault("window-ms")));
+    const auto window = static_cast<std::uint64_t>(wallMilliseconds() / std::max(1LL, switchValue("window-ms")));
     const auto &state = m_engine.state();
     const auto map = m_maps.find(state.map);
     // A window with a switch in it belongs to neither map.
@@ -210,21 +211,21 @@
         RankReport report{.rank = m_rank, .window = window, .map = state.map, .tokens = tokensOf(map->second)};
         double busy = 0;
         for (const auto tokens : report.tokens) {
-            busy += tokens * MicrosecondsPerToken * static_cast<double>(fault("slowness-percent")) / 100;
+            busy += tokens * MicrosecondsPerToken * static_cast<double>(switchValue("slowness-percent")) / 100;
         }
         report.busyTime = std::chrono::microseconds(std::llround(busy));
         m_report = std::move(report);
     }
     m_windowMap = state.map;
-    loop().after(std::chrono::milliseconds(fault("window-ms")), [this] { closeWindow(); });
+    loop().after(std::chrono::milliseconds(switchValue("window-ms")), [this] { closeWindow(); });
 }
 
 EngineState RankStandIn::stateWithLoad() const
 {
     auto state = m_engine.state();
-    state.model = {.layers = static_cast<int>(fault("layers")),
-                   .experts = static_cast<int>(fault("experts")),
-                   .expertBytes = static_cast<std::uint64_t>(fault("expert-bytes"))};
+    state.model = {.layers = static_cast<int>(switchValue("layers")),
+                   .experts = static_cast<int>(switchValue("experts")),
+                   .expertBytes = static_cast<std::uint64_t>(switchValue("expert-bytes"))};
     state.load = m_report;
     return state;
 }
--- a/extras/heatherridge-standin/standin.cpp
+++ b/extras/heatherridge-standin/standin.cpp
@@ -20,7 +20,7 @@
         if (request.method == "POST") {
             const auto outcome = m_faults.set(nlohmann::json::parse(request.body, nullptr, false));
             if (const auto *error = errorIn(outcome)) {
-                respondFailure(*exchange, 400, error->detail);
+                respondError(*exchange, 400, error->detail);
                 return;
             }
         }
@@ -35,7 +35,7 @@
     return m_faults;
 }
 
-long long StandIn::fault(std::string_view name) const
+long long StandIn::switchValue(std::string_view name) const
 {
     return m_faults.value(name);
 }
@@ -56,7 +56,7 @@
         .status = status, .headers = {{.name = "Content-Type", .value = "application/json"}}, .body = body.dump()});
 }
 
-void respondFailure(HttpExchange &exchange, int status, const std::string &reason)
+void respondError(HttpExchange &exchange, int status, const std::string &reason)
 {
     respondJson(exchange, status, {{"error", reason}});
 }
--- a/extras/heatherridge-standin/standin.h
+++ b/extras/heatherridge-standin/standin.h
@@ -41,7 +41,7 @@
     virtual void serve(const std::shared_ptr<HttpExchange> &exchange) = 0;
 
     /** The value of the switch @p name. */
-    long long fault(std::string_view name) const;
+    long long switchValue(std::string_view name) const;
 
     /** Adds @p by to the counter @p name. */
     void count(const std::string &name, std::uint64_t by = 1);
@@ -59,7 +59,7 @@
 void respondJson(HttpExchange &exchange, int status, const nlohmann::json &body);
 
 /** Answers @p exchange with @p status and a JSON object that says @p reason. */
-void respondFailure(HttpExchange &exchange, int status, const std::string &reason);
+void respondError(HttpExchange &exchange, int status, const std::string &reason);
 
 /** The parts of @p path between its slashes; empty parts are left out. */
 std::vector<std::string> pathParts(std::string_view path);
--- a/extras/heatherridge-standin/weightstandin.cpp
+++ b/extras/heatherridge-standin/weightstandin.cpp
@@ -17,8 +17,8 @@
 
 WeightStandIn::WeightStandIn(EventLoop &loop)
     : StandIn(loop,
-              {{.name = "bytes-per-s", .value = 200'000'000, .meaning = "rate of the whole store"},
-               {.name = "out", .value = 0, .meaning = "1: every request is answered 503 at once"}})
+              {{.name = "bytes-per-s", .value = 200'000'000, .summary = "rate of the whole store"},
+               {.name = "out", .value = 0, .summary = "1: every request is answered 503 at once"}})
 {
 }
 
@@ -26,12 +26,12 @@
 {
     const auto &request = exchange->request();
     const auto parts = pathParts(request.path);
-    if (fault("out") != 0) {
-        respondFailure(*exchange, 503, "the weight store is out");
+    if (switchValue("out") != 0) {
+        respondError(*exchange, 503, "the weight store is out");
         return;
     }
     if (parts.size() != 4 || parts[0] != "weights" || request.method != "GET") {
-        respondFailure(*exchange, 404, "the store has /weights/MODEL/LAYER/EXPERT");
+        respondError(*exchange, 404, "the store has /weights/MODEL/LAYER/EXPERT");
         return;
     }
     const auto bytes = std::min(MostBytes, queryNumber(request, "bytes", 1LL << 20U));
@@ -52,7 +52,7 @@
         return;
     }
     const auto bytes = std::min(PieceBytes, transfer->left);
-    const auto rate = std::max(1LL, fault("bytes-per-s"));
+    const auto rate = std::max(1LL, switchValue("bytes-per-s"));
     const auto now = std::chrono::steady_clock::now();
     m_nextPiece = std::max(now, m_nextPiece)
         + std::chrono::microseconds(static_cast<long long>(bytes) * MicrosecondsPerSecond / rate);
