--- a/extras/heatherridge-standin/standin.cpp
+++ b/extras/heatherridge-standin/standin.cpp
@@ -40,9 +40,9 @@
     return m_faults.value(name);
 }
 
-void StandIn::count(const std::string &name, std::uint64_t by)
+void StandIn::count(const std::string &name, std::uint64_t increment)
 {
-    m_counters[name] += by;
+    m_counters[name] += increment;
 }
 
 EventLoop &StandIn::loop()
--- a/extras/heatherridge-standin/standin.h
+++ b/extras/heatherridge-standin/standin.h
@@ -43,8 +43,8 @@
     /** The value of the switch @p name. */
     long long switchValue(std::string_view name) const;
 
-    /** Adds @p by to the counter @p name. */
-    void count(const std::string &name, std::uint64_t by = 1);
+    /** Adds @p increment to the counter @p name. */
+    void count(const std::string &name, std::uint64_t increment = 1);
 
     /** The loop on whose thread everything runs. */
     EventLoop &loop();
