--- a/extras/heatherridge-standin/prefixcache.h
+++ b/extras/heatherridge-standin/prefixcache.h
@@ -15,10 +15,10 @@
 {
 public:
     /** Told of each block that is stored (true) or removed (false). */
-    using Changed = std::function<void(std::uint64_t block, bool stored)>;
+    using ChangeCallback = std::function<void(std::uint64_t block, bool stored)>;
 
     /** An empty cache that reports to @p changed. */
-    explicit PrefixCache(Changed changed);
+    explicit PrefixCache(ChangeCallback onChange);
 
     /** Stores @p blocks and keeps at most @p capacity blocks. @returns how many leading ones were there before. */
     std::size_t store(const std::vector<std::uint64_t> &blocks, std::size_t capacity);
@@ -29,9 +29,9 @@
 private:
     void touch(std::uint64_t block);
 
-    Changed m_changed;
-    std::list<std::uint64_t> m_byUse; // most recent first
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_places;
+    ChangeCallback m_onChange;
+    std::list<std::uint64_t> m_lruOrder; // most recent first
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_entries;
 };
 
 } // namespace Heatherridge
