--- a/extras/heatherridge-standin/cacheevents.cpp
+++ b/extras/heatherridge-standin/cacheevents.cpp
@@ -5,12 +5,12 @@
 
 void CacheEvents::add(std::uint64_t block, bool stored, std::int64_t now, bool dropped)
 {
-    ++m_last;
+    ++m_lastNumber;
     if (dropped) {
         return;
     }
-    m_events.push_back({.number = m_last, .time = now, .block = block, .stored = stored});
-    if (m_events.size() > MostEvents) {
+    m_events.push_back({.number = m_lastNumber, .time = now, .block = block, .stored = stored});
+    if (m_events.size() > MaxEvents) {
         m_events.pop_front();
     }
 }
--- a/extras/heatherridge-standin/cacheevents.h
+++ b/extras/heatherridge-standin/cacheevents.h
@@ -13,7 +13,7 @@
 {
 public:
     /** Events kept; older ones are gone. */
-    static constexpr std::size_t MostEvents = 10'000;
+    static constexpr std::size_t MaxEvents = 10'000;
 
     /** Adds an event at @p now (milliseconds since the epoch); a dropped one leaves a gap in the numbers. */
     void add(std::uint64_t block, bool stored, std::int64_t now, bool dropped);
@@ -30,7 +30,7 @@
         bool stored = true;
     };
 
-    std::uint64_t m_last = 0;
+    std::uint64_t m_lastNumber = 0;
     std::deque<Event> m_events;
 };
 
