--- a/extras/heatherridge-standin/prompttext.cpp
+++ b/extras/heatherridge-standin/prompttext.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-/** Words with the characters that careless escaping breaks. */
-constexpr std::array<const char *, 8> Words = {"oak",     "chips ",  "\"dry\" ", "Sicilia\n",
-                                               "perché ", "\\load ", "é",        "yard "};
+/** TokenTexts with the characters that careless escaping breaks. */
+constexpr std::array<const char *, 8> TokenTexts = {"oak",     "chips ",  "\"dry\" ", "Sicilia\n",
+                                                    "perché ", "\\load ", "é",        "yard "};
 
-std::string textOf(const nlohmann::json &value)
+std::string toText(const nlohmann::json &value)
 {
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
@@ -28,8 +28,8 @@
     if (const auto messages = request.find("messages"); messages != request.end() && messages->is_array()) {
         for (const auto &message : *messages) {
             if (message.is_object()) {
-                text += textOf(message.value("role", nlohmann::json("user"))) + ':'
-                    + textOf(message.value("content", nlohmann::json(""))) + '\n';
+                text += toText(message.value("role", nlohmann::json("user"))) + ':'
+                    + toText(message.value("content", nlohmann::json(""))) + '\n';
             }
         }
     }
@@ -65,8 +65,8 @@
 
 std::string PromptText::answerToken(std::uint64_t index) const
 {
-    const auto draw = XXH64(&index, sizeof index, m_hash);
-    return std::to_string(draw % 1000) + Words[(draw >> 32U) % Words.size()];
+    const auto tokenHash = XXH64(&index, sizeof index, m_hash);
+    return std::to_string(tokenHash % 1000) + TokenTexts[(tokenHash >> 32U) % TokenTexts.size()];
 }
 
 } // namespace Heatherridge
