--- a/extras/heatherridge-standin/enginerequest.cpp
+++ b/extras/heatherridge-standin/enginerequest.cpp
@@ -35,11 +35,11 @@
     return m_progress >= m_options.maxTokens;
 }
 
-void EngineRequest::step()
+void EngineRequest::generateToken()
 {
     const auto token = m_prompt.answerToken(m_progress++);
     if (m_options.stream) {
-        send(chunk(token, false));
+        send(formatChunk(token, false));
     } else {
         m_content += token;
     }
@@ -49,7 +49,7 @@
 {
     if (m_options.stream) {
         m_ending = true;
-        send(chunk({}, true) + "data: [DONE]\n\n");
+        send(formatChunk({}, true) + "data: [DONE]\n\n");
         return;
     }
     const nlohmann::json message{{"role", "assistant"}, {"content", m_content}};
@@ -66,7 +66,7 @@
         HttpResponse{.headers = {{.name = "Content-Type", .value = "application/json"}}, .body = answer.dump()});
 }
 
-void EngineRequest::breakOff()
+void EngineRequest::abortResponse()
 {
     m_pending.clear();
     if (m_exchange) {
@@ -75,7 +75,7 @@
     }
 }
 
-std::string EngineRequest::chunk(const std::string &token, bool last) const
+std::string EngineRequest::formatChunk(const std::string &token, bool last) const
 {
     const auto delta = last ? nlohmann::json::object() : nlohmann::json{{"content", token}};
     const auto reason = last ? nlohmann::json("stop") : nlohmann::json();
@@ -91,8 +91,8 @@
     if (!m_exchange) {
         return;
     }
-    if (!m_begun) {
-        m_begun = true;
+    if (!m_streamStarted) {
+        m_streamStarted = true;
         m_exchange->beginStream(200, {{.name = "Content-Type", .value = "text/event-stream"}});
     }
     m_pending += bytes;
--- a/extras/heatherridge-standin/enginerequest.h
+++ b/extras/heatherridge-standin/enginerequest.h
@@ -48,16 +48,16 @@
     bool isComplete() const;
 
     /** Makes the next token. */
-    void step();
+    void generateToken();
 
     /** Sends the end of a complete answer; @p cachedTokens is told in `usage`. */
     void finish(std::size_t cachedTokens);
 
     /** Closes the connection in the middle of the answer. */
-    void breakOff();
+    void abortResponse();
 
 private:
-    std::string chunk(const std::string &token, bool last) const;
+    std::string formatChunk(const std::string &token, bool last) const;
     void send(const std::string &bytes);
     void flush();
 
@@ -68,7 +68,7 @@
     std::uint64_t m_progress = 0;
     std::string m_content; // of an answer in whole
     std::string m_pending; // of a stream, not yet given to the exchange
-    bool m_begun = false; // the head of the stream was sent
+    bool m_streamStarted = false; // the head of the stream was sent
     bool m_writing = false;
     bool m_ending = false;
 };
--- a/extras/heatherridge-standin/enginestandin.cpp
+++ b/extras/heatherridge-standin/enginestandin.cpp
@@ -14,11 +14,11 @@
 using std::chrono::steady_clock;
 
 constexpr milliseconds SampleInterval{50};
-constexpr milliseconds LongestLoadLag{10'000};
+constexpr milliseconds MaxLoadLag{10'000};
 constexpr milliseconds StallPoll{20};
-constexpr std::size_t MostOrders = 100;
-constexpr std::size_t MostExports = 1000;
-constexpr std::uint64_t MostTokens = 100'000;
+constexpr std::size_t MaxOrders = 100;
+constexpr std::size_t MaxExports = 1000;
+constexpr std::uint64_t MaxTokens = 100'000;
 
 std::vector<FaultSwitch> engineSwitches()
 {
@@ -53,7 +53,7 @@
     const auto &request = exchange->request();
     const auto parts = pathParts(request.path);
     if (request.path == "/v1/chat/completions" && request.method == "POST") {
-        chat(exchange);
+        handleChat(exchange);
     } else if (parts.size() == 3 && parts[0] == "requests" && parts[2] == "cancel" && request.method == "POST") {
         respondJson(*exchange, 200, {{"cancelled", cancel([&id = parts[1]](const EngineRequest &candidate) {
                                           return candidate.options().id == id;
@@ -65,15 +65,15 @@
                     m_cacheEvents.page(static_cast<std::uint64_t>(queryNumber(request, "from", 1)), wallMilliseconds(),
                                        switchValue("cache-lag-ms")));
     } else if (request.path == "/orders") {
-        order(exchange);
+        handleOrder(exchange);
     } else if (parts.size() == 2 && parts[0] == "kv") {
-        keyValueCache(parts[1], exchange);
+        handleKeyValueCache(parts[1], exchange);
     } else {
         respondError(*exchange, 404, "the engine has no such path");
     }
 }
 
-void EngineStandIn::chat(const std::shared_ptr<HttpExchange> &exchange)
+void EngineStandIn::handleChat(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
     const auto body = nlohmann::json::parse(request.body, nullptr, false);
@@ -90,12 +90,12 @@
         .id = std::string(request.header("X-Request-Id")),
         .priority = static_cast<int>(parseNumber(request.header("X-Priority"), -1000, 1000).value_or(0))};
     if (options.id.empty()) {
-        options.id = "unnamed-" + std::to_string(++m_unnamed);
+        options.id = "unnamed-" + std::to_string(++m_unnamedRequests);
     }
     const auto tokens = [&body](const char *key, std::uint64_t fallback) {
         const auto field = body.find(key);
         const bool usable = field != body.end() && field->is_number_unsigned();
-        return usable ? std::min(MostTokens, field->get<std::uint64_t>()) : fallback;
+        return usable ? std::min(MaxTokens, field->get<std::uint64_t>()) : fallback;
     };
     options.maxTokens = tokens("max_tokens", options.maxTokens);
     options.resumeFrom = tokens("resume_from", 0);
@@ -104,10 +104,10 @@
     const auto queued =
         std::make_shared<EngineRequest>(options, PromptText::fromRequest(body), exchange,
                                         [this](std::function<void()> task) { loop().post(std::move(task)); });
-    exchange->onClosed([this, leaving = std::weak_ptr(queued)] {
-        loop().post([this, leaving] {
+    exchange->onClosed([this, weakRequest = std::weak_ptr(queued)] {
+        loop().post([this, weakRequest] {
             // This very request: another attempt under the same id may run beside it.
-            const auto request = leaving.lock();
+            const auto request = weakRequest.lock();
             if (request && cancel([&](const EngineRequest &candidate) { return &candidate == request.get(); })) {
                 count("callers-gone");
             }
@@ -118,7 +118,7 @@
     beginStep();
 }
 
-void EngineStandIn::order(const std::shared_ptr<HttpExchange> &exchange)
+void EngineStandIn::handleOrder(const std::shared_ptr<HttpExchange> &exchange)
 {
     if (exchange->request().method != "POST") {
         respondJson(*exchange, 200, {{"highest", m_highestFencing}, {"orders", m_orders}});
@@ -139,13 +139,13 @@
     m_highestFencing = std::max(m_highestFencing, fencing);
     count("orders");
     m_orders.push_back(body);
-    if (m_orders.size() > MostOrders) {
+    if (m_orders.size() > MaxOrders) {
         m_orders.pop_front();
     }
     respondJson(*exchange, 200, {{"accepted", true}, {"highest", m_highestFencing}});
 }
 
-void EngineStandIn::keyValueCache(const std::string &id, const std::shared_ptr<HttpExchange> &exchange)
+void EngineStandIn::handleKeyValueCache(const std::string &id, const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
     if (request.method == "PUT") {
@@ -165,23 +165,23 @@
         HttpResponse{.headers = {{.name = "Content-Type", .value = "application/octet-stream"}}, .body = kept->second});
 }
 
-bool EngineStandIn::cancel(const std::function<bool(const EngineRequest &)> &isMeant)
+bool EngineStandIn::cancel(const std::function<bool(const EngineRequest &)> &isMatch)
 {
-    const auto isNamed = [&isMeant](const RequestPtr &request) { return isMeant(*request); };
+    const auto matches = [&isMatch](const RequestPtr &request) { return isMatch(*request); };
     for (auto &[priority, queue] : m_waiting) {
-        if (const auto found = std::find_if(queue.begin(), queue.end(), isNamed); found != queue.end()) {
-            (*found)->breakOff();
+        if (const auto found = std::find_if(queue.begin(), queue.end(), matches); found != queue.end()) {
+            (*found)->abortResponse();
             queue.erase(found);
             count("cancelled");
             return true;
         }
     }
     const auto found =
-        std::find_if(m_batch.begin(), m_batch.end(), [&](const Running &running) { return isNamed(running.request); });
+        std::find_if(m_batch.begin(), m_batch.end(), [&](const Running &running) { return matches(running.request); });
     if (found == m_batch.end()) {
         return false;
     }
-    found->request->breakOff();
+    found->request->abortResponse();
     m_batch.erase(found);
     count("cancelled");
     return true;
@@ -189,13 +189,13 @@
 
 void EngineStandIn::beginStep()
 {
-    if (m_stepping) {
+    if (m_isStepping) {
         return;
     }
     if (switchValue("stall") != 0) {
-        m_stepping = true;
+        m_isStepping = true;
         loop().after(StallPoll, [this] {
-            m_stepping = false;
+            m_isStepping = false;
             beginStep();
         });
         return;
@@ -204,7 +204,7 @@
     if (m_batch.empty()) {
         return;
     }
-    m_stepping = true;
+    m_isStepping = true;
     m_stepTime = milliseconds(switchValue("step-ms"))
         + microseconds(switchValue("step-us-per-request")) * static_cast<long long>(m_batch.size()) + prefill;
     loop().after(m_stepTime, [this] { endStep(); });
@@ -225,7 +225,7 @@
             prefill += microseconds(switchValue("prefill-us")) * static_cast<long long>(prompt.tokens() - cached);
             count("cached-tokens", cached);
             count("prefill-tokens", prompt.tokens() - cached);
-            remember(*request);
+            recordExport(*request);
             m_batch.push_back({.request = request, .cachedTokens = cached});
         }
     }
@@ -234,48 +234,48 @@
 
 void EngineStandIn::endStep()
 {
-    m_stepping = false;
-    std::vector<Running> left;
+    m_isStepping = false;
+    std::vector<Running> continuing;
     for (auto &running : m_batch) {
         auto &request = *running.request;
         if (!request.isComplete()) {
-            request.step();
+            request.generateToken();
             count("tokens");
             ++m_stepTokens;
         }
-        if (breaksOff(request)) {
+        if (shouldAbort(request)) {
             count("broken-off");
-            request.breakOff();
+            request.abortResponse();
         } else if (request.isComplete()) {
             count("finished");
             request.finish(running.cachedTokens);
         } else {
-            left.push_back(std::move(running));
+            continuing.push_back(std::move(running));
         }
     }
-    m_batch = std::move(left);
+    m_batch = std::move(continuing);
     beginStep();
 }
 
-bool EngineStandIn::breaksOff(const EngineRequest &request) const
+bool EngineStandIn::shouldAbort(const EngineRequest &request) const
 {
     const auto limit = switchValue("break-after-tokens");
     return limit > 0 && request.progress() - request.options().resumeFrom >= static_cast<std::uint64_t>(limit);
 }
 
-void EngineStandIn::remember(const EngineRequest &request)
+void EngineStandIn::recordExport(const EngineRequest &request)
 {
     const auto &id = request.options().id;
     if (m_exports.insert_or_assign(id, request.prompt().text()).second) {
         m_exportOrder.push_back(id);
     }
-    if (m_exportOrder.size() > MostExports) {
+    if (m_exportOrder.size() > MaxExports) {
         m_exports.erase(m_exportOrder.front());
         m_exportOrder.pop_front();
     }
 }
 
-nlohmann::json EngineStandIn::presentLoad() const
+nlohmann::json EngineStandIn::currentLoad() const
 {
     std::size_t waiting = 0;
     for (const auto &[priority, queue] : m_waiting) {
@@ -292,11 +292,11 @@
 {
     const auto lag = milliseconds(switchValue("load-lag-ms"));
     if (lag.count() == 0) {
-        return presentLoad();
+        return currentLoad();
     }
     const auto limit = steady_clock::now() - lag;
     const auto newer =
-        std::find_if(m_loads.begin(), m_loads.end(), [limit](const Load &load) { return load.taken > limit; });
+        std::find_if(m_loads.begin(), m_loads.end(), [limit](const Load &load) { return load.sampledAt > limit; });
     return newer == m_loads.begin() ? m_loads.front().report : std::prev(newer)->report;
 }
 
@@ -305,8 +305,8 @@
     const auto now = steady_clock::now();
     m_tokensPerSecond =
         static_cast<double>(std::exchange(m_stepTokens, 0)) * (std::chrono::seconds(1) / SampleInterval);
-    m_loads.push_back({.taken = now, .report = presentLoad()});
-    while (m_loads.front().taken + LongestLoadLag < now) {
+    m_loads.push_back({.sampledAt = now, .report = currentLoad()});
+    while (m_loads.front().sampledAt + MaxLoadLag < now) {
         m_loads.pop_front();
     }
     loop().after(SampleInterval, [this] { sampleLoad(); });
--- a/extras/heatherridge-standin/enginestandin.h
+++ b/extras/heatherridge-standin/enginestandin.h
@@ -51,26 +51,26 @@
 
     struct Load
     {
-        std::chrono::steady_clock::time_point taken{};
+        std::chrono::steady_clock::time_point sampledAt{};
         nlohmann::json report{};
     };
 
-    void chat(const std::shared_ptr<HttpExchange> &exchange);
-    void order(const std::shared_ptr<HttpExchange> &exchange);
-    void keyValueCache(const std::string &id, const std::shared_ptr<HttpExchange> &exchange);
-    bool cancel(const std::function<bool(const EngineRequest &)> &isMeant);
+    void handleChat(const std::shared_ptr<HttpExchange> &exchange);
+    void handleOrder(const std::shared_ptr<HttpExchange> &exchange);
+    void handleKeyValueCache(const std::string &id, const std::shared_ptr<HttpExchange> &exchange);
+    bool cancel(const std::function<bool(const EngineRequest &)> &isMatch);
     void beginStep();
     void endStep();
     std::chrono::microseconds admit();
-    bool breaksOff(const EngineRequest &request) const;
-    void remember(const EngineRequest &request);
-    nlohmann::json presentLoad() const;
+    bool shouldAbort(const EngineRequest &request) const;
+    void recordExport(const EngineRequest &request);
+    nlohmann::json currentLoad() const;
     nlohmann::json reportedLoad();
     void sampleLoad();
 
     std::map<int, std::deque<RequestPtr>, std::greater<>> m_waiting; // by priority
     std::vector<Running> m_batch;
-    bool m_stepping = false;
+    bool m_isStepping = false;
     std::uint64_t m_stepTokens = 0; // tokens made since the last sample
     double m_tokensPerSecond = 0;
     std::chrono::microseconds m_stepTime{0};
@@ -82,7 +82,7 @@
     std::deque<nlohmann::json> m_orders;
     std::map<std::string, std::string> m_exports; // prompts of finished requests, by id
     std::deque<std::string> m_exportOrder; // oldest first
-    std::uint64_t m_unnamed = 0;
+    std::uint64_t m_unnamedRequests = 0;
 };
 
 } // namespace Heatherridge
