--- a/extras/heatherridge-standin/logstream.h
+++ b/extras/heatherridge-standin/logstream.h
@@ -15,7 +15,7 @@
 {
 public:
     /** Most bytes of payload on one page, but for a single larger record. */
-    static constexpr std::size_t PageBytes = 1UL << 20U;
+    static constexpr std::size_t MaxPageBytes = 1UL << 20U;
 
     /** Which records expire; 0 keeps all. */
     struct Retention
@@ -31,10 +31,10 @@
     void expire(Retention retention, std::int64_t now);
 
     /** Whether there is a record at @p from or later. */
-    bool reaches(std::uint64_t from) const;
+    bool hasRecordFrom(std::uint64_t from) const;
 
-    /** Records from @p from on, at most @p most, as the CBOR bytes of a page. */
-    std::string page(std::uint64_t from, std::size_t most) const;
+    /** Records from @p from on, at most @p maxRecords, as the CBOR bytes of a page. */
+    std::string page(std::uint64_t from, std::size_t maxRecords) const;
 
 private:
     struct Record
@@ -43,7 +43,7 @@
         std::string payload{};
     };
 
-    std::uint64_t last() const;
+    std::uint64_t lastOffset() const;
 
     std::uint64_t m_first = 1; // offset of the oldest record kept
     std::deque<Record> m_records;
