--- a/extras/heatherridge-standin/logstandin.cpp
+++ b/extras/heatherridge-standin/logstandin.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-constexpr std::size_t MostRecordBytes = 1UL << 20U;
-constexpr long long MostRecordsOfPage = 10'000;
-constexpr long long LongestWait = 60'000;
-constexpr std::chrono::seconds LongestBacklog{2};
+constexpr std::size_t MaxRecordBytes = 1UL << 20U;
+constexpr long long MaxRecordsPerPage = 10'000;
+constexpr long long MaxWaitMilliseconds = 60'000;
+constexpr std::chrono::seconds MaxBacklog{2};
 
 } // namespace
 
@@ -40,11 +40,11 @@
         respondError(*exchange, 503, "the log is out");
     } else if (switchValue("hang") != 0) {
         count("held");
-        m_held.push_back(exchange);
+        m_heldExchanges.push_back(exchange);
     } else if (switchValue("slow-ms") > 0) {
         loop().after(std::chrono::milliseconds(switchValue("slow-ms")), [this, exchange] { dispatch(exchange); });
     } else {
-        m_held.clear();
+        m_heldExchanges.clear();
         dispatch(exchange);
     }
 }
@@ -59,18 +59,18 @@
         read(parts[1], exchange);
     } else if (request.method != "POST") {
         respondError(*exchange, 405, "append with POST, read with GET");
-    } else if (request.body.size() > MostRecordBytes) {
+    } else if (request.body.size() > MaxRecordBytes) {
         respondError(*exchange, 413, "a record has at most 1 MiB");
     } else if (switchValue("rate") > 0) {
         const auto now = std::chrono::steady_clock::now();
-        const auto turn = std::max(now, m_nextAppend);
-        if (turn - now > LongestBacklog) {
+        const auto appendTime = std::max(now, m_nextAppendTime);
+        if (appendTime - now > MaxBacklog) {
             count("refused-rate");
             respondError(*exchange, 503, "too many appends");
             return;
         }
-        m_nextAppend = turn + std::chrono::microseconds(std::chrono::seconds(1)) / switchValue("rate");
-        loop().after(std::chrono::duration_cast<std::chrono::microseconds>(turn - now),
+        m_nextAppendTime = appendTime + std::chrono::microseconds(std::chrono::seconds(1)) / switchValue("rate");
+        loop().after(std::chrono::duration_cast<std::chrono::microseconds>(appendTime - now),
                      [this, name = parts[1], exchange] { append(name, exchange); });
     } else {
         append(parts[1], exchange);
@@ -86,60 +86,60 @@
     count("appends");
     if (switchValue("hang-after-append") != 0) {
         faults().set({{"hang", 1}});
-        m_held.push_back(exchange);
-    } else if (const auto lost = switchValue("lose-reply"); lost != 0) {
+        m_heldExchanges.push_back(exchange);
+    } else if (const auto remainingLosses = switchValue("lose-reply"); remainingLosses != 0) {
         count("replies-lost");
         exchange->abort();
-        if (lost > 0) {
-            faults().set({{"lose-reply", lost - 1}});
+        if (remainingLosses > 0) {
+            faults().set({{"lose-reply", remainingLosses - 1}});
         }
     } else {
         respondJson(*exchange, 200, {{"offset", offset}});
     }
-    wake(name);
+    notifyPendingReads(name);
 }
 
 void LogStandIn::read(const std::string &name, const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
-    const auto waiter = std::make_shared<Waiter>();
-    waiter->exchange = exchange;
-    waiter->from = static_cast<std::uint64_t>(std::max(1LL, queryNumber(request, "from", 1)));
-    waiter->most = static_cast<std::size_t>(std::min(MostRecordsOfPage, queryNumber(request, "most", 1000)));
-    const auto wait = std::min(LongestWait, queryNumber(request, "wait-ms", 0));
+    const auto pendingRead = std::make_shared<PendingRead>();
+    pendingRead->exchange = exchange;
+    pendingRead->from = static_cast<std::uint64_t>(std::max(1LL, queryNumber(request, "from", 1)));
+    pendingRead->maxRecords = static_cast<std::size_t>(std::min(MaxRecordsPerPage, queryNumber(request, "most", 1000)));
+    const auto wait = std::min(MaxWaitMilliseconds, queryNumber(request, "wait-ms", 0));
     count("reads");
-    if (wait == 0 || m_streams[name].reaches(waiter->from)) {
-        answer(name, *waiter);
+    if (wait == 0 || m_streams[name].hasRecordFrom(pendingRead->from)) {
+        respondPage(name, *pendingRead);
         return;
     }
-    m_waiters[name].push_back(waiter);
-    loop().after(std::chrono::milliseconds(wait), [this, name, waiter] {
-        if (waiter->exchange && switchValue("hang") != 0) {
-            m_held.push_back(waiter->exchange);
-        } else if (waiter->exchange) {
-            answer(name, *waiter);
-            waiter->exchange.reset();
+    m_pendingReads[name].push_back(pendingRead);
+    loop().after(std::chrono::milliseconds(wait), [this, name, pendingRead] {
+        if (pendingRead->exchange && switchValue("hang") != 0) {
+            m_heldExchanges.push_back(pendingRead->exchange);
+        } else if (pendingRead->exchange) {
+            respondPage(name, *pendingRead);
+            pendingRead->exchange.reset();
         }
-        std::erase(m_waiters[name], waiter);
+        std::erase(m_pendingReads[name], pendingRead);
     });
 }
 
-void LogStandIn::answer(const std::string &name, const Waiter &waiter)
+void LogStandIn::respondPage(const std::string &name, const PendingRead &pendingRead)
 {
     auto &stream = m_streams[name];
     stream.expire(retention(), wallMilliseconds());
-    waiter.exchange->respond(HttpResponse{.headers = {{.name = "Content-Type", .value = "application/cbor"}},
-                                          .body = stream.page(waiter.from, waiter.most)});
+    pendingRead.exchange->respond(HttpResponse{.headers = {{.name = "Content-Type", .value = "application/cbor"}},
+                                               .body = stream.page(pendingRead.from, pendingRead.maxRecords)});
 }
 
-void LogStandIn::wake(const std::string &name)
+void LogStandIn::notifyPendingReads(const std::string &name)
 {
     if (switchValue("hang") != 0) {
         return;
     }
-    for (const auto &waiter : std::exchange(m_waiters[name], {})) {
-        answer(name, *waiter);
-        waiter->exchange.reset();
+    for (const auto &pendingRead : std::exchange(m_pendingReads[name], {})) {
+        respondPage(name, *pendingRead);
+        pendingRead->exchange.reset();
     }
 }
 
--- a/extras/heatherridge-standin/logstandin.h
+++ b/extras/heatherridge-standin/logstandin.h
@@ -29,24 +29,24 @@
     void serve(const std::shared_ptr<HttpExchange> &exchange) override;
 
 private:
-    struct Waiter
+    struct PendingRead
     {
         std::shared_ptr<HttpExchange> exchange{};
         std::uint64_t from = 1;
-        std::size_t most = 0;
+        std::size_t maxRecords = 0;
     };
 
     void dispatch(const std::shared_ptr<HttpExchange> &exchange);
     void append(const std::string &name, const std::shared_ptr<HttpExchange> &exchange);
     void read(const std::string &name, const std::shared_ptr<HttpExchange> &exchange);
-    void answer(const std::string &name, const Waiter &waiter);
-    void wake(const std::string &name);
+    void respondPage(const std::string &name, const PendingRead &pendingRead);
+    void notifyPendingReads(const std::string &name);
     LogStream::Retention retention() const;
 
     std::map<std::string, LogStream> m_streams;
-    std::map<std::string, std::vector<std::shared_ptr<Waiter>>> m_waiters; // exchange is null once answered
-    std::vector<std::shared_ptr<HttpExchange>> m_held; // never answered, by the fault `hang`
-    std::chrono::steady_clock::time_point m_nextAppend{}; // when the rate allows one more
+    std::map<std::string, std::vector<std::shared_ptr<PendingRead>>> m_pendingReads; // exchange is null once answered
+    std::vector<std::shared_ptr<HttpExchange>> m_heldExchanges; // never answered, by the fault `hang`
+    std::chrono::steady_clock::time_point m_nextAppendTime{}; // when the rate allows one more
 };
 
 } // namespace Heatherridge
