--- a/extras/heatherridge-standin/plainstandin.cpp
+++ b/extras/heatherridge-standin/plainstandin.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::uint64_t MostSeats = 40;
+constexpr std::uint64_t MaxSeats = 40;
 
 /** What an execution is counted under. */
 std::string executionKey(const std::string &body)
@@ -23,13 +23,13 @@
 }
 
 /** @p switchValue as a count of calls that it still strikes: -1 strikes all. */
-bool strikes(FaultSwitches &faults, const std::string &fault)
+bool consumeFault(FaultSwitches &faults, const std::string &fault)
 {
-    const auto left = faults.value(fault);
-    if (left > 0) {
-        faults.set({{fault, left - 1}});
+    const auto remaining = faults.value(fault);
+    if (remaining > 0) {
+        faults.set({{fault, remaining - 1}});
     }
-    return left != 0;
+    return remaining != 0;
 }
 
 } // namespace
@@ -56,11 +56,11 @@
     count("calls");
     if (switchValue("hang") != 0) {
         count("held");
-        m_held.push_back(exchange);
+        m_heldExchanges.push_back(exchange);
         return;
     }
-    m_held.clear();
-    if (strikes(faults(), "close-before-run")) {
+    m_heldExchanges.clear();
+    if (consumeFault(faults(), "close-before-run")) {
         count("closed-before-run");
         exchange->abort();
         return;
@@ -70,26 +70,26 @@
         respondError(*exchange, static_cast<int>(status), "the service fails as it was told to");
         return;
     }
-    run(exchange);
+    handleCall(exchange);
 }
 
-void PlainStandIn::run(const std::shared_ptr<HttpExchange> &exchange)
+void PlainStandIn::handleCall(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
     if (request.method == "GET" || request.method == "HEAD") {
-        loop().after(std::chrono::milliseconds(switchValue("delay-ms")), [this, exchange] { lookUp(exchange); });
+        loop().after(std::chrono::milliseconds(switchValue("delay-ms")), [this, exchange] { handleLookup(exchange); });
     } else {
-        execute(exchange);
+        handleExecution(exchange);
     }
 }
 
-void PlainStandIn::execute(const std::shared_ptr<HttpExchange> &exchange)
+void PlainStandIn::handleExecution(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
     const auto key = executionKey(request.body);
     const auto executions = ++m_executions[key];
     count("executions");
-    if (strikes(faults(), "close-after-run")) {
+    if (consumeFault(faults(), "close-after-run")) {
         count("closed-after-run");
         exchange->abort();
         return;
@@ -104,14 +104,14 @@
                  [exchange, status, answer] { respondJson(*exchange, status, answer); });
 }
 
-void PlainStandIn::lookUp(const std::shared_ptr<HttpExchange> &exchange)
+void PlainStandIn::handleLookup(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
     const auto parts = pathParts(request.path);
     count("lookups");
     nlohmann::json answer{{"method", request.method}, {"path", request.path}};
     if (!parts.empty() && parts.front() == "availability") {
-        answer["seats"] = std::hash<std::string>{}(request.path) % MostSeats;
+        answer["seats"] = std::hash<std::string>{}(request.path) % MaxSeats;
     } else if (!parts.empty() && parts.front() == "contracts") {
         answer["contract"] = parts.back();
     }
--- a/extras/heatherridge-standin/plainstandin.h
+++ b/extras/heatherridge-standin/plainstandin.h
@@ -27,12 +27,12 @@
     void serve(const std::shared_ptr<HttpExchange> &exchange) override;
 
 private:
-    void run(const std::shared_ptr<HttpExchange> &exchange);
-    void execute(const std::shared_ptr<HttpExchange> &exchange);
-    void lookUp(const std::shared_ptr<HttpExchange> &exchange);
+    void handleCall(const std::shared_ptr<HttpExchange> &exchange);
+    void handleExecution(const std::shared_ptr<HttpExchange> &exchange);
+    void handleLookup(const std::shared_ptr<HttpExchange> &exchange);
 
     std::map<std::string, std::uint64_t> m_executions;
-    std::vector<std::shared_ptr<HttpExchange>> m_held; // never answered, by the fault `hang`
+    std::vector<std::shared_ptr<HttpExchange>> m_heldExchanges; // never answered, by the fault `hang`
 };
 
 } // namespace Heatherridge
