--- a/extras/heatherridge-standin/hoststandin.cpp
+++ b/extras/heatherridge-standin/hoststandin.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t MostVersions = 1000;
+constexpr std::size_t MaxVersions = 1000;
 
 bool isHostList(const nlohmann::json &body)
 {
@@ -40,14 +40,14 @@
     } else if (request.path != "/hosts") {
         respondError(*exchange, 404, "the host list has /hosts");
     } else if (request.method == "PUT") {
-        replace(exchange);
+        replaceHosts(exchange);
     } else {
         count("reads");
-        respondJson(*exchange, 200, {{"hosts", lagging()}});
+        respondJson(*exchange, 200, {{"hosts", laggedHosts()}});
     }
 }
 
-void HostStandIn::replace(const std::shared_ptr<HttpExchange> &exchange)
+void HostStandIn::replaceHosts(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto body = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!isHostList(body)) {
@@ -56,21 +56,21 @@
     }
     count("changes");
     m_versions.push_back({.since = wallMilliseconds(), .hosts = body["hosts"]});
-    if (m_versions.size() > MostVersions) {
+    if (m_versions.size() > MaxVersions) {
         m_versions.pop_front();
     }
     respondJson(*exchange, 200, {{"hosts", body["hosts"].size()}});
 }
 
-nlohmann::json HostStandIn::lagging() const
+nlohmann::json HostStandIn::laggedHosts() const
 {
-    const auto limit = wallMilliseconds() - switchValue("lag-ms");
+    const auto cutoff = wallMilliseconds() - switchValue("lag-ms");
     auto version = std::find_if(m_versions.rbegin(), m_versions.rend(),
-                                [limit](const Version &candidate) { return candidate.since <= limit; });
+                                [cutoff](const Version &candidate) { return candidate.since <= cutoff; });
     auto hosts = version == m_versions.rend() ? m_versions.front().hosts : version->hosts;
     if (switchValue("duplicates") != 0) {
-        const auto once = hosts;
-        hosts.insert(hosts.end(), once.begin(), once.end());
+        const auto originalHosts = hosts;
+        hosts.insert(hosts.end(), originalHosts.begin(), originalHosts.end());
     }
     return hosts;
 }
--- a/extras/heatherridge-standin/hoststandin.h
+++ b/extras/heatherridge-standin/hoststandin.h
@@ -31,8 +31,8 @@
         nlohmann::json hosts = nlohmann::json::array();
     };
 
-    void replace(const std::shared_ptr<HttpExchange> &exchange);
-    nlohmann::json lagging() const;
+    void replaceHosts(const std::shared_ptr<HttpExchange> &exchange);
+    nlohmann::json laggedHosts() const;
 
     std::deque<Version> m_versions{Version{}}; // oldest first, never empty
 };
