--- a/extras/heatherridge-standin/weightstandin.cpp
+++ b/extras/heatherridge-standin/weightstandin.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr std::size_t PieceBytes = 256UL << 10U;
-constexpr long long MostBytes = 64LL << 20U;
+constexpr std::size_t ChunkBytes = 256UL << 10U;
+constexpr long long MaxTransferBytes = 64LL << 20U;
 constexpr long long MicrosecondsPerSecond = 1'000'000;
 
 } // namespace
@@ -34,34 +34,34 @@
         respondError(*exchange, 404, "the store has /weights/MODEL/LAYER/EXPERT");
         return;
     }
-    const auto bytes = std::min(MostBytes, queryNumber(request, "bytes", 1LL << 20U));
+    const auto bytes = std::min(MaxTransferBytes, queryNumber(request, "bytes", 1LL << 20U));
     const auto transfer = std::make_shared<Transfer>();
     transfer->exchange = exchange;
     transfer->fill = static_cast<char>('a' + std::hash<std::string>{}(request.path) % 26);
-    transfer->left = static_cast<std::size_t>(bytes);
+    transfer->remainingBytes = static_cast<std::size_t>(bytes);
     count("loads");
     count("bytes", static_cast<std::uint64_t>(bytes));
     exchange->beginStream(200, {{.name = "Content-Type", .value = "application/octet-stream"}});
-    sendPiece(transfer);
+    sendChunk(transfer);
 }
 
-void WeightStandIn::sendPiece(const std::shared_ptr<Transfer> &transfer)
+void WeightStandIn::sendChunk(const std::shared_ptr<Transfer> &transfer)
 {
-    if (transfer->left == 0) {
+    if (transfer->remainingBytes == 0) {
         transfer->exchange->end();
         return;
     }
-    const auto bytes = std::min(PieceBytes, transfer->left);
+    const auto bytes = std::min(ChunkBytes, transfer->remainingBytes);
     const auto rate = std::max(1LL, switchValue("bytes-per-s"));
     const auto now = std::chrono::steady_clock::now();
-    m_nextPiece = std::max(now, m_nextPiece)
+    m_nextChunkTime = std::max(now, m_nextChunkTime)
         + std::chrono::microseconds(static_cast<long long>(bytes) * MicrosecondsPerSecond / rate);
-    const auto wait = std::chrono::duration_cast<std::chrono::microseconds>(m_nextPiece - now);
+    const auto wait = std::chrono::duration_cast<std::chrono::microseconds>(m_nextChunkTime - now);
     loop().after(wait, [this, transfer, bytes] {
-        transfer->left -= bytes;
+        transfer->remainingBytes -= bytes;
         transfer->exchange->write(std::string(bytes, transfer->fill), [this, transfer](bool sent) {
             if (sent) {
-                loop().post([this, transfer] { sendPiece(transfer); });
+                loop().post([this, transfer] { sendChunk(transfer); });
             }
         });
     });
--- a/extras/heatherridge-standin/weightstandin.h
+++ b/extras/heatherridge-standin/weightstandin.h
@@ -27,12 +27,12 @@
     {
         std::shared_ptr<HttpExchange> exchange{};
         char fill = 0;
-        std::size_t left = 0; // bytes not yet sent
+        std::size_t remainingBytes = 0; // bytes not yet sent
     };
 
-    void sendPiece(const std::shared_ptr<Transfer> &transfer);
+    void sendChunk(const std::shared_ptr<Transfer> &transfer);
 
-    std::chrono::steady_clock::time_point m_nextPiece{}; // when the rate allows one more
+    std::chrono::steady_clock::time_point m_nextChunkTime{}; // when the rate allows one more
 };
 
 } // namespace Heatherridge
