--- a/extras/heatherridge-standin/rankstandin.cpp
+++ b/extras/heatherridge-standin/rankstandin.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds TellTimeout{1000};
+constexpr std::chrono::milliseconds ProgressTimeout{1000};
 /** Most changes of the map that are listed; a test makes a few dozen. */
-constexpr std::size_t MostChanges = 10'000;
+constexpr std::size_t MaxMapChanges = 10'000;
 constexpr double MicrosecondsPerToken = 10;
 
-Incarnation drawRun()
+Incarnation randomIncarnation()
 {
     std::random_device device;
     return static_cast<Incarnation>((static_cast<std::uint64_t>(device()) << 32U) | device());
@@ -37,7 +37,7 @@
                {.name = "hot-factor", .value = 10, .summary = "see hot-expert"},
                {.name = "slowness-percent", .value = 100, .summary = "time a token, against a healthy rank"},
                {.name = "checks-orders", .value = 1, .summary = "0: orders of a dead run of the gate are followed"}})
-    , m_engine(drawRun())
+    , m_engine(randomIncarnation())
 {
 }
 
@@ -45,16 +45,16 @@
 
 void RankStandIn::serve(const std::shared_ptr<HttpExchange> &exchange)
 {
-    if (!m_begun) {
-        begin();
+    if (!m_isStarted) {
+        startTicking();
     }
     const auto &path = exchange->request().path;
     if (path == "/group/orders") {
-        takeOrder(exchange);
+        handleOrder(exchange);
     } else if (path == "/group/ranks") {
-        takeRanks(exchange);
+        handleRanks(exchange);
     } else if (path == "/group/started") {
-        takeStarted(exchange);
+        handleProgress(exchange);
     } else if (path == "/group/steps") {
         const auto &state = m_engine.state();
         respondJson(*exchange, 200,
@@ -63,21 +63,21 @@
                      {"map", toNumber(state.map)},
                      {"steps", !state.ranks.empty()},
                      {"limited", state.limit.has_value()},
-                     {"changes", m_changes}});
+                     {"changes", m_mapChanges}});
     } else {
         respondError(*exchange, 404, "a rank serves /group/orders, /group/ranks, /group/started and /group/steps");
     }
 }
 
-void RankStandIn::begin()
+void RankStandIn::startTicking()
 {
-    m_begun = true;
+    m_isStarted = true;
     m_client = std::make_unique<HttpClient>(loop().context(), HttpClient::Options{});
     tick();
     loop().after(std::chrono::milliseconds(switchValue("window-ms")), [this] { closeWindow(); });
 }
 
-void RankStandIn::takeOrder(const std::shared_ptr<HttpExchange> &exchange)
+void RankStandIn::handleOrder(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &body = exchange->request().body;
     const auto decoded = decodeSignedOrder(Bytes(body.begin(), body.end()));
@@ -102,7 +102,7 @@
                        .body = std::string(bytes.begin(), bytes.end())});
 }
 
-void RankStandIn::takeRanks(const std::shared_ptr<HttpExchange> &exchange)
+void RankStandIn::handleRanks(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto json = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!json.is_object() || !json.contains("self") || !json.contains("ranks")) {
@@ -121,7 +121,7 @@
     respondJson(*exchange, 200, {{"ranks", m_ranks.size()}});
 }
 
-void RankStandIn::takeStarted(const std::shared_ptr<HttpExchange> &exchange)
+void RankStandIn::handleProgress(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto json = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!json.is_object()) {
@@ -130,8 +130,8 @@
     }
     const auto epoch = static_cast<EpochNumber>(json.value("epoch", std::uint64_t{0}));
     const auto next = static_cast<StepNumber>(json.value("next", std::uint64_t{0}));
-    auto &reached = m_progress[json.value("rank", -1)].reached;
-    auto &step = reached.try_emplace(epoch, next).first->second;
+    auto &nextSteps = m_progress[json.value("rank", -1)].nextSteps;
+    auto &step = nextSteps.try_emplace(epoch, next).first->second;
     step = std::max(step, next);
     respondJson(*exchange, 200, nlohmann::json::object());
 }
@@ -142,19 +142,19 @@
         if (rank == m_rank) {
             return m_engine.progressIn(epoch);
         }
-        const auto &reached = m_progress[rank].reached;
-        const auto found = reached.find(epoch);
-        return found == reached.end() ? std::nullopt : std::optional(found->second);
+        const auto &nextSteps = m_progress[rank].nextSteps;
+        const auto found = nextSteps.find(epoch);
+        return found == nextSteps.end() ? std::nullopt : std::optional(found->second);
     });
     if (started) {
-        noteStep(*started);
+        recordStep(*started);
     }
-    tell();
+    broadcastProgress();
     loop().after(std::chrono::milliseconds(switchValue("step-ms")), [this] { tick(); });
 }
 
 /** Tells the others how far this rank is, in every tick, so that a lost word is repeated. */
-void RankStandIn::tell()
+void RankStandIn::broadcastProgress()
 {
     const auto &state = m_engine.state();
     for (const int rank : state.ranks) {
@@ -162,26 +162,27 @@
         if (rank == m_rank || found == m_ranks.end()) {
             continue;
         }
-        const nlohmann::json word{{"rank", m_rank}, {"epoch", toNumber(state.epoch)}, {"next", toNumber(state.next)}};
+        const nlohmann::json message{
+            {"rank", m_rank}, {"epoch", toNumber(state.epoch)}, {"next", toNumber(state.next)}};
         m_client->send({.endpoint = found->second,
-                        .request = {.method = "POST", .path = "/group/started", .body = word.dump()},
-                        .timeout = TellTimeout},
+                        .request = {.method = "POST", .path = "/group/started", .body = message.dump()},
+                        .timeout = ProgressTimeout},
                        [](const auto &) {});
     }
 }
 
-void RankStandIn::noteStep(const StartedStep &step)
+void RankStandIn::recordStep(const StartedStep &step)
 {
     count("steps");
-    const bool same =
-        !m_changes.empty() && m_changes.back()[0] == toNumber(step.epoch) && m_changes.back()[2] == toNumber(step.map);
-    if (!same && m_changes.size() < MostChanges) {
-        m_changes.push_back({toNumber(step.epoch), toNumber(step.step), toNumber(step.map)});
+    const bool isUnchanged = !m_mapChanges.empty() && m_mapChanges.back()[0] == toNumber(step.epoch)
+        && m_mapChanges.back()[2] == toNumber(step.map);
+    if (!isUnchanged && m_mapChanges.size() < MaxMapChanges) {
+        m_mapChanges.push_back({toNumber(step.epoch), toNumber(step.step), toNumber(step.map)});
     }
 }
 
 /** The tokens that come to this rank in a window under @p map. */
-std::vector<std::uint32_t> RankStandIn::tokensOf(const ExpertMap &map) const
+std::vector<std::uint32_t> RankStandIn::tokensForMap(const ExpertMap &map) const
 {
     std::vector<std::uint32_t> tokens;
     const auto hot = switchValue("hot-expert");
@@ -208,7 +209,7 @@
     const auto map = m_maps.find(state.map);
     // A window with a switch in it belongs to neither map.
     if (map != m_maps.end() && m_windowMap == state.map && !state.ranks.empty()) {
-        RankReport report{.rank = m_rank, .window = window, .map = state.map, .tokens = tokensOf(map->second)};
+        RankReport report{.rank = m_rank, .window = window, .map = state.map, .tokens = tokensForMap(map->second)};
         double busy = 0;
         for (const auto tokens : report.tokens) {
             busy += tokens * MicrosecondsPerToken * static_cast<double>(switchValue("slowness-percent")) / 100;
--- a/extras/heatherridge-standin/rankstandin.h
+++ b/extras/heatherridge-standin/rankstandin.h
@@ -28,17 +28,17 @@
 private:
     struct Progress
     {
-        std::map<EpochNumber, StepNumber> reached{};
+        std::map<EpochNumber, StepNumber> nextSteps{};
     };
 
-    void begin();
-    void takeOrder(const std::shared_ptr<HttpExchange> &exchange);
-    void takeRanks(const std::shared_ptr<HttpExchange> &exchange);
-    void takeStarted(const std::shared_ptr<HttpExchange> &exchange);
+    void startTicking();
+    void handleOrder(const std::shared_ptr<HttpExchange> &exchange);
+    void handleRanks(const std::shared_ptr<HttpExchange> &exchange);
+    void handleProgress(const std::shared_ptr<HttpExchange> &exchange);
     void tick();
-    void tell();
-    void noteStep(const StartedStep &step);
-    std::vector<std::uint32_t> tokensOf(const ExpertMap &map) const;
+    void broadcastProgress();
+    void recordStep(const StartedStep &step);
+    std::vector<std::uint32_t> tokensForMap(const ExpertMap &map) const;
     void closeWindow();
     EngineState stateWithLoad() const;
 
@@ -48,10 +48,10 @@
     std::map<int, Progress> m_progress;
     std::map<MapNumber, ExpertMap> m_maps;
     std::unique_ptr<HttpClient> m_client;
-    nlohmann::json m_changes = nlohmann::json::array(); ///< [epoch, step, map] where the map differs from before
+    nlohmann::json m_mapChanges = nlohmann::json::array(); ///< [epoch, step, map] where the map differs from before
     std::optional<RankReport> m_report;
     MapNumber m_windowMap{};
-    bool m_begun = false;
+    bool m_isStarted = false;
 };
 
 } // namespace Heatherridge
