--- a/extras/heatherridge-standin/main.cpp
+++ b/extras/heatherridge-standin/main.cpp
@@ -23,7 +23,7 @@
 
 constexpr int ExitUsage = 2;
 constexpr int ServerThreads = 2;
-constexpr std::size_t MostBodyBytes = 64UL << 20U; // an exported cache; each mode sets its own lower bounds
+constexpr std::size_t MaxBodyBytes = 64UL << 20U; // an exported cache; each mode sets its own lower bounds
 
 struct Mode
 {
@@ -32,10 +32,10 @@
     std::function<std::unique_ptr<StandIn>(EventLoop &)> make{};
 };
 
-template<typename Kind>
+template<typename StandInType>
 std::unique_ptr<StandIn> make(EventLoop &loop)
 {
-    return std::make_unique<Kind>(loop);
+    return std::make_unique<StandInType>(loop);
 }
 
 const std::vector<Mode> &modes()
@@ -73,7 +73,7 @@
 }
 
 /** Where to listen; unlike an inventory's endpoints with port 0 allowed. */
-std::optional<Endpoint> parseListen(const std::string &text)
+std::optional<Endpoint> parseListenEndpoint(const std::string &text)
 {
     const auto colon = text.rfind(':');
     const auto port = colon == std::string::npos ? std::nullopt : parseNumber(text.substr(colon + 1), 0, 65535);
@@ -83,7 +83,7 @@
     return Endpoint{.address = text.substr(0, colon), .port = static_cast<int>(*port)};
 }
 
-Options::options_description describe(const FaultSwitches &switches)
+Options::options_description describeOptions(const FaultSwitches &switches)
 {
     Options::options_description description("options");
     description.add_options()("help", "print this and exit")(
@@ -98,7 +98,7 @@
 /** Serves until SIGTERM or SIGINT, which must be blocked in all threads. */
 int serve(const std::string &mode, EventLoop &loop, StandIn &standIn, const Endpoint &listen)
 {
-    HttpServer server({.listen = listen, .threads = ServerThreads, .maxBodyBytes = MostBodyBytes},
+    HttpServer server({.listen = listen, .threads = ServerThreads, .maxBodyBytes = MaxBodyBytes},
                       [&loop, &standIn](const std::shared_ptr<HttpExchange> &exchange) {
                           loop.post([&standIn, exchange] { standIn.handle(exchange); });
                       });
@@ -131,19 +131,19 @@
     EventLoop loop;
     const auto standIn = mode->make(loop);
     auto &switches = standIn->faults();
-    const auto description = describe(switches);
+    const auto description = describeOptions(switches);
     Options::variables_map values;
     Options::store(Options::parse_command_line(argc - 1, argv + 1, description), values);
     if (values.count("help") != 0) {
         std::cout << description;
         return EXIT_SUCCESS;
     }
-    auto chosen = nlohmann::json::object();
+    auto switchValues = nlohmann::json::object();
     for (const auto &[name, entry] : switches.all()) {
-        chosen[name] = values[name].as<long long>();
+        switchValues[name] = values[name].as<long long>();
     }
-    switches.set(chosen);
-    const auto listen = parseListen(values["listen"].as<std::string>());
+    switches.set(switchValues);
+    const auto listen = parseListenEndpoint(values["listen"].as<std::string>());
     if (!listen) {
         std::cerr << "heatherridge-standin: --listen takes an IP number, a colon and a port\n";
         return ExitUsage;
@@ -152,7 +152,7 @@
 }
 
 /** Blocks the signals that end a program, before any thread is started, so that sigwait alone sees them. */
-void blockEndSignals()
+void blockTerminationSignals()
 {
     sigset_t signals{};
     sigemptyset(&signals);
@@ -165,7 +165,7 @@
 
 int main(int argc, char **argv)
 {
-    blockEndSignals();
+    blockTerminationSignals();
     try {
         return run(argc, argv);
     } catch (const Options::error &error) {
