--- a/tests/command/command_test.cpp
+++ b/tests/command/command_test.cpp
@@ -29,18 +29,18 @@
 }
 
 /** One run of the command and how it must end. */
-struct Run
+struct CommandRun
 {
     std::vector<std::string> arguments;
     int exitCode;
-    const char *says; ///< part of the output
+    const char *expectedOutput; ///< part of the output
 };
 
 struct CommandRow
 {
     const char *name;
     const char *logFaults; ///< switches of the log, as JSON
-    std::vector<Run> runs;
+    std::vector<CommandRun> runs;
 };
 
 const CommandRow Rows[] = {
@@ -97,7 +97,8 @@
         run.arguments.insert(run.arguments.end(), {"--log", toString(address), "--timeout-ms", "2000"});
         const auto result = command(run.arguments);
         EXPECT_EQ(result.exitCode, run.exitCode) << result.output;
-        EXPECT_NE(result.output.find(run.says), std::string::npos) << result.output << "lacks: " << run.says;
+        EXPECT_NE(result.output.find(run.expectedOutput), std::string::npos)
+            << result.output << "lacks: " << run.expectedOutput;
     }
 }
 
@@ -130,7 +131,7 @@
 {
     std::vector<std::string> arguments;
     int exitCode;
-    const char *says;
+    const char *expectedOutput;
 };
 
 const UsageRow UsageRows[] = {
@@ -158,7 +159,7 @@
 {
     const auto result = command(GetParam().arguments);
     EXPECT_EQ(result.exitCode, GetParam().exitCode) << result.output;
-    EXPECT_NE(result.output.find(GetParam().says), std::string::npos) << result.output;
+    EXPECT_NE(result.output.find(GetParam().expectedOutput), std::string::npos) << result.output;
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, OperatorCommandLine, testing::ValuesIn(UsageRows));
