--- a/tests/standin/contract_test.cpp
+++ b/tests/standin/contract_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr int NoAnswer = 0;
+constexpr int NoResponse = 0;
 
 /** One call and what must come of it. CBOR answers are compared in their JSON form, byte strings as text. */
 struct Step
@@ -44,7 +44,7 @@
       {"GET", "/streams/none/records?from=1", "", 200, R"({"first":1,"last":0,"records":[]})"}}},
     {"LogReplyLostAfterTheAppendTookEffect",
      {"log", "--lose-reply", "1"},
-     {{"POST", "/streams/a/records", "x", NoAnswer, nullptr},
+     {{"POST", "/streams/a/records", "x", NoResponse, nullptr},
       {"GET", "/streams/a/records?from=1", "", 200, R"({"last":1,"records":[{"o":1,"p":"x"}]})"},
       {"POST", "/streams/a/records", "y", 200, R"({"offset":2})"}}},
     {"LogReaderBehindRetentionLearnsWhereToGoOn",
@@ -67,12 +67,12 @@
       {"GET", "/faults", "", 200, R"({"hang":0})"}}},
     {"BookingClosedBeforeItsRunDidNotRun",
      {"plain", "--close-before-run", "1"},
-     {{"POST", "/bookings", R"({"reference":"coach"})", NoAnswer, nullptr},
+     {{"POST", "/bookings", R"({"reference":"coach"})", NoResponse, nullptr},
       {"GET", "/executions", "", 200, R"({})"},
       {"POST", "/bookings", R"({"reference":"coach"})", 201, R"({"executions":1})"}}},
     {"BookingClosedAfterItsRunDidRun",
      {"plain", "--close-after-run", "1"},
-     {{"POST", "/deposits", R"({"reference":"coach"})", NoAnswer, nullptr},
+     {{"POST", "/deposits", R"({"reference":"coach"})", NoResponse, nullptr},
       {"GET", "/executions", "", 200, R"({"coach":1})"},
       {"POST", "/deposits", R"({"reference":"coach"})", 201, R"({"executions":2})"}}},
     {"LookUpsAreNoExecutions",
@@ -120,7 +120,7 @@
       {"PUT", "/hosts", R"({"hosts":[{"host":"a","state":"gone"}]})", 400, nullptr}}},
 };
 
-nlohmann::json parsed(const HttpAnswer &answer)
+nlohmann::json parseBody(const HttpAnswer &answer)
 {
     if (headerValue(answer.headers, "Content-Type") != "application/cbor") {
         return nlohmann::json::parse(answer.body, nullptr, false);
@@ -134,16 +134,17 @@
 }
 
 /** Whether @p actual holds all of @p expected: fields of objects at least, arrays in full length. */
-bool holds(const nlohmann::json &actual, const nlohmann::json &expected)
+bool containsAll(const nlohmann::json &actual, const nlohmann::json &expected)
 {
     if (expected.is_object()) {
         return actual.is_object()
             && std::all_of(expected.items().begin(), expected.items().end(), [&](const auto &item) {
-                   return actual.contains(item.key()) && holds(actual[item.key()], item.value());
+                   return actual.contains(item.key()) && containsAll(actual[item.key()], item.value());
                });
     }
     if (expected.is_array()) {
-        return actual.is_array() && std::equal(actual.begin(), actual.end(), expected.begin(), expected.end(), holds);
+        return actual.is_array()
+            && std::equal(actual.begin(), actual.end(), expected.begin(), expected.end(), containsAll);
     }
     return actual == expected;
 }
@@ -160,8 +161,9 @@
         const auto answer = call(standIn.endpoints().front(), step.method, step.target, step.body);
         EXPECT_EQ(answer.status, step.status) << step.method << " " << step.target << ": " << answer.body;
         if (step.answer != nullptr) {
-            const auto actual = parsed(answer);
-            EXPECT_TRUE(holds(actual, nlohmann::json::parse(step.answer))) << step.target << " answered " << actual;
+            const auto actual = parseBody(answer);
+            EXPECT_TRUE(containsAll(actual, nlohmann::json::parse(step.answer)))
+                << step.target << " answered " << actual;
         }
     }
 }
@@ -177,7 +179,7 @@
     });
     // The append may come before the read arrives; either way the reader gets the record long before its wait ends.
     call(log.endpoints().front(), "POST", "/streams/a/records", "late");
-    EXPECT_TRUE(holds(parsed(reader.get()), nlohmann::json::parse(R"({"records":[{"o":1,"p":"late"}]})")));
+    EXPECT_TRUE(containsAll(parseBody(reader.get()), nlohmann::json::parse(R"({"records":[{"o":1,"p":"late"}]})")));
 }
 
 // A caller that has read half of a long answer closes its connection. The engine would go on for minutes and keep a
@@ -192,10 +194,10 @@
                               .body = R"({"messages":[{"content":"hi"}],"max_tokens":100000,"stream":true})"}};
     chat.leaveAfterBytes = 1000;
     EXPECT_FALSE(callAll({chat}).front().whole);
-    while (!holds(parsed(call(endpoint, "GET", "/counters")), {{"callers-gone", 1}})) {
+    while (!containsAll(parseBody(call(endpoint, "GET", "/counters")), {{"callers-gone", 1}})) {
         std::this_thread::yield(); // ctest's time limit fails the test if it never comes
     }
-    EXPECT_TRUE(holds(parsed(call(endpoint, "GET", "/load")), {{"running", 0}, {"waiting", 0}}));
+    EXPECT_TRUE(containsAll(parseBody(call(endpoint, "GET", "/load")), {{"running", 0}, {"waiting", 0}}));
 }
 
 TEST(EngineStandIn, ABrokenStreamIsNotTakenForAWholeOne)
