--- a/extras/heatherridge-standin/cacheevents.h
+++ b/extras/heatherridge-standin/cacheevents.h
@@ -8,17 +8,17 @@
 namespace Heatherridge
 {
 
-/** What an engine tells of its prefix cache: late, with gaps, and only for a while. One thread. */
+/** The events of an engine's prefix cache: delayed, with gaps, and kept for a limited time. Not thread-safe. */
 class CacheEvents
 {
 public:
-    /** Events kept; older ones are gone. */
+    /** Maximum number of events kept; older ones are dropped. */
     static constexpr std::size_t MaxEvents = 10'000;
 
-    /** Adds an event at @p now (milliseconds since the epoch); a dropped one leaves a gap in the numbers. */
+    /** Adds an event at @p now (milliseconds since the epoch); a @p dropped one leaves a gap in the numbers. */
     void add(std::uint64_t block, bool stored, std::int64_t now, bool dropped);
 
-    /** Events from number @p from on that are older than @p lag milliseconds at @p now. */
+    /** Returns the events numbered @p from and up that are at least @p lag milliseconds old at @p now. */
     nlohmann::json page(std::uint64_t from, std::int64_t now, std::int64_t lag) const;
 
 private:
--- a/extras/heatherridge-standin/enginerequest.h
+++ b/extras/heatherridge-standin/enginerequest.h
@@ -13,47 +13,47 @@
 /**
  * One chat completion in the stand-in engine, from its arrival to its last byte. Loop thread only.
  *
- * Tokens that a slow reader has not taken yet are gathered into one write; they are bounded by `max_tokens`.
+ * Tokens that a slow reader has not read yet are combined into one write; `max_tokens` bounds them.
  */
 class EngineRequest : public std::enable_shared_from_this<EngineRequest>
 {
 public:
-    /** What the caller asked for. */
+    /** The parameters of the request. */
     struct Options
     {
-        std::string id{}; ///< names the request for cancels
-        std::string model{}; ///< repeated in the answer
-        int priority = 0; ///< higher is begun first
+        std::string id{}; ///< identifies the request for cancellation
+        std::string model{}; ///< echoed in the answer
+        int priority = 0; ///< higher values start first
         std::uint64_t maxTokens = 16; ///< tokens of the whole answer
-        std::uint64_t resumeFrom = 0; ///< tokens that the caller has already
-        bool stream = false; ///< as server-sent events
+        std::uint64_t resumeFrom = 0; ///< number of tokens that the caller already has
+        bool stream = false; ///< whether to answer with server-sent events
     };
 
     /** Runs a task on the loop's thread. */
     using Post = std::function<void(std::function<void()>)>;
 
-    /** The request @p options with @p prompt that is answered through @p exchange. */
+    /** Creates a request with @p options and @p prompt that is answered through @p exchange. */
     EngineRequest(Options options, PromptText prompt, std::shared_ptr<HttpExchange> exchange, Post post);
 
-    /** What was asked for. */
+    /** Returns the parameters of the request. */
     const Options &options() const;
 
-    /** The prompt. */
+    /** Returns the prompt. */
     const PromptText &prompt() const;
 
-    /** Tokens of the answer so far, those before `resumeFrom` included. */
+    /** Returns the number of tokens generated so far, including those before `resumeFrom`. */
     std::uint64_t progress() const;
 
-    /** Whether no token is left to make. */
+    /** Returns whether all tokens have been generated. */
     bool isComplete() const;
 
-    /** Makes the next token. */
+    /** Generates the next token. */
     void generateToken();
 
-    /** Sends the end of a complete answer; @p cachedTokens is told in `usage`. */
+    /** Completes the answer; @p cachedTokens is reported in the `usage` of an unstreamed one. */
     void finish(std::size_t cachedTokens);
 
-    /** Closes the connection in the middle of the answer. */
+    /** Closes the connection before the answer is complete. */
     void abortResponse();
 
 private:
@@ -66,9 +66,9 @@
     std::shared_ptr<HttpExchange> m_exchange;
     Post m_post;
     std::uint64_t m_progress = 0;
-    std::string m_content; // of an answer in whole
-    std::string m_pending; // of a stream, not yet given to the exchange
-    bool m_streamStarted = false; // the head of the stream was sent
+    std::string m_content; // content of an unstreamed answer
+    std::string m_pending; // bytes of a stream not yet passed to the exchange
+    bool m_streamStarted = false; // the response header was sent
     bool m_writing = false;
     bool m_ending = false;
 };
--- a/extras/heatherridge-standin/enginestandin.cpp
+++ b/extras/heatherridge-standin/enginestandin.cpp
@@ -22,18 +22,20 @@
 
 std::vector<FaultSwitch> engineSwitches()
 {
-    return {{.name = "step-ms", .value = 5, .summary = "milliseconds of a step with an empty batch"},
+    return {{.name = "step-ms", .value = 5, .summary = "milliseconds of a step, without the time per request"},
             {.name = "step-us-per-request", .value = 100, .summary = "microseconds that each request adds to a step"},
             {.name = "prefill-us", .value = 20, .summary = "microseconds for each token of prefill not in the cache"},
-            {.name = "batch", .value = 64, .summary = "most requests in one step"},
-            {.name = "cache-blocks", .value = 4096, .summary = "prefix cache, in blocks of 64 bytes of prompt"},
+            {.name = "batch", .value = 64, .summary = "maximum number of requests in one step"},
+            {.name = "cache-blocks",
+             .value = 4096,
+             .summary = "capacity of the prefix cache, in blocks of 64 bytes of prompt"},
             {.name = "checks-orders", .value = 0, .summary = "1: orders with an old fencing number are refused"},
-            {.name = "stall", .value = 0, .summary = "1: no step is begun"},
-            {.name = "break-after-tokens", .value = 0, .summary = "close each stream after so many tokens; 0 is off"},
-            {.name = "refuse", .value = 0, .summary = "1: chats are answered 503"},
-            {.name = "load-lag-ms", .value = 0, .summary = "age of the load that is reported"},
-            {.name = "cache-lag-ms", .value = 0, .summary = "age of the newest cache event that is told"},
-            {.name = "cache-gap", .value = 0, .summary = "every so many-th cache event is lost; 0 is off"}};
+            {.name = "stall", .value = 0, .summary = "1: no step is started"},
+            {.name = "break-after-tokens", .value = 0, .summary = "close each stream after this many tokens; 0 is off"},
+            {.name = "refuse", .value = 0, .summary = "1: chat requests are answered 503"},
+            {.name = "load-lag-ms", .value = 0, .summary = "age of the reported load in milliseconds"},
+            {.name = "cache-lag-ms", .value = 0, .summary = "age of the newest reported cache event in milliseconds"},
+            {.name = "cache-gap", .value = 0, .summary = "every n-th cache event is lost; 0 is off"}};
 }
 
 } // namespace
@@ -69,7 +71,7 @@
     } else if (parts.size() == 2 && parts[0] == "kv") {
         handleKeyValueCache(parts[1], exchange);
     } else {
-        respondError(*exchange, 404, "the engine has no such path");
+        respondError(*exchange, 404, "unknown path");
     }
 }
 
@@ -78,12 +80,12 @@
     const auto &request = exchange->request();
     const auto body = nlohmann::json::parse(request.body, nullptr, false);
     if (!body.is_object()) {
-        respondError(*exchange, 400, "the request is no JSON object");
+        respondError(*exchange, 400, "the request is not a JSON object");
         return;
     }
     if (switchValue("refuse") != 0) {
         count("refused");
-        respondError(*exchange, 503, "the engine refuses as it was told to");
+        respondError(*exchange, 503, "the switch refuse is set");
         return;
     }
     EngineRequest::Options options{
@@ -106,7 +108,7 @@
                                         [this](std::function<void()> task) { loop().post(std::move(task)); });
     exchange->onClosed([this, weakRequest = std::weak_ptr(queued)] {
         loop().post([this, weakRequest] {
-            // This very request: another attempt under the same id may run beside it.
+            // Compares the object, not the id: another attempt with the same id may be running.
             const auto request = weakRequest.lock();
             if (request && cancel([&](const EngineRequest &candidate) { return &candidate == request.get(); })) {
                 count("callers-gone");
@@ -127,7 +129,7 @@
     const auto body = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!body.is_object() || !body.contains("order") || !body.contains("fencing")
         || !body["fencing"].is_number_unsigned()) {
-        respondError(*exchange, 400, "an order has 'fencing', a whole number, and 'order'");
+        respondError(*exchange, 400, "an order needs 'fencing', a whole number, and 'order'");
         return;
     }
     const auto fencing = body["fencing"].get<std::uint64_t>();
@@ -157,7 +159,7 @@
     }
     const auto kept = m_exports.find(id);
     if (kept == m_exports.end()) {
-        respondError(*exchange, 404, "no cache is kept for this request");
+        respondError(*exchange, 404, "no cache is stored for this request");
         return;
     }
     count("exports");
--- a/extras/heatherridge-standin/enginestandin.h
+++ b/extras/heatherridge-standin/enginestandin.h
@@ -17,24 +17,24 @@
 {
 
 /**
- * A model engine that batches continuously.
+ * A model engine with continuous batching.
  *
- * Each step makes one token for every request of the batch. A step takes longer the larger the batch is, and longer
- * again for the prompts that join it, as far as their prefixes are not in the cache. Waiting requests join by
- * priority, then in the order of arrival.
+ * Each step generates one token for every request in the batch. A step takes longer for a larger batch, and longer
+ * again for the prompts that join it, unless their prefixes are cached. Waiting requests join by priority, then in
+ * the order of arrival.
  *
- * - `POST /v1/chat/completions`: the usual shape, streamed or not; `resume_from` leaves out tokens that the caller has;
- *   the headers `X-Request-Id` and `X-Priority` name and rank the request.
- * - `POST /requests/ID/cancel` ends a request; a caller that leaves does so too.
- * - `GET /load`, `GET /cache-events?from=N`: late, the latter with gaps.
- * - `POST /orders` `{"fencing":N,"order":...}`, refused with an old number if the switch `checks-orders` is on;
- *   `GET /orders` lists those obeyed.
- * - `GET /kv/ID` exports the cache of a request that is or was here, `PUT /kv/ID` imports it.
+ * - `POST /v1/chat/completions`: the usual format, streamed or not; `resume_from` omits tokens that the caller already
+ *   has; the headers `X-Request-Id` and `X-Priority` set the id and the priority of the request.
+ * - `POST /requests/ID/cancel` cancels a request, as does a caller that disconnects.
+ * - `GET /load`, `GET /cache-events?from=N`: delayed, the latter with gaps.
+ * - `POST /orders` `{"fencing":N,"order":...}`, refused with a lower fencing number than before if the switch
+ *   `checks-orders` is on; `GET /orders` lists the accepted ones.
+ * - `GET /kv/ID` exports the cache of a running or finished request, `PUT /kv/ID` imports it.
  */
 class EngineStandIn final : public StandIn
 {
 public:
-    /** An idle engine. */
+    /** Creates an idle engine. */
     explicit EngineStandIn(EventLoop &loop);
 
 protected:
@@ -71,7 +71,7 @@
     std::map<int, std::deque<RequestPtr>, std::greater<>> m_waiting; // by priority
     std::vector<Running> m_batch;
     bool m_isStepping = false;
-    std::uint64_t m_stepTokens = 0; // tokens made since the last sample
+    std::uint64_t m_stepTokens = 0; // tokens generated since the last sample
     double m_tokensPerSecond = 0;
     std::chrono::microseconds m_stepTime{0};
     std::deque<Load> m_loads; // oldest first
@@ -80,7 +80,7 @@
     CacheEvents m_cacheEvents;
     std::uint64_t m_highestFencing = 0;
     std::deque<nlohmann::json> m_orders;
-    std::map<std::string, std::string> m_exports; // prompts of finished requests, by id
+    std::map<std::string, std::string> m_exports; // prompts of admitted requests, by id
     std::deque<std::string> m_exportOrder; // oldest first
     std::uint64_t m_unnamedRequests = 0;
 };
--- a/extras/heatherridge-standin/faultswitches.cpp
+++ b/extras/heatherridge-standin/faultswitches.cpp
@@ -33,14 +33,14 @@
 Outcome FaultSwitches::set(const nlohmann::json &map)
 {
     if (!map.is_object()) {
-        return invalidSwitch("the switches come as a JSON map");
+        return invalidSwitch("the switches must be a JSON object");
     }
     for (const auto &[name, value] : map.items()) {
         if (!m_switches.contains(name)) {
-            return invalidSwitch("no switch is named '" + name + "'");
+            return invalidSwitch("unknown switch '" + name + "'");
         }
         if (!value.is_number_integer() && !value.is_boolean()) {
-            return invalidSwitch("'" + name + "' takes a whole number");
+            return invalidSwitch("'" + name + "' must be a whole number");
         }
     }
     for (const auto &[name, value] : map.items()) {
--- a/extras/heatherridge-standin/faultswitches.h
+++ b/extras/heatherridge-standin/faultswitches.h
@@ -12,31 +12,31 @@
 namespace Heatherridge
 {
 
-/** One switch that a test or an operator can set while a stand-in runs. */
+/** A switch that a test or an operator can set while a stand-in runs. */
 struct FaultSwitch
 {
-    std::string name{}; ///< as in the JSON map and after `--` on the command line
-    long long value = 0; ///< the value at start; 0 is off for faults
-    std::string summary{}; ///< one line for --help
+    std::string name{}; ///< the key in the JSON map and, after `--`, the option on the command line
+    long long value = 0; ///< the initial value; 0 disables a fault
+    std::string summary{}; ///< one line of text for --help
 };
 
-/** The switches of one stand-in. All values are whole numbers; yes and no are 1 and 0. One thread. */
+/** The switches of one stand-in. All values are whole numbers; true and false are 1 and 0. Not thread-safe. */
 class FaultSwitches
 {
 public:
-    /** Declares @p switches; no other name can be set later. */
+    /** Declares @p switches; no other names can be set later. */
     explicit FaultSwitches(std::vector<FaultSwitch> switches);
 
-    /** The value of @p name, which must have been declared. */
+    /** Returns the value of @p name, which must have been declared. */
     long long value(std::string_view name) const;
 
-    /** Sets the switches named in @p map, all or, when one is unknown or no whole number, none. */
+    /** Sets all switches named in @p map, or none of them if one is unknown or not a whole number. */
     Outcome set(const nlohmann::json &map);
 
-    /** All switches and their values. */
+    /** Returns all switches and their values as a JSON object. */
     nlohmann::json toJson() const;
 
-    /** The switches as declared, with their present values. */
+    /** Returns the declared switches with their current values. */
     const std::map<std::string, FaultSwitch, std::less<>> &all() const;
 
 private:
--- a/extras/heatherridge-standin/hoststandin.cpp
+++ b/extras/heatherridge-standin/hoststandin.cpp
@@ -26,8 +26,8 @@
 
 HostStandIn::HostStandIn(EventLoop &loop)
     : StandIn(loop,
-              {{.name = "lag-ms", .value = 0, .summary = "milliseconds until a change of the list is told"},
-               {.name = "duplicates", .value = 0, .summary = "1: every host is told twice"},
+              {{.name = "lag-ms", .value = 0, .summary = "milliseconds until a change of the list is reported"},
+               {.name = "duplicates", .value = 0, .summary = "1: every host is reported twice"},
                {.name = "out", .value = 0, .summary = "1: every request is answered 503 at once"}})
 {
 }
@@ -36,9 +36,9 @@
 {
     const auto &request = exchange->request();
     if (switchValue("out") != 0) {
-        respondError(*exchange, 503, "the host list is out");
+        respondError(*exchange, 503, "the host list is unavailable");
     } else if (request.path != "/hosts") {
-        respondError(*exchange, 404, "the host list has /hosts");
+        respondError(*exchange, 404, "the host list serves /hosts only");
     } else if (request.method == "PUT") {
         replaceHosts(exchange);
     } else {
@@ -51,7 +51,7 @@
 {
     const auto body = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!isHostList(body)) {
-        respondError(*exchange, 400, "the list is {\"hosts\":[{\"host\":NAME,\"state\":\"live\"|\"leaving\"}]}");
+        respondError(*exchange, 400, "the list must be {\"hosts\":[{\"host\":NAME,\"state\":\"live\"|\"leaving\"}]}");
         return;
     }
     count("changes");
--- a/extras/heatherridge-standin/hoststandin.h
+++ b/extras/heatherridge-standin/hoststandin.h
@@ -10,15 +10,15 @@
 {
 
 /**
- * The platform's list of live and leaving hosts, which lags.
+ * The platform's list of live and leaving hosts, which lags behind changes.
  *
- * `PUT /hosts` sets the list `{"hosts":[{"host":NAME,"state":"live"|"leaving"}]}`, `GET /hosts` tells it as it was some
- * time ago.
+ * `PUT /hosts` sets the list `{"hosts":[{"host":NAME,"state":"live"|"leaving"}]}`, `GET /hosts` returns it as of
+ * `lag-ms` milliseconds ago.
  */
 class HostStandIn final : public StandIn
 {
 public:
-    /** An empty list. */
+    /** Creates an empty list. */
     explicit HostStandIn(EventLoop &loop);
 
 protected:
--- a/extras/heatherridge-standin/logstandin.cpp
+++ b/extras/heatherridge-standin/logstandin.cpp
@@ -17,19 +17,20 @@
 } // namespace
 
 LogStandIn::LogStandIn(EventLoop &loop)
-    : StandIn(loop,
-              {{.name = "hang-after-append",
-                .value = 0,
-                .summary = "1: the first append takes effect, and from it on nothing is answered"},
-               {.name = "out", .value = 0, .summary = "1: every request is answered 503 at once"},
-               {.name = "hang", .value = 0, .summary = "1: requests are taken and never answered"},
-               {.name = "slow-ms", .value = 0, .summary = "milliseconds before a request is looked at"},
-               {.name = "lose-reply",
-                .value = 0,
-                .summary = "for this many appends: take effect, then close without an answer; -1 for all"},
-               {.name = "retention-records", .value = 0, .summary = "records kept of a stream; 0 keeps all"},
-               {.name = "retention-ms", .value = 0, .summary = "age up to which records are kept; 0 keeps all"},
-               {.name = "rate", .value = 0, .summary = "appends a second, further ones wait their turn; 0: no bound"}})
+    : StandIn(
+        loop,
+        {{.name = "hang-after-append",
+          .value = 0,
+          .summary = "1: the next append takes effect; neither it nor any later request is answered"},
+         {.name = "out", .value = 0, .summary = "1: every request is answered 503 at once"},
+         {.name = "hang", .value = 0, .summary = "1: requests are accepted but never answered"},
+         {.name = "slow-ms", .value = 0, .summary = "delay in milliseconds before a request is processed"},
+         {.name = "lose-reply",
+          .value = 0,
+          .summary = "number of appends that take effect but close the connection without an answer; -1 for all"},
+         {.name = "retention-records", .value = 0, .summary = "maximum number of records kept per stream; 0 keeps all"},
+         {.name = "retention-ms", .value = 0, .summary = "maximum age of records in milliseconds; 0 keeps all"},
+         {.name = "rate", .value = 0, .summary = "maximum appends per second, further ones are delayed; 0: unlimited"}})
 {
 }
 
@@ -37,7 +38,7 @@
 {
     if (switchValue("out") != 0) {
         count("refused-out");
-        respondError(*exchange, 503, "the log is out");
+        respondError(*exchange, 503, "the log is unavailable");
     } else if (switchValue("hang") != 0) {
         count("held");
         m_heldExchanges.push_back(exchange);
@@ -54,13 +55,13 @@
     const auto &request = exchange->request();
     const auto parts = pathParts(request.path);
     if (parts.size() != 3 || parts[0] != "streams" || parts[2] != "records") {
-        respondError(*exchange, 404, "the log has /streams/NAME/records");
+        respondError(*exchange, 404, "the log serves /streams/NAME/records");
     } else if (request.method == "GET") {
         read(parts[1], exchange);
     } else if (request.method != "POST") {
-        respondError(*exchange, 405, "append with POST, read with GET");
+        respondError(*exchange, 405, "only POST (append) and GET (read) are allowed");
     } else if (request.body.size() > MaxRecordBytes) {
-        respondError(*exchange, 413, "a record has at most 1 MiB");
+        respondError(*exchange, 413, "a record must not exceed 1 MiB");
     } else if (switchValue("rate") > 0) {
         const auto now = std::chrono::steady_clock::now();
         const auto appendTime = std::max(now, m_nextAppendTime);
--- a/extras/heatherridge-standin/logstandin.h
+++ b/extras/heatherridge-standin/logstandin.h
@@ -16,13 +16,13 @@
  * The platform's append-only log.
  *
  * `POST /streams/NAME/records` appends the body and answers `{"offset":N}`. `GET /streams/NAME/records` with `from`,
- * `most` and `wait-ms` answers a page as a CBOR map `{first, last, records: [{o, t, p}]}`. A stream begins with its
- * first append, at offset 1.
+ * `most` and `wait-ms` answers a page as a CBOR map `{first, last, records: [{o, t, p}]}`. The first append
+ * creates a stream, at offset 1.
  */
 class LogStandIn final : public StandIn
 {
 public:
-    /** A log without records. */
+    /** Creates an empty log. */
     explicit LogStandIn(EventLoop &loop);
 
 protected:
@@ -45,8 +45,8 @@
 
     std::map<std::string, LogStream> m_streams;
     std::map<std::string, std::vector<std::shared_ptr<PendingRead>>> m_pendingReads; // exchange is null once answered
-    std::vector<std::shared_ptr<HttpExchange>> m_heldExchanges; // never answered, by the fault `hang`
-    std::chrono::steady_clock::time_point m_nextAppendTime{}; // when the rate allows one more
+    std::vector<std::shared_ptr<HttpExchange>> m_heldExchanges; // unanswered due to the fault `hang`
+    std::chrono::steady_clock::time_point m_nextAppendTime{}; // earliest time at which the rate allows another append
 };
 
 } // namespace Heatherridge
--- a/extras/heatherridge-standin/logstream.cpp
+++ b/extras/heatherridge-standin/logstream.cpp
@@ -32,7 +32,7 @@
 {
     auto records = nlohmann::json::array();
     std::size_t bytes = 0;
-    // Below the oldest record kept the page stays empty: `first` tells the reader that records are gone.
+    // A page from before the oldest record is empty; `first` shows the reader that records have expired.
     for (auto offset = from; offset >= m_first && offset <= lastOffset() && records.size() < maxRecords; ++offset) {
         const auto &record = m_records[offset - m_first];
         bytes += record.payload.size();
--- a/extras/heatherridge-standin/logstream.h
+++ b/extras/heatherridge-standin/logstream.h
@@ -10,30 +10,30 @@
 namespace Heatherridge
 {
 
-/** One stream of the log stand-in: numbered records, of which old ones expire. One thread. */
+/** One stream of the log stand-in: numbered records, the oldest of which expire. Not thread-safe. */
 class LogStream
 {
 public:
-    /** Most bytes of payload on one page, but for a single larger record. */
+    /** Maximum payload bytes of one page, unless its only record is larger. */
     static constexpr std::size_t MaxPageBytes = 1UL << 20U;
 
-    /** Which records expire; 0 keeps all. */
+    /** Limits beyond which records expire; 0 keeps all. */
     struct Retention
     {
-        std::size_t records = 0; ///< how many are kept
-        std::chrono::milliseconds age{0}; ///< for how long they are kept
+        std::size_t records = 0; ///< maximum number of records kept
+        std::chrono::milliseconds age{0}; ///< maximum age of the records kept
     };
 
     /** Adds @p payload at @p now (milliseconds since the epoch) and returns its offset. */
     std::uint64_t append(std::string payload, std::int64_t now);
 
-    /** Drops what @p retention no longer keeps at @p now. */
+    /** Removes the records that exceed @p retention at @p now. */
     void expire(Retention retention, std::int64_t now);
 
-    /** Whether there is a record at @p from or later. */
+    /** Returns whether there is a record at offset @p from or later. */
     bool hasRecordFrom(std::uint64_t from) const;
 
-    /** Records from @p from on, at most @p maxRecords, as the CBOR bytes of a page. */
+    /** Returns a page of at most @p maxRecords records from offset @p from, encoded as CBOR. */
     std::string page(std::uint64_t from, std::size_t maxRecords) const;
 
 private:
--- a/extras/heatherridge-standin/main.cpp
+++ b/extras/heatherridge-standin/main.cpp
@@ -23,7 +23,7 @@
 
 constexpr int ExitUsage = 2;
 constexpr int ServerThreads = 2;
-constexpr std::size_t MaxBodyBytes = 64UL << 20U; // an exported cache; each mode sets its own lower bounds
+constexpr std::size_t MaxBodyBytes = 64UL << 20U; // fits an exported cache; each mode sets lower limits of its own
 
 struct Mode
 {
@@ -54,8 +54,8 @@
 void printUsage(std::ostream &out)
 {
     out << "usage: heatherridge-standin MODE [--listen ADDRESS:PORT] [--SWITCH VALUE ...]\n\n"
-           "Plays one part of the platform or one back end. Port 0 lets the kernel choose; the line\n"
-           "`ready MODE ADDRESS:PORT` says where it listens. POST /faults sets switches at run time.\n\nmodes:\n";
+           "Simulates one part of the platform or one back end. Port 0 lets the kernel choose; the line\n"
+           "`ready MODE ADDRESS:PORT` shows where it listens. POST /faults sets switches at run time.\n\nmodes:\n";
     for (const auto &mode : modes()) {
         out << "  " << mode.name << "\t" << mode.summary << "\n";
     }
@@ -72,7 +72,7 @@
     return nullptr;
 }
 
-/** Where to listen; unlike an inventory's endpoints with port 0 allowed. */
+/** Parses the address to listen on; unlike in an inventory, port 0 is allowed. */
 std::optional<Endpoint> parseListenEndpoint(const std::string &text)
 {
     const auto colon = text.rfind(':');
@@ -87,7 +87,7 @@
 {
     Options::options_description description("options");
     description.add_options()("help", "print this and exit")(
-        "listen", Options::value<std::string>()->default_value("127.0.0.1:0"), "where to listen");
+        "listen", Options::value<std::string>()->default_value("127.0.0.1:0"), "address to listen on");
     for (const auto &[name, entry] : switches.all()) {
         description.add_options()(name.c_str(), Options::value<long long>()->default_value(entry.value),
                                   entry.summary.c_str());
@@ -145,13 +145,13 @@
     switches.set(switchValues);
     const auto listen = parseListenEndpoint(values["listen"].as<std::string>());
     if (!listen) {
-        std::cerr << "heatherridge-standin: --listen takes an IP number, a colon and a port\n";
+        std::cerr << "heatherridge-standin: --listen must be of the form ADDRESS:PORT\n";
         return ExitUsage;
     }
     return serve(mode->name, loop, *standIn, *listen);
 }
 
-/** Blocks the signals that end a program, before any thread is started, so that sigwait alone sees them. */
+/** Blocks SIGTERM and SIGINT before any thread starts, so that only sigwait receives them. */
 void blockTerminationSignals()
 {
     sigset_t signals{};
--- a/extras/heatherridge-standin/plainstandin.cpp
+++ b/extras/heatherridge-standin/plainstandin.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t MaxSeats = 40;
 
-/** What an execution is counted under. */
+/** Returns the key under which an execution is counted. */
 std::string executionKey(const std::string &body)
 {
     const auto json = nlohmann::json::parse(body, nullptr, false);
@@ -22,7 +22,7 @@
     return body;
 }
 
-/** @p switchValue as a count of calls that it still strikes: -1 strikes all. */
+/** Returns whether @p fault applies to this call and decrements its count of calls; -1 applies to all calls. */
 bool consumeFault(FaultSwitches &faults, const std::string &fault)
 {
     const auto remaining = faults.value(fault);
@@ -37,13 +37,15 @@
 PlainStandIn::PlainStandIn(EventLoop &loop)
     : StandIn(
         loop,
-        {{.name = "delay-ms", .value = 0, .summary = "milliseconds between a call's execution and its answer"},
-         {.name = "hang", .value = 0, .summary = "1: calls are taken, neither executed nor answered"},
-         {.name = "close-before-run", .value = 0, .summary = "calls whose connection closes unexecuted; -1 for all"},
+        {{.name = "delay-ms", .value = 0, .summary = "milliseconds between the execution and the answer of a call"},
+         {.name = "hang", .value = 0, .summary = "1: calls are accepted but neither executed nor answered"},
+         {.name = "close-before-run",
+          .value = 0,
+          .summary = "number of calls whose connection closes before the execution; -1 for all"},
          {.name = "close-after-run",
           .value = 0,
-          .summary = "calls whose connection closes after the execution; -1 for all"},
-         {.name = "fail-status", .value = 0, .summary = "answer with this status without executing; 0 is off"}})
+          .summary = "number of calls whose connection closes after the execution; -1 for all"},
+         {.name = "fail-status", .value = 0, .summary = "status to answer with instead of executing; 0 is off"}})
 {
 }
 
@@ -67,7 +69,7 @@
     }
     if (const auto status = switchValue("fail-status"); status != 0) {
         count("failed");
-        respondError(*exchange, static_cast<int>(status), "the service fails as it was told to");
+        respondError(*exchange, static_cast<int>(status), "the switch fail-status is set");
         return;
     }
     handleCall(exchange);
--- a/extras/heatherridge-standin/plainstandin.h
+++ b/extras/heatherridge-standin/plainstandin.h
@@ -11,16 +11,16 @@
 {
 
 /**
- * A plain service that takes bookings and checks nothing.
+ * A simple booking service without any validation.
  *
- * Every call but GET and HEAD is an execution and is counted by the body's field `reference`, or by the whole body when
- * there is none: two executions of one booking show as 2 in `GET /executions`. `GET /availability/...` and
- * `GET /contracts/...` change nothing. Any other method and path is answered too.
+ * Every call except GET and HEAD is an execution. Executions are counted per value of the body's field `reference`, or
+ * per whole body if there is none: two executions of one booking appear as 2 in `GET /executions`.
+ * `GET /availability/...` and `GET /contracts/...` change nothing. All other methods and paths are answered too.
  */
 class PlainStandIn final : public StandIn
 {
 public:
-    /** A service without bookings. */
+    /** Creates a service without bookings. */
     explicit PlainStandIn(EventLoop &loop);
 
 protected:
@@ -32,7 +32,7 @@
     void handleLookup(const std::shared_ptr<HttpExchange> &exchange);
 
     std::map<std::string, std::uint64_t> m_executions;
-    std::vector<std::shared_ptr<HttpExchange>> m_heldExchanges; // never answered, by the fault `hang`
+    std::vector<std::shared_ptr<HttpExchange>> m_heldExchanges; // unanswered due to the fault `hang`
 };
 
 } // namespace Heatherridge
--- a/extras/heatherridge-standin/prefixcache.cpp
+++ b/extras/heatherridge-standin/prefixcache.cpp
@@ -17,7 +17,7 @@
         ++hits;
     }
     for (auto block = blocks.rbegin(); block != blocks.rend(); ++block) {
-        touch(*block); // backwards, so that the start of a prompt is the last to go
+        touch(*block); // in reverse, so that the start of a prompt is evicted last
     }
     while (m_lruOrder.size() > capacity) {
         const auto block = m_lruOrder.back();
--- a/extras/heatherridge-standin/prefixcache.h
+++ b/extras/heatherridge-standin/prefixcache.h
@@ -10,20 +10,20 @@
 namespace Heatherridge
 {
 
-/** The blocks of prompt prefixes that an engine keeps, least recently used out first. One thread. */
+/** Least-recently-used cache of an engine's prompt prefix blocks. Not thread-safe. */
 class PrefixCache
 {
 public:
-    /** Told of each block that is stored (true) or removed (false). */
+    /** Called for each block that is stored (true) or removed (false). */
     using ChangeCallback = std::function<void(std::uint64_t block, bool stored)>;
 
-    /** An empty cache that reports to @p changed. */
+    /** Creates an empty cache that calls @p onChange for each change. */
     explicit PrefixCache(ChangeCallback onChange);
 
-    /** Stores @p blocks and keeps at most @p capacity blocks. @returns how many leading ones were there before. */
+    /** Stores @p blocks, then evicts down to @p capacity blocks. @returns how many leading ones were cached before. */
     std::size_t store(const std::vector<std::uint64_t> &blocks, std::size_t capacity);
 
-    /** How many blocks are kept. */
+    /** Returns the number of cached blocks. */
     std::size_t size() const;
 
 private:
--- a/extras/heatherridge-standin/prompttext.cpp
+++ b/extras/heatherridge-standin/prompttext.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** TokenTexts with the characters that careless escaping breaks. */
+/** Token texts with characters that faulty escaping corrupts. */
 constexpr std::array<const char *, 8> TokenTexts = {"oak",     "chips ",  "\"dry\" ", "Sicilia\n",
                                                     "perché ", "\\load ", "é",        "yard "};
 
--- a/extras/heatherridge-standin/prompttext.h
+++ b/extras/heatherridge-standin/prompttext.h
@@ -11,35 +11,35 @@
 {
 
 /**
- * The prompt of one chat request and what the stand-in engine makes of it.
+ * The prompt of one chat request and the answer that the stand-in engine generates for it.
  *
- * The answer is a function of the prompt alone, so that a test can tell byte for byte whether a caller was given the
- * whole answer to its own request. Value type.
+ * The answer depends on the prompt alone, so a test can check byte by byte whether a caller received the whole answer
+ * to its own request. Value type.
  */
 class PromptText
 {
 public:
-    /** Bytes of prompt that make one token of prefill. */
+    /** Bytes of prompt per token of prefill. */
     static constexpr std::size_t BytesPerToken = 4;
-    /** Bytes of prompt in one block of the prefix cache. */
+    /** Bytes of prompt per block of the prefix cache. */
     static constexpr std::size_t BytesPerBlock = 64;
 
-    /** The prompt of the messages in @p request, a chat completion request. Never fails. */
+    /** Creates the prompt from the messages of @p request, a chat completion request. Never fails. */
     static PromptText fromRequest(const nlohmann::json &request);
 
-    /** The prompt @p text. */
+    /** Creates a prompt with the given @p text. */
     explicit PromptText(std::string text);
 
-    /** The prompt as one text: for each message its role, a colon, its content and a line feed. */
+    /** Returns the prompt as one text: for each message its role, a colon, its content and a line feed. */
     const std::string &text() const;
 
-    /** Tokens of prefill. */
+    /** Returns the number of prefill tokens. */
     std::size_t tokens() const;
 
-    /** Hashes of the whole blocks from the start on; each covers all bytes before it as well. */
+    /** Returns the hashes of all complete blocks from the start; each also covers all bytes before its block. */
     std::vector<std::uint64_t> blocks() const;
 
-    /** Token @p index of the answer. */
+    /** Returns token @p index of the answer. */
     std::string answerToken(std::uint64_t index) const;
 
 private:
--- a/extras/heatherridge-standin/rankstandin.cpp
+++ b/extras/heatherridge-standin/rankstandin.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr std::chrono::milliseconds ProgressTimeout{1000};
-/** Most changes of the map that are listed; a test makes a few dozen. */
+/** Maximum number of map changes listed; a test causes a few dozen. */
 constexpr std::size_t MaxMapChanges = 10'000;
 constexpr double MicrosecondsPerToken = 10;
 
@@ -25,18 +25,22 @@
 
 RankStandIn::RankStandIn(EventLoop &loop)
     : StandIn(loop,
-              {{.name = "step-ms", .value = 20, .summary = "time of a step"},
+              {{.name = "step-ms", .value = 20, .summary = "time of a step in milliseconds"},
                {.name = "layers", .value = 2, .summary = "layers of the model"},
-               {.name = "experts", .value = 8, .summary = "experts a layer"},
-               {.name = "expert-bytes", .value = 1'000'000, .summary = "weights of one expert"},
-               {.name = "load-ms", .value = 100, .summary = "time that loading a map's weights takes"},
+               {.name = "experts", .value = 8, .summary = "experts per layer"},
+               {.name = "expert-bytes", .value = 1'000'000, .summary = "size of one expert's weights in bytes"},
+               {.name = "load-ms", .value = 100, .summary = "time to load the weights of a map in milliseconds"},
                {.name = "load-fails", .value = 0, .summary = "1: loading fails"},
-               {.name = "window-ms", .value = 1000, .summary = "time between load reports"},
-               {.name = "tokens", .value = 100'000, .summary = "tokens a layer in a window"},
-               {.name = "hot-expert", .value = -1, .summary = "expert that gets hot-factor times the tokens"},
+               {.name = "window-ms", .value = 1000, .summary = "time between load reports in milliseconds"},
+               {.name = "tokens", .value = 100'000, .summary = "tokens per layer in a window"},
+               {.name = "hot-expert",
+                .value = -1,
+                .summary = "expert that receives hot-factor times the tokens; -1 for none"},
                {.name = "hot-factor", .value = 10, .summary = "see hot-expert"},
-               {.name = "slowness-percent", .value = 100, .summary = "time a token, against a healthy rank"},
-               {.name = "checks-orders", .value = 1, .summary = "0: orders of a dead run of the gate are followed"}})
+               {.name = "slowness-percent", .value = 100, .summary = "time per token relative to a healthy rank"},
+               {.name = "checks-orders",
+                .value = 1,
+                .summary = "0: orders of an earlier incarnation of the gate are executed"}})
     , m_engine(randomIncarnation())
 {
 }
@@ -153,7 +157,7 @@
     loop().after(std::chrono::milliseconds(switchValue("step-ms")), [this] { tick(); });
 }
 
-/** Tells the others how far this rank is, in every tick, so that a lost word is repeated. */
+/** Sends this rank's progress to the other ranks; repeated in every tick to make up for lost messages. */
 void RankStandIn::broadcastProgress()
 {
     const auto &state = m_engine.state();
@@ -181,7 +185,7 @@
     }
 }
 
-/** The tokens that come to this rank in a window under @p map. */
+/** Returns the tokens per expert slot that this rank receives in a window under @p map. */
 std::vector<std::uint32_t> RankStandIn::tokensForMap(const ExpertMap &map) const
 {
     std::vector<std::uint32_t> tokens;
@@ -203,11 +207,11 @@
 
 void RankStandIn::closeWindow()
 {
-    // By the machine's clock, so that all ranks number their windows alike, restarted ones too.
+    // Uses the wall clock, so that all ranks, including restarted ones, number their windows alike.
     const auto window = static_cast<std::uint64_t>(wallMilliseconds() / std::max(1LL, switchValue("window-ms")));
     const auto &state = m_engine.state();
     const auto map = m_maps.find(state.map);
-    // A window with a switch in it belongs to neither map.
+    // A window during which the map changed is reported for neither map.
     if (map != m_maps.end() && m_windowMap == state.map && !state.ranks.empty()) {
         RankReport report{.rank = m_rank, .window = window, .map = state.map, .tokens = tokensForMap(map->second)};
         double busy = 0;
--- a/extras/heatherridge-standin/rankstandin.h
+++ b/extras/heatherridge-standin/rankstandin.h
@@ -10,11 +10,11 @@
 {
 
 /**
- * One rank's engine of a lock-step group.
+ * The engine of one rank of a lock-step group.
  *
- * `POST /group/orders` takes a gate's order in CBOR and answers with the engine's state; `POST /group/ranks` takes a
- * JSON list of the ranks' addresses, and `POST /group/started` another rank's progress: a step begins only when all
- * ranks of the epoch have started the one before. `GET /group/steps` lists where the map changed.
+ * `POST /group/orders` accepts a gate's order in CBOR and returns the engine's state; `POST /group/ranks` accepts a
+ * JSON list of the ranks' addresses; `POST /group/started` accepts another rank's progress. A step starts only after
+ * all ranks of the epoch have started the previous one. `GET /group/steps` lists the steps at which the map changed.
  */
 class RankStandIn final : public StandIn
 {
@@ -48,7 +48,7 @@
     std::map<int, Progress> m_progress;
     std::map<MapNumber, ExpertMap> m_maps;
     std::unique_ptr<HttpClient> m_client;
-    nlohmann::json m_mapChanges = nlohmann::json::array(); ///< [epoch, step, map] where the map differs from before
+    nlohmann::json m_mapChanges = nlohmann::json::array(); ///< [epoch, step, map] of each step with a new map
     std::optional<RankReport> m_report;
     MapNumber m_windowMap{};
     bool m_isStarted = false;
--- a/extras/heatherridge-standin/standin.h
+++ b/extras/heatherridge-standin/standin.h
@@ -16,37 +16,37 @@
 {
 
 /**
- * One part of the platform, or one back end, in small.
+ * Base class of the simulated parts of the platform and simulated back ends.
  *
- * Answers `POST /faults`, `GET /faults` and `GET /counters` itself and hands all else to serve(). All methods run on
- * the loop's thread, so that nothing in a stand-in needs a lock.
+ * Handles `POST /faults`, `GET /faults` and `GET /counters` itself and passes all other requests to serve(). All
+ * methods run on the loop's thread, so a stand-in needs no locks.
  */
 class StandIn
 {
 public:
-    /** A stand-in on @p loop, which must outlive it, with @p switches. */
+    /** Creates a stand-in with @p switches that runs on @p loop, which must outlive it. */
     StandIn(EventLoop &loop, std::vector<FaultSwitch> switches);
     virtual ~StandIn() = default;
     StandIn(const StandIn &) = delete;
     StandIn &operator=(const StandIn &) = delete;
 
-    /** Answers @p exchange, at once or later. */
+    /** Responds to @p exchange, immediately or later. */
     void handle(const std::shared_ptr<HttpExchange> &exchange);
 
-    /** The switches, to set them from the command line. */
+    /** Returns the switches, so that the command line can set them. */
     FaultSwitches &faults();
 
 protected:
-    /** Answers a request that is not about switches or counters. */
+    /** Responds to a request other than those for switches and counters. */
     virtual void serve(const std::shared_ptr<HttpExchange> &exchange) = 0;
 
-    /** The value of the switch @p name. */
+    /** Returns the value of the switch @p name. */
     long long switchValue(std::string_view name) const;
 
     /** Adds @p increment to the counter @p name. */
     void count(const std::string &name, std::uint64_t increment = 1);
 
-    /** The loop on whose thread everything runs. */
+    /** Returns the loop on whose thread all methods run. */
     EventLoop &loop();
 
 private:
@@ -55,19 +55,19 @@
     std::map<std::string, std::uint64_t> m_counters;
 };
 
-/** Answers @p exchange with @p status and @p body as JSON. */
+/** Responds to @p exchange with @p status and @p body as JSON. */
 void respondJson(HttpExchange &exchange, int status, const nlohmann::json &body);
 
-/** Answers @p exchange with @p status and a JSON object that says @p reason. */
+/** Responds to @p exchange with @p status and a JSON object whose field `error` is @p reason. */
 void respondError(HttpExchange &exchange, int status, const std::string &reason);
 
-/** The parts of @p path between its slashes; empty parts are left out. */
+/** Splits @p path at its slashes; empty parts are omitted. */
 std::vector<std::string> pathParts(std::string_view path);
 
-/** The query parameter @p name of @p request as a whole number, or @p fallback when absent or none. */
+/** Returns the query parameter @p name of @p request as a whole number, or @p fallback if absent or invalid. */
 long long queryNumber(const HttpRequest &request, std::string_view name, long long fallback);
 
-/** Milliseconds since the epoch by the machine's clock. */
+/** Returns the milliseconds since the epoch by the host's wall clock. */
 std::int64_t wallMilliseconds();
 
 } // namespace Heatherridge
--- a/extras/heatherridge-standin/weightstandin.cpp
+++ b/extras/heatherridge-standin/weightstandin.cpp
@@ -17,7 +17,7 @@
 
 WeightStandIn::WeightStandIn(EventLoop &loop)
     : StandIn(loop,
-              {{.name = "bytes-per-s", .value = 200'000'000, .summary = "rate of the whole store"},
+              {{.name = "bytes-per-s", .value = 200'000'000, .summary = "total rate of the store in bytes per second"},
                {.name = "out", .value = 0, .summary = "1: every request is answered 503 at once"}})
 {
 }
@@ -27,11 +27,11 @@
     const auto &request = exchange->request();
     const auto parts = pathParts(request.path);
     if (switchValue("out") != 0) {
-        respondError(*exchange, 503, "the weight store is out");
+        respondError(*exchange, 503, "the weight store is unavailable");
         return;
     }
     if (parts.size() != 4 || parts[0] != "weights" || request.method != "GET") {
-        respondError(*exchange, 404, "the store has /weights/MODEL/LAYER/EXPERT");
+        respondError(*exchange, 404, "the weight store serves /weights/MODEL/LAYER/EXPERT");
         return;
     }
     const auto bytes = std::min(MaxTransferBytes, queryNumber(request, "bytes", 1LL << 20U));
--- a/extras/heatherridge-standin/weightstandin.h
+++ b/extras/heatherridge-standin/weightstandin.h
@@ -9,14 +9,14 @@
 {
 
 /**
- * The store for model weights, whose rate is shared by all that load from it.
+ * The store of model weights; all concurrent loads share its rate.
  *
- * `GET /weights/MODEL/LAYER/EXPERT?bytes=N` answers N bytes that depend on the path alone.
+ * `GET /weights/MODEL/LAYER/EXPERT?bytes=N` returns N bytes that depend on the path alone.
  */
 class WeightStandIn final : public StandIn
 {
 public:
-    /** A store at its full rate. */
+    /** Creates a store with the default rate. */
     explicit WeightStandIn(EventLoop &loop);
 
 protected:
@@ -32,7 +32,7 @@
 
     void sendChunk(const std::shared_ptr<Transfer> &transfer);
 
-    std::chrono::steady_clock::time_point m_nextChunkTime{}; // when the rate allows one more
+    std::chrono::steady_clock::time_point m_nextChunkTime{}; // earliest time at which the rate allows another chunk
 };
 
 } // namespace Heatherridge
--- a/tests/command/command_test.cpp
+++ b/tests/command/command_test.cpp
@@ -28,56 +28,56 @@
     return runProgram("heatherridge", arguments);
 }
 
-/** One run of the command and how it must end. */
+/** One run of the command with its expected exit code and output. */
 struct CommandRun
 {
     std::vector<std::string> arguments;
     int exitCode;
-    const char *expectedOutput; ///< part of the output
+    const char *expectedOutput; ///< substring of the output
 };
 
 struct CommandRow
 {
     const char *name;
-    const char *logFaults; ///< switches of the log, as JSON
+    const char *logFaults; ///< fault switches of the log, as JSON
     std::vector<CommandRun> runs;
 };
 
 const CommandRow Rows[] = {
-    {"APublishIsAcceptedAtItsOffsetAndOnceOnly",
+    {"AcceptsAPublishOnce",
      "{}",
      {{{"publish", "inventory", Inventory}, Done, "accepted at offset 1"},
       {{"publish", "inventory", Inventory}, Done, "in force already, since offset 1"},
       {{"publish", "rules", Rules}, Done, "accepted at offset 2"}}},
-    {"APublishOnAnOldViewIsRefusedByNameOfTheOther",
+    {"RefusesAStalePublishAndNamesTheConflictingOperation",
      "{}",
      {{{"publish", "rules", Rules, "--operation", "first"}, Done, "accepted at offset 1"},
       {{"publish", "rules", Examples + "ferrauto/rules.ini", "--based-on", "0"}, Refused, "(operation first."},
       {{"publish", "rules", Examples + "ferrauto/rules.ini", "--based-on", "2"}, Done, "accepted at offset 3"}}},
-    {"AnOperationThatIsRunAgainTakesEffectOnceAndSpeaksForItsOwnFileAlone",
+    {"RepeatedOperationTakesEffectOncePerFile",
      R"({"lose-reply":1})",
      {{{"publish", "inventory", Inventory, "--operation", "one"}, Done, "accepted at offset 1"},
       {{"publish", "inventory", Inventory, "--operation", "one"}, Done, "accepted at offset 1"},
       {{"publish", "inventory", Examples + "ferrauto/inventory.ini", "--operation", "one"},
        Done,
        "accepted at offset 2"}}},
-    {"ALogThatIsOutTakesNothing",
+    {"PublishesNothingWhileTheLogIsUnavailable",
      R"({"out":1})",
      {{{"publish", "inventory", Inventory}, Unreachable, "not sent"},
       {{"drain", "chip-llm-04"}, Unreachable, "nothing was sent"}}},
-    {"ADrainNamesATargetOfTheInventory",
+    {"DrainsOnlyTargetsOfTheInventory",
      "{}",
      {{{"publish", "inventory", Inventory}, Done, "accepted"},
       {{"publish", "rules", Rules}, Done, "accepted"},
       {{"drain", "chip-llm-04"}, Done, "accepted at offset 3"},
       {{"drain", "chip-llm-04"}, Done, "planned already"},
       {{"drain", "chip-llm-99"}, NotFound, "no such target"}}},
-    {"ADocumentWithFaultsIsNotSent",
+    {"DoesNotSendADocumentWithFaults",
      "{}",
      {{{"publish", "inventory", Rules}, Faults, "rules.ini:"},
       {{"publish", "rules", "no-such-file"}, Faults, "no-such-file:0: the file cannot be read"},
       {{"publish", "rules", Rules}, Done, "accepted at offset 1"}}},
-    {"ProcessesThatDoNotAnswerAreSaidSo",
+    {"ReportsUnreachableProcesses",
      "{}",
      {{{"status", "--process", "127.0.0.1:1"}, Unreachable, "127.0.0.1:1"},
       {{"targets", "--process", "127.0.0.1:1"}, Unreachable, "no process reported"},
@@ -88,7 +88,7 @@
 {
 };
 
-TEST_P(OperatorCommand, EachRunEndsAsWritten)
+TEST_P(OperatorCommand, EachRunHasTheExpectedExitCodeAndOutput)
 {
     const ChildProcess log("heatherridge-standin", {"log"});
     const auto &address = log.endpoints().front();
@@ -105,10 +105,10 @@
 INSTANTIATE_TEST_SUITE_P(Table, OperatorCommand, testing::ValuesIn(Rows),
                          [](const auto &row) { return std::string(row.param.name); });
 
-// An operator publishes while the log takes the record, loses the reply and then stops answering. A command that said
-// "accepted" or "refused" would guess. It must say that it does not know and how to find out; run again as it says,
-// it tells the one outcome.
-TEST(OperatorCommandUnderFault, AnUnknownOutcomeIsSaidAndSettledByTheSameOperation)
+// The log appends the published record but never replies, and answers no further requests. The command must report
+// neither "accepted" nor "refused", but an unknown outcome and how to repeat the publish; the repeated publish must
+// report the outcome of the first one.
+TEST(OperatorCommandUnderFault, ReportsAnUnknownOutcomeAndResolvesItWithTheSameOperation)
 {
     const ChildProcess log("heatherridge-standin", {"log", "--hang-after-append", "1"});
     const auto &address = log.endpoints().front();
@@ -155,7 +155,7 @@
 {
 };
 
-TEST_P(OperatorCommandLine, EndsAsDocumented)
+TEST_P(OperatorCommandLine, HasTheDocumentedExitCodeAndOutput)
 {
     const auto result = command(GetParam().arguments);
     EXPECT_EQ(result.exitCode, GetParam().exitCode) << result.output;
--- a/tests/command/samples_test.cpp
+++ b/tests/command/samples_test.cpp
@@ -16,7 +16,7 @@
 {
     const char *program;
     const char *file;
-    std::vector<std::string> flags; ///< so that no fixed port is taken
+    std::vector<std::string> flags; ///< flags that avoid fixed ports
 };
 
 const SampleRow Rows[] = {
@@ -28,7 +28,7 @@
 {
 };
 
-TEST_P(SettingsSample, HoldsEveryKeyThatTheProgramDescribes)
+TEST_P(SettingsSample, ContainsEveryKeyThatTheProgramDescribes)
 {
     std::ostringstream text;
     text << std::ifstream(Examples + GetParam().file).rdbuf();
--- a/tests/standin/contract_test.cpp
+++ b/tests/standin/contract_test.cpp
@@ -16,14 +16,14 @@
 
 constexpr int NoResponse = 0;
 
-/** One call and what must come of it. CBOR answers are compared in their JSON form, byte strings as text. */
+/** One call and its expected response. CBOR responses are compared in JSON form, byte strings as text. */
 struct Step
 {
     const char *method;
     const char *target;
     const char *body;
     int status;
-    const char *answer; ///< JSON that the answer must hold, an object's fields at least; nullptr for anything
+    const char *answer; ///< JSON that the response must contain, see containsAll(); nullptr accepts any
 };
 
 struct ContractRow
@@ -34,7 +34,7 @@
 };
 
 const ContractRow Rows[] = {
-    {"LogCountsFromOneAndKeepsStreamsApart",
+    {"LogNumbersEachStreamFromOne",
      {"log"},
      {{"POST", "/streams/a/records", "x", 200, R"({"offset":1})"},
       {"POST", "/streams/a/records", "y", 200, R"({"offset":2})"},
@@ -47,14 +47,14 @@
      {{"POST", "/streams/a/records", "x", NoResponse, nullptr},
       {"GET", "/streams/a/records?from=1", "", 200, R"({"last":1,"records":[{"o":1,"p":"x"}]})"},
       {"POST", "/streams/a/records", "y", 200, R"({"offset":2})"}}},
-    {"LogReaderBehindRetentionLearnsWhereToGoOn",
+    {"LogPageBeforeTheRetentionNamesTheFirstOffset",
      {"log", "--retention-records", "2"},
      {{"POST", "/streams/a/records", "1", 200, nullptr},
       {"POST", "/streams/a/records", "2", 200, nullptr},
       {"POST", "/streams/a/records", "3", 200, nullptr},
       {"GET", "/streams/a/records?from=1", "", 200, R"({"first":2,"last":3,"records":[]})"},
       {"GET", "/streams/a/records?from=2", "", 200, R"({"records":[{"o":2,"p":"2"},{"o":3,"p":"3"}]})"}}},
-    {"LogOutageTakesNothing",
+    {"UnavailableLogAppendsNothing",
      {"log"},
      {{"POST", "/faults", R"({"out":1})", 200, R"({"out":1})"},
       {"POST", "/streams/a/records", "x", 503, nullptr},
@@ -65,30 +65,30 @@
      {{"POST", "/faults", R"({"hang":1,"nonsense":1})", 400, nullptr},
       {"POST", "/faults", "{", 400, nullptr},
       {"GET", "/faults", "", 200, R"({"hang":0})"}}},
-    {"BookingClosedBeforeItsRunDidNotRun",
+    {"BookingClosedBeforeExecutionIsNotExecuted",
      {"plain", "--close-before-run", "1"},
      {{"POST", "/bookings", R"({"reference":"coach"})", NoResponse, nullptr},
       {"GET", "/executions", "", 200, R"({})"},
       {"POST", "/bookings", R"({"reference":"coach"})", 201, R"({"executions":1})"}}},
-    {"BookingClosedAfterItsRunDidRun",
+    {"BookingClosedAfterExecutionIsExecuted",
      {"plain", "--close-after-run", "1"},
      {{"POST", "/deposits", R"({"reference":"coach"})", NoResponse, nullptr},
       {"GET", "/executions", "", 200, R"({"coach":1})"},
       {"POST", "/deposits", R"({"reference":"coach"})", 201, R"({"executions":2})"}}},
-    {"LookUpsAreNoExecutions",
+    {"LookupsAreNotExecutions",
      {"plain"},
      {{"GET", "/contracts/7", "", 200, R"({"contract":"7"})"},
       {"GET", "/availability/monday", "", 200, nullptr},
       {"PUT", "/anything/else", "seat", 200, R"({"method":"PUT","bytes":4})"},
       {"GET", "/executions", "", 200, R"({"seat":1})"}}},
-    {"EngineResumesWhereItWasCutOff",
+    {"EngineResumesAfterTheGivenTokens",
      {"engine", "--step-ms", "0"},
      {{"POST", "/v1/chat/completions", R"({"messages":[{"content":"hi"}],"max_tokens":4})", 200,
        R"({"usage":{"completion_tokens":4}})"},
       {"POST", "/v1/chat/completions", R"({"messages":[{"content":"hi"}],"max_tokens":4,"resume_from":4})", 200,
        R"({"choices":[{"message":{"content":""}}]})"},
       {"POST", "/v1/chat/completions", "[", 400, nullptr}}},
-    {"EngineFindsAPrefixAgainUntilItsCacheIsFull",
+    {"EngineFindsAPrefixUntilItIsEvicted",
      {"engine", "--step-ms", "0", "--cache-blocks", "1"},
      {{"PUT", "/kv/r", "0123456789012345678901234567890123456789012345678901234567890123", 200,
        R"({"known-blocks":0})"},
@@ -100,17 +100,17 @@
        R"({"known-blocks":0})"},
       {"GET", "/cache-events?from=2", "", 200, R"({"last":5})"},
       {"GET", "/load", "", 200, R"({"cached_blocks":1,"running":0,"waiting":0})"}}},
-    {"EngineThatChecksRefusesAnOldOrder",
+    {"EngineWithFencingCheckRefusesAnOldOrder",
      {"engine", "--checks-orders", "1"},
      {{"POST", "/orders", R"({"fencing":7,"order":"load"})", 200, R"({"accepted":true})"},
       {"POST", "/orders", R"({"fencing":6,"order":"unload"})", 409, R"({"accepted":false,"highest":7})"},
       {"GET", "/orders", "", 200, R"({"orders":[{"fencing":7}]})"}}},
-    {"EngineThatDoesNotCheckObeysAnOldOrder",
+    {"EngineWithoutFencingCheckAcceptsAnOldOrder",
      {"engine"},
      {{"POST", "/orders", R"({"fencing":7,"order":"load"})", 200, nullptr},
       {"POST", "/orders", R"({"fencing":6,"order":"unload"})", 200, R"({"accepted":true})"},
       {"GET", "/orders", "", 200, R"({"orders":[{"fencing":7},{"fencing":6}]})"}}},
-    {"HostListLagsAndRepeats",
+    {"HostListLagsAndReportsDuplicates",
      {"hosts"},
      {{"PUT", "/hosts", R"({"hosts":[{"host":"a","state":"leaving"}]})", 200, nullptr},
       {"POST", "/faults", R"({"duplicates":1})", 200, nullptr},
@@ -133,7 +133,8 @@
     return page;
 }
 
-/** Whether @p actual holds all of @p expected: fields of objects at least, arrays in full length. */
+/** Returns whether @p actual contains @p expected: objects may have further fields, arrays must have the same length.
+ */
 bool containsAll(const nlohmann::json &actual, const nlohmann::json &expected)
 {
     if (expected.is_object()) {
@@ -153,7 +154,7 @@
 {
 };
 
-TEST_P(StandInContract, EachStepAnswersAsWritten)
+TEST_P(StandInContract, EachStepHasTheExpectedResponse)
 {
     const ChildProcess standIn("heatherridge-standin", GetParam().arguments);
     ASSERT_EQ(standIn.endpoints().size(), 1U);
@@ -171,20 +172,20 @@
 INSTANTIATE_TEST_SUITE_P(Table, StandInContract, testing::ValuesIn(Rows),
                          [](const auto &row) { return std::string(row.param.name); });
 
-TEST(LogStandIn, AReaderWaitsForTheNextRecord)
+TEST(LogStandIn, AReadWaitsForTheNextRecord)
 {
     const ChildProcess log("heatherridge-standin", {"log"});
     auto reader = std::async(std::launch::async, [&log] {
         return call(log.endpoints().front(), "GET", "/streams/a/records?from=1&wait-ms=60000");
     });
-    // The append may come before the read arrives; either way the reader gets the record long before its wait ends.
+    // The append may arrive before the read; either way the reader receives the record long before its wait ends.
     call(log.endpoints().front(), "POST", "/streams/a/records", "late");
     EXPECT_TRUE(containsAll(parseBody(reader.get()), nlohmann::json::parse(R"({"records":[{"o":1,"p":"late"}]})")));
 }
 
-// A caller that has read half of a long answer closes its connection. The engine would go on for minutes and keep a
-// place in its batch for nobody; it must drop the request instead.
-TEST(EngineStandIn, ALeavingCallerEndsItsRequest)
+// A caller closes its connection in the middle of a long answer. The engine must cancel the request; otherwise it would
+// occupy a slot of the batch for minutes.
+TEST(EngineStandIn, CancelsTheRequestOfADisconnectedCaller)
 {
     const ChildProcess engine("heatherridge-standin", {"engine", "--step-ms", "1"});
     const auto &endpoint = engine.endpoints().front();
@@ -195,12 +196,12 @@
     chat.leaveAfterBytes = 1000;
     EXPECT_FALSE(callAll({chat}).front().whole);
     while (!containsAll(parseBody(call(endpoint, "GET", "/counters")), {{"callers-gone", 1}})) {
-        std::this_thread::yield(); // ctest's time limit fails the test if it never comes
+        std::this_thread::yield(); // ctest's time limit fails the test if this never happens
     }
     EXPECT_TRUE(containsAll(parseBody(call(endpoint, "GET", "/load")), {{"running", 0}, {"waiting", 0}}));
 }
 
-TEST(EngineStandIn, ABrokenStreamIsNotTakenForAWholeOne)
+TEST(EngineStandIn, AnAbortedStreamIsIncomplete)
 {
     const ChildProcess engine("heatherridge-standin", {"engine", "--step-ms", "0", "--break-after-tokens", "3"});
     const auto answer = call(engine.endpoints().front(), "POST", "/v1/chat/completions",
@@ -210,7 +211,7 @@
     EXPECT_EQ(answer.body.find("[DONE]"), std::string::npos);
 }
 
-TEST(StandIn, EndsGracefullyWhenAsked)
+TEST(StandIn, ExitsCleanlyOnSigterm)
 {
     ChildProcess log("heatherridge-standin", {"log"});
     log.signal(SIGTERM);
--- a/tests/standin/logservicecontract_test.cpp
+++ b/tests/standin/logservicecontract_test.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** One implementation of the log, and how to wait for its answers. */
+/** An implementation of the log service under test. */
 class LogUnderTest
 {
 public:
@@ -23,7 +23,7 @@
 
     virtual LogService &service() = 0;
 
-    /** Lets the service work until @p done is true. */
+    /** Runs the service until @p done is true. */
     virtual void runUntil(const bool &done) = 0;
 
     Result<LogOffset> append(const StreamName &stream, Bytes payload)
@@ -114,7 +114,7 @@
     std::unique_ptr<LogUnderTest> m_log = GetParam().create();
 };
 
-TEST_P(LogServiceContract, EachStreamHasOffsetsOfItsOwnFromOneOn)
+TEST_P(LogServiceContract, NumbersEachStreamFromOne)
 {
     const StreamName first("first");
     const StreamName second("second");
@@ -123,7 +123,7 @@
     EXPECT_EQ(std::get<LogOffset>(m_log->append(second, {3})), static_cast<LogOffset>(1));
 }
 
-TEST_P(LogServiceContract, RecordsComeBackByteForByteInOrderAndWithinTheBound)
+TEST_P(LogServiceContract, ReadsRecordsUnchangedInOrderUpToTheLimit)
 {
     const StreamName stream("s");
     const std::vector<Bytes> payloads{{0, 255, 10, 13}, {}, {7}};
@@ -142,7 +142,7 @@
     EXPECT_EQ(part.records.front().offset, static_cast<LogOffset>(2));
 }
 
-TEST_P(LogServiceContract, AReadAtTheEndWaitsAndComesBackEmpty)
+TEST_P(LogServiceContract, AReadAtTheEndWaitsAndReturnsAnEmptyPage)
 {
     const StreamName stream("s");
     m_log->append(stream, {1});
