--- a/extras/heatherridge-standin/main.cpp
+++ b/extras/heatherridge-standin/main.cpp
@@ -145,7 +145,7 @@
     switches.set(switchValues);
     const auto listen = parseListenEndpoint(values["listen"].as<std::string>());
     if (!listen) {
-        std::cerr << "heatherridge-standin: --listen must be of the form ADDRESS:PORT\n";
+        std::cerr << "heatherridge-standin: --listen must be of the form ADDRESS:PORT with a numeric IP address\n";
         return ExitUsage;
     }
     return serve(mode->name, loop, *standIn, *listen);
