--- a/extras/heatherridge-entry/main.cpp
+++ b/extras/heatherridge-entry/main.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-const SettingSpec OwnSettings[] = {
+const SettingSpec RoleSettings[] = {
     {.key = "listen",
      .type = SettingType::Address,
      .defaultValue = "127.0.0.1:8080",
-     .help = "where callers are served"},
+     .help = "address that serves callers"},
     {.key = "http-threads",
      .type = SettingType::Number,
      .defaultValue = "2",
@@ -24,13 +24,13 @@
      .defaultValue = "1",
      .minimum = 1,
      .maximum = 64,
-     .help = "threads that pass requests on"},
+     .help = "threads that forward requests"},
     {.key = "targets-per-kind",
      .type = SettingType::Number,
      .defaultValue = "64",
      .minimum = 1,
      .maximum = 100000,
-     .help = "engines of one service and model that connections are kept to"},
+     .help = "engines per service and model to which connections are kept open"},
     {.key = "max-body-bytes",
      .type = SettingType::Number,
      .defaultValue = "1048576",
@@ -48,19 +48,19 @@
      .defaultValue = "600000",
      .minimum = 10,
      .maximum = 3600000,
-     .help = "longest deadline that a caller may name"},
+     .help = "longest deadline that a caller may request"},
     {.key = "send-timeout",
      .type = SettingType::Milliseconds,
      .defaultValue = "10000",
      .minimum = 10,
      .maximum = 600000,
-     .help = "longest time for a request to arrive"},
+     .help = "longest time to receive a request"},
     {.key = "caller-timeout",
      .type = SettingType::Milliseconds,
      .defaultValue = "60000",
      .minimum = 10,
      .maximum = 3600000,
-     .help = "longest time for a caller to take nothing of its answer"},
+     .help = "longest time in which a caller reads nothing of its response"},
     {.key = "drain-timeout",
      .type = SettingType::Milliseconds,
      .defaultValue = "60000",
@@ -98,5 +98,5 @@
         return DaemonServer{.start = [server] { return server->start(); },
                             .drainAndStop = [server] { server->drainAndStop(); }};
     };
-    return runDaemon({.program = "heatherridge-entry", .role = "entry", .settings = OwnSettings}, create, argc, argv);
+    return runDaemon({.program = "heatherridge-entry", .role = "entry", .settings = RoleSettings}, create, argc, argv);
 }
--- a/extras/heatherridge-sidecar/main.cpp
+++ b/extras/heatherridge-sidecar/main.cpp
@@ -9,8 +9,11 @@
 namespace
 {
 
-const SettingSpec OwnSettings[] = {
-    {.key = "listen", .type = SettingType::Address, .required = true, .help = "where keepers of groups are served"},
+const SettingSpec RoleSettings[] = {
+    {.key = "listen",
+     .type = SettingType::Address,
+     .required = true,
+     .help = "address that serves the keepers of groups"},
     {.key = "engine", .type = SettingType::Address, .required = true, .help = "the model engine on this host"},
 };
 
@@ -33,6 +36,6 @@
         return DaemonServer{.start = [server] { return server->start(); },
                             .drainAndStop = [server] { server->drainAndStop(); }};
     };
-    return runDaemon({.program = "heatherridge-sidecar", .role = "sidecar", .settings = OwnSettings}, create, argc,
+    return runDaemon({.program = "heatherridge-sidecar", .role = "sidecar", .settings = RoleSettings}, create, argc,
                      argv);
 }
--- a/extras/heatherridge-standin/hoststandin.cpp
+++ b/extras/heatherridge-standin/hoststandin.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t MostVersions = 1000;
+constexpr std::size_t MaxVersions = 1000;
 
 bool isHostList(const nlohmann::json &body)
 {
@@ -26,51 +26,51 @@
 
 HostStandIn::HostStandIn(EventLoop &loop)
     : StandIn(loop,
-              {{.name = "lag-ms", .value = 0, .meaning = "milliseconds until a change of the list is told"},
-               {.name = "duplicates", .value = 0, .meaning = "1: every host is told twice"},
-               {.name = "out", .value = 0, .meaning = "1: every request is answered 503 at once"}})
+              {{.name = "lag-ms", .value = 0, .summary = "milliseconds until a change of the list is reported"},
+               {.name = "duplicates", .value = 0, .summary = "1: every host is reported twice"},
+               {.name = "out", .value = 0, .summary = "1: every request is answered 503 at once"}})
 {
 }
 
 void HostStandIn::serve(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
-    if (fault("out") != 0) {
-        respondFailure(*exchange, 503, "the host list is out");
+    if (switchValue("out") != 0) {
+        respondError(*exchange, 503, "the host list is unavailable");
     } else if (request.path != "/hosts") {
-        respondFailure(*exchange, 404, "the host list has /hosts");
+        respondError(*exchange, 404, "the host list serves /hosts only");
     } else if (request.method == "PUT") {
-        replace(exchange);
+        replaceHosts(exchange);
     } else {
         count("reads");
-        respondJson(*exchange, 200, {{"hosts", lagging()}});
+        respondJson(*exchange, 200, {{"hosts", laggedHosts()}});
     }
 }
 
-void HostStandIn::replace(const std::shared_ptr<HttpExchange> &exchange)
+void HostStandIn::replaceHosts(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto body = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!isHostList(body)) {
-        respondFailure(*exchange, 400, "the list is {\"hosts\":[{\"host\":NAME,\"state\":\"live\"|\"leaving\"}]}");
+        respondError(*exchange, 400, "the list must be {\"hosts\":[{\"host\":NAME,\"state\":\"live\"|\"leaving\"}]}");
         return;
     }
     count("changes");
     m_versions.push_back({.since = wallMilliseconds(), .hosts = body["hosts"]});
-    if (m_versions.size() > MostVersions) {
+    if (m_versions.size() > MaxVersions) {
         m_versions.pop_front();
     }
     respondJson(*exchange, 200, {{"hosts", body["hosts"].size()}});
 }
 
-nlohmann::json HostStandIn::lagging() const
+nlohmann::json HostStandIn::laggedHosts() const
 {
-    const auto limit = wallMilliseconds() - fault("lag-ms");
+    const auto cutoff = wallMilliseconds() - switchValue("lag-ms");
     auto version = std::find_if(m_versions.rbegin(), m_versions.rend(),
-                                [limit](const Version &candidate) { return candidate.since <= limit; });
+                                [cutoff](const Version &candidate) { return candidate.since <= cutoff; });
     auto hosts = version == m_versions.rend() ? m_versions.front().hosts : version->hosts;
-    if (fault("duplicates") != 0) {
-        const auto once = hosts;
-        hosts.insert(hosts.end(), once.begin(), once.end());
+    if (switchValue("duplicates") != 0) {
+        const auto originalHosts = hosts;
+        hosts.insert(hosts.end(), originalHosts.begin(), originalHosts.end());
     }
     return hosts;
 }
--- a/extras/heatherridge-standin/logstandin.cpp
+++ b/extras/heatherridge-standin/logstandin.cpp
@@ -9,42 +9,43 @@
 namespace
 {
 
-constexpr std::size_t MostRecordBytes = 1UL << 20U;
-constexpr long long MostRecordsOfPage = 10'000;
-constexpr long long LongestWait = 60'000;
-constexpr std::chrono::seconds LongestBacklog{2};
+constexpr std::size_t MaxRecordBytes = 1UL << 20U;
+constexpr long long MaxRecordsPerPage = 10'000;
+constexpr long long MaxWaitMilliseconds = 60'000;
+constexpr std::chrono::seconds MaxBacklog{2};
 
 } // namespace
 
 LogStandIn::LogStandIn(EventLoop &loop)
-    : StandIn(loop,
-              {{.name = "hang-after-append",
-                .value = 0,
-                .meaning = "1: the first append takes effect, and from it on nothing is answered"},
-               {.name = "out", .value = 0, .meaning = "1: every request is answered 503 at once"},
-               {.name = "hang", .value = 0, .meaning = "1: requests are taken and never answered"},
-               {.name = "slow-ms", .value = 0, .meaning = "milliseconds before a request is looked at"},
-               {.name = "lose-reply",
-                .value = 0,
-                .meaning = "for this many appends: take effect, then close without an answer; -1 for all"},
-               {.name = "retention-records", .value = 0, .meaning = "records kept of a stream; 0 keeps all"},
-               {.name = "retention-ms", .value = 0, .meaning = "age up to which records are kept; 0 keeps all"},
-               {.name = "rate", .value = 0, .meaning = "appends a second, further ones wait their turn; 0: no bound"}})
+    : StandIn(
+        loop,
+        {{.name = "hang-after-append",
+          .value = 0,
+          .summary = "1: the next append takes effect; neither it nor any later request is answered"},
+         {.name = "out", .value = 0, .summary = "1: every request is answered 503 at once"},
+         {.name = "hang", .value = 0, .summary = "1: requests are accepted but never answered"},
+         {.name = "slow-ms", .value = 0, .summary = "delay in milliseconds before a request is processed"},
+         {.name = "lose-reply",
+          .value = 0,
+          .summary = "number of appends that take effect but close the connection without an answer; -1 for all"},
+         {.name = "retention-records", .value = 0, .summary = "maximum number of records kept per stream; 0 keeps all"},
+         {.name = "retention-ms", .value = 0, .summary = "maximum age of records in milliseconds; 0 keeps all"},
+         {.name = "rate", .value = 0, .summary = "maximum appends per second, further ones are delayed; 0: unlimited"}})
 {
 }
 
 void LogStandIn::serve(const std::shared_ptr<HttpExchange> &exchange)
 {
-    if (fault("out") != 0) {
+    if (switchValue("out") != 0) {
         count("refused-out");
-        respondFailure(*exchange, 503, "the log is out");
-    } else if (fault("hang") != 0) {
+        respondError(*exchange, 503, "the log is unavailable");
+    } else if (switchValue("hang") != 0) {
         count("held");
-        m_held.push_back(exchange);
-    } else if (fault("slow-ms") > 0) {
-        loop().after(std::chrono::milliseconds(fault("slow-ms")), [this, exchange] { dispatch(exchange); });
+        m_heldExchanges.push_back(exchange);
+    } else if (switchValue("slow-ms") > 0) {
+        loop().after(std::chrono::milliseconds(switchValue("slow-ms")), [this, exchange] { dispatch(exchange); });
     } else {
-        m_held.clear();
+        m_heldExchanges.clear();
         dispatch(exchange);
     }
 }
@@ -54,23 +55,23 @@
     const auto &request = exchange->request();
     const auto parts = pathParts(request.path);
     if (parts.size() != 3 || parts[0] != "streams" || parts[2] != "records") {
-        respondFailure(*exchange, 404, "the log has /streams/NAME/records");
+        respondError(*exchange, 404, "the log serves /streams/NAME/records");
     } else if (request.method == "GET") {
         read(parts[1], exchange);
     } else if (request.method != "POST") {
-        respondFailure(*exchange, 405, "append with POST, read with GET");
-    } else if (request.body.size() > MostRecordBytes) {
-        respondFailure(*exchange, 413, "a record has at most 1 MiB");
-    } else if (fault("rate") > 0) {
+        respondError(*exchange, 405, "only POST (append) and GET (read) are allowed");
+    } else if (request.body.size() > MaxRecordBytes) {
+        respondError(*exchange, 413, "a record must not exceed 1 MiB");
+    } else if (switchValue("rate") > 0) {
         const auto now = std::chrono::steady_clock::now();
-        const auto turn = std::max(now, m_nextAppend);
-        if (turn - now > LongestBacklog) {
+        const auto appendTime = std::max(now, m_nextAppendTime);
+        if (appendTime - now > MaxBacklog) {
             count("refused-rate");
-            respondFailure(*exchange, 503, "too many appends");
+            respondError(*exchange, 503, "too many appends");
             return;
         }
-        m_nextAppend = turn + std::chrono::microseconds(std::chrono::seconds(1)) / fault("rate");
-        loop().after(std::chrono::duration_cast<std::chrono::microseconds>(turn - now),
+        m_nextAppendTime = appendTime + std::chrono::microseconds(std::chrono::seconds(1)) / switchValue("rate");
+        loop().after(std::chrono::duration_cast<std::chrono::microseconds>(appendTime - now),
                      [this, name = parts[1], exchange] { append(name, exchange); });
     } else {
         append(parts[1], exchange);
@@ -84,69 +85,69 @@
     const auto offset = stream.append(exchange->request().body, now);
     stream.expire(retention(), now);
     count("appends");
-    if (fault("hang-after-append") != 0) {
+    if (switchValue("hang-after-append") != 0) {
         faults().set({{"hang", 1}});
-        m_held.push_back(exchange);
-    } else if (const auto lost = fault("lose-reply"); lost != 0) {
+        m_heldExchanges.push_back(exchange);
+    } else if (const auto remainingLosses = switchValue("lose-reply"); remainingLosses != 0) {
         count("replies-lost");
         exchange->abort();
-        if (lost > 0) {
-            faults().set({{"lose-reply", lost - 1}});
+        if (remainingLosses > 0) {
+            faults().set({{"lose-reply", remainingLosses - 1}});
         }
     } else {
         respondJson(*exchange, 200, {{"offset", offset}});
     }
-    wake(name);
+    notifyPendingReads(name);
 }
 
 void LogStandIn::read(const std::string &name, const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
-    const auto waiter = std::make_shared<Waiter>();
-    waiter->exchange = exchange;
-    waiter->from = static_cast<std::uint64_t>(std::max(1LL, queryNumber(request, "from", 1)));
-    waiter->most = static_cast<std::size_t>(std::min(MostRecordsOfPage, queryNumber(request, "most", 1000)));
-    const auto wait = std::min(LongestWait, queryNumber(request, "wait-ms", 0));
+    const auto pendingRead = std::make_shared<PendingRead>();
+    pendingRead->exchange = exchange;
+    pendingRead->from = static_cast<std::uint64_t>(std::max(1LL, queryNumber(request, "from", 1)));
+    pendingRead->maxRecords = static_cast<std::size_t>(std::min(MaxRecordsPerPage, queryNumber(request, "most", 1000)));
+    const auto wait = std::min(MaxWaitMilliseconds, queryNumber(request, "wait-ms", 0));
     count("reads");
-    if (wait == 0 || m_streams[name].reaches(waiter->from)) {
-        answer(name, *waiter);
+    if (wait == 0 || m_streams[name].hasRecordFrom(pendingRead->from)) {
+        respondPage(name, *pendingRead);
         return;
     }
-    m_waiters[name].push_back(waiter);
-    loop().after(std::chrono::milliseconds(wait), [this, name, waiter] {
-        if (waiter->exchange && fault("hang") != 0) {
-            m_held.push_back(waiter->exchange);
-        } else if (waiter->exchange) {
-            answer(name, *waiter);
-            waiter->exchange.reset();
+    m_pendingReads[name].push_back(pendingRead);
+    loop().after(std::chrono::milliseconds(wait), [this, name, pendingRead] {
+        if (pendingRead->exchange && switchValue("hang") != 0) {
+            m_heldExchanges.push_back(pendingRead->exchange);
+        } else if (pendingRead->exchange) {
+            respondPage(name, *pendingRead);
+            pendingRead->exchange.reset();
         }
-        std::erase(m_waiters[name], waiter);
+        std::erase(m_pendingReads[name], pendingRead);
     });
 }
 
-void LogStandIn::answer(const std::string &name, const Waiter &waiter)
+void LogStandIn::respondPage(const std::string &name, const PendingRead &pendingRead)
 {
     auto &stream = m_streams[name];
     stream.expire(retention(), wallMilliseconds());
-    waiter.exchange->respond(HttpResponse{.headers = {{.name = "Content-Type", .value = "application/cbor"}},
-                                          .body = stream.page(waiter.from, waiter.most)});
+    pendingRead.exchange->respond(HttpResponse{.headers = {{.name = "Content-Type", .value = "application/cbor"}},
+                                               .body = stream.page(pendingRead.from, pendingRead.maxRecords)});
 }
 
-void LogStandIn::wake(const std::string &name)
+void LogStandIn::notifyPendingReads(const std::string &name)
 {
-    if (fault("hang") != 0) {
+    if (switchValue("hang") != 0) {
         return;
     }
-    for (const auto &waiter : std::exchange(m_waiters[name], {})) {
-        answer(name, *waiter);
-        waiter->exchange.reset();
+    for (const auto &pendingRead : std::exchange(m_pendingReads[name], {})) {
+        respondPage(name, *pendingRead);
+        pendingRead->exchange.reset();
     }
 }
 
 LogStream::Retention LogStandIn::retention() const
 {
-    return {.records = static_cast<std::size_t>(std::max(0LL, fault("retention-records"))),
-            .age = std::chrono::milliseconds(fault("retention-ms"))};
+    return {.records = static_cast<std::size_t>(std::max(0LL, switchValue("retention-records"))),
+            .age = std::chrono::milliseconds(switchValue("retention-ms"))};
 }
 
 } // namespace Heatherridge
--- a/extras/heatherridge-standin/main.cpp
+++ b/extras/heatherridge-standin/main.cpp
@@ -23,30 +23,30 @@
 
 constexpr int ExitUsage = 2;
 constexpr int ServerThreads = 2;
-constexpr std::size_t MostBodyBytes = 64UL << 20U; // an exported cache; each mode sets its own lower bounds
+constexpr std::size_t MaxBodyBytes = 64UL << 20U; // fits an exported cache; each mode sets lower limits of its own
 
 struct Mode
 {
     std::string name{};
-    std::string meaning{};
+    std::string summary{};
     std::function<std::unique_ptr<StandIn>(EventLoop &)> make{};
 };
 
-template<typename Kind>
+template<typename StandInType>
 std::unique_ptr<StandIn> make(EventLoop &loop)
 {
-    return std::make_unique<Kind>(loop);
+    return std::make_unique<StandInType>(loop);
 }
 
 const std::vector<Mode> &modes()
 {
     static const std::vector<Mode> All{
-        {.name = "log", .meaning = "the platform's append-only log", .make = make<LogStandIn>},
-        {.name = "hosts", .meaning = "the platform's lagging host list", .make = make<HostStandIn>},
-        {.name = "weights", .meaning = "the platform's rate-limited weight store", .make = make<WeightStandIn>},
-        {.name = "engine", .meaning = "a model engine", .make = make<EngineStandIn>},
-        {.name = "rank", .meaning = "one rank's engine of a lock-step group", .make = make<RankStandIn>},
-        {.name = "plain", .meaning = "a booking service", .make = make<PlainStandIn>},
+        {.name = "log", .summary = "the platform's append-only log", .make = make<LogStandIn>},
+        {.name = "hosts", .summary = "the platform's lagging host list", .make = make<HostStandIn>},
+        {.name = "weights", .summary = "the platform's rate-limited weight store", .make = make<WeightStandIn>},
+        {.name = "engine", .summary = "a model engine", .make = make<EngineStandIn>},
+        {.name = "rank", .summary = "one rank's engine of a lock-step group", .make = make<RankStandIn>},
+        {.name = "plain", .summary = "a booking service", .make = make<PlainStandIn>},
     };
     return All;
 }
@@ -54,10 +54,10 @@
 void printUsage(std::ostream &out)
 {
     out << "usage: heatherridge-standin MODE [--listen ADDRESS:PORT] [--SWITCH VALUE ...]\n\n"
-           "Plays one part of the platform or one back end. Port 0 lets the kernel choose; the line\n"
-           "`ready MODE ADDRESS:PORT` says where it listens. POST /faults sets switches at run time.\n\nmodes:\n";
+           "Simulates one part of the platform or one back end. Port 0 lets the kernel choose; the line\n"
+           "`ready MODE ADDRESS:PORT` shows where it listens. POST /faults sets switches at run time.\n\nmodes:\n";
     for (const auto &mode : modes()) {
-        out << "  " << mode.name << "\t" << mode.meaning << "\n";
+        out << "  " << mode.name << "\t" << mode.summary << "\n";
     }
     out << "\nheatherridge-standin MODE --help lists the mode's switches.\n";
 }
@@ -72,8 +72,8 @@
     return nullptr;
 }
 
-/** Where to listen; unlike an inventory's endpoints with port 0 allowed. */
-std::optional<Endpoint> parseListen(const std::string &text)
+/** Parses the address to listen on; unlike in an inventory, port 0 is allowed. */
+std::optional<Endpoint> parseListenEndpoint(const std::string &text)
 {
     const auto colon = text.rfind(':');
     const auto port = colon == std::string::npos ? std::nullopt : parseNumber(text.substr(colon + 1), 0, 65535);
@@ -83,14 +83,14 @@
     return Endpoint{.address = text.substr(0, colon), .port = static_cast<int>(*port)};
 }
 
-Options::options_description describe(const FaultSwitches &switches)
+Options::options_description describeOptions(const FaultSwitches &switches)
 {
     Options::options_description description("options");
     description.add_options()("help", "print this and exit")(
-        "listen", Options::value<std::string>()->default_value("127.0.0.1:0"), "where to listen");
+        "listen", Options::value<std::string>()->default_value("127.0.0.1:0"), "address to listen on");
     for (const auto &[name, entry] : switches.all()) {
         description.add_options()(name.c_str(), Options::value<long long>()->default_value(entry.value),
-                                  entry.meaning.c_str());
+                                  entry.summary.c_str());
     }
     return description;
 }
@@ -98,7 +98,7 @@
 /** Serves until SIGTERM or SIGINT, which must be blocked in all threads. */
 int serve(const std::string &mode, EventLoop &loop, StandIn &standIn, const Endpoint &listen)
 {
-    HttpServer server({.listen = listen, .threads = ServerThreads, .maxBodyBytes = MostBodyBytes},
+    HttpServer server({.listen = listen, .threads = ServerThreads, .maxBodyBytes = MaxBodyBytes},
                       [&loop, &standIn](const std::shared_ptr<HttpExchange> &exchange) {
                           loop.post([&standIn, exchange] { standIn.handle(exchange); });
                       });
@@ -131,28 +131,28 @@
     EventLoop loop;
     const auto standIn = mode->make(loop);
     auto &switches = standIn->faults();
-    const auto description = describe(switches);
+    const auto description = describeOptions(switches);
     Options::variables_map values;
     Options::store(Options::parse_command_line(argc - 1, argv + 1, description), values);
     if (values.count("help") != 0) {
         std::cout << description;
         return EXIT_SUCCESS;
     }
-    auto chosen = nlohmann::json::object();
+    auto switchValues = nlohmann::json::object();
     for (const auto &[name, entry] : switches.all()) {
-        chosen[name] = values[name].as<long long>();
+        switchValues[name] = values[name].as<long long>();
     }
-    switches.set(chosen);
-    const auto listen = parseListen(values["listen"].as<std::string>());
+    switches.set(switchValues);
+    const auto listen = parseListenEndpoint(values["listen"].as<std::string>());
     if (!listen) {
-        std::cerr << "heatherridge-standin: --listen takes an IP number, a colon and a port\n";
+        std::cerr << "heatherridge-standin: --listen must be of the form ADDRESS:PORT with a numeric IP address\n";
         return ExitUsage;
     }
     return serve(mode->name, loop, *standIn, *listen);
 }
 
-/** Blocks the signals that end a program, before any thread is started, so that sigwait alone sees them. */
-void blockEndSignals()
+/** Blocks SIGTERM and SIGINT before any thread starts, so that only sigwait receives them. */
+void blockTerminationSignals()
 {
     sigset_t signals{};
     sigemptyset(&signals);
@@ -165,7 +165,7 @@
 
 int main(int argc, char **argv)
 {
-    blockEndSignals();
+    blockTerminationSignals();
     try {
         return run(argc, argv);
     } catch (const Options::error &error) {
--- a/extras/heatherridge-standin/plainstandin.cpp
+++ b/extras/heatherridge-standin/plainstandin.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-constexpr std::uint64_t MostSeats = 40;
+constexpr std::uint64_t MaxSeats = 40;
 
-/** What an execution is counted under. */
+/** Returns the key under which an execution is counted. */
 std::string executionKey(const std::string &body)
 {
     const auto json = nlohmann::json::parse(body, nullptr, false);
@@ -22,14 +22,14 @@
     return body;
 }
 
-/** @p fault as a count of calls that it still strikes: -1 strikes all. */
-bool strikes(FaultSwitches &faults, const std::string &fault)
+/** Returns whether @p fault applies to this call and decrements its count of calls; -1 applies to all calls. */
+bool consumeFault(FaultSwitches &faults, const std::string &fault)
 {
-    const auto left = faults.value(fault);
-    if (left > 0) {
-        faults.set({{fault, left - 1}});
+    const auto remaining = faults.value(fault);
+    if (remaining > 0) {
+        faults.set({{fault, remaining - 1}});
     }
-    return left != 0;
+    return remaining != 0;
 }
 
 } // namespace
@@ -37,13 +37,15 @@
 PlainStandIn::PlainStandIn(EventLoop &loop)
     : StandIn(
         loop,
-        {{.name = "delay-ms", .value = 0, .meaning = "milliseconds between a call's execution and its answer"},
-         {.name = "hang", .value = 0, .meaning = "1: calls are taken, neither executed nor answered"},
-         {.name = "close-before-run", .value = 0, .meaning = "calls whose connection closes unexecuted; -1 for all"},
+        {{.name = "delay-ms", .value = 0, .summary = "milliseconds between the execution and the answer of a call"},
+         {.name = "hang", .value = 0, .summary = "1: calls are accepted but neither executed nor answered"},
+         {.name = "close-before-run",
+          .value = 0,
+          .summary = "number of calls whose connection closes before the execution; -1 for all"},
          {.name = "close-after-run",
           .value = 0,
-          .meaning = "calls whose connection closes after the execution; -1 for all"},
-         {.name = "fail-status", .value = 0, .meaning = "answer with this status without executing; 0 is off"}})
+          .summary = "number of calls whose connection closes after the execution; -1 for all"},
+         {.name = "fail-status", .value = 0, .summary = "status to answer with instead of executing; 0 is off"}})
 {
 }
 
@@ -54,42 +56,42 @@
         return;
     }
     count("calls");
-    if (fault("hang") != 0) {
+    if (switchValue("hang") != 0) {
         count("held");
-        m_held.push_back(exchange);
+        m_heldExchanges.push_back(exchange);
         return;
     }
-    m_held.clear();
-    if (strikes(faults(), "close-before-run")) {
+    m_heldExchanges.clear();
+    if (consumeFault(faults(), "close-before-run")) {
         count("closed-before-run");
         exchange->abort();
         return;
     }
-    if (const auto status = fault("fail-status"); status != 0) {
+    if (const auto status = switchValue("fail-status"); status != 0) {
         count("failed");
-        respondFailure(*exchange, static_cast<int>(status), "the service fails as it was told to");
+        respondError(*exchange, static_cast<int>(status), "the switch fail-status is set");
         return;
     }
-    run(exchange);
+    handleCall(exchange);
 }
 
-void PlainStandIn::run(const std::shared_ptr<HttpExchange> &exchange)
+void PlainStandIn::handleCall(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
     if (request.method == "GET" || request.method == "HEAD") {
-        loop().after(std::chrono::milliseconds(fault("delay-ms")), [this, exchange] { lookUp(exchange); });
+        loop().after(std::chrono::milliseconds(switchValue("delay-ms")), [this, exchange] { handleLookup(exchange); });
     } else {
-        execute(exchange);
+        handleExecution(exchange);
     }
 }
 
-void PlainStandIn::execute(const std::shared_ptr<HttpExchange> &exchange)
+void PlainStandIn::handleExecution(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
     const auto key = executionKey(request.body);
     const auto executions = ++m_executions[key];
     count("executions");
-    if (strikes(faults(), "close-after-run")) {
+    if (consumeFault(faults(), "close-after-run")) {
         count("closed-after-run");
         exchange->abort();
         return;
@@ -100,18 +102,18 @@
                                 {"executions", executions},
                                 {"bytes", request.body.size()}};
     const int status = request.path == "/bookings" || request.path == "/deposits" ? 201 : 200;
-    loop().after(std::chrono::milliseconds(fault("delay-ms")),
+    loop().after(std::chrono::milliseconds(switchValue("delay-ms")),
                  [exchange, status, answer] { respondJson(*exchange, status, answer); });
 }
 
-void PlainStandIn::lookUp(const std::shared_ptr<HttpExchange> &exchange)
+void PlainStandIn::handleLookup(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &request = exchange->request();
     const auto parts = pathParts(request.path);
     count("lookups");
     nlohmann::json answer{{"method", request.method}, {"path", request.path}};
     if (!parts.empty() && parts.front() == "availability") {
-        answer["seats"] = std::hash<std::string>{}(request.path) % MostSeats;
+        answer["seats"] = std::hash<std::string>{}(request.path) % MaxSeats;
     } else if (!parts.empty() && parts.front() == "contracts") {
         answer["contract"] = parts.back();
     }
--- a/extras/heatherridge-standin/rankstandin.cpp
+++ b/extras/heatherridge-standin/rankstandin.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds TellTimeout{1000};
-/** Most changes of the map that are listed; a test makes a few dozen. */
-constexpr std::size_t MostChanges = 10'000;
+constexpr std::chrono::milliseconds ProgressTimeout{1000};
+/** Maximum number of map changes listed; a test causes a few dozen. */
+constexpr std::size_t MaxMapChanges = 10'000;
 constexpr double MicrosecondsPerToken = 10;
 
-Incarnation drawRun()
+Incarnation randomIncarnation()
 {
     std::random_device device;
     return static_cast<Incarnation>((static_cast<std::uint64_t>(device()) << 32U) | device());
@@ -25,19 +25,23 @@
 
 RankStandIn::RankStandIn(EventLoop &loop)
     : StandIn(loop,
-              {{.name = "step-ms", .value = 20, .meaning = "time of a step"},
-               {.name = "layers", .value = 2, .meaning = "layers of the model"},
-               {.name = "experts", .value = 8, .meaning = "experts a layer"},
-               {.name = "expert-bytes", .value = 1'000'000, .meaning = "weights of one expert"},
-               {.name = "load-ms", .value = 100, .meaning = "time that loading a map's weights takes"},
-               {.name = "load-fails", .value = 0, .meaning = "1: loading fails"},
-               {.name = "window-ms", .value = 1000, .meaning = "time between load reports"},
-               {.name = "tokens", .value = 100'000, .meaning = "tokens a layer in a window"},
-               {.name = "hot-expert", .value = -1, .meaning = "expert that gets hot-factor times the tokens"},
-               {.name = "hot-factor", .value = 10, .meaning = "see hot-expert"},
-               {.name = "slowness-percent", .value = 100, .meaning = "time a token, against a healthy rank"},
-               {.name = "checks-orders", .value = 1, .meaning = "0: orders of a dead run of the gate are followed"}})
-    , m_engine(drawRun())
+              {{.name = "step-ms", .value = 20, .summary = "time of a step in milliseconds"},
+               {.name = "layers", .value = 2, .summary = "layers of the model"},
+               {.name = "experts", .value = 8, .summary = "experts per layer"},
+               {.name = "expert-bytes", .value = 1'000'000, .summary = "size of one expert's weights in bytes"},
+               {.name = "load-ms", .value = 100, .summary = "time to load the weights of a map in milliseconds"},
+               {.name = "load-fails", .value = 0, .summary = "1: loading fails"},
+               {.name = "window-ms", .value = 1000, .summary = "time between load reports in milliseconds"},
+               {.name = "tokens", .value = 100'000, .summary = "tokens per layer in a window"},
+               {.name = "hot-expert",
+                .value = -1,
+                .summary = "expert that receives hot-factor times the tokens; -1 for none"},
+               {.name = "hot-factor", .value = 10, .summary = "see hot-expert"},
+               {.name = "slowness-percent", .value = 100, .summary = "time per token relative to a healthy rank"},
+               {.name = "checks-orders",
+                .value = 1,
+                .summary = "0: orders of an earlier incarnation of the gate are executed"}})
+    , m_engine(randomIncarnation())
 {
 }
 
@@ -45,16 +49,16 @@
 
 void RankStandIn::serve(const std::shared_ptr<HttpExchange> &exchange)
 {
-    if (!m_begun) {
-        begin();
+    if (!m_isStarted) {
+        startTicking();
     }
     const auto &path = exchange->request().path;
     if (path == "/group/orders") {
-        takeOrder(exchange);
+        handleOrder(exchange);
     } else if (path == "/group/ranks") {
-        takeRanks(exchange);
+        handleRanks(exchange);
     } else if (path == "/group/started") {
-        takeStarted(exchange);
+        handleProgress(exchange);
     } else if (path == "/group/steps") {
         const auto &state = m_engine.state();
         respondJson(*exchange, 200,
@@ -63,36 +67,36 @@
                      {"map", toNumber(state.map)},
                      {"steps", !state.ranks.empty()},
                      {"limited", state.limit.has_value()},
-                     {"changes", m_changes}});
+                     {"changes", m_mapChanges}});
     } else {
-        respondFailure(*exchange, 404, "a rank serves /group/orders, /group/ranks, /group/started and /group/steps");
+        respondError(*exchange, 404, "a rank serves /group/orders, /group/ranks, /group/started and /group/steps");
     }
 }
 
-void RankStandIn::begin()
+void RankStandIn::startTicking()
 {
-    m_begun = true;
+    m_isStarted = true;
     m_client = std::make_unique<HttpClient>(loop().context(), HttpClient::Options{});
     tick();
-    loop().after(std::chrono::milliseconds(fault("window-ms")), [this] { closeWindow(); });
+    loop().after(std::chrono::milliseconds(switchValue("window-ms")), [this] { closeWindow(); });
 }
 
-void RankStandIn::takeOrder(const std::shared_ptr<HttpExchange> &exchange)
+void RankStandIn::handleOrder(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &body = exchange->request().body;
     const auto decoded = decodeEngineOrderRequest(Bytes(body.begin(), body.end()));
     if (const auto *error = errorIn(decoded)) {
-        respondFailure(*exchange, 400, error->detail);
+        respondError(*exchange, 400, error->detail);
         return;
     }
     const auto &[run, order] = std::get<EngineOrderRequest>(decoded);
     count("orders");
-    if (!m_engine.acceptsRun(run) && fault("checks-orders") != 0) {
+    if (!m_engine.acceptsRun(run) && switchValue("checks-orders") != 0) {
         count("refused");
     } else if (const auto *load = std::get_if<LoadWeights>(&order)) {
         m_maps.insert_or_assign(load->map.number(), load->map);
-        loop().after(std::chrono::milliseconds(fault("load-ms")),
-                     [this, load = *load] { m_engine.execute(EngineOrder(load), fault("load-fails") == 0); });
+        loop().after(std::chrono::milliseconds(switchValue("load-ms")),
+                     [this, load = *load] { m_engine.execute(EngineOrder(load), switchValue("load-fails") == 0); });
     } else {
         m_engine.execute(order);
     }
@@ -102,11 +106,11 @@
                        .body = std::string(bytes.begin(), bytes.end())});
 }
 
-void RankStandIn::takeRanks(const std::shared_ptr<HttpExchange> &exchange)
+void RankStandIn::handleRanks(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto json = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!json.is_object() || !json.contains("self") || !json.contains("ranks")) {
-        respondFailure(*exchange, 400, "expected {\"self\": RANK, \"ranks\": [ADDRESS:PORT, ...]}");
+        respondError(*exchange, 400, "expected {\"self\": RANK, \"ranks\": [ADDRESS:PORT, ...]}");
         return;
     }
     m_rank = json["self"].get<int>();
@@ -121,17 +125,17 @@
     respondJson(*exchange, 200, {{"ranks", m_ranks.size()}});
 }
 
-void RankStandIn::takeStarted(const std::shared_ptr<HttpExchange> &exchange)
+void RankStandIn::handleProgress(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto json = nlohmann::json::parse(exchange->request().body, nullptr, false);
     if (!json.is_object()) {
-        respondFailure(*exchange, 400, "expected rank, epoch and next");
+        respondError(*exchange, 400, "expected rank, epoch and next");
         return;
     }
     const auto epoch = static_cast<EpochNumber>(json.value("epoch", std::uint64_t{0}));
     const auto next = static_cast<StepNumber>(json.value("next", std::uint64_t{0}));
-    auto &reached = m_progress[json.value("rank", -1)].reached;
-    auto &step = reached.try_emplace(epoch, next).first->second;
+    auto &nextSteps = m_progress[json.value("rank", -1)].nextSteps;
+    auto &step = nextSteps.try_emplace(epoch, next).first->second;
     step = std::max(step, next);
     respondJson(*exchange, 200, nlohmann::json::object());
 }
@@ -142,19 +146,19 @@
         if (rank == m_rank) {
             return m_engine.progressIn(epoch);
         }
-        const auto &reached = m_progress[rank].reached;
-        const auto found = reached.find(epoch);
-        return found == reached.end() ? std::nullopt : std::optional(found->second);
+        const auto &nextSteps = m_progress[rank].nextSteps;
+        const auto found = nextSteps.find(epoch);
+        return found == nextSteps.end() ? std::nullopt : std::optional(found->second);
     });
     if (started) {
-        noteStep(*started);
+        recordStep(*started);
     }
-    tell();
-    loop().after(std::chrono::milliseconds(fault("step-ms")), [this] { tick(); });
+    broadcastProgress();
+    loop().after(std::chrono::milliseconds(switchValue("step-ms")), [this] { tick(); });
 }
 
-/** Tells the others how far this rank is, in every tick, so that a lost word is repeated. */
-void RankStandIn::tell()
+/** Sends this rank's progress to the other ranks; repeated in every tick to make up for lost messages. */
+void RankStandIn::broadcastProgress()
 {
     const auto &state = m_engine.state();
     for (const int rank : state.ranks) {
@@ -162,37 +166,39 @@
         if (rank == m_rank || found == m_ranks.end()) {
             continue;
         }
-        const nlohmann::json word{{"rank", m_rank}, {"epoch", toNumber(state.epoch)}, {"next", toNumber(state.next)}};
+        const nlohmann::json message{
+            {"rank", m_rank}, {"epoch", toNumber(state.epoch)}, {"next", toNumber(state.next)}};
         m_client->send({.endpoint = found->second,
-                        .request = {.method = "POST", .path = "/group/started", .body = word.dump()},
-                        .timeout = TellTimeout},
+                        .request = {.method = "POST", .path = "/group/started", .body = message.dump()},
+                        .timeout = ProgressTimeout},
                        [](const auto &) {});
     }
 }
 
-void RankStandIn::noteStep(const StartedStep &step)
+void RankStandIn::recordStep(const StartedStep &step)
 {
     count("steps");
-    const bool same =
-        !m_changes.empty() && m_changes.back()[0] == toNumber(step.epoch) && m_changes.back()[2] == toNumber(step.map);
-    if (!same && m_changes.size() < MostChanges) {
-        m_changes.push_back({toNumber(step.epoch), toNumber(step.step), toNumber(step.map)});
+    const bool isUnchanged = !m_mapChanges.empty() && m_mapChanges.back()[0] == toNumber(step.epoch)
+        && m_mapChanges.back()[2] == toNumber(step.map);
+    if (!isUnchanged && m_mapChanges.size() < MaxMapChanges) {
+        m_mapChanges.push_back({toNumber(step.epoch), toNumber(step.step), toNumber(step.map)});
     }
 }
 
-/** The tokens that come to this rank in a window under @p map. */
-std::vector<std::uint32_t> RankStandIn::tokensOf(const ExpertMap &map) const
+/** Returns the tokens per expert slot that this rank receives in a window under @p map. */
+std::vector<std::uint32_t> RankStandIn::tokensForMap(const ExpertMap &map) const
 {
     std::vector<std::uint32_t> tokens;
-    const auto hot = fault("hot-expert");
-    const auto experts = static_cast<double>(fault("experts"));
-    const double hotLoad = hot >= 0 ? static_cast<double>(fault("hot-factor")) : 1;
+    const auto hot = switchValue("hot-expert");
+    const auto experts = static_cast<double>(switchValue("experts"));
+    const double hotLoad = hot >= 0 ? static_cast<double>(switchValue("hot-factor")) : 1;
     for (const auto &layer : map.layers()) {
         for (const auto &slot : layer) {
             if (slot.rank == m_rank) {
                 const double load = slot.expert == hot ? hotLoad : 1;
                 const double part = load / (experts - 1 + hotLoad) * slot.share / ExpertSlot::WholeShare;
-                tokens.push_back(static_cast<std::uint32_t>(std::lround(part * static_cast<double>(fault("tokens")))));
+                tokens.push_back(
+                    static_cast<std::uint32_t>(std::lround(part * static_cast<double>(switchValue("tokens")))));
             }
         }
     }
@@ -201,30 +207,30 @@
 
 void RankStandIn::closeWindow()
 {
-    // By the machine's clock, so that all ranks number their windows alike, restarted ones too.
-    const auto window = static_cast<std::uint64_t>(wallMilliseconds() / std::max(1LL, fault("window-ms")));
+    // Uses the wall clock, so that all ranks, including restarted ones, number their windows alike.
+    const auto window = static_cast<std::uint64_t>(wallMilliseconds() / std::max(1LL, switchValue("window-ms")));
     const auto &state = m_engine.state();
     const auto map = m_maps.find(state.map);
-    // A window with a switch in it belongs to neither map.
+    // A window during which the map changed is reported for neither map.
     if (map != m_maps.end() && m_windowMap == state.map && !state.ranks.empty()) {
-        RankReport report{.rank = m_rank, .window = window, .map = state.map, .tokens = tokensOf(map->second)};
+        RankReport report{.rank = m_rank, .window = window, .map = state.map, .tokens = tokensForMap(map->second)};
         double busy = 0;
         for (const auto tokens : report.tokens) {
-            busy += tokens * MicrosecondsPerToken * static_cast<double>(fault("slowness-percent")) / 100;
+            busy += tokens * MicrosecondsPerToken * static_cast<double>(switchValue("slowness-percent")) / 100;
         }
         report.busyTime = std::chrono::microseconds(std::llround(busy));
         m_report = std::move(report);
     }
     m_windowMap = state.map;
-    loop().after(std::chrono::milliseconds(fault("window-ms")), [this] { closeWindow(); });
+    loop().after(std::chrono::milliseconds(switchValue("window-ms")), [this] { closeWindow(); });
 }
 
 EngineState RankStandIn::stateWithLoad() const
 {
     auto state = m_engine.state();
-    state.model = {.layers = static_cast<int>(fault("layers")),
-                   .experts = static_cast<int>(fault("experts")),
-                   .expertBytes = static_cast<std::uint64_t>(fault("expert-bytes"))};
+    state.model = {.layers = static_cast<int>(switchValue("layers")),
+                   .experts = static_cast<int>(switchValue("experts")),
+                   .expertBytes = static_cast<std::uint64_t>(switchValue("expert-bytes"))};
     state.load = m_report;
     return state;
 }
