--- a/modules/heatherridge_protocol/countsreading.cpp
+++ b/modules/heatherridge_protocol/countsreading.cpp
@@ -14,33 +14,33 @@
 using nlohmann::json;
 
 /** Steps that growth is told in at the most: two to this power, beyond any count. */
-constexpr unsigned LongestShift = 56;
-constexpr std::uint64_t MostSteps = std::numeric_limits<std::uint8_t>::max();
+constexpr unsigned MaxShift = 56;
+constexpr std::uint64_t MaxSteps = std::numeric_limits<std::uint8_t>::max();
 
-CountsReading readingFrom(const json &fields)
+CountsUpdate updateFrom(const json &fields)
 {
-    CountsReading reading{.epoch = fields.at(0).get<std::uint64_t>(), .mark = fields.at(1).get<std::uint64_t>()};
+    CountsUpdate update{.epoch = fields.at(0).get<std::uint64_t>(), .id = fields.at(1).get<std::uint64_t>()};
     if (fields.size() == 3) {
-        reading.content = WholeCounts{.chosen = fields.at(2).get<std::vector<std::uint64_t>>()};
-        return reading;
+        update.content = FullCounts{.counts = fields.at(2).get<std::vector<std::uint64_t>>()};
+        return update;
     }
     const auto &steps = fields.at(4).get_binary();
     const auto shift = fields.at(3).get<unsigned>();
-    reading.content = CountsGrowth{.since = fields.at(2).get<std::uint64_t>(),
-                                   .shift = std::min(shift, LongestShift),
+    update.content = CountsDelta{.baseId = fields.at(2).get<std::uint64_t>(),
+                                   .shift = std::min(shift, MaxShift),
                                    .steps = std::vector<std::uint8_t>(steps.begin(), steps.end())};
-    return reading;
+    return update;
 }
 
 /** The least shift with which the growth from @p told to @p now fits a byte a count. */
-unsigned shiftFor(const std::vector<std::uint64_t> &told, const std::vector<std::uint64_t> &now)
+unsigned shiftFor(const std::vector<std::uint64_t> &sentCounts, const std::vector<std::uint64_t> &now)
 {
-    std::uint64_t most = 0;
+    std::uint64_t maxGrowth = 0;
     for (std::size_t index = 0; index < now.size(); ++index) {
-        most = std::max(most, now[index] - told[index]);
+        maxGrowth = std::max(maxGrowth, now[index] - sentCounts[index]);
     }
     unsigned shift = 0;
-    while ((most >> shift) > MostSteps) {
+    while ((maxGrowth >> shift) > MaxSteps) {
         ++shift;
     }
     return shift;
@@ -48,87 +48,87 @@
 
 } // namespace
 
-std::string encode(const CountsReading &reading)
+std::string encode(const CountsUpdate &update)
 {
-    const auto fields = std::visit(Visitor{[&](const WholeCounts &whole) {
-                                               return json::array({reading.epoch, reading.mark, whole.chosen});
+    const auto fields = std::visit(Visitor{[&](const FullCounts &whole) {
+                                               return json::array({update.epoch, update.id, whole.counts});
                                            },
-                                           [&](const CountsGrowth &growth) {
-                                               return json::array({reading.epoch, reading.mark, growth.since,
+                                           [&](const CountsDelta &growth) {
+                                               return json::array({update.epoch, update.id, growth.baseId,
                                                                    growth.shift, json::binary(growth.steps)});
                                            }},
-                                   reading.content);
+                                   update.content);
     return cborOf(fields);
 }
 
-Result<CountsReading> decodeCountsReading(std::string_view bytes)
+Result<CountsUpdate> decodeCountsUpdate(std::string_view bytes)
 {
-    return decodedCbor(bytes, readingFrom);
+    return decodedCbor(bytes, updateFrom);
 }
 
-CountsTeller::CountsTeller(std::uint64_t firstMark)
-    : m_lastMark(firstMark)
+CountsDeltaEncoder::CountsDeltaEncoder(std::uint64_t firstId)
+    : m_lastId(firstId)
 {
 }
 
-CountsReading CountsTeller::tell(const TargetName &target, const RankCounts &counts, std::uint64_t since)
+CountsUpdate CountsDeltaEncoder::createUpdate(const TargetName &target, const RankCounts &counts, std::uint64_t baseId)
 {
-    CountsReading reading{.epoch = counts.epoch, .mark = ++m_lastMark};
-    std::vector<std::uint64_t> told(counts.selectionCounts.begin(), counts.selectionCounts.end());
-    if (const auto *before = find(target, counts, since)) {
-        CountsGrowth growth{.since = since, .shift = shiftFor(before->chosen, told)};
-        for (std::size_t index = 0; index < told.size(); ++index) {
-            const auto step = (told[index] - before->chosen[index]) >> growth.shift;
+    CountsUpdate update{.epoch = counts.epoch, .id = ++m_lastId};
+    std::vector<std::uint64_t> sentCounts(counts.selectionCounts.begin(), counts.selectionCounts.end());
+    if (const auto *before = find(target, counts, baseId)) {
+        CountsDelta growth{.baseId = baseId, .shift = shiftFor(before->counts, sentCounts)};
+        for (std::size_t index = 0; index < sentCounts.size(); ++index) {
+            const auto step = (sentCounts[index] - before->counts[index]) >> growth.shift;
             growth.steps.push_back(static_cast<std::uint8_t>(step));
-            told[index] = before->chosen[index] + (step << growth.shift);
+            sentCounts[index] = before->counts[index] + (step << growth.shift);
         }
-        reading.content = std::move(growth);
+        update.content = std::move(growth);
     } else {
-        reading.content = WholeCounts{.chosen = told};
+        update.content = FullCounts{.counts = sentCounts};
     }
-    m_told.push_back({.target = target, .epoch = counts.epoch, .mark = reading.mark, .chosen = std::move(told)});
-    if (m_told.size() > Remembered) {
-        m_told.pop_front();
+    m_history.push_back({.target = target, .epoch = counts.epoch, .id = update.id, .counts = std::move(sentCounts)});
+    if (m_history.size() > MaxHistory) {
+        m_history.pop_front();
     }
-    return reading;
+    return update;
 }
 
-const CountsTeller::Told *CountsTeller::find(const TargetName &target, const RankCounts &counts,
-                                             std::uint64_t since) const
+const CountsDeltaEncoder::SentUpdate *CountsDeltaEncoder::find(const TargetName &target, const RankCounts &counts,
+                                             std::uint64_t baseId) const
 {
-    const auto found = std::find_if(m_told.begin(), m_told.end(), [&](const auto &told) { return told.mark == since; });
-    if (found == m_told.end() || found->target != target || found->epoch != counts.epoch
-        || found->chosen.size() != counts.selectionCounts.size()) {
+    const auto found = std::find_if(m_history.begin(), m_history.end(), [&](const auto &sentUpdate) { return sentUpdate.id == baseId; });
+    if (found == m_history.end() || found->target != target || found->epoch != counts.epoch
+        || found->counts.size() != counts.selectionCounts.size()) {
         return nullptr;
     }
     // Fewer than before: the engine has started anew under the name that it had.
-    const bool hasGrown = std::equal(found->chosen.begin(), found->chosen.end(), counts.selectionCounts.begin(),
+    const bool hasGrown = std::equal(found->counts.begin(), found->counts.end(), counts.selectionCounts.begin(),
                                      [](auto before, double now) { return static_cast<double>(before) <= now; });
     return hasGrown ? &*found : nullptr;
 }
 
-std::uint64_t CountsListener::mark() const
+std::uint64_t CountsDeltaDecoder::lastId() const
 {
-    return m_mark;
+    return m_lastAppliedId;
 }
 
-std::optional<RankCounts> CountsListener::take(const CountsReading &reading)
+std::optional<RankCounts> CountsDeltaDecoder::apply(const CountsUpdate &update)
 {
-    if (const auto *whole = std::get_if<WholeCounts>(&reading.content)) {
-        m_counts = {.epoch = reading.epoch, .selectionCounts = {whole->chosen.begin(), whole->chosen.end()}};
-        m_mark = reading.mark;
+    if (const auto *whole = std::get_if<FullCounts>(&update.content)) {
+        m_counts = {.epoch = update.epoch, .selectionCounts = {whole->counts.begin(), whole->counts.end()}};
+        m_lastAppliedId = update.id;
         return m_counts;
     }
-    const auto &growth = std::get<CountsGrowth>(reading.content);
-    if (growth.since != m_mark || reading.epoch != m_counts.epoch
+    const auto &growth = std::get<CountsDelta>(update.content);
+    if (growth.baseId != m_lastAppliedId || update.epoch != m_counts.epoch
         || growth.steps.size() != m_counts.selectionCounts.size()) {
-        m_mark = 0;
+        m_lastAppliedId = 0;
         return std::nullopt;
     }
     for (std::size_t index = 0; index < growth.steps.size(); ++index) {
         m_counts.selectionCounts[index] += static_cast<double>(std::uint64_t{growth.steps[index]} << growth.shift);
     }
-    m_mark = reading.mark;
+    m_lastAppliedId = update.id;
     return m_counts;
 }
 
--- a/modules/heatherridge_transport/direct/sidecarranks.cpp
+++ b/modules/heatherridge_transport/direct/sidecarranks.cpp
@@ -54,7 +54,7 @@
         heard = {.target = target.id};
     }
     auto call = callTo(target, SidecarPaths::Counts, {});
-    call.request.query = std::string(SidecarPaths::SinceParameter) + "=" + std::to_string(heard.listener.mark());
+    call.request.query = std::string(SidecarPaths::SinceParameter) + "=" + std::to_string(heard.listener.lastId());
     const auto absent = [done] {
         done(Error{.kind = ErrorKind::TargetUnreachable, .detail = "the process beside the rank does not answer"});
     };
@@ -65,13 +65,13 @@
 
 Result<RankCounts> SidecarRanks::listen(const TargetEntry &target, std::string_view bytes)
 {
-    const auto reading = decodeCountsReading(bytes);
+    const auto reading = decodeCountsUpdate(bytes);
     if (const auto *error = errorIn(reading)) {
         return *error;
     }
     auto &heard = m_counts[target.address.address];
     const auto counts =
-        heard.target == target.id ? heard.listener.take(std::get<CountsReading>(reading)) : std::nullopt;
+        heard.target == target.id ? heard.listener.apply(std::get<CountsUpdate>(reading)) : std::nullopt;
     if (!counts) {
         return Error{.kind = ErrorKind::BackendFailed, .detail = "counts since another reading"};
     }
--- a/modules/heatherridge_transport/direct/sidecarranks.h
+++ b/modules/heatherridge_transport/direct/sidecarranks.h
@@ -85,7 +85,7 @@
     struct HeardCounts
     {
         TargetName target{};
-        CountsListener listener{};
+        CountsDeltaDecoder listener{};
     };
 
     std::map<std::string, Absence> m_absences; ///< by address
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -130,7 +130,7 @@
                 exchange->respond(failureOf(*error));
                 return;
             }
-            exchange->respond({.body = encode(m_countsTeller.tell(target.id, std::get<RankCounts>(counts), since))});
+            exchange->respond({.body = encode(m_countsTeller.createUpdate(target.id, std::get<RankCounts>(counts), since))});
         });
     }
 
@@ -162,7 +162,7 @@
     HttpClient m_client;
     std::unique_ptr<RankControl> m_ranks;
     std::map<TargetName, SharedRead<RankStatus>> m_statuses; ///< by the run of the engine that is meant
-    CountsTeller m_countsTeller{drawnMark()};
+    CountsDeltaEncoder m_countsTeller{drawnMark()};
     SteadyTime m_countsAskedAt = std::chrono::steady_clock::now(); ///< by a keeper; before that, when this was made
     CallerServer m_server;
 };
--- a/tests/protocol/countsreading_test.cpp
+++ b/tests/protocol/countsreading_test.cpp
@@ -9,29 +9,29 @@
 namespace
 {
 
-const TargetName Rank("r");
+const TargetName RankTarget("r");
 
 /** Counts of a rank that grow as the engine works. */
-class GrowingCounts
+class GrowingRankCounts
 {
 public:
-    explicit GrowingCounts(std::uint64_t seed, std::size_t size = 48)
+    explicit GrowingRankCounts(std::uint64_t seed, std::size_t size = 48)
         : m_random(seed)
     {
         m_counts = {.epoch = 3, .selectionCounts = std::vector<double>(size, 0)};
     }
 
     /** Each grows by less than @p bound. */
-    const RankCounts &grow(std::uint64_t bound)
+    const RankCounts &grow(std::uint64_t maxGrowth)
     {
         for (auto &count : m_counts.selectionCounts) {
-            count += static_cast<double>(m_random.below(bound));
+            count += static_cast<double>(m_random.below(maxGrowth));
         }
         return m_counts;
     }
 
     /** The group has formed anew. */
-    void formAnew()
+    void advanceEpoch()
     {
         ++m_counts.epoch;
     }
@@ -42,34 +42,34 @@
 };
 
 /** What arrives of @p reading. */
-CountsReading overTheWire(const CountsReading &reading)
+CountsUpdate encodeAndDecode(const CountsUpdate &reading)
 {
-    auto back = decodeCountsReading(encode(reading));
-    return std::get<CountsReading>(std::move(back));
+    auto decoded = decodeCountsUpdate(encode(reading));
+    return std::get<CountsUpdate>(std::move(decoded));
 }
 
-RC_GTEST_PROP(CountsReadings, ComeBackAsTheyWere, (std::vector<std::uint8_t> steps, std::uint32_t number))
+RC_GTEST_PROP(CountsUpdates, SurviveARoundTrip, (std::vector<std::uint8_t> steps, std::uint32_t number))
 {
-    const CountsReading growth{
-        .epoch = number, .mark = 7, .content = CountsGrowth{.since = number, .shift = number % 20, .steps = steps}};
-    RC_ASSERT(overTheWire(growth) == growth);
-    const CountsReading whole{
-        .epoch = number, .mark = 7, .content = WholeCounts{.chosen = {steps.begin(), steps.end()}}};
-    RC_ASSERT(overTheWire(whole) == whole);
+    const CountsUpdate growth{
+        .epoch = number, .id = 7, .content = CountsDelta{.baseId = number, .shift = number % 20, .steps = steps}};
+    RC_ASSERT(encodeAndDecode(growth) == growth);
+    const CountsUpdate whole{
+        .epoch = number, .id = 7, .content = FullCounts{.counts = {steps.begin(), steps.end()}}};
+    RC_ASSERT(encodeAndDecode(whole) == whole);
 }
 
-RC_GTEST_PROP(CountsReadings, HostileBytesAreRefused, (const std::string &bytes))
+RC_GTEST_PROP(CountsUpdates, MalformedBytesAreRejected, (const std::string &bytes))
 {
-    const auto reading = decodeCountsReading(bytes);
-    const bool isReadOrRefused = errorIn(reading) == nullptr || errorIn(reading)->kind == ErrorKind::MalformedFrame;
-    RC_ASSERT(isReadOrRefused);
+    const auto reading = decodeCountsUpdate(bytes);
+    const bool isDecodedOrRejected = errorIn(reading) == nullptr || errorIn(reading)->kind == ErrorKind::MalformedFrame;
+    RC_ASSERT(isDecodedOrRejected);
 }
 
 struct GrowthRow
 {
-    const char *story;
-    std::uint64_t bound; ///< of what a count grows by between two readings
-    double error; ///< of a count as it is known after each reading
+    const char *description;
+    std::uint64_t maxGrowth; ///< of what a count grows by between two readings
+    double maxError; ///< of a count as it is known after each reading
 };
 
 const GrowthRow GrowthRows[] = {
@@ -78,121 +78,121 @@
     {"an engine that has worked on alone for long", 1'000'000, 4'096},
 };
 
-class ToldCounts : public testing::TestWithParam<GrowthRow>
+class DecodedCounts : public testing::TestWithParam<GrowthRow>
 {
 };
 
-TEST_P(ToldCounts, AreKnownWithinOneStepHoweverOftenTheyGrow)
+TEST_P(DecodedCounts, StayWithinOneStepOfTheEngineCounts)
 {
     const auto &row = GetParam();
-    GrowingCounts engine(5);
-    CountsTeller teller(100);
-    CountsListener listener;
+    GrowingRankCounts engineCounts(5);
+    CountsDeltaEncoder encoder(100);
+    CountsDeltaDecoder decoder;
     for (int reading = 0; reading < 100; ++reading) {
-        const auto &counts = engine.grow(row.bound);
-        const auto known = listener.take(overTheWire(teller.tell(Rank, counts, listener.mark())));
-        ASSERT_TRUE(known) << row.story;
+        const auto &counts = engineCounts.grow(row.maxGrowth);
+        const auto decoded = decoder.apply(encodeAndDecode(encoder.createUpdate(RankTarget, counts, decoder.lastId())));
+        ASSERT_TRUE(decoded) << row.description;
         for (std::size_t index = 0; index < counts.selectionCounts.size(); ++index) {
-            ASSERT_LE(known->selectionCounts[index], counts.selectionCounts[index]) << row.story;
-            ASSERT_GE(known->selectionCounts[index], counts.selectionCounts[index] - row.error) << row.story;
+            ASSERT_LE(decoded->selectionCounts[index], counts.selectionCounts[index]) << row.description;
+            ASSERT_GE(decoded->selectionCounts[index], counts.selectionCounts[index] - row.maxError) << row.description;
         }
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, ToldCounts, testing::ValuesIn(GrowthRows));
+INSTANTIATE_TEST_SUITE_P(All, DecodedCounts, testing::ValuesIn(GrowthRows));
 
 // Callers' streams wait behind what their gateway reads of its engines: 192 ranks told 3,072 counts each in whole,
 // three bytes and more a count, 20 MB a second on a link of 12. What has grown since takes a byte a count.
-TEST(CountsReadings, TakeAByteACount)
+TEST(CountsUpdates, TakeOneBytePerCount)
 {
     constexpr std::size_t size = 3'072;
-    GrowingCounts engine(7, size);
-    CountsTeller teller(100);
-    CountsListener listener;
-    listener.take(teller.tell(Rank, engine.grow(1'000'000), listener.mark()));
-    const auto bytes = encode(teller.tell(Rank, engine.grow(400), listener.mark()));
+    GrowingRankCounts engineCounts(7, size);
+    CountsDeltaEncoder encoder(100);
+    CountsDeltaDecoder decoder;
+    decoder.apply(encoder.createUpdate(RankTarget, engineCounts.grow(1'000'000), decoder.lastId()));
+    const auto bytes = encode(encoder.createUpdate(RankTarget, engineCounts.grow(400), decoder.lastId()));
     EXPECT_LE(bytes.size(), size + 64);
 }
 
-enum class Mishap {
-    AnswerLost,
-    TellerStartsAnew,
-    GroupFormsAnew,
-    EngineStartsAnew,
-    OtherRunOfTheEngine,
-    ManyOthersAsk,
+enum class Disturbance {
+    ResponseLost,
+    EncoderRestarts,
+    GroupReforms,
+    EngineRestarts,
+    DifferentEngineRun,
+    ManyOtherRequests,
 };
 
-struct MishapRow
+struct DisturbanceRow
 {
-    const char *story;
-    Mishap mishap;
+    const char *description;
+    Disturbance disturbance;
 };
 
-const MishapRow MishapRows[] = {
-    {"an answer is lost: the next one tells since the one before", Mishap::AnswerLost},
-    {"the process beside the rank starts anew and knows no mark", Mishap::TellerStartsAnew},
-    {"the group forms anew", Mishap::GroupFormsAnew},
-    {"the engine starts anew under its name: its counts begin at nothing", Mishap::EngineStartsAnew},
-    {"another run of the engine is asked for", Mishap::OtherRunOfTheEngine},
-    {"so many others ask that the last reading is forgotten", Mishap::ManyOthersAsk},
+const DisturbanceRow DisturbanceRows[] = {
+    {"an answer is lost: the next one tells since the one before", Disturbance::ResponseLost},
+    {"the process beside the rank starts anew and knows no mark", Disturbance::EncoderRestarts},
+    {"the group forms anew", Disturbance::GroupReforms},
+    {"the engine starts anew under its name: its counts begin at nothing", Disturbance::EngineRestarts},
+    {"another run of the engine is asked for", Disturbance::DifferentEngineRun},
+    {"so many others ask that the last reading is forgotten", Disturbance::ManyOtherRequests},
 };
 
-class DisturbedReadings : public testing::TestWithParam<MishapRow>
+class DisturbedUpdates : public testing::TestWithParam<DisturbanceRow>
 {
 };
 
-TEST_P(DisturbedReadings, NeverAddUpToCountsThatNeverWere)
+TEST_P(DisturbedUpdates, NeverYieldWrongCounts)
 {
     const auto &row = GetParam();
-    GrowingCounts engine(9);
-    auto teller = std::make_unique<CountsTeller>(100);
-    CountsListener listener;
-    auto target = Rank;
-    listener.take(teller->tell(target, engine.grow(50), listener.mark()));
-    switch (row.mishap) {
-    case Mishap::AnswerLost:
-        teller->tell(target, engine.grow(50), listener.mark());
+    GrowingRankCounts engineCounts(9);
+    auto encoder = std::make_unique<CountsDeltaEncoder>(100);
+    CountsDeltaDecoder decoder;
+    auto target = RankTarget;
+    decoder.apply(encoder->createUpdate(target, engineCounts.grow(50), decoder.lastId()));
+    switch (row.disturbance) {
+    case Disturbance::ResponseLost:
+        encoder->createUpdate(target, engineCounts.grow(50), decoder.lastId());
         break;
-    case Mishap::TellerStartsAnew:
-        teller = std::make_unique<CountsTeller>(9'000);
+    case Disturbance::EncoderRestarts:
+        encoder = std::make_unique<CountsDeltaEncoder>(9'000);
         break;
-    case Mishap::GroupFormsAnew:
-        engine.formAnew();
+    case Disturbance::GroupReforms:
+        engineCounts.advanceEpoch();
         break;
-    case Mishap::EngineStartsAnew:
-        engine = GrowingCounts(1);
+    case Disturbance::EngineRestarts:
+        engineCounts = GrowingRankCounts(1);
         break;
-    case Mishap::OtherRunOfTheEngine:
+    case Disturbance::DifferentEngineRun:
         target = TargetName("other");
         break;
-    case Mishap::ManyOthersAsk:
-        for (std::size_t other = 0; other <= CountsTeller::Remembered; ++other) {
-            teller->tell(target, engine.grow(50), 0);
+    case Disturbance::ManyOtherRequests:
+        for (std::size_t other = 0; other <= CountsDeltaEncoder::MaxHistory; ++other) {
+            encoder->createUpdate(target, engineCounts.grow(50), 0);
         }
         break;
     }
-    const auto &counts = engine.grow(50);
-    const auto known = listener.take(overTheWire(teller->tell(target, counts, listener.mark())));
-    ASSERT_TRUE(known) << row.story;
-    EXPECT_EQ(known->epoch, counts.epoch) << row.story;
-    EXPECT_EQ(known->selectionCounts, counts.selectionCounts) << row.story;
+    const auto &counts = engineCounts.grow(50);
+    const auto decoded = decoder.apply(encodeAndDecode(encoder->createUpdate(target, counts, decoder.lastId())));
+    ASSERT_TRUE(decoded) << row.description;
+    EXPECT_EQ(decoded->epoch, counts.epoch) << row.description;
+    EXPECT_EQ(decoded->selectionCounts, counts.selectionCounts) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, DisturbedReadings, testing::ValuesIn(MishapRows));
+INSTANTIATE_TEST_SUITE_P(All, DisturbedUpdates, testing::ValuesIn(DisturbanceRows));
 
 // Two answers cross: growth that adds to another reading than the last is not taken, and all counts are asked for.
-TEST(CountsReadings, ThatAddToAnotherOneAreNotTaken)
+TEST(CountsUpdates, WithAnotherBaseAreRejected)
 {
-    GrowingCounts engine(9);
-    CountsTeller teller(100);
-    CountsListener listener;
-    listener.take(teller.tell(Rank, engine.grow(50), listener.mark()));
-    const auto asked = listener.mark();
-    const auto late = teller.tell(Rank, engine.grow(50), asked);
-    ASSERT_TRUE(listener.take(teller.tell(Rank, engine.grow(50), asked)));
-    EXPECT_FALSE(listener.take(late));
-    EXPECT_EQ(listener.mark(), 0U);
+    GrowingRankCounts engineCounts(9);
+    CountsDeltaEncoder encoder(100);
+    CountsDeltaDecoder decoder;
+    decoder.apply(encoder.createUpdate(RankTarget, engineCounts.grow(50), decoder.lastId()));
+    const auto requestedId = decoder.lastId();
+    const auto lateUpdate = encoder.createUpdate(RankTarget, engineCounts.grow(50), requestedId);
+    ASSERT_TRUE(decoder.apply(encoder.createUpdate(RankTarget, engineCounts.grow(50), requestedId)));
+    EXPECT_FALSE(decoder.apply(lateUpdate));
+    EXPECT_EQ(decoder.lastId(), 0U);
 }
 
 } // namespace
