--- a/modules/heatherridge_protocol/countsreading.cpp
+++ b/modules/heatherridge_protocol/countsupdate.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_protocol/countsreading.h"
+#include "heatherridge_protocol/countsupdate.h"
 
 #include "heatherridge_protocol/cborvalue.h"
 
--- a/modules/heatherridge_transport/direct/sidecarranks.h
+++ b/modules/heatherridge_transport/direct/sidecarranks.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "heatherridge_coordination/groups/rankcontrol.h"
-#include "heatherridge_protocol/countsreading.h"
+#include "heatherridge_protocol/countsupdate.h"
 #include "heatherridge_state/base/clock.h"
 #include "heatherridge_state/decisions/answertimeout.h"
 #include "heatherridge_transport/app/metrics.h"
--- a/tests/protocol/countsreading_test.cpp
+++ b/tests/protocol/countsupdate_test.cpp
@@ -1,4 +1,4 @@
-#include "heatherridge_protocol/countsreading.h"
+#include "heatherridge_protocol/countsupdate.h"
 #include "heatherridge_state/base/randomsource.h"
 
 #include <gtest/gtest.h>
