--- a/modules/heatherridge_protocol/attemptid.cpp
+++ b/modules/heatherridge_protocol/attemptid.cpp
@@ -6,18 +6,18 @@
 namespace
 {
 
-constexpr char AttemptMark = '.';
+constexpr char AttemptSeparator = '.';
 
 } // namespace
 
 RequestId attemptId(const RequestId &id, int attempt)
 {
-    return RequestId(id.text() + AttemptMark + std::to_string(attempt));
+    return RequestId(id.text() + AttemptSeparator + std::to_string(attempt));
 }
 
 RequestId requestOfAttempt(const RequestId &id)
 {
-    return RequestId(id.text().substr(0, id.text().find(AttemptMark)));
+    return RequestId(id.text().substr(0, id.text().find(AttemptSeparator)));
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/cborreader.cpp
+++ b/modules/heatherridge_protocol/cborreader.cpp
@@ -7,13 +7,13 @@
 namespace Heatherridge
 {
 
-bool CborReader::parse(const Bytes &bytes, nlohmann::json &into)
+bool CborReader::parse(const Bytes &bytes, nlohmann::json &result)
 {
     if (!isPlainCbor(bytes)) {
         return false;
     }
-    into = nlohmann::json::from_cbor(bytes, true, false);
-    return into.is_object();
+    result = nlohmann::json::from_cbor(bytes, true, false);
+    return result.is_object();
 }
 
 CborReader::CborReader(const nlohmann::json &map)
@@ -21,22 +21,22 @@
 {
 }
 
-std::uint64_t CborReader::number(std::string_view key, std::uint64_t highest)
+std::uint64_t CborReader::number(std::string_view key, std::uint64_t maximum)
 {
     const auto *value = find(key);
-    if (value == nullptr || !value->is_number_unsigned() || value->get<std::uint64_t>() > highest) {
+    if (value == nullptr || !value->is_number_unsigned() || value->get<std::uint64_t>() > maximum) {
         fail(key);
         return 0;
     }
     return value->get<std::uint64_t>();
 }
 
-std::int64_t CborReader::integer(std::string_view key, std::int64_t lowest, std::int64_t highest)
+std::int64_t CborReader::integer(std::string_view key, std::int64_t minimum, std::int64_t maximum)
 {
     const auto *value = find(key);
     const bool fits = value != nullptr && value->is_number_integer()
         && !(value->is_number_unsigned() && value->get<std::uint64_t>() > static_cast<std::uint64_t>(INT64_MAX));
-    if (!fits || value->get<std::int64_t>() < lowest || value->get<std::int64_t>() > highest) {
+    if (!fits || value->get<std::int64_t>() < minimum || value->get<std::int64_t>() > maximum) {
         fail(key);
         return 0;
     }
@@ -63,7 +63,7 @@
     return value->get<std::string>();
 }
 
-bool CborReader::toggle(std::string_view key)
+bool CborReader::boolean(std::string_view key)
 {
     const auto *value = find(key);
     if (value == nullptr || !value->is_boolean()) {
@@ -134,7 +134,7 @@
     return entry == m_map.end() ? nullptr : &*entry;
 }
 
-Error malformed(std::string_view what)
+Error malformedError(std::string_view what)
 {
     return Error{.kind = ErrorKind::MalformedFrame, .detail = "malformed: " + std::string(what)};
 }
--- a/modules/heatherridge_protocol/cborreader.h
+++ b/modules/heatherridge_protocol/cborreader.h
@@ -21,16 +21,16 @@
 {
 public:
     /** Parses @p bytes into @p into; false when they are no CBOR map. No exception leaves it. */
-    static bool parse(const Bytes &bytes, nlohmann::json &into);
+    static bool parse(const Bytes &bytes, nlohmann::json &result);
 
     /** Reads from @p map, which must outlive the reader. */
     explicit CborReader(const nlohmann::json &map);
 
     /** The whole number at @p key, at most @p highest. */
-    std::uint64_t number(std::string_view key, std::uint64_t highest = UINT64_MAX);
+    std::uint64_t number(std::string_view key, std::uint64_t maximum = UINT64_MAX);
 
     /** The signed whole number at @p key. */
-    std::int64_t integer(std::string_view key, std::int64_t lowest, std::int64_t highest);
+    std::int64_t integer(std::string_view key, std::int64_t minimum, std::int64_t maximum);
 
     /** The fraction at @p key; must be finite. */
     double fraction(std::string_view key);
@@ -39,7 +39,7 @@
     std::string text(std::string_view key);
 
     /** The switch at @p key. */
-    bool toggle(std::string_view key);
+    bool boolean(std::string_view key);
 
     /** The byte string at @p key. */
     Bytes bytes(std::string_view key);
@@ -70,7 +70,7 @@
 };
 
 /** A MalformedFrame error that names what was wrong. */
-Error malformed(std::string_view what);
+Error malformedError(std::string_view what);
 
 /** @p map as CBOR bytes. */
 Bytes toCbor(const nlohmann::json &map);
--- a/modules/heatherridge_protocol/cborvalue.h
+++ b/modules/heatherridge_protocol/cborvalue.h
@@ -11,7 +11,7 @@
 {
 
 /** The CBOR of @p value. */
-inline std::string cborOf(const nlohmann::json &value)
+inline std::string encodeCbor(const nlohmann::json &value)
 {
     std::string bytes;
     nlohmann::json::to_cbor(value, bytes);
@@ -19,13 +19,13 @@
 }
 
 /** Runs @p read on the value in @p bytes; whatever does not fit makes the message malformed. */
-template<typename Read>
-auto decodedCbor(std::string_view bytes, Read read) -> Result<decltype(read(nlohmann::json{}))>
+template<typename ReadFields>
+auto decodeCbor(std::string_view bytes, ReadFields readFields) -> Result<decltype(readFields(nlohmann::json{}))>
 {
     try {
-        return read(nlohmann::json::from_cbor(bytes));
-    } catch (const nlohmann::json::exception &broken) {
-        return Error{.kind = ErrorKind::MalformedFrame, .detail = broken.what()};
+        return readFields(nlohmann::json::from_cbor(bytes));
+    } catch (const nlohmann::json::exception &exception) {
+        return Error{.kind = ErrorKind::MalformedFrame, .detail = exception.what()};
     }
 }
 
--- a/modules/heatherridge_protocol/configimagecodec.cpp
+++ b/modules/heatherridge_protocol/configimagecodec.cpp
@@ -37,8 +37,8 @@
 }
 
 /** Calls @p read with a reader for each entry of the array at @p key; false when any of them is malformed. */
-template<typename Read>
-void eachEntry(CborReader &reader, std::string_view key, const Read &read)
+template<typename ReadEntry>
+void forEachEntry(CborReader &reader, std::string_view key, const ReadEntry &readEntry)
 {
     const auto *entries = reader.array(key);
     if (entries == nullptr) {
@@ -46,7 +46,7 @@
     }
     for (const auto &entry : *entries) {
         CborReader entryReader(entry);
-        read(entryReader);
+        readEntry(entryReader);
         if (!entryReader.ok()) {
             reader.fail(key);
             return;
@@ -64,11 +64,11 @@
     CborReader inner(*map);
     document.changedAt = static_cast<LogOffset>(inner.number("changed-at"));
     document.forgottenBelow = static_cast<LogOffset>(inner.number("forgotten-below"));
-    eachEntry(inner, "sections", [&document](CborReader &entry) {
+    forEachEntry(inner, "sections", [&document](CborReader &entry) {
         document.sections[entry.text("h")] = {.body = entry.text("b"),
                                               .changedAt = static_cast<LogOffset>(entry.number("c"))};
     });
-    eachEntry(inner, "removed", [&document](CborReader &entry) {
+    forEachEntry(inner, "removed", [&document](CborReader &entry) {
         document.removed[entry.text("h")] = static_cast<LogOffset>(entry.number("c"));
     });
     if (!inner.ok()) {
@@ -139,16 +139,16 @@
 {
     nlohmann::json map;
     if (!CborReader::parse(bytes, map)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(map);
     ConfigImage image;
     image.offset = static_cast<LogOffset>(reader.number("offset"));
     image.inventory = readDocument(reader, "inventory");
     image.rules = readDocument(reader, "rules");
-    eachEntry(reader, "operations", [&image](CborReader &entry) { image.operations.push_back(readOutcome(entry)); });
+    forEachEntry(reader, "operations", [&image](CborReader &entry) { image.operations.push_back(readOutcome(entry)); });
     image.operationsForgottenBelow = static_cast<LogOffset>(reader.number("forgotten-below"));
-    eachEntry(reader, "roles", [&image](CborReader &entry) {
+    forEachEntry(reader, "roles", [&image](CborReader &entry) {
         image.roles[RoleName(entry.text("r"))] = {.holder = ProcessName(entry.text("h")),
                                                   .incarnation = static_cast<Incarnation>(entry.number("i")),
                                                   .number = static_cast<FencingNumber>(entry.number("n"))};
@@ -158,7 +158,7 @@
     readCounts(reader, "skipped", image.skipped);
     readCounts(reader, "refused", image.refused);
     if (!reader.ok()) {
-        return malformed("state field " + reader.failedKey());
+        return malformedError("state field " + reader.failedKey());
     }
     return image;
 }
--- a/modules/heatherridge_protocol/controlmessage.cpp
+++ b/modules/heatherridge_protocol/controlmessage.cpp
@@ -12,14 +12,14 @@
 
 constexpr std::array<std::string_view, 4> PhaseNames{"starting", "unconfirmed", "ready", "draining"};
 
-constexpr std::chrono::milliseconds LongestAge{std::chrono::hours(24 * 365)};
+constexpr std::chrono::milliseconds MaxAge{std::chrono::hours(24 * 365)};
 
 // Keys are one letter: heartbeats and relayed changes make up nearly all control bytes.
 constexpr std::string_view KindKey = "k";
 
-enum class Kind : std::uint8_t { RecordsRelay, RecordsRequest, StateRequest, StateOffer, Heartbeat };
+enum class MessageKind : std::uint8_t { RecordsRelay, RecordsRequest, StateRequest, StateOffer, Heartbeat };
 
-nlohmann::json header(Kind kind)
+nlohmann::json header(MessageKind kind)
 {
     return {{std::string(KindKey), static_cast<unsigned>(kind)}};
 }
@@ -30,35 +30,35 @@
     for (const auto &record : relay.records) {
         records.push_back({{"o", toNumber(record.offset)}, {"p", binary(record.payload)}});
     }
-    auto map = header(Kind::RecordsRelay);
+    auto map = header(MessageKind::RecordsRelay);
     map["r"] = std::move(records);
     return map;
 }
 
 nlohmann::json toMap(const RecordsRequest &request)
 {
-    auto map = header(Kind::RecordsRequest);
+    auto map = header(MessageKind::RecordsRequest);
     map["f"] = toNumber(request.from);
     return map;
 }
 
 nlohmann::json toMap(const StateRequest &request)
 {
-    auto map = header(Kind::StateRequest);
+    auto map = header(MessageKind::StateRequest);
     map["n"] = toNumber(request.newerThan);
     return map;
 }
 
 nlohmann::json toMap(const StateOffer &offer)
 {
-    auto map = header(Kind::StateOffer);
+    auto map = header(MessageKind::StateOffer);
     map["p"] = binary(encodeImagePart(offer.part));
     return map;
 }
 
 nlohmann::json toMap(const Heartbeat &heartbeat)
 {
-    auto map = header(Kind::Heartbeat);
+    auto map = header(MessageKind::Heartbeat);
     map["d"] = toNumber(heartbeat.digest);
     map["s"] = static_cast<unsigned>(heartbeat.phase);
     map["n"] = heartbeat.open;
@@ -69,10 +69,10 @@
     return map;
 }
 
-Result<ControlMessage> checked(const CborReader &reader, ControlMessage message)
+Result<ControlMessage> checkedMessage(const CborReader &reader, ControlMessage message)
 {
     if (!reader.ok()) {
-        return malformed("control message field " + reader.failedKey());
+        return malformedError("control message field " + reader.failedKey());
     }
     return message;
 }
@@ -91,14 +91,14 @@
             }
         }
     }
-    return checked(reader, std::move(relay));
+    return checkedMessage(reader, std::move(relay));
 }
 
 Result<ControlMessage> readOffer(CborReader &reader)
 {
     const auto payload = reader.bytes("p");
     if (!reader.ok()) {
-        return checked(reader, {});
+        return checkedMessage(reader, {});
     }
     auto part = decodeImagePart(payload);
     if (const auto *error = errorIn(part)) {
@@ -113,11 +113,11 @@
     heartbeat.digest = static_cast<Digest>(reader.number("d"));
     heartbeat.phase = static_cast<ProcessPhase>(reader.number("s", PhaseNames.size() - 1));
     heartbeat.open = static_cast<std::uint32_t>(reader.number("n", UINT32_MAX));
-    heartbeat.logOut = reader.toggle("x");
+    heartbeat.logOut = reader.boolean("x");
     if (reader.has("a")) {
-        heartbeat.freshAge = std::chrono::milliseconds(reader.integer("a", 0, LongestAge.count()));
+        heartbeat.freshAge = std::chrono::milliseconds(reader.integer("a", 0, MaxAge.count()));
     }
-    return checked(reader, heartbeat);
+    return checkedMessage(reader, heartbeat);
 }
 
 } // namespace
@@ -136,26 +136,26 @@
 {
     nlohmann::json map;
     if (!CborReader::parse(payload, map)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(map);
-    const auto kind = reader.number(KindKey, static_cast<std::uint64_t>(Kind::Heartbeat));
+    const auto kind = reader.number(KindKey, static_cast<std::uint64_t>(MessageKind::Heartbeat));
     if (!reader.ok()) {
-        return malformed("unknown control message");
+        return malformedError("unknown control message");
     }
-    switch (static_cast<Kind>(kind)) {
-    case Kind::RecordsRelay:
+    switch (static_cast<MessageKind>(kind)) {
+    case MessageKind::RecordsRelay:
         return readRelay(reader);
-    case Kind::RecordsRequest:
-        return checked(reader, RecordsRequest{.from = static_cast<LogOffset>(reader.number("f"))});
-    case Kind::StateRequest:
-        return checked(reader, StateRequest{.newerThan = static_cast<LogOffset>(reader.number("n"))});
-    case Kind::StateOffer:
+    case MessageKind::RecordsRequest:
+        return checkedMessage(reader, RecordsRequest{.from = static_cast<LogOffset>(reader.number("f"))});
+    case MessageKind::StateRequest:
+        return checkedMessage(reader, StateRequest{.newerThan = static_cast<LogOffset>(reader.number("n"))});
+    case MessageKind::StateOffer:
         return readOffer(reader);
-    case Kind::Heartbeat:
+    case MessageKind::Heartbeat:
         return readHeartbeat(reader);
     }
-    return malformed("unknown control message");
+    return malformedError("unknown control message");
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/countsupdate.cpp
+++ b/modules/heatherridge_protocol/countsupdate.cpp
@@ -58,12 +58,12 @@
                                                                    growth.shift, json::binary(growth.steps)});
                                            }},
                                    update.content);
-    return cborOf(fields);
+    return encodeCbor(fields);
 }
 
 Result<CountsUpdate> decodeCountsUpdate(std::string_view bytes)
 {
-    return decodedCbor(bytes, updateFrom);
+    return decodeCbor(bytes, updateFrom);
 }
 
 CountsDeltaEncoder::CountsDeltaEncoder(std::uint64_t firstId)
--- a/modules/heatherridge_protocol/crashreportcodec.cpp
+++ b/modules/heatherridge_protocol/crashreportcodec.cpp
@@ -23,12 +23,12 @@
 std::string encode(const CrashReport &report)
 {
     const bool hasAnswered = report.kind == CrashReport::Kind::Answered;
-    return cborOf(json::array({hasAnswered, report.request.high, report.request.low, report.target.text()}));
+    return encodeCbor(json::array({hasAnswered, report.request.high, report.request.low, report.target.text()}));
 }
 
 Result<CrashReport> decodeCrashReport(std::string_view bytes)
 {
-    return decodedCbor(bytes, reportFrom);
+    return decodeCbor(bytes, reportFrom);
 }
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/engineorder.cpp
+++ b/modules/heatherridge_protocol/engineorder.cpp
@@ -9,45 +9,45 @@
 namespace
 {
 
-constexpr std::uint64_t LastTag = std::variant_size_v<EngineOrder> - 1;
-constexpr std::size_t MostListed = 1U << 16U;
+constexpr std::uint64_t MaxTag = std::variant_size_v<EngineOrder> - 1;
+constexpr std::size_t MaxListEntries = 1U << 16U;
 
-nlohmann::json fields(const PollEngine & /*order*/)
+nlohmann::json toMap(const PollEngine & /*order*/)
 {
     return nlohmann::json::object();
 }
 
-nlohmann::json fields(const LoadWeights &order)
+nlohmann::json toMap(const LoadWeights &order)
 {
     return {{"x", toJson(order.map)}};
 }
 
-nlohmann::json fields(const DropWeights &order)
+nlohmann::json toMap(const DropWeights &order)
 {
     return {{"n", toNumber(order.map)}};
 }
 
-nlohmann::json fields(const LimitSteps &order)
+nlohmann::json toMap(const LimitSteps &order)
 {
     return {{"e", toNumber(order.epoch)}, {"n", toNumber(order.map)}, {"s", toNumber(order.bound)}};
 }
 
-nlohmann::json fields(const ScheduleMap &order)
+nlohmann::json toMap(const ScheduleMap &order)
 {
     return {{"e", toNumber(order.epoch)}, {"n", toNumber(order.map)}, {"s", toNumber(order.from)}};
 }
 
-nlohmann::json fields(const LiftLimit &order)
+nlohmann::json toMap(const LiftLimit &order)
 {
     return {{"n", toNumber(order.map)}};
 }
 
-nlohmann::json fields(const EnterEpoch &order)
+nlohmann::json toMap(const EnterEpoch &order)
 {
     return {{"p", toJson(order.epoch)}};
 }
 
-nlohmann::json fields(const LeaveEpoch &order)
+nlohmann::json toMap(const LeaveEpoch &order)
 {
     return {{"e", toNumber(order.successor)}};
 }
@@ -70,7 +70,7 @@
 Result<EngineOrder> readLoad(CborReader &reader)
 {
     const auto *json = reader.map("x");
-    auto map = json == nullptr ? malformed("map to load") : expertMapFrom(*json);
+    auto map = json == nullptr ? malformedError("map to load") : expertMapFrom(*json);
     if (const auto *error = errorIn(map)) {
         return *error;
     }
@@ -80,7 +80,7 @@
 Result<EngineOrder> readEnter(CborReader &reader)
 {
     const auto *json = reader.map("p");
-    auto epoch = json == nullptr ? malformed("epoch to enter") : groupEpochFrom(*json);
+    auto epoch = json == nullptr ? malformedError("epoch to enter") : groupEpochFrom(*json);
     if (const auto *error = errorIn(epoch)) {
         return *error;
     }
@@ -90,7 +90,7 @@
 using ReadOrder = Result<EngineOrder> (*)(CborReader &);
 
 /** In the order of EngineOrder. */
-constexpr ReadOrder Readers[] = {
+constexpr ReadOrder OrderReaders[] = {
     [](CborReader &) -> Result<EngineOrder> { return PollEngine{}; },
     readLoad,
     [](CborReader &reader) -> Result<EngineOrder> { return DropWeights{readMap(reader)}; },
@@ -104,9 +104,9 @@
     readEnter,
     [](CborReader &reader) -> Result<EngineOrder> { return LeaveEpoch{readEpoch(reader)}; },
 };
-static_assert(std::size(Readers) == std::variant_size_v<EngineOrder>);
+static_assert(std::size(OrderReaders) == std::variant_size_v<EngineOrder>);
 
-nlohmann::json reportFields(const RankReport &report)
+nlohmann::json reportToMap(const RankReport &report)
 {
     return {{"r", report.rank},
             {"w", report.window},
@@ -117,17 +117,17 @@
 
 /** The whole numbers at @p key, at most @p highest each. */
 template<typename Number>
-std::vector<Number> readNumbers(CborReader &reader, std::string_view key, std::uint64_t highest)
+std::vector<Number> readNumbers(CborReader &reader, std::string_view key, std::uint64_t maximum)
 {
     std::vector<Number> numbers;
     const auto *array = reader.array(key);
-    if (array == nullptr || array->size() > MostListed) {
+    if (array == nullptr || array->size() > MaxListEntries) {
         reader.fail(key);
         return numbers;
     }
     numbers.reserve(array->size());
     for (const auto &entry : *array) {
-        if (!entry.is_number_unsigned() || entry.get<std::uint64_t>() > highest) {
+        if (!entry.is_number_unsigned() || entry.get<std::uint64_t>() > maximum) {
             reader.fail(key);
             return numbers;
         }
@@ -158,7 +158,7 @@
 
 Bytes encode(const SignedOrder &order)
 {
-    auto json = std::visit([](const auto &typed) { return fields(typed); }, order.order);
+    auto json = std::visit([](const auto &typed) { return toMap(typed); }, order.order);
     json["k"] = order.order.index();
     json["i"] = toNumber(order.run);
     return toCbor(json);
@@ -168,20 +168,20 @@
 {
     nlohmann::json json;
     if (!CborReader::parse(bytes, json)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(json);
-    const auto tag = reader.number("k", LastTag);
+    const auto tag = reader.number("k", MaxTag);
     const auto run = static_cast<Incarnation>(reader.number("i"));
     if (!reader.ok()) {
-        return malformed("order field " + reader.failedKey());
+        return malformedError("order field " + reader.failedKey());
     }
-    auto order = Readers[tag](reader);
+    auto order = OrderReaders[tag](reader);
     if (const auto *error = errorIn(order)) {
         return *error;
     }
     if (!reader.ok()) {
-        return malformed("order field " + reader.failedKey());
+        return malformedError("order field " + reader.failedKey());
     }
     return SignedOrder{.run = run, .order = std::move(std::get<EngineOrder>(order))};
 }
@@ -204,7 +204,7 @@
         json["scheduled"] = {{"n", toNumber(state.scheduled->map)}, {"s", toNumber(state.scheduled->from)}};
     }
     if (state.load) {
-        json["load"] = reportFields(*state.load);
+        json["load"] = reportToMap(*state.load);
     }
     return toCbor(json);
 }
@@ -213,7 +213,7 @@
 {
     nlohmann::json json;
     if (!CborReader::parse(bytes, json)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(json);
     EngineState state{.run = static_cast<Incarnation>(reader.number("i")),
@@ -244,7 +244,7 @@
         state.load = readReport(reader);
     }
     if (!reader.ok()) {
-        return malformed("engine state field " + reader.failedKey());
+        return malformedError("engine state field " + reader.failedKey());
     }
     return state;
 }
--- a/modules/heatherridge_protocol/envelope.cpp
+++ b/modules/heatherridge_protocol/envelope.cpp
@@ -19,7 +19,7 @@
 {
     nlohmann::json map;
     if (!CborReader::parse(frame, map)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(map);
     Envelope envelope;
@@ -31,10 +31,10 @@
     envelope.offset = static_cast<LogOffset>(reader.number("o"));
     envelope.payload = reader.bytes("p");
     if (!reader.ok() || channel == 0) {
-        return malformed("envelope field " + reader.failedKey());
+        return malformedError("envelope field " + reader.failedKey());
     }
     if (envelope.version != Envelope::CurrentVersion) {
-        return malformed("protocol version " + std::to_string(envelope.version));
+        return malformedError("protocol version " + std::to_string(envelope.version));
     }
     return envelope;
 }
--- a/modules/heatherridge_protocol/groupmessage.cpp
+++ b/modules/heatherridge_protocol/groupmessage.cpp
@@ -9,12 +9,12 @@
 namespace
 {
 
-constexpr std::size_t MostVotes = 4096;
-constexpr std::size_t MostSlotsReported = 1U << 16U;
+constexpr std::size_t MaxVotes = 4096;
+constexpr std::size_t MaxReportedSlots = 1U << 16U;
 /** Messages by their place in GroupMessage; the place is the tag on the wire. */
-constexpr std::uint64_t LastTag = std::variant_size_v<GroupMessage> - 1;
+constexpr std::uint64_t MaxTag = std::variant_size_v<GroupMessage> - 1;
 
-nlohmann::json fields(const LoadMap &message)
+nlohmann::json toMap(const LoadMap &message)
 {
     return {{"f", toNumber(message.leader)},
             {"e", toNumber(message.epoch)},
@@ -23,22 +23,22 @@
             {"x", toJson(message.map)}};
 }
 
-nlohmann::json fields(const MapReady &message)
+nlohmann::json toMap(const MapReady &message)
 {
     return {{"r", message.rank}, {"n", toNumber(message.map)}, {"k", message.loaded}};
 }
 
-nlohmann::json fields(const VoteRequest &message)
+nlohmann::json toMap(const VoteRequest &message)
 {
     return {{"f", toNumber(message.leader)}, {"e", toNumber(message.epoch)}, {"n", toNumber(message.map)}};
 }
 
-nlohmann::json fields(const CancelMap &message)
+nlohmann::json toMap(const CancelMap &message)
 {
     return {{"f", toNumber(message.leader)}, {"e", toNumber(message.epoch)}, {"n", toNumber(message.map)}};
 }
 
-nlohmann::json fields(const VoteList &message)
+nlohmann::json toMap(const VoteList &message)
 {
     auto votes = nlohmann::json::array();
     for (const auto &vote : message.votes) {
@@ -51,23 +51,23 @@
     return json;
 }
 
-nlohmann::json fields(const EpochNews &message)
+nlohmann::json toMap(const EpochNews &message)
 {
     return {{"p", toJson(message.epoch)}};
 }
 
-nlohmann::json fields(const RankStatus &message)
+nlohmann::json toMap(const RankStatus &message)
 {
     return {{"r", message.rank},          {"i", toNumber(message.engine)}, {"e", toNumber(message.epoch)},
             {"n", toNumber(message.map)}, {"s", toNumber(message.step)},   {"u", toNumber(message.pending)}};
 }
 
-nlohmann::json fields(const StatusRequest &message)
+nlohmann::json toMap(const StatusRequest &message)
 {
     return {{"f", toNumber(message.leader)}};
 }
 
-nlohmann::json fields(const RankLoadReport &message)
+nlohmann::json toMap(const RankLoadReport &message)
 {
     return {{"r", message.report.rank},
             {"w", message.report.window},
@@ -86,10 +86,10 @@
     LoadMap message{.leader = static_cast<FencingNumber>(reader.number("f")),
                     .epoch = static_cast<EpochNumber>(reader.number("e")),
                     .addressee = static_cast<Incarnation>(reader.number("i")),
-                    .startsEpoch = reader.toggle("j")};
+                    .startsEpoch = reader.boolean("j")};
     const auto *json = reader.map("x");
     if (json == nullptr) {
-        return malformed("map to load");
+        return malformedError("map to load");
     }
     auto map = expertMapFrom(*json);
     if (const auto *error = errorIn(map)) {
@@ -107,15 +107,15 @@
         list.committedAt = static_cast<StepNumber>(reader.number("s"));
     }
     const auto *votes = reader.array("v");
-    if (votes == nullptr || votes->size() > MostVotes) {
-        return malformed("list of votes");
+    if (votes == nullptr || votes->size() > MaxVotes) {
+        return malformedError("list of votes");
     }
     for (const auto &json : *votes) {
         CborReader vote(json);
         list.votes.push_back(
-            {.rank = readRank(vote), .agreed = vote.toggle("a"), .bound = static_cast<StepNumber>(vote.number("b"))});
+            {.rank = readRank(vote), .agreed = vote.boolean("a"), .bound = static_cast<StepNumber>(vote.number("b"))});
         if (!vote.ok()) {
-            return malformed("vote");
+            return malformedError("vote");
         }
     }
     return list;
@@ -125,7 +125,7 @@
 {
     const auto *json = reader.map("p");
     if (json == nullptr) {
-        return malformed("epoch");
+        return malformedError("epoch");
     }
     auto epoch = groupEpochFrom(*json);
     if (const auto *error = errorIn(epoch)) {
@@ -142,12 +142,12 @@
     message.report.map = static_cast<MapNumber>(reader.number("n"));
     message.report.busyTime = std::chrono::microseconds(reader.integer("b", 0, INT64_MAX));
     const auto *tokens = reader.array("t");
-    if (tokens == nullptr || tokens->size() > MostSlotsReported) {
-        return malformed("tokens of a load report");
+    if (tokens == nullptr || tokens->size() > MaxReportedSlots) {
+        return malformedError("tokens of a load report");
     }
     for (const auto &count : *tokens) {
         if (!count.is_number_unsigned() || count.get<std::uint64_t>() > UINT32_MAX) {
-            return malformed("tokens of a load report");
+            return malformedError("tokens of a load report");
         }
         message.report.tokens.push_back(count.get<std::uint32_t>());
     }
@@ -167,7 +167,7 @@
 Result<GroupMessage> readMapReady(CborReader &reader)
 {
     return MapReady{
-        .rank = readRank(reader), .map = static_cast<MapNumber>(reader.number("n")), .loaded = reader.toggle("k")};
+        .rank = readRank(reader), .map = static_cast<MapNumber>(reader.number("n")), .loaded = reader.boolean("k")};
 }
 
 template<typename Request>
@@ -186,16 +186,16 @@
 using ReadMessage = Result<GroupMessage> (*)(CborReader &);
 
 /** In the order of GroupMessage. */
-constexpr ReadMessage Readers[] = {readLoadMap,       readMapReady,  readRequest<VoteRequest>, readRequest<CancelMap>,
+constexpr ReadMessage MessageReaders[] = {readLoadMap,       readMapReady,  readRequest<VoteRequest>, readRequest<CancelMap>,
                                    readVoteList,      readEpochNews, readRankStatus,           readStatusRequest,
                                    readRankLoadReport};
-static_assert(std::size(Readers) == std::variant_size_v<GroupMessage>);
+static_assert(std::size(MessageReaders) == std::variant_size_v<GroupMessage>);
 
 } // namespace
 
 Bytes encode(const GroupFrame &frame)
 {
-    auto json = std::visit([](const auto &message) { return fields(message); }, frame.message);
+    auto json = std::visit([](const auto &message) { return toMap(message); }, frame.message);
     json["g"] = frame.group.text();
     json["k0"] = frame.message.index();
     return toCbor(json);
@@ -205,20 +205,20 @@
 {
     nlohmann::json json;
     if (!CborReader::parse(payload, json)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(json);
     GroupFrame frame{.group = GroupName(reader.text("g"))};
-    const auto tag = reader.number("k0", LastTag);
+    const auto tag = reader.number("k0", MaxTag);
     if (!reader.ok()) {
-        return malformed("group message field " + reader.failedKey());
+        return malformedError("group message field " + reader.failedKey());
     }
-    auto message = Readers[tag](reader);
+    auto message = MessageReaders[tag](reader);
     if (const auto *error = errorIn(message)) {
         return *error;
     }
     if (!reader.ok()) {
-        return malformed("group message field " + reader.failedKey());
+        return malformedError("group message field " + reader.failedKey());
     }
     frame.message = std::move(std::get<GroupMessage>(message));
     return frame;
--- a/modules/heatherridge_protocol/grouprecord.cpp
+++ b/modules/heatherridge_protocol/grouprecord.cpp
@@ -10,46 +10,46 @@
 namespace
 {
 
-constexpr std::size_t MostLayers = 1024;
-constexpr std::size_t MostMembers = 4096;
+constexpr std::size_t MaxLayers = 1024;
+constexpr std::size_t MaxMembers = 4096;
 constexpr std::size_t BytesPerSlot = 6;
 
-void putNumber(Bytes &bytes, std::uint16_t number)
+void appendUint16(Bytes &bytes, std::uint16_t number)
 {
     bytes.push_back(static_cast<std::uint8_t>(number & 0xffU));
     bytes.push_back(static_cast<std::uint8_t>(number >> 8U));
 }
 
-std::uint16_t numberAt(const Bytes &bytes, std::size_t at)
+std::uint16_t readUint16(const Bytes &bytes, std::size_t position)
 {
-    return static_cast<std::uint16_t>(bytes[at] | (bytes[at + 1] << 8U));
+    return static_cast<std::uint16_t>(bytes[position] | (bytes[position + 1] << 8U));
 }
 
-Bytes packed(const LayerPlacement &layer)
+Bytes packLayer(const LayerPlacement &layer)
 {
     Bytes bytes;
     bytes.reserve(layer.size() * BytesPerSlot);
     for (const auto &slot : layer) {
-        putNumber(bytes, slot.expert);
-        putNumber(bytes, slot.rank);
-        putNumber(bytes, slot.share);
+        appendUint16(bytes, slot.expert);
+        appendUint16(bytes, slot.rank);
+        appendUint16(bytes, slot.share);
     }
     return bytes;
 }
 
-LayerPlacement unpacked(const Bytes &bytes)
+LayerPlacement unpackLayer(const Bytes &bytes)
 {
     LayerPlacement layer;
     layer.reserve(bytes.size() / BytesPerSlot);
-    for (std::size_t at = 0; at + BytesPerSlot <= bytes.size(); at += BytesPerSlot) {
+    for (std::size_t position = 0; position + BytesPerSlot <= bytes.size(); position += BytesPerSlot) {
         layer.push_back(
-            {.expert = numberAt(bytes, at), .rank = numberAt(bytes, at + 2), .share = numberAt(bytes, at + 4)});
+            {.expert = readUint16(bytes, position), .rank = readUint16(bytes, position + 2), .share = readUint16(bytes, position + 4)});
     }
     return layer;
 }
 
 /** The least shape that @p layers can be a placement on. */
-GroupShape shapeAround(const std::vector<LayerPlacement> &layers)
+GroupShape minimalShape(const std::vector<LayerPlacement> &layers)
 {
     GroupShape shape{.layers = static_cast<int>(layers.size())};
     int ranks = 0;
@@ -69,7 +69,7 @@
 {
     auto layers = nlohmann::json::array();
     for (const auto &layer : map.layers()) {
-        layers.push_back(binary(packed(layer)));
+        layers.push_back(binary(packLayer(layer)));
     }
     return {{"n", toNumber(map.number())}, {"l", std::move(layers)}};
 }
@@ -79,21 +79,21 @@
     CborReader reader(json);
     const auto number = static_cast<MapNumber>(reader.number("n"));
     const auto *array = reader.array("l");
-    if (!reader.ok() || array->size() > MostLayers) {
-        return malformed("expert map");
+    if (!reader.ok() || array->size() > MaxLayers) {
+        return malformedError("expert map");
     }
     std::vector<LayerPlacement> layers;
     layers.reserve(array->size());
     for (const auto &layer : *array) {
         if (!layer.is_binary() || layer.get_binary().size() % BytesPerSlot != 0) {
-            return malformed("layer of an expert map");
+            return malformedError("layer of an expert map");
         }
-        layers.push_back(unpacked(layer.get_binary()));
+        layers.push_back(unpackLayer(layer.get_binary()));
     }
-    const auto shape = shapeAround(layers);
+    const auto shape = minimalShape(layers);
     auto map = ExpertMap::create(number, shape, std::move(layers));
     if (const auto *error = errorIn(map)) {
-        return malformed(error->detail);
+        return malformedError(error->detail);
     }
     return map;
 }
@@ -117,8 +117,8 @@
                      .leader = static_cast<FencingNumber>(reader.number("f"))};
     const auto *members = reader.array("m");
     const auto *map = reader.map("x");
-    if (!reader.ok() || members->empty() || members->size() > MostMembers) {
-        return malformed("epoch field " + reader.failedKey());
+    if (!reader.ok() || members->empty() || members->size() > MaxMembers) {
+        return malformedError("epoch field " + reader.failedKey());
     }
     for (const auto &entry : *members) {
         CborReader member(entry);
@@ -126,7 +126,7 @@
                                  .incarnation = static_cast<Incarnation>(member.number("i"))});
         const auto count = epoch.members.size();
         if (!member.ok() || (count > 1 && epoch.members[count - 2].rank >= epoch.members[count - 1].rank)) {
-            return malformed("members of an epoch");
+            return malformedError("members of an epoch");
         }
     }
     auto read = expertMapFrom(*map);
@@ -137,7 +137,7 @@
     for (const auto &layer : epoch.map.layers()) {
         for (const auto &slot : layer) {
             if (epoch.find(slot.rank) == nullptr) {
-                return malformed("epoch whose map uses a rank that is no member");
+                return malformedError("epoch whose map uses a rank that is no member");
             }
         }
     }
@@ -161,14 +161,14 @@
 {
     nlohmann::json json;
     if (!CborReader::parse(payload, json)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(json);
     if (reader.has("c")) {
         const GroupClaim claim{.rank = static_cast<int>(reader.number("r", UINT16_MAX)),
                                .incarnation = static_cast<Incarnation>(reader.number("i")),
                                .replaces = static_cast<FencingNumber>(reader.number("c"))};
-        return reader.ok() ? Result<GroupRecord>(claim) : malformed("claim of a group");
+        return reader.ok() ? Result<GroupRecord>(claim) : malformedError("claim of a group");
     }
     auto epoch = groupEpochFrom(json);
     if (const auto *error = errorIn(epoch)) {
--- a/modules/heatherridge_protocol/imagepart.cpp
+++ b/modules/heatherridge_protocol/imagepart.cpp
@@ -58,7 +58,7 @@
 {
     nlohmann::json map;
     if (!CborReader::parse(payload, map)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(map);
     ImagePart part;
@@ -78,7 +78,7 @@
         reader.fail("checksum");
     }
     if (!reader.ok()) {
-        return malformed("image part field " + reader.failedKey());
+        return malformedError("image part field " + reader.failedKey());
     }
     return part;
 }
--- a/modules/heatherridge_protocol/keymessage.cpp
+++ b/modules/heatherridge_protocol/keymessage.cpp
@@ -20,24 +20,24 @@
     return array;
 }
 
-void write(json &map, const ActivateRequest &message)
+void writeFields(json &map, const ActivateRequest &message)
 {
     map["c"] = KeyCodec::toJson(message.claim);
     map["u"] = KeyCodec::toJson(message.until);
 }
 
-void write(json &map, const ActivateReply &message)
+void writeFields(json &map, const ActivateReply &message)
 {
     map["c"] = KeyCodec::toJson(message.claim);
     map["u"] = KeyCodec::toJson(message.until);
 }
 
-void write(json &map, const RevokeRequest &message)
+void writeFields(json &map, const RevokeRequest &message)
 {
     map["c"] = KeyCodec::toJson(message.claim);
 }
 
-void write(json &map, const RevokeReply &message)
+void writeFields(json &map, const RevokeReply &message)
 {
     map["c"] = KeyCodec::toJson(message.claim);
     if (message.activatedUntil) {
@@ -45,13 +45,13 @@
     }
 }
 
-void write(json &map, const ReleaseRequest &message)
+void writeFields(json &map, const ReleaseRequest &message)
 {
     map["c"] = KeyCodec::toJson(message.claim);
     map["r"] = message.withRight;
 }
 
-void write(json &map, const ReleaseReply &message)
+void writeFields(json &map, const ReleaseReply &message)
 {
     map["p"] = KeyCodec::toJson(message.claim);
     map["r"] = message.withRight;
@@ -61,14 +61,14 @@
     map["k"] = recordsToJson(message.known);
 }
 
-void write(json & /*map*/, const GatePresence & /*message*/)
+void writeFields(json & /*map*/, const GatePresence & /*message*/)
 {
 }
 
 ReleaseReply readRelease(CborReader &reader)
 {
-    return {.claim = KeyCodec::readPlacedClaim(reader, "p"),
-            .withRight = reader.toggle("r"),
+    return {.claim = KeyCodec::readLoggedClaim(reader, "p"),
+            .withRight = reader.boolean("r"),
             .until = KeyCodec::readTime(reader, "u"),
             .floor = KeyCodec::readTime(reader, "l"),
             .unrecorded = KeyCodec::readRecords(reader, "n", MaxHandOverRecords),
@@ -93,7 +93,7 @@
         return reply;
     }
     case 4:
-        return ReleaseRequest{.claim = claim(), .withRight = reader.toggle("r")};
+        return ReleaseRequest{.claim = claim(), .withRight = reader.boolean("r")};
     case 5:
         return readRelease(reader);
     default:
@@ -110,7 +110,7 @@
                 {"f", KeyCodec::toJson(frame.from)},
                 {"d", KeyCodec::toJson(frame.to)},
                 {"t", frame.message.index()}};
-    std::visit([&map](const auto &message) { write(map, message); }, frame.message);
+    std::visit([&map](const auto &message) { writeFields(map, message); }, frame.message);
     return toCbor(map);
 }
 
@@ -118,7 +118,7 @@
 {
     json map;
     if (!CborReader::parse(payload, map)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(map);
     KeyFrame frame{.service = ServiceName(reader.text("s")),
@@ -127,7 +127,7 @@
                    .to = KeyCodec::readGate(reader, "d"),
                    .message = readMessage(reader)};
     if (!reader.ok()) {
-        return malformed("key message field " + reader.failedKey());
+        return malformedError("key message field " + reader.failedKey());
     }
     return frame;
 }
--- a/modules/heatherridge_protocol/keyrecordcodec.cpp
+++ b/modules/heatherridge_protocol/keyrecordcodec.cpp
@@ -45,9 +45,9 @@
             {"u", toJson(claim.until)},        {"f", toJson(claim.floor)},     {"l", claim.afterLoss}};
 }
 
-json toJson(const LoggedClaim &placed)
+json toJson(const LoggedClaim &logged)
 {
-    return {{"o", toNumber(placed.offset)}, {"c", toJson(placed.claim)}};
+    return {{"o", toNumber(logged.offset)}, {"c", toJson(logged.claim)}};
 }
 
 json toJson(const LedgerView &view)
@@ -59,10 +59,10 @@
     return map;
 }
 
-std::string boundedText(CborReader &reader, std::string_view key, std::size_t most)
+std::string boundedText(CborReader &reader, std::string_view key, std::size_t maxCount)
 {
     auto text = reader.text(key);
-    if (text.size() > most) {
+    if (text.size() > maxCount) {
         reader.fail(key);
         return {};
     }
@@ -71,7 +71,7 @@
 
 /** Runs @p read on the map at @p key and passes a failure in it on to @p reader. */
 template<typename Read>
-auto nested(CborReader &reader, std::string_view key, Read read)
+auto readNested(CborReader &reader, std::string_view key, Read read)
 {
     static const json Empty = json::object();
     const auto *map = reader.map(key);
@@ -124,7 +124,7 @@
         reader.fail("b");
     }
     answer.body.assign(body.begin(), body.end());
-    answer.bodyDropped = reader.toggle("d");
+    answer.bodyDropped = reader.boolean("d");
     return answer;
 }
 
@@ -140,7 +140,7 @@
         .key = readKey(reader, "k"), .fingerprint = readFingerprint(reader), .runner = KeyCodec::readGate(reader, "r")};
     outcome.runState = static_cast<RunState>(reader.number("e", static_cast<std::uint64_t>(RunState::Unknown)));
     if (outcome.runState == RunState::Answered) {
-        outcome.answer = nested(reader, "a", readAnswer);
+        outcome.answer = readNested(reader, "a", readAnswer);
     }
     return outcome;
 }
@@ -162,13 +162,13 @@
     }
     claim.until = KeyCodec::readTime(reader, "u");
     claim.floor = KeyCodec::readTime(reader, "f");
-    claim.afterLoss = reader.toggle("l");
+    claim.afterLoss = reader.boolean("l");
     return claim;
 }
 
-LoggedClaim readPlacedClaimFields(CborReader &reader)
+LoggedClaim readLoggedClaimFields(CborReader &reader)
 {
-    return {.offset = static_cast<LogOffset>(reader.number("o")), .claim = nested(reader, "c", readClaim)};
+    return {.offset = static_cast<LogOffset>(reader.number("o")), .claim = readNested(reader, "c", readClaim)};
 }
 
 LedgerView readView(CborReader &reader)
@@ -177,7 +177,7 @@
                     .floor = KeyCodec::readTime(reader, "f"),
                     .newestKeyTime = KeyCodec::readTime(reader, "n")};
     if (reader.has("p")) {
-        view.claim = nested(reader, "p", readPlacedClaimFields);
+        view.claim = readNested(reader, "p", readLoggedClaimFields);
     }
     return view;
 }
@@ -191,7 +191,7 @@
     case RecordTag::Outcome:
         return readOutcome(reader);
     case RecordTag::Claim:
-        return nested(reader, "c", readClaim);
+        return readNested(reader, "c", readClaim);
     }
     reader.fail("t");
     return KeyIntent{};
@@ -222,19 +222,19 @@
     return Heatherridge::toJson(claim);
 }
 
-LoggedClaim readPlacedClaim(CborReader &reader, std::string_view key)
+LoggedClaim readLoggedClaim(CborReader &reader, std::string_view key)
 {
-    return nested(reader, key, readPlacedClaimFields);
+    return readNested(reader, key, readLoggedClaimFields);
 }
 
 json toJson(const KeyRecord &record)
 {
-    const auto common = [](RecordTag tag, const auto &of) {
+    const auto common = [](RecordTag tag, const auto &entry) {
         return json{{"t", static_cast<unsigned>(tag)},
-                    {"k", Heatherridge::toJson(of.key)},
-                    {"h", of.fingerprint.high},
-                    {"o", of.fingerprint.low},
-                    {"r", toJson(of.runner)}};
+                    {"k", Heatherridge::toJson(entry.key)},
+                    {"h", entry.fingerprint.high},
+                    {"o", entry.fingerprint.low},
+                    {"r", toJson(entry.runner)}};
     };
     return std::visit(
         Visitor{
@@ -260,12 +260,12 @@
 
 GateId readGate(CborReader &reader, std::string_view key)
 {
-    return nested(reader, key, readGateFields);
+    return readNested(reader, key, readGateFields);
 }
 
 ClaimId readClaimId(CborReader &reader, std::string_view key)
 {
-    return nested(reader, key, [](CborReader &inner) {
+    return readNested(reader, key, [](CborReader &inner) {
         return ClaimId{.holder = readGate(inner, "h"), .serial = inner.number("n")};
     });
 }
@@ -275,11 +275,11 @@
     return WallTime(std::chrono::milliseconds(reader.integer(key, 0, MaxTime)));
 }
 
-std::vector<KeyRecord> readRecords(CborReader &reader, std::string_view key, std::size_t most)
+std::vector<KeyRecord> readRecords(CborReader &reader, std::string_view key, std::size_t maxCount)
 {
     std::vector<KeyRecord> records;
     const auto *array = reader.array(key);
-    if (array == nullptr || array->size() > most) {
+    if (array == nullptr || array->size() > maxCount) {
         reader.fail(key);
         return records;
     }
@@ -318,18 +318,18 @@
 {
     json map;
     if (!CborReader::parse(payload, map)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(map);
     const auto version = reader.number("v");
     KeyBatch batch{
-        .writer = KeyCodec::readGate(reader, "w"), .serial = reader.number("n"), .view = nested(reader, "s", readView)};
+        .writer = KeyCodec::readGate(reader, "w"), .serial = reader.number("n"), .view = readNested(reader, "s", readView)};
     if (reader.has("b")) {
         batch.onBehalfOf = KeyCodec::readClaimId(reader, "b");
     }
     batch.records = KeyCodec::readRecords(reader, "r", MaxKeyRecords);
     if (!reader.ok() || version != 1) {
-        return malformed("key batch field " + reader.failedKey());
+        return malformedError("key batch field " + reader.failedKey());
     }
     return batch;
 }
--- a/modules/heatherridge_protocol/keyrecordcodec.h
+++ b/modules/heatherridge_protocol/keyrecordcodec.h
@@ -36,13 +36,13 @@
 ClaimId readClaimId(CborReader &reader, std::string_view key);
 
 /** Reads a claim with its place in the log. */
-LoggedClaim readPlacedClaim(CborReader &reader, std::string_view key);
+LoggedClaim readLoggedClaim(CborReader &reader, std::string_view key);
 
 /** Reads a point of calendar time in milliseconds. */
 WallTime readTime(CborReader &reader, std::string_view key);
 
 /** Reads the array of records at @p key, at most @p most of them. */
-std::vector<KeyRecord> readRecords(CborReader &reader, std::string_view key, std::size_t most);
+std::vector<KeyRecord> readRecords(CborReader &reader, std::string_view key, std::size_t maxCount);
 
 } // namespace KeyCodec
 
--- a/modules/heatherridge_protocol/rankmessage.cpp
+++ b/modules/heatherridge_protocol/rankmessage.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-json optionalNumber(const std::optional<MapNumber> &number)
+json optionalMapNumber(const std::optional<MapNumber> &number)
 {
     return number ? json(toNumber(*number)) : json();
 }
@@ -25,20 +25,20 @@
 }
 
 /** Bytes that spell the number of an expert. */
-constexpr unsigned NarrowExpert = 1;
-constexpr unsigned WideExpert = 2;
+constexpr unsigned OneByteExperts = 1;
+constexpr unsigned TwoByteExperts = 2;
 /** The number that the JSON library's errors want; of no meaning here. */
-constexpr int LayoutCutShort = 600;
+constexpr int TruncatedLayoutError = 600;
 
 /** The bytes of @p set: for each rank how many experts it holds, and these. */
-std::vector<std::uint8_t> bytesOf(const SetLayout &set, unsigned width)
+std::vector<std::uint8_t> encodeSet(const SetLayout &set, unsigned width)
 {
     std::vector<std::uint8_t> bytes;
     for (const auto &experts : set) {
         bytes.push_back(static_cast<std::uint8_t>(experts.size()));
         for (const auto expert : experts) {
             bytes.push_back(static_cast<std::uint8_t>(expert & 0xFFU));
-            if (width == WideExpert) {
+            if (width == TwoByteExperts) {
                 bytes.push_back(static_cast<std::uint8_t>(expert >> 8U));
             }
         }
@@ -56,70 +56,70 @@
     });
 }
 
-unsigned widthFor(const ExpertLayout &layout)
+unsigned expertNumberBytes(const ExpertLayout &layout)
 {
     std::uint16_t highest = 0;
     for (const auto &set : layout) {
         for (const auto &experts : set) {
             highest = std::accumulate(experts.begin(), experts.end(), highest,
-                                      [](auto most, auto expert) { return std::max(most, expert); });
+                                      [](auto maximum, auto expert) { return std::max(maximum, expert); });
         }
     }
-    return highest <= std::numeric_limits<std::uint8_t>::max() ? NarrowExpert : WideExpert;
+    return highest <= std::numeric_limits<std::uint8_t>::max() ? OneByteExperts : TwoByteExperts;
 }
 
 /** Layouts go to every rank of a group at each switch: a byte or two an expert. */
-json spelled(const ExpertLayout &layout)
+json encodeLayout(const ExpertLayout &layout)
 {
     if (!isCompact(layout)) {
         return layout;
     }
-    const auto width = widthFor(layout);
+    const auto width = expertNumberBytes(layout);
     json sets = json::array();
     for (const auto &set : layout) {
-        sets.push_back(json::binary(bytesOf(set, width)));
+        sets.push_back(json::binary(encodeSet(set, width)));
     }
     return json::array({width, std::move(sets)});
 }
 
 /** Reads the bytes of a set. Bytes that end within a rank throw as a missing field does. */
-SetLayout setFrom(const std::vector<std::uint8_t> &bytes, unsigned width)
+SetLayout decodeSet(const std::vector<std::uint8_t> &bytes, unsigned width)
 {
     SetLayout set;
-    for (std::size_t at = 0; at < bytes.size();) {
-        const std::size_t count = bytes[at++];
-        if (bytes.size() - at < count * width) {
-            throw json::other_error::create(LayoutCutShort, "a layout ends within a rank", nullptr);
+    for (std::size_t position = 0; position < bytes.size();) {
+        const std::size_t count = bytes[position++];
+        if (bytes.size() - position < count * width) {
+            throw json::other_error::create(TruncatedLayoutError, "a layout ends within a rank", nullptr);
         }
         auto &experts = set.emplace_back();
-        for (std::size_t index = 0; index < count; ++index, at += width) {
-            const unsigned high = width == WideExpert ? bytes[at + 1] : 0U;
-            experts.push_back(static_cast<std::uint16_t>(bytes[at] | (high << 8U)));
+        for (std::size_t index = 0; index < count; ++index, position += width) {
+            const unsigned high = width == TwoByteExperts ? bytes[position + 1] : 0U;
+            experts.push_back(static_cast<std::uint16_t>(bytes[position] | (high << 8U)));
         }
     }
     return set;
 }
 
-ExpertLayout layoutFrom(const json &value)
+ExpertLayout decodeLayout(const json &value)
 {
     if (value.empty() || !value.front().is_number()) {
         return value.get<ExpertLayout>();
     }
-    const auto width = value.at(0).get<unsigned>() == NarrowExpert ? NarrowExpert : WideExpert;
+    const auto width = value.at(0).get<unsigned>() == OneByteExperts ? OneByteExperts : TwoByteExperts;
     ExpertLayout layout;
     for (const auto &set : value.at(1)) {
-        layout.push_back(setFrom(set.get_binary(), width));
+        layout.push_back(decodeSet(set.get_binary(), width));
     }
     return layout;
 }
 
-RankOrder orderFrom(const json &fields)
+RankOrder decodeOrder(const json &fields)
 {
     const auto kind = fields.at(0).get<std::size_t>();
     const auto map = [&] { return static_cast<MapNumber>(fields.at(1).get<std::uint64_t>()); };
     switch (kind) {
     case 0:
-        return PrepareMap{.map = map(), .layout = layoutFrom(fields.at(2))};
+        return PrepareMap{.map = map(), .layout = decodeLayout(fields.at(2))};
     case 1:
         return ArmMap{.map = map(), .step = fields.at(2).get<std::uint64_t>()};
     case 2:
@@ -131,11 +131,11 @@
     }
 }
 
-json fieldsOf(const RankOrder &order)
+json encodeOrder(const RankOrder &order)
 {
     const auto kind = order.index();
     return std::visit(Visitor{[kind](const PrepareMap &prepare) {
-                                  return json::array({kind, toNumber(prepare.map), spelled(prepare.layout)});
+                                  return json::array({kind, toNumber(prepare.map), encodeLayout(prepare.layout)});
                               },
                               [kind](const ArmMap &arm) {
                                   return json::array({kind, toNumber(arm.map), arm.step});
@@ -156,31 +156,31 @@
 
 std::string encode(const RankStatus &status)
 {
-    return cborOf(
+    return encodeCbor(
         json::array({status.group.text(), status.epoch, status.rank, status.size, status.isOpen, status.step,
-                     toNumber(status.map), optionalNumber(status.prepared), optionalNumber(status.armed),
+                     toNumber(status.map), optionalMapNumber(status.prepared), optionalMapNumber(status.armed),
                      status.heldStep ? json(*status.heldStep) : json(), status.running, status.waiting, status.slowdown,
                      status.countsLastPolledAgo ? json(status.countsLastPolledAgo->count()) : json()}));
 }
 
 std::string encode(const RankExperts &experts)
 {
-    return cborOf(json::array({toNumber(experts.map), experts.bySet}));
+    return encodeCbor(json::array({toNumber(experts.map), experts.bySet}));
 }
 
 std::string encode(const RankOrderMessage &message)
 {
-    return cborOf(json::array({message.target.text(), message.epoch, fieldsOf(message.order)}));
+    return encodeCbor(json::array({message.target.text(), message.epoch, encodeOrder(message.order)}));
 }
 
 std::string encode(OrderReply reply)
 {
-    return cborOf(json(static_cast<int>(reply)));
+    return encodeCbor(json(static_cast<int>(reply)));
 }
 
 Result<RankStatus> decodeRankStatus(std::string_view bytes)
 {
-    return decodedCbor(bytes, [](const json &fields) {
+    return decodeCbor(bytes, [](const json &fields) {
         RankStatus status{.group = GroupName(fields.at(0).get<std::string>()),
                           .epoch = fields.at(1).get<std::uint64_t>(),
                           .rank = fields.at(2).get<int>(),
@@ -205,7 +205,7 @@
 
 Result<RankExperts> decodeRankExperts(std::string_view bytes)
 {
-    return decodedCbor(bytes, [](const json &fields) {
+    return decodeCbor(bytes, [](const json &fields) {
         return RankExperts{.map = static_cast<MapNumber>(fields.at(0).get<std::uint64_t>()),
                            .bySet = fields.at(1).get<std::vector<std::vector<std::uint16_t>>>()};
     });
@@ -213,16 +213,16 @@
 
 Result<RankOrderMessage> decodeRankOrder(std::string_view bytes)
 {
-    return decodedCbor(bytes, [](const json &fields) {
+    return decodeCbor(bytes, [](const json &fields) {
         return RankOrderMessage{.target = TargetName(fields.at(0).get<std::string>()),
                                 .epoch = fields.at(1).get<std::uint64_t>(),
-                                .order = orderFrom(fields.at(2))};
+                                .order = decodeOrder(fields.at(2))};
     });
 }
 
 Result<OrderReply> decodeOrderReply(std::string_view bytes)
 {
-    return decodedCbor(bytes, [](const json &value) {
+    return decodeCbor(bytes, [](const json &value) {
         const auto number = value.get<int>();
         // A word of a later version is as good as none.
         return number == static_cast<int>(OrderReply::Accepted) || number == static_cast<int>(OrderReply::Refused)
--- a/modules/heatherridge_protocol/trafficmessage.cpp
+++ b/modules/heatherridge_protocol/trafficmessage.cpp
@@ -10,15 +10,15 @@
 
 using nlohmann::json;
 
-constexpr std::size_t MostHeaders = 128;
-constexpr int HighestPriority = 1000;
-constexpr int HighestAttempt = 100;
-constexpr std::int64_t LongestMilliseconds = 86'400'000;
-constexpr std::int64_t LowestStatus = 100;
-constexpr std::int64_t HighestStatus = 999;
+constexpr std::size_t MaxHeaders = 128;
+constexpr int MaxPriority = 1000;
+constexpr int MaxAttempt = 100;
+constexpr std::int64_t MaxDurationMs = 86'400'000;
+constexpr std::int64_t MinHttpStatus = 100;
+constexpr std::int64_t MaxHttpStatus = 999;
 
 /** The alternatives' place in the variant is their type number on the wire. */
-enum class Type : std::uint64_t { Submit, Cancel, Credit, Head, Chunk, End, Error, Load };
+enum class MessageType : std::uint64_t { Submit, Cancel, Credit, Head, Chunk, End, Error, Load };
 
 json encodeHeaders(const std::vector<HeaderField> &headers)
 {
@@ -37,7 +37,7 @@
     if (list == nullptr) {
         return headers;
     }
-    if (list->size() % 2 != 0 || list->size() > 2 * MostHeaders) {
+    if (list->size() % 2 != 0 || list->size() > 2 * MaxHeaders) {
         reader.fail("h");
         return headers;
     }
@@ -116,12 +116,12 @@
             {"pp", message.pendingPrompt}, {"wm", message.warmth},   {"pc", message.pace.count()}};
 }
 
-const RequestId &idOf(const auto &message)
+const RequestId &requestIdOf(const auto &message)
 {
     return message.id;
 }
 
-RequestId idOf(const LoadReport & /*message*/)
+RequestId requestIdOf(const LoadReport & /*message*/)
 {
     return {};
 }
@@ -136,13 +136,13 @@
                          .query = reader.text("q"),
                          .headers = readHeaders(reader),
                          .body = reader.bytes("b"),
-                         .priority = static_cast<int>(reader.integer("pr", -HighestPriority, HighestPriority)),
-                         .timeLeft = std::chrono::milliseconds(reader.integer("d", 0, LongestMilliseconds)),
+                         .priority = static_cast<int>(reader.integer("pr", -MaxPriority, MaxPriority)),
+                         .timeLeft = std::chrono::milliseconds(reader.integer("d", 0, MaxDurationMs)),
                          .key = IdempotencyKey(reader.text("k")),
-                         .mayRepeat = reader.toggle("r"),
+                         .mayRepeat = reader.boolean("r"),
                          .cost = reader.number("c"),
                          .freshTokens = reader.number("ft"),
-                         .attempt = static_cast<int>(reader.integer("a", 1, HighestAttempt))};
+                         .attempt = static_cast<int>(reader.integer("a", 1, MaxAttempt))};
 }
 
 TrafficMessage readError(CborReader &reader, RequestId id)
@@ -158,7 +158,7 @@
         message.askAt = TargetName(reader.text("a"));
     }
     if (reader.has("d")) {
-        message.retryAfter = std::chrono::milliseconds(reader.integer("d", 0, LongestMilliseconds));
+        message.retryAfter = std::chrono::milliseconds(reader.integer("d", 0, MaxDurationMs));
     }
     return message;
 }
@@ -169,36 +169,36 @@
                       .running = reader.number("u"),
                       .queued = reader.number("q"),
                       .limit = reader.number("l"),
-                      .draining = reader.toggle("x"),
+                      .draining = reader.boolean("x"),
                       .load = reader.fraction("lo"),
                       .ofEntry = reader.fraction("oe"),
                       .capacity = reader.fraction("cp"),
                       .pressure = reader.fraction("ps"),
                       .pendingPrompt = reader.fraction("pp"),
                       .warmth = reader.fraction("wm"),
-                      .pace = std::chrono::microseconds(reader.integer("pc", 0, LongestMilliseconds * 1000))};
+                      .pace = std::chrono::microseconds(reader.integer("pc", 0, MaxDurationMs * 1000))};
 }
 
-TrafficMessage readBody(CborReader &reader, Type type, RequestId id)
+TrafficMessage readBody(CborReader &reader, MessageType type, RequestId id)
 {
     switch (type) {
-    case Type::Submit:
+    case MessageType::Submit:
         return readSubmit(reader, std::move(id));
-    case Type::Cancel:
+    case MessageType::Cancel:
         return CancelRequest{.id = std::move(id)};
-    case Type::Credit:
+    case MessageType::Credit:
         return GrantCredit{.id = std::move(id), .bytes = reader.number("n")};
-    case Type::Head:
+    case MessageType::Head:
         return AnswerHead{.id = std::move(id),
-                          .status = static_cast<int>(reader.integer("st", LowestStatus, HighestStatus)),
+                          .status = static_cast<int>(reader.integer("st", MinHttpStatus, MaxHttpStatus)),
                           .headers = readHeaders(reader)};
-    case Type::Chunk:
+    case MessageType::Chunk:
         return AnswerChunk{.id = std::move(id), .sequence = reader.number("n"), .bytes = reader.bytes("b")};
-    case Type::End:
+    case MessageType::End:
         return AnswerEnd{.id = std::move(id), .chunks = reader.number("n")};
-    case Type::Error:
+    case MessageType::Error:
         return readError(reader, std::move(id));
-    case Type::Load:
+    case MessageType::Load:
         return readLoad(reader);
     }
     return CancelRequest{};
@@ -212,7 +212,7 @@
         [&message](const auto &alternative) {
             auto map = toMap(alternative);
             map["ty"] = message.index();
-            map["id"] = idOf(alternative).text();
+            map["id"] = requestIdOf(alternative).text();
             return toCbor(map);
         },
         message);
@@ -222,17 +222,17 @@
 {
     json map;
     if (!CborReader::parse(payload, map)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(map);
-    const auto type = static_cast<Type>(reader.number("ty", std::variant_size_v<TrafficMessage> - 1));
+    const auto type = static_cast<MessageType>(reader.number("ty", std::variant_size_v<TrafficMessage> - 1));
     RequestId id(reader.text("id"));
     auto message = readBody(reader, type, id);
     if (!reader.ok()) {
-        return malformed("traffic field " + reader.failedKey());
+        return malformedError("traffic field " + reader.failedKey());
     }
-    if (id.isEmpty() && type != Type::Load) {
-        return malformed("no request id");
+    if (id.isEmpty() && type != MessageType::Load) {
+        return malformedError("no request id");
     }
     return message;
 }
