--- a/extras/heatherridge-standin/rankstandin.cpp
+++ b/extras/heatherridge-standin/rankstandin.cpp
@@ -80,12 +80,12 @@
 void RankStandIn::takeOrder(const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto &body = exchange->request().body;
-    const auto decoded = decodeSignedOrder(Bytes(body.begin(), body.end()));
+    const auto decoded = decodeEngineOrderRequest(Bytes(body.begin(), body.end()));
     if (const auto *error = errorIn(decoded)) {
         respondFailure(*exchange, 400, error->detail);
         return;
     }
-    const auto &[run, order] = std::get<SignedOrder>(decoded);
+    const auto &[run, order] = std::get<EngineOrderRequest>(decoded);
     count("orders");
     if (!m_engine.acceptsRun(run) && fault("checks-orders") != 0) {
         count("refused");
--- a/modules/heatherridge_coordination/config/configrelay.cpp
+++ b/modules/heatherridge_coordination/config/configrelay.cpp
@@ -177,8 +177,8 @@
 {
     auto &peer = m_peers.at(from);
     peer.heartbeat = heartbeat;
-    if (heartbeat.freshAge && m_replica.state().offset() >= peer.offset) {
-        const auto freshAt = now - *heartbeat.freshAge;
+    if (heartbeat.caughtUpAge && m_replica.state().offset() >= peer.offset) {
+        const auto freshAt = now - *heartbeat.caughtUpAge;
         m_freshAt = m_freshAt ? std::max(*m_freshAt, freshAt) : freshAt;
     }
 }
@@ -337,8 +337,8 @@
     const Heartbeat heartbeat{.digest = m_replica.state().digest(),
                               .phase = m_phase,
                               .open = m_openRequests,
-                              .freshAge = freshAge(now),
-                              .logOut = m_isLogUnreachable || (!m_shouldReadLog && sourcesReportOutage())};
+                              .caughtUpAge = freshAge(now),
+                              .logUnreachable = m_isLogUnreachable || (!m_shouldReadLog && sourcesReportOutage())};
     for (const auto &[process, peer] : m_peers) {
         if (peer.isSubscriber || peer.isConnected) {
             m_links.send(process, heartbeat);
@@ -446,7 +446,7 @@
 bool ConfigRelay::sourcesReportOutage() const
 {
     return std::all_of(m_peers.begin(), m_peers.end(),
-                       [](const auto &entry) { return !entry.second.isConnected || entry.second.heartbeat.logOut; });
+                       [](const auto &entry) { return !entry.second.isConnected || entry.second.heartbeat.logUnreachable; });
 }
 
 void ConfigRelay::erasePeerIfUnused(const ProcessName &process)
--- a/modules/heatherridge_coordination/groups/groupleader.cpp
+++ b/modules/heatherridge_coordination/groups/groupleader.cpp
@@ -42,7 +42,7 @@
     m_phase = Phase::Idle;
     m_decidedTallies.clear();
     for (const int rank : m_ranks) {
-        sendToGate(rank, EpochNews{epoch});
+        sendToGate(rank, EpochAnnouncement{epoch});
     }
     return takePendingActions();
 }
@@ -106,7 +106,7 @@
         if (status == nullptr) {
             sendToGate(rank, StatusRequest{.leader = m_fencing});
         } else if (m_epochs.current() && status->epoch < m_epochs.current()->number) {
-            sendToGate(rank, EpochNews{*m_epochs.current()});
+            sendToGate(rank, EpochAnnouncement{*m_epochs.current()});
         }
     }
     switch (m_phase) {
@@ -198,7 +198,7 @@
     if (found != m_decidedTallies.end()) {
         sendToGate(fromRank, found->second.toVoteList(message.map));
     } else if (m_epochs.current() && message.epoch < m_epochs.current()->number) {
-        sendToGate(fromRank, EpochNews{*m_epochs.current()});
+        sendToGate(fromRank, EpochAnnouncement{*m_epochs.current()});
     }
 }
 
@@ -209,7 +209,7 @@
     }
 }
 
-void GroupLeader::handleMessage(const EpochNews &message, int /*fromRank*/)
+void GroupLeader::handleMessage(const EpochAnnouncement &message, int /*fromRank*/)
 {
     // Gates learn epochs from the stream, so the stream holds a record that this leader has not read yet.
     auto actions = handleEpoch(message.epoch);
--- a/modules/heatherridge_coordination/groups/groupleader.h
+++ b/modules/heatherridge_coordination/groups/groupleader.h
@@ -130,7 +130,7 @@
     void handleMessage(const MapReady &message, int fromRank);
     void handleMessage(const VoteList &message, int fromRank);
     void handleMessage(const RankStatus &message, int fromRank);
-    void handleMessage(const EpochNews &message, int fromRank);
+    void handleMessage(const EpochAnnouncement &message, int fromRank);
     template<typename Other>
     void handleMessage(const Other &message, int fromRank);
 
--- a/modules/heatherridge_coordination/groups/rankgate.cpp
+++ b/modules/heatherridge_coordination/groups/rankgate.cpp
@@ -101,7 +101,7 @@
     const auto &epoch = m_epochs.current();
     if (epoch && epoch->number == m_engineState->epoch && m_engineState->next == StepNumber{}) {
         // Other ranks may not know the epoch yet, and the first step waits for all of them.
-        m_actions.push_back(SendToRank{nextPeer(), EpochNews{*epoch}});
+        m_actions.push_back(SendToRank{nextPeer(), EpochAnnouncement{*epoch}});
     }
     return takePendingActions();
 }
@@ -124,7 +124,7 @@
     }
     const auto &epoch = m_epochs.current();
     if (epoch && epoch->number > message.epoch) {
-        reply(fromRank, EpochNews{*epoch});
+        reply(fromRank, EpochAnnouncement{*epoch});
         return;
     }
     const auto number = message.map.number();
@@ -190,7 +190,7 @@
     }
 }
 
-void RankGate::handleMessage(const EpochNews &message, int /*fromRank*/)
+void RankGate::handleMessage(const EpochAnnouncement &message, int /*fromRank*/)
 {
     if (!m_options.safeguards.firstEpochWins && m_epochs.current()
         && m_epochs.current()->number == message.epoch.number) {
@@ -234,7 +234,7 @@
         return false;
     }
     if (m_epochs.current() && m_epochs.current()->number > epoch) {
-        reply(fromRank, EpochNews{*m_epochs.current()});
+        reply(fromRank, EpochAnnouncement{*m_epochs.current()});
     }
     return true;
 }
--- a/modules/heatherridge_coordination/groups/rankgate.h
+++ b/modules/heatherridge_coordination/groups/rankgate.h
@@ -116,7 +116,7 @@
     void handleMessage(const VoteRequest &message, int fromRank);
     void handleMessage(const CancelMap &message, int fromRank);
     void handleMessage(const VoteList &message, int fromRank);
-    void handleMessage(const EpochNews &message, int fromRank);
+    void handleMessage(const EpochAnnouncement &message, int fromRank);
     void handleMessage(const StatusRequest &message, int fromRank);
 
     template<typename Other>
--- a/modules/heatherridge_coordination/keys/claimmanager.cpp
+++ b/modules/heatherridge_coordination/keys/claimmanager.cpp
@@ -104,7 +104,7 @@
     const auto &claim = current->claim;
     const auto holder = releasedTo(ledger).value_or(claim.id.holder);
     if (holder != m_self && !m_acceptedHandOvers.contains(claim.id)) {
-        messages.push_back({.to = holder, .message = ReleaseRequest{.claim = claim.id, .withRight = !logAvailable}});
+        messages.push_back({.to = holder, .message = ReleaseRequest{.claim = claim.id, .withOfflineRight = !logAvailable}});
     }
     if (logAvailable) {
         for (const auto &witness : claim.witnesses) {
@@ -157,7 +157,7 @@
     const auto active = *activeClaim(ledger);
     ReleaseReply reply;
     reply.claim = active;
-    reply.withRight = request.withRight;
+    reply.withOfflineRight = request.withOfflineRight;
     reply.floor = active == m_handedOverClaim ? std::max(m_handedOverFloor, ledger.floor()) : ledger.floor();
     reply.until = active.claim.witnesses.empty() ? WallTime{} : active.claim.until;
     const auto promises = m_promises.find(request.claim);
@@ -187,7 +187,7 @@
     if (isReleased(id) || !m_acceptedHandOvers.insert(id).second) {
         return false;
     }
-    if (reply.withRight) {
+    if (reply.withOfflineRight) {
         m_handedOverClaim = reply.claim;
         m_handedOverFloor = reply.floor;
         for (const auto &witness : reply.claim.claim.witnesses) {
--- a/modules/heatherridge_coordination/keys/keygate.cpp
+++ b/modules/heatherridge_coordination/keys/keygate.cpp
@@ -533,7 +533,7 @@
     if (!m_claimManager.canRelease(to, request, m_ledger)) {
         return;
     }
-    auto knownRecords = request.withRight ? m_unrecorded.snapshot(m_ledger) : std::vector<KeyRecord>{};
+    auto knownRecords = request.withOfflineRight ? m_unrecorded.snapshot(m_ledger) : std::vector<KeyRecord>{};
     const auto unconfirmedRecords = m_writer.unconfirmedRecords();
     if (knownRecords.size() > MaxHandOverRecords || unconfirmedRecords.size() > MaxHandOverRecords) {
         return;
--- a/modules/heatherridge_protocol/controlmessage.cpp
+++ b/modules/heatherridge_protocol/controlmessage.cpp
@@ -62,9 +62,9 @@
     map["d"] = toNumber(heartbeat.digest);
     map["s"] = static_cast<unsigned>(heartbeat.phase);
     map["n"] = heartbeat.open;
-    map["x"] = heartbeat.logOut;
-    if (heartbeat.freshAge) {
-        map["a"] = heartbeat.freshAge->count();
+    map["x"] = heartbeat.logUnreachable;
+    if (heartbeat.caughtUpAge) {
+        map["a"] = heartbeat.caughtUpAge->count();
     }
     return map;
 }
@@ -113,9 +113,9 @@
     heartbeat.digest = static_cast<Digest>(reader.number("d"));
     heartbeat.phase = static_cast<ProcessPhase>(reader.number("s", PhaseNames.size() - 1));
     heartbeat.open = static_cast<std::uint32_t>(reader.number("n", UINT32_MAX));
-    heartbeat.logOut = reader.boolean("x");
+    heartbeat.logUnreachable = reader.boolean("x");
     if (reader.has("a")) {
-        heartbeat.freshAge = std::chrono::milliseconds(reader.integer("a", 0, MaxAge.count()));
+        heartbeat.caughtUpAge = std::chrono::milliseconds(reader.integer("a", 0, MaxAge.count()));
     }
     return checkedMessage(reader, heartbeat);
 }
--- a/modules/heatherridge_protocol/controlmessage.h
+++ b/modules/heatherridge_protocol/controlmessage.h
@@ -70,8 +70,8 @@
     std::uint32_t open = 0; ///< requests and streams that are running
     /** How long ago the log is known to have held nothing beyond the envelope's offset; nothing when never. An age, not
      * a time, so that clocks which disagree do no harm. */
-    std::optional<std::chrono::milliseconds> freshAge{};
-    bool logOut = false; ///< the sender, or whoever it gets its records from, gets no answer from the log
+    std::optional<std::chrono::milliseconds> caughtUpAge{};
+    bool logUnreachable = false; ///< the sender, or whoever it gets its records from, gets no answer from the log
 
     bool operator==(const Heartbeat &) const = default;
 };
--- a/modules/heatherridge_protocol/engineorder.cpp
+++ b/modules/heatherridge_protocol/engineorder.cpp
@@ -156,7 +156,7 @@
 
 } // namespace
 
-Bytes encode(const SignedOrder &order)
+Bytes encode(const EngineOrderRequest &order)
 {
     auto json = std::visit([](const auto &typed) { return toMap(typed); }, order.order);
     json["k"] = order.order.index();
@@ -164,7 +164,7 @@
     return toCbor(json);
 }
 
-Result<SignedOrder> decodeSignedOrder(const Bytes &bytes)
+Result<EngineOrderRequest> decodeEngineOrderRequest(const Bytes &bytes)
 {
     nlohmann::json json;
     if (!CborReader::parse(bytes, json)) {
@@ -183,7 +183,7 @@
     if (!reader.ok()) {
         return malformedError("order field " + reader.failedKey());
     }
-    return SignedOrder{.run = run, .order = std::move(std::get<EngineOrder>(order))};
+    return EngineOrderRequest{.run = run, .order = std::move(std::get<EngineOrder>(order))};
 }
 
 Bytes encode(const EngineState &state)
--- a/modules/heatherridge_protocol/engineorder.h
+++ b/modules/heatherridge_protocol/engineorder.h
@@ -145,17 +145,17 @@
     std::variant<PollEngine, LoadWeights, DropWeights, LimitSteps, ScheduleMap, LiftLimit, EnterEpoch, LeaveEpoch>;
 
 /** An order and the run of the gate that gives it, as the body of a request to the engine. */
-struct SignedOrder
+struct EngineOrderRequest
 {
     Incarnation run{};
     EngineOrder order{};
 };
 
 /** The CBOR of @p order. */
-Bytes encode(const SignedOrder &order);
+Bytes encode(const EngineOrderRequest &order);
 
 /** Reads an order. Hostile input yields MalformedFrame. */
-Result<SignedOrder> decodeSignedOrder(const Bytes &bytes);
+Result<EngineOrderRequest> decodeEngineOrderRequest(const Bytes &bytes);
 
 /** The CBOR of @p state. */
 Bytes encode(const EngineState &state);
--- a/modules/heatherridge_protocol/groupmessage.cpp
+++ b/modules/heatherridge_protocol/groupmessage.cpp
@@ -51,7 +51,7 @@
     return json;
 }
 
-nlohmann::json toMap(const EpochNews &message)
+nlohmann::json toMap(const EpochAnnouncement &message)
 {
     return {{"p", toJson(message.epoch)}};
 }
@@ -121,7 +121,7 @@
     return list;
 }
 
-Result<GroupMessage> readEpochNews(CborReader &reader)
+Result<GroupMessage> readEpochAnnouncement(CborReader &reader)
 {
     const auto *json = reader.map("p");
     if (json == nullptr) {
@@ -131,7 +131,7 @@
     if (const auto *error = errorIn(epoch)) {
         return *error;
     }
-    return EpochNews{.epoch = std::move(std::get<GroupEpoch>(epoch))};
+    return EpochAnnouncement{.epoch = std::move(std::get<GroupEpoch>(epoch))};
 }
 
 Result<GroupMessage> readRankLoadReport(CborReader &reader)
@@ -187,7 +187,7 @@
 
 /** In the order of GroupMessage. */
 constexpr ReadMessage MessageReaders[] = {readLoadMap,       readMapReady,  readRequest<VoteRequest>, readRequest<CancelMap>,
-                                   readVoteList,      readEpochNews, readRankStatus,           readStatusRequest,
+                                   readVoteList,      readEpochAnnouncement, readRankStatus,           readStatusRequest,
                                    readRankLoadReport};
 static_assert(std::size(MessageReaders) == std::variant_size_v<GroupMessage>);
 
--- a/modules/heatherridge_protocol/groupmessage.h
+++ b/modules/heatherridge_protocol/groupmessage.h
@@ -77,11 +77,11 @@
 };
 
 /** Anyone to anyone: an epoch that the group's stream holds. */
-struct EpochNews
+struct EpochAnnouncement
 {
     GroupEpoch epoch{};
 
-    bool operator==(const EpochNews &) const = default;
+    bool operator==(const EpochAnnouncement &) const = default;
 };
 
 /** Gate to leader, regularly. */
@@ -114,7 +114,7 @@
 };
 
 /** All messages within a group. */
-using GroupMessage = std::variant<LoadMap, MapReady, VoteRequest, CancelMap, VoteList, EpochNews, RankStatus,
+using GroupMessage = std::variant<LoadMap, MapReady, VoteRequest, CancelMap, VoteList, EpochAnnouncement, RankStatus,
                                   StatusRequest, RankLoadReport>;
 
 /** A message and the group it belongs to. */
--- a/modules/heatherridge_protocol/keymessage.cpp
+++ b/modules/heatherridge_protocol/keymessage.cpp
@@ -48,13 +48,13 @@
 void writeFields(json &map, const ReleaseRequest &message)
 {
     map["c"] = KeyCodec::toJson(message.claim);
-    map["r"] = message.withRight;
+    map["r"] = message.withOfflineRight;
 }
 
 void writeFields(json &map, const ReleaseReply &message)
 {
     map["p"] = KeyCodec::toJson(message.claim);
-    map["r"] = message.withRight;
+    map["r"] = message.withOfflineRight;
     map["u"] = KeyCodec::toJson(message.until);
     map["l"] = KeyCodec::toJson(message.floor);
     map["n"] = recordsToJson(message.unrecorded);
@@ -68,7 +68,7 @@
 ReleaseReply readRelease(CborReader &reader)
 {
     return {.claim = KeyCodec::readLoggedClaim(reader, "p"),
-            .withRight = reader.boolean("r"),
+            .withOfflineRight = reader.boolean("r"),
             .until = KeyCodec::readTime(reader, "u"),
             .floor = KeyCodec::readTime(reader, "l"),
             .unrecorded = KeyCodec::readRecords(reader, "n", MaxHandOverRecords),
@@ -93,7 +93,7 @@
         return reply;
     }
     case 4:
-        return ReleaseRequest{.claim = claim(), .withRight = reader.boolean("r")};
+        return ReleaseRequest{.claim = claim(), .withOfflineRight = reader.boolean("r")};
     case 5:
         return readRelease(reader);
     default:
--- a/modules/heatherridge_protocol/keymessage.h
+++ b/modules/heatherridge_protocol/keymessage.h
@@ -48,7 +48,7 @@
 struct ReleaseRequest
 {
     ClaimId claim{};
-    bool withRight = false; ///< the asker can't reach the log: it wants the right to run keys without it
+    bool withOfflineRight = false; ///< the asker can't reach the log: it wants the right to run keys without it
 
     bool operator==(const ReleaseRequest &) const = default;
 };
@@ -57,7 +57,7 @@
 struct ReleaseReply
 {
     LoggedClaim claim{};
-    bool withRight = false; ///< whether the right to run keys without the log passes too
+    bool withOfflineRight = false; ///< whether the right to run keys without the log passes too
     WallTime until{}; ///< with the right: what every witness had promised at least
     WallTime floor{}; ///< lowest creation time that the sender could decide
     std::vector<KeyRecord> unrecorded{}; ///< runs that may not be in the log yet; the receiver writes them there
--- a/modules/heatherridge_protocol/trafficmessage.cpp
+++ b/modules/heatherridge_protocol/trafficmessage.cpp
@@ -65,7 +65,7 @@
             {"k", message.key.text()},
             {"r", message.mayRepeat},
             {"c", message.cost},
-            {"ft", message.freshTokens},
+            {"ft", message.uncachedPromptTokens},
             {"a", message.attempt}};
 }
 
@@ -99,8 +99,8 @@
     json map{{"e", std::string(answerFor(message.kind).name)},
              {"r", static_cast<unsigned>(message.ran)},
              {"t", message.detail}};
-    if (!message.askAt.isEmpty()) {
-        map["a"] = message.askAt.text();
+    if (!message.redirectTarget.isEmpty()) {
+        map["a"] = message.redirectTarget.text();
     }
     if (message.retryAfter) {
         map["d"] = message.retryAfter->count();
@@ -112,8 +112,8 @@
 {
     return {{"ta", message.target.text()}, {"u", message.running},   {"q", message.queued},
             {"l", message.limit},          {"x", message.draining},  {"lo", message.load},
-            {"oe", message.ofEntry},       {"cp", message.capacity}, {"ps", message.pressure},
-            {"pp", message.pendingPrompt}, {"wm", message.warmth},   {"pc", message.pace.count()}};
+            {"oe", message.loadOfEntry},       {"cp", message.capacity}, {"ps", message.pressure},
+            {"pp", message.pendingPrompt}, {"wm", message.warmth},   {"pc", message.tokenInterval.count()}};
 }
 
 const RequestId &requestIdOf(const auto &message)
@@ -141,7 +141,7 @@
                          .key = IdempotencyKey(reader.text("k")),
                          .mayRepeat = reader.boolean("r"),
                          .cost = reader.number("c"),
-                         .freshTokens = reader.number("ft"),
+                         .uncachedPromptTokens = reader.number("ft"),
                          .attempt = static_cast<int>(reader.integer("a", 1, MaxAttempt))};
 }
 
@@ -155,7 +155,7 @@
     message.kind = kind.value_or(ErrorKind::Internal);
     message.ran = static_cast<Ran>(reader.number("r", static_cast<std::uint64_t>(Ran::Unknown)));
     if (reader.has("a")) {
-        message.askAt = TargetName(reader.text("a"));
+        message.redirectTarget = TargetName(reader.text("a"));
     }
     if (reader.has("d")) {
         message.retryAfter = std::chrono::milliseconds(reader.integer("d", 0, MaxDurationMs));
@@ -171,12 +171,12 @@
                       .limit = reader.number("l"),
                       .draining = reader.boolean("x"),
                       .load = reader.fraction("lo"),
-                      .ofEntry = reader.fraction("oe"),
+                      .loadOfEntry = reader.fraction("oe"),
                       .capacity = reader.fraction("cp"),
                       .pressure = reader.fraction("ps"),
                       .pendingPrompt = reader.fraction("pp"),
                       .warmth = reader.fraction("wm"),
-                      .pace = std::chrono::microseconds(reader.integer("pc", 0, MaxDurationMs * 1000))};
+                      .tokenInterval = std::chrono::microseconds(reader.integer("pc", 0, MaxDurationMs * 1000))};
 }
 
 TrafficMessage readBody(CborReader &reader, MessageType type, RequestId id)
--- a/modules/heatherridge_protocol/trafficmessage.h
+++ b/modules/heatherridge_protocol/trafficmessage.h
@@ -36,7 +36,7 @@
     IdempotencyKey key{}; ///< empty when the caller gave none
     bool mayRepeat = false; ///< whether running it twice does no harm, by the rule set
     std::uint64_t cost = 1; ///< expected work in tokens; the unit of fair shares
-    std::uint64_t freshTokens = 0; ///< prompt tokens that the target is expected to compute, its cache considered
+    std::uint64_t uncachedPromptTokens = 0; ///< prompt tokens that the target is expected to compute, its cache considered
     int attempt = 1; ///< 1 for the first try; 2 and up for retries and hedges
 
     bool operator==(const SubmitRequest &) const = default;
@@ -96,7 +96,7 @@
     Ran ran = Ran::Unknown; ///< the word of the process that could have run it
     std::optional<std::chrono::milliseconds> retryAfter{};
     std::string detail{};
-    TargetName askAt{}; ///< a target whose process may know the request's key; empty for none
+    TargetName redirectTarget{}; ///< a target whose process may know the request's key; empty for none
 
     bool operator==(const AnswerError &) const = default;
 };
@@ -110,12 +110,12 @@
     std::uint64_t limit = 0; ///< how many may run at a time now
     bool draining = false; ///< takes no new work
     double load = 0; ///< cost that runs and waits, from all entries
-    double ofEntry = 0; ///< the part of the entry that gets this report
+    double loadOfEntry = 0; ///< the part of the entry that gets this report
     double capacity = 0; ///< load at which the target is full; 0 while unknown
     double pressure = 1; ///< cost offered over cost started lately
     double pendingPrompt = 0; ///< prompt tokens started on and not yet computed
     double warmth = 1; ///< 0 to 1: part of its share in slow start
-    std::chrono::microseconds pace{}; ///< smoothed time between tokens, or of a plain call; 0 while unknown
+    std::chrono::microseconds tokenInterval{}; ///< smoothed time between tokens, or of a plain call; 0 while unknown
 
     bool operator==(const LoadReport &) const = default;
 };
--- a/modules/heatherridge_transport/entry/entrytraffic.cpp
+++ b/modules/heatherridge_transport/entry/entrytraffic.cpp
@@ -174,7 +174,7 @@
         return;
     }
     const double fresh = call->request.promptTokens - views[std::get<std::size_t>(choice)].prefixTokens;
-    call->request.submit.freshTokens = static_cast<std::uint64_t>(std::max(0.0, fresh));
+    call->request.submit.uncachedPromptTokens = static_cast<std::uint64_t>(std::max(0.0, fresh));
     place(call, targets[std::get<std::size_t>(choice)]->name, left);
 }
 
@@ -308,7 +308,7 @@
                        [&](const AnswerChunk &chunk) { takeChunk(call, chunk); },
                        [&](const AnswerEnd &end) { takeEnd(call, end); },
                        [&](const AnswerError &error) {
-                           if (followRedirect(call, error.askAt)) {
+                           if (followRedirect(call, error.redirectTarget)) {
                                return;
                            }
                            attemptFailed(call,
--- a/modules/heatherridge_transport/entry/targetbook.cpp
+++ b/modules/heatherridge_transport/entry/targetbook.cpp
@@ -35,8 +35,8 @@
     target.report = report;
     target.reportedAt = now;
     target.promptSent = 0;
-    if (report.pace.count() > 0) {
-        m_slowness.record(static_cast<std::size_t>(target.slot), report.pace, now);
+    if (report.tokenInterval.count() > 0) {
+        m_slowness.record(static_cast<std::size_t>(target.slot), report.tokenInterval, now);
     }
 }
 
@@ -51,7 +51,7 @@
 {
     auto &entry = known(target);
     entry.ownLoad += static_cast<double>(request.cost);
-    entry.promptSent += static_cast<double>(request.freshTokens);
+    entry.promptSent += static_cast<double>(request.uncachedPromptTokens);
     ++entry.ownInFlight;
     m_prefixes.insert(entry.slot, chain, now);
 }
@@ -89,7 +89,7 @@
         views.push_back({.key = targetKey(target->name),
                          .reportedLoad = known.report.load,
                          .reportAge = std::chrono::duration_cast<std::chrono::microseconds>(age),
-                         .ownAtReport = known.report.ofEntry,
+                         .ownAtReport = known.report.loadOfEntry,
                          .reportedCapacity = known.report.capacity,
                          .reportedPressure = known.report.pressure,
                          .pendingPromptTokens = known.report.pendingPrompt + known.promptSent,
--- a/modules/heatherridge_transport/target/groupagent.cpp
+++ b/modules/heatherridge_transport/target/groupagent.cpp
@@ -412,7 +412,7 @@
         if (self == nullptr || m_stopped) {
             return false;
         }
-        const auto body = encode(SignedOrder{.run = order.run, .order = order.order});
+        const auto body = encode(EngineOrderRequest{.run = order.run, .order = order.order});
         m_http->send({.endpoint = self->backend,
                       .request = {.method = "POST",
                                   .path = "/group/orders",
--- a/modules/heatherridge_transport/target/keyedcalls.cpp
+++ b/modules/heatherridge_transport/target/keyedcalls.cpp
@@ -324,7 +324,7 @@
                                                    .kind = ErrorKind::KeyNotDecidable,
                                                    .ran = Ran::Unknown,
                                                    .detail = "another process holds the key's shard",
-                                                   .askAt = TargetName(redirect.holder.text())});
+                                                   .redirectTarget = TargetName(redirect.holder.text())});
                    },
                },
                reply);
--- a/modules/heatherridge_transport/target/targettraffic.cpp
+++ b/modules/heatherridge_transport/target/targettraffic.cpp
@@ -523,11 +523,11 @@
                       .pressure = load.pressure,
                       .pendingPrompt = pendingPrompt(),
                       .warmth = m_limit->warmth(),
-                      .pace = std::chrono::microseconds(static_cast<long long>(m_pace))};
+                      .tokenInterval = std::chrono::microseconds(static_cast<long long>(m_pace))};
     for (const auto &entry : m_entries) {
-        report.ofEntry = loadOf(entry);
+        report.loadOfEntry = loadOf(entry);
         // Entries with work here decide by it soon; the others need a sign of life.
-        if (always || report.ofEntry > 0) {
+        if (always || report.loadOfEntry > 0) {
             send(entry, report);
         }
     }
@@ -550,7 +550,7 @@
 {
     double pending = 0;
     for (const auto &[id, work] : m_works) {
-        pending += work->started && !work->headSent ? static_cast<double>(work->request.freshTokens) : 0;
+        pending += work->started && !work->headSent ? static_cast<double>(work->request.uncachedPromptTokens) : 0;
     }
     return pending;
 }
--- a/tests/groups/message_test.cpp
+++ b/tests/groups/message_test.cpp
@@ -30,7 +30,7 @@
             CancelMap{FencingNumber{3}, EpochNumber{7}, MapNumber{seed}},
             VoteList{EpochNumber{7}, MapNumber{9}, {{1, true, StepNumber{seed}}, {2, false, {}}}, StepNumber{seed}},
             VoteList{EpochNumber{7}, MapNumber{9}, {}, {}},
-            EpochNews{epoch},
+            EpochAnnouncement{epoch},
             RankStatus{1, Incarnation{2}, EpochNumber{7}, MapNumber{8}, StepNumber{seed}, MapNumber{9}},
             StatusRequest{FencingNumber{seed}},
             RankLoadReport{{.rank = 1, .window = seed, .map = MapNumber{8}, .tokens = {1, 2, seed}}}};
--- a/tests/keys/keygate_test.cpp
+++ b/tests/keys/keygate_test.cpp
@@ -216,8 +216,8 @@
         ActivateReply{.claim = {Self, 1}, .until = Now},
         RevokeRequest{.claim = {Self, 1}},
         RevokeReply{.claim = {Self, 1}, .activatedUntil = Now},
-        ReleaseRequest{.claim = {Self, 1}, .withRight = true},
-        ReleaseReply{.claim = placed, .withRight = true, .until = Now, .unrecorded = {intent}, .known = {intent}},
+        ReleaseRequest{.claim = {Self, 1}, .withOfflineRight = true},
+        ReleaseReply{.claim = placed, .withOfflineRight = true, .until = Now, .unrecorded = {intent}, .known = {intent}},
     };
     for (const auto &message : messages) {
         const KeyFrame frame{ServiceName("s"), KeyShard{3}, Self, Witness, message};
--- a/tests/protocol/controlmessage_test.cpp
+++ b/tests/protocol/controlmessage_test.cpp
@@ -14,11 +14,11 @@
     RecordsRequest{.from = LogOffset{3}},
     StateRequest{.newerThan = LogOffset{3}},
     StateOffer{.part = {.covers = LogOffset{9}, .digest = Digest{5}, .index = 1, .count = 2, .bytes = {1, 2, 3}}},
-    Heartbeat{.digest = Digest{1}, .freshAge = std::nullopt, .logOut = true},
+    Heartbeat{.digest = Digest{1}, .caughtUpAge = std::nullopt, .logUnreachable = true},
     Heartbeat{.digest = Digest{UINT64_MAX},
               .phase = ProcessPhase::Draining,
               .open = 12,
-              .freshAge = std::chrono::milliseconds(40)},
+              .caughtUpAge = std::chrono::milliseconds(40)},
 };
 
 class EveryControlMessage : public testing::TestWithParam<ControlMessage>
--- a/tests/protocol/trafficmessage_test.cpp
+++ b/tests/protocol/trafficmessage_test.cpp
@@ -40,12 +40,12 @@
                .limit = 8,
                .draining = true,
                .load = 5.5,
-               .ofEntry = 2.5,
+               .loadOfEntry = 2.5,
                .capacity = 800,
                .pressure = 1.5,
                .pendingPrompt = 70,
                .warmth = 0.25,
-               .pace = std::chrono::microseconds(900)},
+               .tokenInterval = std::chrono::microseconds(900)},
 };
 
 class TrafficCodec : public testing::TestWithParam<TrafficMessage>
