--- a/modules/heatherridge_coordination/keys/claimmanager.cpp
+++ b/modules/heatherridge_coordination/keys/claimmanager.cpp
@@ -104,7 +104,8 @@
     const auto &claim = current->claim;
     const auto holder = releasedTo(ledger).value_or(claim.id.holder);
     if (holder != m_self && !m_acceptedHandOvers.contains(claim.id)) {
-        messages.push_back({.to = holder, .message = ReleaseRequest{.claim = claim.id, .withOfflineRight = !logAvailable}});
+        messages.push_back(
+            {.to = holder, .message = ReleaseRequest{.claim = claim.id, .withOfflineRight = !logAvailable}});
     }
     if (logAvailable) {
         for (const auto &witness : claim.witnesses) {
--- a/modules/heatherridge_protocol/cborvalue.h
+++ b/modules/heatherridge_protocol/cborvalue.h
@@ -24,8 +24,8 @@
 {
     try {
         return readFields(nlohmann::json::from_cbor(bytes));
-    } catch (const nlohmann::json::exception &exception) {
-        return Error{.kind = ErrorKind::MalformedFrame, .detail = exception.what()};
+    } catch (const nlohmann::json::exception &error) {
+        return Error{.kind = ErrorKind::MalformedFrame, .detail = error.what()};
     }
 }
 
--- a/modules/heatherridge_protocol/countsupdate.cpp
+++ b/modules/heatherridge_protocol/countsupdate.cpp
@@ -27,8 +27,8 @@
     const auto &steps = fields.at(4).get_binary();
     const auto shift = fields.at(3).get<unsigned>();
     update.content = CountsDelta{.baseId = fields.at(2).get<std::uint64_t>(),
-                                   .shift = std::min(shift, MaxShift),
-                                   .steps = std::vector<std::uint8_t>(steps.begin(), steps.end())};
+                                 .shift = std::min(shift, MaxShift),
+                                 .steps = std::vector<std::uint8_t>(steps.begin(), steps.end())};
     return update;
 }
 
@@ -50,14 +50,15 @@
 
 std::string encode(const CountsUpdate &update)
 {
-    const auto fields = std::visit(Visitor{[&](const FullCounts &whole) {
-                                               return json::array({update.epoch, update.id, whole.counts});
-                                           },
-                                           [&](const CountsDelta &growth) {
-                                               return json::array({update.epoch, update.id, growth.baseId,
-                                                                   growth.shift, json::binary(growth.steps)});
-                                           }},
-                                   update.content);
+    const auto fields = std::visit(
+        Visitor{
+            [&](const FullCounts &whole) {
+                return json::array({update.epoch, update.id, whole.counts});
+            },
+            [&](const CountsDelta &growth) {
+                return json::array({update.epoch, update.id, growth.baseId, growth.shift, json::binary(growth.steps)});
+            }},
+        update.content);
     return encodeCbor(fields);
 }
 
@@ -94,9 +95,10 @@
 }
 
 const CountsDeltaEncoder::SentUpdate *CountsDeltaEncoder::find(const TargetName &target, const RankCounts &counts,
-                                             std::uint64_t baseId) const
+                                                               std::uint64_t baseId) const
 {
-    const auto found = std::find_if(m_history.begin(), m_history.end(), [&](const auto &sentUpdate) { return sentUpdate.id == baseId; });
+    const auto found = std::find_if(m_history.begin(), m_history.end(),
+                                    [&](const auto &sentUpdate) { return sentUpdate.id == baseId; });
     if (found == m_history.end() || found->target != target || found->epoch != counts.epoch
         || found->counts.size() != counts.selectionCounts.size()) {
         return nullptr;
--- a/modules/heatherridge_protocol/groupmessage.cpp
+++ b/modules/heatherridge_protocol/groupmessage.cpp
@@ -186,9 +186,9 @@
 using ReadMessage = Result<GroupMessage> (*)(CborReader &);
 
 /** In the order of GroupMessage. */
-constexpr ReadMessage MessageReaders[] = {readLoadMap,       readMapReady,  readRequest<VoteRequest>, readRequest<CancelMap>,
-                                   readVoteList,      readEpochAnnouncement, readRankStatus,           readStatusRequest,
-                                   readRankLoadReport};
+constexpr ReadMessage MessageReaders[] = {
+    readLoadMap,           readMapReady,   readRequest<VoteRequest>, readRequest<CancelMap>, readVoteList,
+    readEpochAnnouncement, readRankStatus, readStatusRequest,        readRankLoadReport};
 static_assert(std::size(MessageReaders) == std::variant_size_v<GroupMessage>);
 
 } // namespace
--- a/modules/heatherridge_protocol/grouprecord.cpp
+++ b/modules/heatherridge_protocol/grouprecord.cpp
@@ -42,8 +42,9 @@
     LayerPlacement layer;
     layer.reserve(bytes.size() / BytesPerSlot);
     for (std::size_t position = 0; position + BytesPerSlot <= bytes.size(); position += BytesPerSlot) {
-        layer.push_back(
-            {.expert = readUint16(bytes, position), .rank = readUint16(bytes, position + 2), .share = readUint16(bytes, position + 4)});
+        layer.push_back({.expert = readUint16(bytes, position),
+                         .rank = readUint16(bytes, position + 2),
+                         .share = readUint16(bytes, position + 4)});
     }
     return layer;
 }
--- a/modules/heatherridge_protocol/keyrecordcodec.cpp
+++ b/modules/heatherridge_protocol/keyrecordcodec.cpp
@@ -322,8 +322,9 @@
     }
     CborReader reader(map);
     const auto version = reader.number("v");
-    KeyBatch batch{
-        .writer = KeyCodec::readGate(reader, "w"), .serial = reader.number("n"), .view = readNested(reader, "s", readView)};
+    KeyBatch batch{.writer = KeyCodec::readGate(reader, "w"),
+                   .serial = reader.number("n"),
+                   .view = readNested(reader, "s", readView)};
     if (reader.has("b")) {
         batch.onBehalfOf = KeyCodec::readClaimId(reader, "b");
     }
--- a/modules/heatherridge_protocol/trafficmessage.cpp
+++ b/modules/heatherridge_protocol/trafficmessage.cpp
@@ -112,7 +112,7 @@
 {
     return {{"ta", message.target.text()}, {"u", message.running},   {"q", message.queued},
             {"l", message.limit},          {"x", message.draining},  {"lo", message.load},
-            {"oe", message.loadOfEntry},       {"cp", message.capacity}, {"ps", message.pressure},
+            {"oe", message.loadOfEntry},   {"cp", message.capacity}, {"ps", message.pressure},
             {"pp", message.pendingPrompt}, {"wm", message.warmth},   {"pc", message.tokenInterval.count()}};
 }
 
--- a/modules/heatherridge_protocol/trafficmessage.h
+++ b/modules/heatherridge_protocol/trafficmessage.h
@@ -36,7 +36,8 @@
     IdempotencyKey key{}; ///< empty when the caller gave none
     bool mayRepeat = false; ///< whether running it twice does no harm, by the rule set
     std::uint64_t cost = 1; ///< expected work in tokens; the unit of fair shares
-    std::uint64_t uncachedPromptTokens = 0; ///< prompt tokens that the target is expected to compute, its cache considered
+    std::uint64_t uncachedPromptTokens =
+        0; ///< prompt tokens that the target is expected to compute, its cache considered
     int attempt = 1; ///< 1 for the first try; 2 and up for retries and hedges
 
     bool operator==(const SubmitRequest &) const = default;
--- a/modules/heatherridge_transport/direct/sidecarserver.cpp
+++ b/modules/heatherridge_transport/direct/sidecarserver.cpp
@@ -130,7 +130,8 @@
                 exchange->respond(failureOf(*error));
                 return;
             }
-            exchange->respond({.body = encode(m_countsTeller.createUpdate(target.id, std::get<RankCounts>(counts), since))});
+            exchange->respond(
+                {.body = encode(m_countsTeller.createUpdate(target.id, std::get<RankCounts>(counts), since))});
         });
     }
 
--- a/tests/keys/keygate_test.cpp
+++ b/tests/keys/keygate_test.cpp
@@ -217,7 +217,8 @@
         RevokeRequest{.claim = {Self, 1}},
         RevokeReply{.claim = {Self, 1}, .activatedUntil = Now},
         ReleaseRequest{.claim = {Self, 1}, .withOfflineRight = true},
-        ReleaseReply{.claim = placed, .withOfflineRight = true, .until = Now, .unrecorded = {intent}, .known = {intent}},
+        ReleaseReply{
+            .claim = placed, .withOfflineRight = true, .until = Now, .unrecorded = {intent}, .known = {intent}},
     };
     for (const auto &message : messages) {
         const KeyFrame frame{ServiceName("s"), KeyShard{3}, Self, Witness, message};
--- a/tests/platform/logera_test.cpp
+++ b/tests/platform/logera_test.cpp
@@ -11,76 +11,76 @@
 namespace
 {
 
-enum class Verdict { Unchanged, Risen, Passed, Malformed };
+enum class ExpectedResult { Unchanged, Advanced, Outdated, Malformed };
 
-Verdict verdictOf(const EraVerdict &verdict)
+ExpectedResult resultOf(const EraCheckResult &result)
 {
-    return static_cast<Verdict>(verdict.index());
+    return static_cast<ExpectedResult>(result.index());
 }
 
 struct EraRow
 {
     const char *name;
-    const char *first; ///< told by an answer before; empty for none
-    const char *told;
-    std::optional<std::uint64_t> atCall;
-    Verdict verdict;
+    const char *previousEra; ///< told by an answer before; empty for none
+    const char *eraText;
+    std::optional<std::uint64_t> eraAtCall;
+    ExpectedResult result;
 };
 
 const EraRow EraRows[] = {
-    {"TheFirst", "", "4", {}, Verdict::Unchanged},
-    {"TheSame", "4", "4", 4, Verdict::Unchanged},
-    {"Higher", "4", "5", 4, Verdict::Risen},
-    {"HigherByMore", "4", "9", 4, Verdict::Risen},
+    {"TheFirst", "", "4", {}, ExpectedResult::Unchanged},
+    {"TheSame", "4", "4", 4, ExpectedResult::Unchanged},
+    {"Higher", "4", "5", 4, ExpectedResult::Advanced},
+    {"HigherByMore", "4", "9", 4, ExpectedResult::Advanced},
     // Guards against a long read that began before the log came back and is answered late on an old connection.
-    {"Lower", "4", "3", 4, Verdict::Passed},
+    {"Lower", "4", "3", 4, ExpectedResult::Outdated},
     // Guards against an offset of the lost time in the question, though the answer is of now.
-    {"TheSameButAskedBefore", "4", "4", 3, Verdict::Passed},
-    {"AskedBeforeAnyWasTold", "4", "4", {}, Verdict::Unchanged},
-    {"NoneOfALogThatTellsNone", "", "", {}, Verdict::Unchanged},
-    {"NoneAfterOne", "4", "", 4, Verdict::Unchanged},
-    {"NoneButAskedBefore", "4", "", 3, Verdict::Passed},
-    {"NoNumber", "4", "four", 4, Verdict::Malformed},
-    {"LessThanNothing", "4", "-5", 4, Verdict::Malformed},
-    {"SomethingBehindIt", "4", "5 ", 4, Verdict::Malformed},
-    {"TooLarge", "4", "99999999999999999999999", 4, Verdict::Malformed},
+    {"TheSameButAskedBefore", "4", "4", 3, ExpectedResult::Outdated},
+    {"AskedBeforeAnyWasTold", "4", "4", {}, ExpectedResult::Unchanged},
+    {"NoneOfALogThatTellsNone", "", "", {}, ExpectedResult::Unchanged},
+    {"NoneAfterOne", "4", "", 4, ExpectedResult::Unchanged},
+    {"NoneButAskedBefore", "4", "", 3, ExpectedResult::Outdated},
+    {"NoNumber", "4", "four", 4, ExpectedResult::Malformed},
+    {"LessThanNothing", "4", "-5", 4, ExpectedResult::Malformed},
+    {"SomethingBehindIt", "4", "5 ", 4, ExpectedResult::Malformed},
+    {"TooLarge", "4", "99999999999999999999999", 4, ExpectedResult::Malformed},
 };
 
-class Eras : public testing::TestWithParam<EraRow>
+class LogEras : public testing::TestWithParam<EraRow>
 {
 };
 
-TEST_P(Eras, DecideWhetherAnAnswerIsBelieved)
+TEST_P(LogEras, ClassifyAResponse)
 {
     const auto &row = GetParam();
     LogEra era;
-    era.judge(row.first, {});
-    EXPECT_EQ(verdictOf(era.judge(row.told, row.atCall)), row.verdict);
+    era.check(row.previousEra, {});
+    EXPECT_EQ(resultOf(era.check(row.eraText, row.eraAtCall)), row.result);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Eras, testing::ValuesIn(EraRows), [](const auto &row) { return row.param.name; });
+INSTANTIATE_TEST_SUITE_P(All, LogEras, testing::ValuesIn(EraRows), [](const auto &row) { return row.param.name; });
 
 // Guards against an era that falls, or that rises by an answer which is not believed.
-RC_GTEST_PROP(Eras, NeverFallWhateverIsTold, (const std::vector<std::string> &told))
+RC_GTEST_PROP(LogEras, NeverDecrease, (const std::vector<std::string> &eraText))
 {
     LogEra era;
-    for (const auto &text : told) {
+    for (const auto &eraValue : eraText) {
         const auto before = era.current();
-        const auto verdict = era.judge(text, before);
+        const auto result = era.check(eraValue, before);
         RC_ASSERT(!before || era.current() >= before);
-        const bool mayRise = !before || std::holds_alternative<EraRisen>(verdict);
-        RC_ASSERT(mayRise || era.current() == before);
+        const bool mayAdvance = !before || std::holds_alternative<EraAdvanced>(result);
+        RC_ASSERT(mayAdvance || era.current() == before);
     }
 }
 
-RC_GTEST_PROP(Eras, RiseWithEachHigherNumber, (const std::vector<std::uint16_t> &told))
+RC_GTEST_PROP(LogEras, AdvanceOnEachHigherNumber, (const std::vector<std::uint16_t> &eraText))
 {
     LogEra era;
     std::uint64_t highest = 0;
-    for (const std::uint64_t number : told) {
+    for (const std::uint64_t number : eraText) {
         const bool isHigher = era.current() && number > highest;
-        const auto verdict = era.judge(std::to_string(number), era.current());
-        RC_ASSERT(std::holds_alternative<EraRisen>(verdict) == isHigher);
+        const auto result = era.check(std::to_string(number), era.current());
+        RC_ASSERT(std::holds_alternative<EraAdvanced>(result) == isHigher);
         highest = std::max(highest, number);
     }
 }
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -23,7 +23,7 @@
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000},
  "tenants":[{"name":"t","apiKeys":["k1","k2"],"priority":1},{"name":"u","apiKeys":[]}],"somethingNew":{}})";
 
-TEST(RoutingConfigs, AreDecodedInWhole)
+TEST(RoutingConfigs, AreDecodedCompletely)
 {
     const auto decoded = decodeRoutingConfig(SampleConfig);
     ASSERT_EQ(errorIn(decoded), nullptr) << errorIn(decoded)->detail;
@@ -55,9 +55,9 @@
 
 struct EntryRow
 {
-    const char *story;
+    const char *description;
     const char *document;
-    bool isUsable;
+    bool isValid;
     bool isDraining = false;
 };
 
@@ -80,39 +80,39 @@
 {
 };
 
-TEST_P(TargetEntries, NameATargetOrNone)
+TEST_P(TargetEntries, AreDecodedOrRejected)
 {
     const auto &row = GetParam();
     const auto entry = decodeTargetRecord("i-1", row.document);
-    EXPECT_EQ(errorIn(entry) == nullptr, row.isUsable) << row.story;
-    if (row.isUsable) {
+    EXPECT_EQ(errorIn(entry) == nullptr, row.isValid) << row.description;
+    if (row.isValid) {
         EXPECT_EQ(std::get<TargetRecord>(entry).entry.id.text(), "i-1");
-        EXPECT_EQ(std::get<TargetRecord>(entry).entry.isDraining, row.isDraining) << row.story;
+        EXPECT_EQ(std::get<TargetRecord>(entry).entry.isDraining, row.isDraining) << row.description;
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(All, TargetEntries, testing::ValuesIn(EntryRows));
 
-RC_GTEST_PROP(Decoders, TakeAnyBytesWithoutHarm, (const std::string &bytes))
+RC_GTEST_PROP(Decoders, AcceptArbitraryBytes, (const std::string &bytes))
 {
     static_cast<void>(decodeRoutingConfig(bytes));
     static_cast<void>(decodeTargetRecord("i", bytes));
 }
 
 /** The answer to a read of @p records from the first on. */
-std::string readAnswer(const std::string &records)
+std::string readResponse(const std::string &records)
 {
     return std::string(16, '\0') + records;
 }
 
 // Guards against copies of rules that cannot be read back, whatever bytes they hold.
-RC_GTEST_PROP(LogRecords, AreReadAsTheyWereWritten, (const std::vector<std::string> &values))
+RC_GTEST_PROP(LogRecords, SurviveARoundTrip, (const std::vector<std::string> &values))
 {
     std::string records;
     for (std::size_t index = 0; index < values.size(); ++index) {
         records += encodeKeyedRecord(std::to_string(index), values[index]);
     }
-    const auto page = decodeKeyedRecords(readAnswer(records), 5);
+    const auto page = decodeKeyedRecords(readResponse(records), 5);
     RC_ASSERT(errorIn(page) == nullptr);
     const auto &read = std::get<RegisterPage>(page);
     RC_ASSERT(read.changes.size() == values.size());
@@ -124,10 +124,10 @@
     }
 }
 
-RC_GTEST_PROP(LogRecords, TakeAnyBytesWithoutHarm, (const std::string &bytes))
+RC_GTEST_PROP(LogRecords, AcceptArbitraryBytes, (const std::string &bytes))
 {
     static_cast<void>(decodeKeyedRecords(bytes, 0));
-    static_cast<void>(decodeKeyedRecords(readAnswer(bytes), 0));
+    static_cast<void>(decodeKeyedRecords(readResponse(bytes), 0));
 }
 
 struct CopyRow
@@ -149,30 +149,30 @@
 };
 
 // Guards against large rules that the log refuses, and against rules that are put together from a part of their pieces.
-TEST_P(CopyRecords, HoldRulesInPiecesAndOnlyInWhole)
+TEST_P(CopyRecords, SplitRulesAndDropIncompleteVersions)
 {
     const auto &row = GetParam();
     std::string rules;
     for (std::size_t byte = 0; byte < row.bytes; ++byte) {
         rules.push_back(static_cast<char>('a' + byte % 23));
     }
-    auto records = copyRecords(7, rules);
+    auto records = encodeRulesCopy(7, rules);
     ASSERT_EQ(records.size(), row.records) << row.name;
     for (const auto &record : records) {
         EXPECT_LE(encodeKeyedRecord(record.key, *record.value).size(), 262'144U);
     }
     records.push_back({.key = "not a piece", .value = "x"});
-    EXPECT_EQ(copiedRules(records), (std::map<std::uint64_t, std::string>{{7, rules}}));
+    EXPECT_EQ(decodeRulesCopies(records), (std::map<std::uint64_t, std::string>{{7, rules}}));
     records.erase(records.begin());
-    EXPECT_TRUE(copiedRules(records).empty());
+    EXPECT_TRUE(decodeRulesCopies(records).empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, CopyRecords, testing::ValuesIn(CopyRows));
 
-TEST(LogRecords, LeaveWhatIsCutOffToTheNextRead)
+TEST(LogRecords, LeaveATruncatedRecordForTheNextRead)
 {
     const auto records = encodeKeyedRecord("a", "first") + encodeKeyedRecord("b", "second");
-    const auto page = decodeKeyedRecords(readAnswer(records.substr(0, records.size() - 1)), 0);
+    const auto page = decodeKeyedRecords(readResponse(records.substr(0, records.size() - 1)), 0);
     ASSERT_EQ(errorIn(page), nullptr);
     EXPECT_EQ(std::get<RegisterPage>(page).changes.size(), 1U);
     EXPECT_EQ(std::get<RegisterPage>(page).end, 1U);
@@ -195,7 +195,7 @@
 
 // A caller names another customer's workspace, or its key reaches a target that logs it: whoever reads there acts in
 // the caller's name. Routing and identity towards targets are this process's own words.
-TEST(ForwardedHeaders, CarryNothingThatOnlyThisProcessMaySay)
+TEST(ForwardedHeaders, ReplaceReservedCallerHeaders)
 {
     const auto headers = PlatformTraffic().forwarded(
         {{"Host", "a.example"},
@@ -220,7 +220,7 @@
 
 struct PriorityRow
 {
-    const char *story;
+    const char *description;
     std::optional<int> priority;
     const char *header;
 };
@@ -235,18 +235,18 @@
 {
 };
 
-TEST_P(Priorities, AreToldToEngines)
+TEST_P(Priorities, AreSentToEngines)
 {
     const auto headers =
         PlatformTraffic().forwarded({}, {.target = TargetName("i-1"), .priority = GetParam().priority});
-    EXPECT_EQ(headerValue(headers, "X-Heatherridge-Request-Priority"), GetParam().header) << GetParam().story;
+    EXPECT_EQ(headerValue(headers, "X-Heatherridge-Request-Priority"), GetParam().header) << GetParam().description;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, Priorities, testing::ValuesIn(PriorityRows));
 
 struct AnswerRow
 {
-    const char *story;
+    const char *description;
     int status;
     std::vector<HttpHeader> headers;
     bool isSigned;
@@ -261,23 +261,23 @@
     {"a status that promises, without the word", 503, {}, false, false},
 };
 
-class Answers : public testing::TestWithParam<AnswerRow>
+class TargetAnswers : public testing::TestWithParam<AnswerRow>
 {
 };
 
-TEST_P(Answers, SayWhoAnsweredAndWhetherItRan)
+TEST_P(TargetAnswers, IdentifyTheSenderAndWhetherTheRequestRan)
 {
     const auto &row = GetParam();
     const auto fields = PlatformTraffic().readAnswer(row.status, row.headers);
-    EXPECT_EQ(fields.isSigned, row.isSigned) << row.story;
-    EXPECT_EQ(fields.isNotRun, row.isNotRun) << row.story;
+    EXPECT_EQ(fields.isSigned, row.isSigned) << row.description;
+    EXPECT_EQ(fields.isNotRun, row.isNotRun) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Answers, testing::ValuesIn(AnswerRows));
+INSTANTIATE_TEST_SUITE_P(All, TargetAnswers, testing::ValuesIn(AnswerRows));
 
 struct LimitRow
 {
-    const char *story;
+    const char *description;
     HttpHeader header;
     std::optional<double> limit;
 };
@@ -295,19 +295,19 @@
     {"with something behind it", {"Server-Limit", "4/s"}, std::nullopt},
 };
 
-class Limits : public testing::TestWithParam<LimitRow>
+class RequestLimits : public testing::TestWithParam<LimitRow>
 {
 };
 
-TEST_P(Limits, AreReadFromAnswers)
+TEST_P(RequestLimits, AreReadFromTargetAnswers)
 {
     const auto &row = GetParam();
-    EXPECT_EQ(PlatformTraffic().readAnswer(200, {row.header}).requestsPerSecond, row.limit) << row.story;
+    EXPECT_EQ(PlatformTraffic().readAnswer(200, {row.header}).requestsPerSecond, row.limit) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Limits, testing::ValuesIn(LimitRows));
+INSTANTIATE_TEST_SUITE_P(All, RequestLimits, testing::ValuesIn(LimitRows));
 
-TEST(Refusals, TellWhenToComeBack)
+TEST(Refusals, CarryARetryDelay)
 {
     const auto refusal =
         PlatformTraffic().refusal({.kind = ErrorKind::Overloaded, .retryAfter = 250ms}, RequestId("r"));
--- a/tests/protocol/controlmessage_test.cpp
+++ b/tests/protocol/controlmessage_test.cpp
@@ -25,23 +25,23 @@
 {
 };
 
-TEST_P(EveryControlMessage, ComesBackAsItWasWritten)
+TEST_P(EveryControlMessage, SurvivesARoundTrip)
 {
     const auto decoded = decodeControlMessage(encodeControlMessage(GetParam()));
     ASSERT_TRUE(std::holds_alternative<ControlMessage>(decoded));
     EXPECT_EQ(std::get<ControlMessage>(decoded), GetParam());
 }
 
-TEST_P(EveryControlMessage, IsRefusedWhenAnyFieldIsMissing)
+TEST_P(EveryControlMessage, IsRejectedWhenAnyFieldIsMissing)
 {
     const auto map = nlohmann::json::from_cbor(encodeControlMessage(GetParam()));
     for (const auto &[key, value] : map.items()) {
         if (key == "a") {
             continue; // an age is not always known
         }
-        auto lacking = map;
-        lacking.erase(key);
-        EXPECT_NE(errorIn(decodeControlMessage(toCbor(lacking))), nullptr) << key;
+        auto incompleteMap = map;
+        incompleteMap.erase(key);
+        EXPECT_NE(errorIn(decodeControlMessage(toCbor(incompleteMap))), nullptr) << key;
     }
 }
 
--- a/tests/protocol/controlrecord_test.cpp
+++ b/tests/protocol/controlrecord_test.cpp
@@ -29,7 +29,7 @@
 {
 };
 
-TEST_P(EveryRecord, ComesBackAsItWasWritten)
+TEST_P(EveryRecord, SurvivesARoundTrip)
 {
     const auto decoded = decodeControlRecord(encodeControlRecord(GetParam()));
     ASSERT_TRUE(std::holds_alternative<ControlRecord>(decoded));
@@ -40,9 +40,9 @@
 {
     const auto map = nlohmann::json::from_cbor(encodeControlRecord(GetParam()));
     for (const auto &[key, value] : map.items()) {
-        auto lacking = map;
-        lacking.erase(key);
-        const auto decoded = decodeControlRecord(toCbor(lacking));
+        auto incompleteMap = map;
+        incompleteMap.erase(key);
+        const auto decoded = decodeControlRecord(toCbor(incompleteMap));
         ASSERT_TRUE(std::holds_alternative<SkipReason>(decoded)) << key;
         EXPECT_EQ(std::get<SkipReason>(decoded), SkipReason::Malformed) << key;
     }
@@ -50,14 +50,14 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, EveryRecord, testing::ValuesIn(Records));
 
-struct HostileRow
+struct InvalidRow
 {
-    const char *story;
+    const char *description;
     Bytes payload;
     SkipReason reason;
 };
 
-const HostileRow HostileRows[] = {
+const InvalidRow InvalidRows[] = {
     {"nothing", {}, SkipReason::Malformed},
     {"text in place of a record", {'[', 'z', ']'}, SkipReason::Malformed},
     {"arrays nested until the stack ends", Bytes(2'000'000, 0x81), SkipReason::Malformed},
@@ -69,33 +69,32 @@
     {"an unknown kind", toCbor({{"v", 1}, {"kind", "vote"}}), SkipReason::Malformed},
 };
 
-class HostileRecord : public testing::TestWithParam<HostileRow>
+class InvalidRecord : public testing::TestWithParam<InvalidRow>
 {
 };
 
 // One operator's script appends something that is no record. If a reader crashed on it, every process would crash
 // at the same offset, and again after each restart: one append would take the whole system away.
-TEST_P(HostileRecord, IsSkippedForItsReason)
+TEST_P(InvalidRecord, IsSkippedForTheExpectedReason)
 {
     const auto decoded = decodeControlRecord(GetParam().payload);
-    ASSERT_TRUE(std::holds_alternative<SkipReason>(decoded)) << GetParam().story;
-    EXPECT_EQ(std::get<SkipReason>(decoded), GetParam().reason) << GetParam().story;
+    ASSERT_TRUE(std::holds_alternative<SkipReason>(decoded)) << GetParam().description;
+    EXPECT_EQ(std::get<SkipReason>(decoded), GetParam().reason) << GetParam().description;
 }
 
-INSTANTIATE_TEST_SUITE_P(Table, HostileRecord, testing::ValuesIn(HostileRows));
+INSTANTIATE_TEST_SUITE_P(Table, InvalidRecord, testing::ValuesIn(InvalidRows));
 
 RC_GTEST_PROP(ControlRecordCodec, DamagedBytesNeverThrow, ())
 {
     auto payload = encodeControlRecord(Records[*rc::gen::inRange<std::size_t>(0, std::size(Records))]);
-    const auto damages = *rc::gen::inRange(1, 5);
-    for (int i = 0; i < damages; ++i) {
+    const auto damagedBytes = *rc::gen::inRange(1, 5);
+    for (int i = 0; i < damagedBytes; ++i) {
         payload.at(*rc::gen::inRange<std::size_t>(0, payload.size())) = *rc::gen::arbitrary<std::uint8_t>();
     }
     decodeControlRecord(payload);
 }
 
-RC_GTEST_PROP(CborStructure, AcceptsWhatTheEncoderWrites,
-              (const std::map<std::string, std::vector<std::uint32_t>> &map))
+RC_GTEST_PROP(CborStructure, AcceptsEncoderOutput, (const std::map<std::string, std::vector<std::uint32_t>> &map))
 {
     RC_ASSERT(isPlainCbor(toCbor(nlohmann::json(map))));
 }
--- a/tests/protocol/countsupdate_test.cpp
+++ b/tests/protocol/countsupdate_test.cpp
@@ -53,8 +53,7 @@
     const CountsUpdate growth{
         .epoch = number, .id = 7, .content = CountsDelta{.baseId = number, .shift = number % 20, .steps = steps}};
     RC_ASSERT(encodeAndDecode(growth) == growth);
-    const CountsUpdate whole{
-        .epoch = number, .id = 7, .content = FullCounts{.counts = {steps.begin(), steps.end()}}};
+    const CountsUpdate whole{.epoch = number, .id = 7, .content = FullCounts{.counts = {steps.begin(), steps.end()}}};
     RC_ASSERT(encodeAndDecode(whole) == whole);
 }
 
--- a/tests/protocol/rankmessage_test.cpp
+++ b/tests/protocol/rankmessage_test.cpp
@@ -11,12 +11,12 @@
 
 struct LayoutRow
 {
-    const char *story;
+    const char *description;
     std::size_t sets;
     std::size_t ranks;
     std::size_t places;
     std::uint64_t experts;
-    std::size_t mostBytes; ///< of the order
+    std::size_t maxBytes; ///< of the order
 };
 
 const LayoutRow LayoutRows[] = {
@@ -33,7 +33,7 @@
 {
 };
 
-TEST_P(PrepareOrders, CarryLayoutsInFewBytes)
+TEST_P(PrepareOrders, EncodeLayoutsCompactly)
 {
     const auto &row = GetParam();
     SeededRandom random(3);
@@ -47,17 +47,17 @@
     }
     const auto bytes = encode(RankOrderMessage{
         .target = TargetName("r"), .epoch = 4, .order = PrepareMap{.map = MapNumber{7}, .layout = layout}});
-    EXPECT_LE(bytes.size(), row.mostBytes) << row.story;
-    const auto back = decodeRankOrder(bytes);
-    ASSERT_EQ(errorIn(back), nullptr) << row.story;
-    const auto &prepare = std::get<PrepareMap>(std::get<RankOrderMessage>(back).order);
-    EXPECT_EQ(prepare.map, MapNumber{7}) << row.story;
-    EXPECT_EQ(prepare.layout, layout) << row.story;
+    EXPECT_LE(bytes.size(), row.maxBytes) << row.description;
+    const auto decoded = decodeRankOrder(bytes);
+    ASSERT_EQ(errorIn(decoded), nullptr) << row.description;
+    const auto &prepare = std::get<PrepareMap>(std::get<RankOrderMessage>(decoded).order);
+    EXPECT_EQ(prepare.map, MapNumber{7}) << row.description;
+    EXPECT_EQ(prepare.layout, layout) << row.description;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, PrepareOrders, testing::ValuesIn(LayoutRows));
 
-RC_GTEST_PROP(PrepareOrders, OfHostileBytesAreRefused, (std::uint32_t seed))
+RC_GTEST_PROP(PrepareOrders, WithDamagedBytesAreDecodedOrRejected, (std::uint32_t seed))
 {
     SeededRandom random(seed);
     const std::vector<std::uint16_t> two{1, 2};
@@ -67,9 +67,9 @@
         .target = TargetName("r"), .epoch = 4, .order = PrepareMap{.map = MapNumber{7}, .layout = layout}});
     bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
     bytes.resize(bytes.size() - random.below(2));
-    const auto back = decodeRankOrder(bytes);
-    const bool isReadOrRefused = errorIn(back) == nullptr || errorIn(back)->kind == ErrorKind::MalformedFrame;
-    RC_ASSERT(isReadOrRefused);
+    const auto decoded = decodeRankOrder(bytes);
+    const bool isDecodedOrRejected = errorIn(decoded) == nullptr || errorIn(decoded)->kind == ErrorKind::MalformedFrame;
+    RC_ASSERT(isDecodedOrRejected);
 }
 
 } // namespace
--- a/tests/protocol/trafficmessage_test.cpp
+++ b/tests/protocol/trafficmessage_test.cpp
@@ -52,7 +52,7 @@
 {
 };
 
-TEST_P(TrafficCodec, WhatIsEncodedComesBackTheSame)
+TEST_P(TrafficCodec, SurvivesARoundTrip)
 {
     const auto decoded = decodeTrafficMessage(encode(GetParam()));
     ASSERT_EQ(errorIn(decoded), nullptr) << errorIn(decoded)->detail;
@@ -60,12 +60,12 @@
 }
 
 // A peer sends a cut frame, by fault or malice. It is refused as malformed; no read goes past its end.
-TEST_P(TrafficCodec, EveryTruncationIsRefused)
+TEST_P(TrafficCodec, EveryTruncationIsRejected)
 {
-    const auto whole = encode(GetParam());
-    for (std::size_t size = 0; size < whole.size(); ++size) {
+    const auto frame = encode(GetParam());
+    for (std::size_t size = 0; size < frame.size(); ++size) {
         const auto decoded =
-            decodeTrafficMessage(Bytes(whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(size)));
+            decodeTrafficMessage(Bytes(frame.begin(), frame.begin() + static_cast<std::ptrdiff_t>(size)));
         ASSERT_NE(errorIn(decoded), nullptr);
         EXPECT_EQ(errorIn(decoded)->kind, ErrorKind::MalformedFrame);
     }
@@ -73,7 +73,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Table, TrafficCodec, testing::ValuesIn(Messages));
 
-RC_GTEST_PROP(Decoders, RandomBytesNeverDoHarm, (const Bytes &bytes))
+RC_GTEST_PROP(Decoders, RandomBytesAreRejected, (const Bytes &bytes))
 {
     const auto envelope = decodeEnvelope(bytes);
     const auto message = decodeTrafficMessage(bytes);
@@ -81,7 +81,7 @@
     RC_ASSERT(errorIn(message) != nullptr);
 }
 
-RC_GTEST_PROP(Decoders, ADamagedByteIsReadOrRefusedWithoutHarm, ())
+RC_GTEST_PROP(Decoders, ADamagedByteIsDecodedOrRejected, ())
 {
     auto bytes = encode(Messages[*rc::gen::inRange<std::size_t>(0, std::size(Messages))]);
     bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] = *rc::gen::arbitrary<std::uint8_t>();
@@ -91,7 +91,7 @@
     }
 }
 
-RC_GTEST_PROP(Envelope, WhatIsEncodedComesBackTheSame,
+RC_GTEST_PROP(Envelope, SurvivesARoundTrip,
               (const std::string &sender, std::uint64_t incarnation, std::uint64_t offset, const Bytes &payload))
 {
     const auto decoded = decodeEnvelope(encode(Envelope{.channel = Channel::Keys,
--- a/tests/restoredlog/logrestoresimulation.cpp
+++ b/tests/restoredlog/logrestoresimulation.cpp
@@ -220,8 +220,8 @@
     template<typename T>
     Result<T> checkEra(const Result<T> &result, std::uint64_t era, std::optional<std::uint64_t> eraAtCall)
     {
-        const auto eraCheck = m_era.judge(std::to_string(era), eraAtCall);
-        if (const auto *eraRise = std::get_if<EraRisen>(&eraCheck)) {
+        const auto eraCheck = m_era.check(std::to_string(era), eraAtCall);
+        if (const auto *eraRise = std::get_if<EraAdvanced>(&eraCheck)) {
             m_events.restored({.previousCount = eraRise->before, .newCount = eraRise->after});
         }
         const bool isAccepted = std::holds_alternative<EraUnchanged>(eraCheck) || !m_simulation.m_safeguards.checksEras;
