--- a/modules/heatherridge_protocol/attemptid.h
+++ b/modules/heatherridge_protocol/attemptid.h
@@ -6,14 +6,14 @@
 {
 
 /**
- * The id under which attempt number @p attempt of request @p id travels.
+ * Returns the id that identifies attempt number @p attempt of request @p id on the wire.
  *
- * A retry may reach a target that still has the attempt before it. Were both to travel under one id, frames of the
- * first could be taken for the second's, or the second be dropped as a double of the first.
+ * A retry may reach a target that is still processing the previous attempt. If both used the same id, frames of the
+ * first could be attributed to the second, or the second could be discarded as a duplicate of the first.
  */
 RequestId attemptId(const RequestId &id, int attempt);
 
-/** The request that the attempt named @p id belongs to. */
+/** Returns the id of the request to which the attempt @p id belongs. */
 RequestId requestOfAttempt(const RequestId &id);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/cborreader.h
+++ b/modules/heatherridge_protocol/cborreader.h
@@ -12,54 +12,57 @@
 {
 
 /**
- * Takes checked fields out of one decoded CBOR map.
+ * Reads and validates the fields of one decoded CBOR map.
  *
- * The first field that is absent or of another type or range marks the reader as failed; later reads return null
- * values. A codec reads all fields and then asks ok() once. Holds a reference to the map. One thread.
+ * A field that is missing, has the wrong type or is out of range marks the reader as failed, and its read returns a
+ * null value. failedKey() names the first such field. A codec reads all fields and then checks ok() once. Holds a
+ * reference to the map. Not thread-safe.
  */
 class CborReader
 {
 public:
-    /** Parses @p bytes into @p into; false when they are no CBOR map. No exception leaves it. */
+    /** Parses @p bytes into @p result. Returns false if they are not a CBOR map. Does not throw. */
     static bool parse(const Bytes &bytes, nlohmann::json &result);
 
-    /** Reads from @p map, which must outlive the reader. */
+    /** Creates a reader for @p map, which must outlive it. */
     explicit CborReader(const nlohmann::json &map);
 
-    /** The whole number at @p key, at most @p highest. */
+    /** Returns the unsigned integer at @p key, which must not exceed @p maximum. */
     std::uint64_t number(std::string_view key, std::uint64_t maximum = UINT64_MAX);
 
-    /** The signed whole number at @p key. */
+    /** Returns the signed integer at @p key, which must lie in the range [@p minimum, @p maximum]. */
     std::int64_t integer(std::string_view key, std::int64_t minimum, std::int64_t maximum);
 
-    /** The fraction at @p key; must be finite. */
+    /** Returns the floating-point number at @p key, which must be finite. */
     double fraction(std::string_view key);
 
-    /** The text at @p key. */
+    /** Returns the text string at @p key. */
     std::string text(std::string_view key);
 
-    /** The switch at @p key. */
+    /** Returns the boolean at @p key. */
     bool boolean(std::string_view key);
 
-    /** The byte string at @p key. */
+    /** Returns the byte string at @p key. */
     Bytes bytes(std::string_view key);
 
-    /** The array at @p key, or nullptr (and failed). The map keeps ownership. */
+    /** Returns the array at @p key, owned by the map. Returns nullptr and marks the reader as failed if there is none.
+     */
     const nlohmann::json *array(std::string_view key);
 
-    /** The map at @p key, or nullptr (and failed). The map keeps ownership. */
+    /** Returns the map at @p key, owned by the enclosing map. Returns nullptr and marks the reader as failed if there
+     * is none. */
     const nlohmann::json *map(std::string_view key);
 
-    /** Whether @p key is there at all; does not mark the reader as failed. */
+    /** Returns whether @p key is present. Never marks the reader as failed. */
     bool has(std::string_view key) const;
 
-    /** Marks the reader as failed for a reason of the codec's own. */
+    /** Marks the reader as failed at @p key, for a check that the codec makes itself. */
     void fail(std::string_view key);
 
-    /** Whether all fields so far were there and in range. */
+    /** Returns whether all fields read so far were present and valid. */
     bool ok() const;
 
-    /** The key of the first field that was not, for the log. */
+    /** Returns the key of the first invalid field, for log messages. */
     const std::string &failedKey() const;
 
 private:
@@ -69,13 +72,13 @@
     std::string m_failedKey;
 };
 
-/** A MalformedFrame error that names what was wrong. */
+/** Returns a MalformedFrame error whose detail names the invalid part @p what. */
 Error malformedError(std::string_view what);
 
-/** @p map as CBOR bytes. */
+/** Encodes @p map as CBOR. */
 Bytes toCbor(const nlohmann::json &map);
 
-/** @p bytes as a CBOR byte string. */
+/** Returns @p bytes as a JSON value that is encoded as a CBOR byte string. */
 nlohmann::json binary(Bytes bytes);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/cborstructure.cpp
+++ b/modules/heatherridge_protocol/cborstructure.cpp
@@ -15,10 +15,10 @@
 constexpr unsigned MaxExtendedInfo = 27;
 constexpr unsigned BitsPerByte = 8;
 
-/** The major types of CBOR. */
+/** The major types of CBOR (RFC 8949), as the upper three bits of an initial byte. */
 enum class MajorType : std::uint8_t { Unsigned, Negative, ByteString, TextString, Array, Map, Tag, Simple };
 
-/** Walks over the bytes of one item, with a fixed stack of open maps and arrays. */
+/** Scans the bytes of one item, using a stack of fixed size for the enclosing maps and arrays. */
 class CborScanner
 {
 public:
@@ -103,7 +103,7 @@
 
     bool openContainer(std::uint64_t entries, std::uint64_t itemsPerEntry)
     {
-        // An item takes at least one byte, so more entries than bytes left cannot be true.
+        // Each item takes at least one byte, so a count above the number of remaining bytes is invalid.
         if (entries > m_bytes.size() - m_position || m_depth > MaxCborDepth) {
             return false;
         }
@@ -113,7 +113,7 @@
 
     const Bytes &m_bytes;
     std::size_t m_position = 0;
-    std::array<std::uint64_t, MaxCborDepth + 1> m_remainingItems{}; ///< items still to come, one count a level
+    std::array<std::uint64_t, MaxCborDepth + 1> m_remainingItems{}; ///< number of remaining items at each nesting level
     std::size_t m_depth = 0;
 };
 
--- a/modules/heatherridge_protocol/cborstructure.h
+++ b/modules/heatherridge_protocol/cborstructure.h
@@ -5,16 +5,16 @@
 namespace Heatherridge
 {
 
-/** Deepest nesting of maps and arrays in any message or record. */
+/** Maximum nesting depth of maps and arrays in a message or record. */
 constexpr std::size_t MaxCborDepth = 16;
 
 /**
- * Whether @p bytes are exactly one CBOR item that the codec can be given: nested at most MaxCborDepth deep, every
- * length within the input, no tags and no indefinite lengths.
+ * Returns whether @p bytes are exactly one CBOR item that is safe to decode: nested at most MaxCborDepth deep, all
+ * lengths within the input, no tags and no indefinite lengths.
  *
- * The codec reads nested items by recursion, so a few megabytes of opening brackets, or of chunked strings within
- * chunked strings, would exhaust the stack of every process that reads the record; and it throws for an array whose
- * stated length no memory could hold. This scan uses no recursion and runs first, so neither input reaches the codec.
+ * The CBOR decoder is recursive, so a few megabytes of nested array headers or nested chunked strings would exhaust the
+ * stack of every process that reads the record. It also throws for an array whose declared length exceeds any memory.
+ * This check is not recursive and runs before the decoder, so that neither input reaches it.
  */
 bool isPlainCbor(const Bytes &bytes);
 
--- a/modules/heatherridge_protocol/cborvalue.h
+++ b/modules/heatherridge_protocol/cborvalue.h
@@ -10,7 +10,7 @@
 namespace Heatherridge
 {
 
-/** The CBOR of @p value. */
+/** Encodes @p value as CBOR. */
 inline std::string encodeCbor(const nlohmann::json &value)
 {
     std::string bytes;
@@ -18,7 +18,7 @@
     return bytes;
 }
 
-/** Runs @p read on the value in @p bytes; whatever does not fit makes the message malformed. */
+/** Decodes @p bytes and passes the value to @p readFields. A decoding or type error yields MalformedFrame. */
 template<typename ReadFields>
 auto decodeCbor(std::string_view bytes, ReadFields readFields) -> Result<decltype(readFields(nlohmann::json{}))>
 {
--- a/modules/heatherridge_protocol/configimagecodec.cpp
+++ b/modules/heatherridge_protocol/configimagecodec.cpp
@@ -36,7 +36,8 @@
     return map;
 }
 
-/** Calls @p read with a reader for each entry of the array at @p key; false when any of them is malformed. */
+/** Calls @p readEntry with a reader for each entry of the array at @p key. Marks @p reader as failed at a malformed
+ * entry. */
 template<typename ReadEntry>
 void forEachEntry(CborReader &reader, std::string_view key, const ReadEntry &readEntry)
 {
--- a/modules/heatherridge_protocol/configimagecodec.h
+++ b/modules/heatherridge_protocol/configimagecodec.h
@@ -6,10 +6,10 @@
 namespace Heatherridge
 {
 
-/** The CBOR form of @p image, as snapshots and state offers carry it. */
+/** Encodes @p image as CBOR, in the format of snapshots and state offers. */
 Bytes encodeConfigImage(const ConfigImage &image);
 
-/** Reads @p bytes. Fields are checked one by one, not whether the documents read; ConfigState::fromImage does that. */
+/** Decodes an image. Validates each field but does not parse the documents; ConfigState::fromImage() does that. */
 Result<ConfigImage> decodeConfigImage(const Bytes &bytes);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/controlmessage.cpp
+++ b/modules/heatherridge_protocol/controlmessage.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::chrono::milliseconds MaxAge{std::chrono::hours(24 * 365)};
 
-// Keys are one letter: heartbeats and relayed changes make up nearly all control bytes.
+// Keys have one letter, because heartbeats and relayed records make up nearly all control traffic.
 constexpr std::string_view KindKey = "k";
 
 enum class MessageKind : std::uint8_t { RecordsRelay, RecordsRequest, StateRequest, StateOffer, Heartbeat };
--- a/modules/heatherridge_protocol/controlmessage.h
+++ b/modules/heatherridge_protocol/controlmessage.h
@@ -10,7 +10,7 @@
 namespace Heatherridge
 {
 
-/** One record of the control stream on its way from process to process, as the log gave it. */
+/** A record of the control stream as read from the log, relayed from one process to another. */
 struct RelayedRecord
 {
     LogOffset offset{};
@@ -19,7 +19,7 @@
     bool operator==(const RelayedRecord &) const = default;
 };
 
-/** Records handed on from a process that read them, or asked for by one that lacks them. */
+/** Records relayed by a process that has read them, or sent in reply to a RecordsRequest. */
 struct RecordsRelay
 {
     std::vector<RelayedRecord> records{}; ///< in offset order
@@ -27,7 +27,7 @@
     bool operator==(const RecordsRelay &) const = default;
 };
 
-/** Asks for records from an offset on. */
+/** Requests the records from an offset onwards. */
 struct RecordsRequest
 {
     LogOffset from{};
@@ -35,7 +35,7 @@
     bool operator==(const RecordsRequest &) const = default;
 };
 
-/** Asks for the whole state, where it is newer than an offset. */
+/** Requests the complete state, if it is newer than an offset. */
 struct StateRequest
 {
     LogOffset newerThan{};
@@ -43,7 +43,7 @@
     bool operator==(const StateRequest &) const = default;
 };
 
-/** One piece of the sender's state. */
+/** One part of the sender's state. */
 struct StateOffer
 {
     ImagePart part{};
@@ -51,41 +51,43 @@
     bool operator==(const StateOffer &) const = default;
 };
 
-/** How far a process is in its life. */
+/** The lifecycle phase of a process. */
 enum class ProcessPhase : std::uint8_t {
     Starting, ///< has no state yet
-    Unconfirmed, ///< acts on a state that its peers offered; the log has not answered since its start
+    Unconfirmed, ///< uses a state offered by peers; the log has not answered since the process started
     Ready,
-    Draining, ///< takes no new work, lets running work end
+    Draining, ///< accepts no new work and completes running work
 };
 
-/** The stable name of @p phase. */
+/** Returns the name of @p phase as it is written in outputs; it must not change. */
 std::string_view toString(ProcessPhase phase);
 
-/** A sign of life; the envelope says from whom, which run and up to which offset. */
+/** A periodic heartbeat. The envelope carries its sender, the sender's incarnation and its offset. */
 struct Heartbeat
 {
-    Digest digest{}; ///< of the state at the envelope's offset
+    Digest digest{}; ///< digest of the state at the envelope's offset
     ProcessPhase phase = ProcessPhase::Starting;
-    std::uint32_t open = 0; ///< requests and streams that are running
-    /** How long ago the log is known to have held nothing beyond the envelope's offset; nothing when never. An age, not
-     * a time, so that clocks which disagree do no harm. */
+    std::uint32_t open = 0; ///< number of running requests and streams
+    /** Time since the envelope's offset was last known to be the end of the log; empty if it never was. An age rather
+     * than a point in time, so that it does not depend on synchronized clocks. */
     std::optional<std::chrono::milliseconds> caughtUpAge{};
-    bool logUnreachable = false; ///< the sender, or whoever it gets its records from, gets no answer from the log
+    bool logUnreachable =
+        false; ///< the sender, or the source from which it receives records, gets no answer from the log
 
     bool operator==(const Heartbeat &) const = default;
 };
 
-/** What travels on the control channel. */
+/** All messages on Channel::Control. */
 using ControlMessage = std::variant<RecordsRelay, RecordsRequest, StateRequest, StateOffer, Heartbeat>;
 
-/** Most bytes of records in one relay message; a single longer record still travels alone. */
+/** Maximum size in bytes of the records in one relay message. A single larger record is sent in a message of its own.
+ */
 constexpr std::size_t MaxRelayBytes = 256UL << 10U;
 
-/** The payload of an envelope for @p message. */
+/** Encodes @p message as the payload of an envelope. */
 Bytes encodeControlMessage(const ControlMessage &message);
 
-/** Reads the payload of an envelope on the control channel. */
+/** Decodes the payload of an envelope on Channel::Control. */
 Result<ControlMessage> decodeControlMessage(const Bytes &payload);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/controlrecordcodec.cpp
+++ b/modules/heatherridge_protocol/controlrecordcodec.cpp
@@ -62,7 +62,7 @@
     return map;
 }
 
-/** A name that may not be empty. */
+/** Reads a name, which must not be empty or longer than MaxRecordNameBytes. */
 std::string requiredName(CborReader &reader, std::string_view key)
 {
     auto text = reader.text(key);
--- a/modules/heatherridge_protocol/controlrecordcodec.h
+++ b/modules/heatherridge_protocol/controlrecordcodec.h
@@ -8,18 +8,19 @@
 namespace Heatherridge
 {
 
-/** Longest record of the control stream that is read, in bytes: one document of the longest kind and its frame. */
+/** Maximum size in bytes of a control record: one document of maximum size plus its envelope fields. */
 constexpr std::size_t MaxControlRecordBytes = IniDocument::MaxBytes + (64UL << 10U);
 
-/** Longest name or operation id in a record, in bytes. */
+/** Maximum length in bytes of a name or operation id in a record. */
 constexpr std::size_t MaxRecordNameBytes = 128;
 
-/** The payload of @p record. */
+/** Encodes @p record as the payload of a record of the control stream. */
 Bytes encodeControlRecord(const ControlRecord &record);
 
 /**
- * Reads the payload of a record of the control stream. Operators may append anything to the stream, so the input is
- * hostile; the verdict depends on the bytes alone, so that all readers skip the same records for the same reason.
+ * Decodes the payload of a record of the control stream. Operators can append arbitrary bytes to the stream, so the
+ * input is untrusted. The result depends only on the bytes, so that all readers skip the same records for the same
+ * reason.
  */
 std::variant<ControlRecord, SkipReason> decodeControlRecord(const Bytes &payload);
 
--- a/modules/heatherridge_protocol/countsupdate.cpp
+++ b/modules/heatherridge_protocol/countsupdate.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-/** Steps that growth is told in at the most: two to this power, beyond any count. */
+/** Upper bound of CountsDelta::shift; two to the power of this exceeds any count. */
 constexpr unsigned MaxShift = 56;
 constexpr std::uint64_t MaxSteps = std::numeric_limits<std::uint8_t>::max();
 
@@ -32,7 +32,7 @@
     return update;
 }
 
-/** The least shift with which the growth from @p told to @p now fits a byte a count. */
+/** Returns the smallest shift with which each increase from @p sentCounts to @p now fits in one byte. */
 unsigned shiftFor(const std::vector<std::uint64_t> &sentCounts, const std::vector<std::uint64_t> &now)
 {
     std::uint64_t maxGrowth = 0;
@@ -103,7 +103,7 @@
         || found->counts.size() != counts.selectionCounts.size()) {
         return nullptr;
     }
-    // Fewer than before: the engine has started anew under the name that it had.
+    // Lower counts than before: the engine has restarted under the same name.
     const bool hasGrown = std::equal(found->counts.begin(), found->counts.end(), counts.selectionCounts.begin(),
                                      [](auto before, double now) { return static_cast<double>(before) <= now; });
     return hasGrown ? &*found : nullptr;
--- a/modules/heatherridge_protocol/countsupdate.h
+++ b/modules/heatherridge_protocol/countsupdate.h
@@ -14,60 +14,61 @@
 namespace Heatherridge
 {
 
-/** All counts of a rank. */
+/** The complete counts of a rank. */
 struct FullCounts
 {
-    std::vector<std::uint64_t> counts{}; ///< set by set
+    std::vector<std::uint64_t> counts{}; ///< ordered by layer set
 
     bool operator==(const FullCounts &) const = default;
 };
 
-/** By how much the counts of a rank have grown since an earlier reading, one byte a count. */
+/** The increase of a rank's counts since an earlier update, one byte per count. */
 struct CountsDelta
 {
-    std::uint64_t baseId = 0; ///< the mark of the earlier reading
-    unsigned shift = 0; ///< growth is told in steps of two to this power
-    std::vector<std::uint8_t> steps{}; ///< set by set
+    std::uint64_t baseId = 0; ///< id of the earlier update
+    unsigned shift = 0; ///< each step stands for an increase of two to the power of this
+    std::vector<std::uint8_t> steps{}; ///< ordered by layer set
 
     bool operator==(const CountsDelta &) const = default;
 };
 
-/** The answer to a question for counts. */
+/** The response to a request for a rank's counts. */
 struct CountsUpdate
 {
     std::uint64_t epoch = 0;
-    std::uint64_t id = 0; ///< names this reading; told with the next question
+    std::uint64_t id = 0; ///< identifies this update; sent as base id with the next request
     std::variant<FullCounts, CountsDelta> content{};
 
     bool operator==(const CountsUpdate &) const = default;
 };
 
-/** The CBOR of @p reading. */
+/** Encodes @p update as CBOR. */
 std::string encode(const CountsUpdate &update);
 
-/** Reads a reading. Anything else yields MalformedFrame. */
+/** Decodes an update. Invalid input yields MalformedFrame. */
 Result<CountsUpdate> decodeCountsUpdate(std::string_view bytes);
 
 /**
- * What the process beside a rank has told of its counts, so that it need only tell how much they have grown.
+ * Encodes the counts of ranks as increases since an earlier update. Used by the sidecar process of a rank.
  *
- * A rank of a large model has thousands of counts. Told in whole several times a second by hundreds of ranks they fill
- * the link of who asks, and its traffic waits behind them. Growth since the last question fits a byte a count: larger
- * growth is told in steps, and what a step leaves out counts as not told, so that it comes with the next question and
- * nothing is ever lost. One thread.
+ * A rank of a large model has thousands of counts. If hundreds of ranks sent all of them several times a second, they
+ * would saturate the requester's link and delay its other traffic. The increase since the last request takes one byte
+ * per count. A larger increase is quantized to steps; the remainder counts as not yet sent and is included in the next
+ * update, so that errors do not accumulate. Not thread-safe.
  */
 class CountsDeltaEncoder
 {
 public:
-    /** Readings that can be told growth since: those under way to several keepers. */
+    /** Number of previous updates kept as a base for increases; several group keepers may have requests in flight. */
     static constexpr std::size_t MaxHistory = 8;
 
-    /** @param firstMark drawn at random, so that marks of an earlier run of this process are not known to this one */
+    /** @param firstId a random number, so that ids issued by an earlier run of this process are not recognized by this
+     * one */
     explicit CountsDeltaEncoder(std::uint64_t firstId);
 
     /**
-     * What to answer when the rank @p target has @p counts.
-     * @param since the mark of the last reading that who asks has; 0 for none
+     * Returns the update to send when the rank @p target has @p counts.
+     * @param baseId id of the last update that the requester has applied; 0 if there is none
      */
     CountsUpdate createUpdate(const TargetName &target, const RankCounts &counts, std::uint64_t baseId);
 
@@ -77,24 +78,24 @@
         TargetName target{};
         std::uint64_t epoch = 0;
         std::uint64_t id = 0;
-        std::vector<std::uint64_t> counts{}; ///< as who asked can know them
+        std::vector<std::uint64_t> counts{}; ///< as the requester reconstructs them
     };
 
     const SentUpdate *find(const TargetName &target, const RankCounts &counts, std::uint64_t baseId) const;
 
     std::uint64_t m_lastId;
-    std::deque<SentUpdate> m_history; ///< the newest last
+    std::deque<SentUpdate> m_history; ///< in order of creation
 };
 
-/** The other side of a CountsDeltaEncoder: puts readings of one rank together. One thread. */
+/** Counterpart of CountsDeltaEncoder: reconstructs the counts of one rank from its updates. Not thread-safe. */
 class CountsDeltaDecoder
 {
 public:
-    /** The mark to ask with. 0 asks for all counts. */
+    /** Returns the id to send with the next request. 0 requests the complete counts. */
     std::uint64_t lastId() const;
 
-    /** Takes @p reading. @returns the counts as told so far; nothing when it adds to a reading that is not the last one
-     */
+    /** Applies @p update. @returns the counts after it, or nothing if it is based on another update than the last one
+     * applied; the next request is then one for the complete counts. */
     std::optional<RankCounts> apply(const CountsUpdate &update);
 
 private:
--- a/modules/heatherridge_protocol/crashreportcodec.h
+++ b/modules/heatherridge_protocol/crashreportcodec.h
@@ -9,10 +9,10 @@
 namespace Heatherridge
 {
 
-/** The CBOR of @p report. */
+/** Encodes @p report as CBOR. */
 std::string encode(const CrashReport &report);
 
-/** Reads a report. Anything else yields MalformedFrame. */
+/** Decodes a report. Invalid input yields MalformedFrame. */
 Result<CrashReport> decodeCrashReport(std::string_view bytes);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/engineorder.cpp
+++ b/modules/heatherridge_protocol/engineorder.cpp
@@ -89,7 +89,7 @@
 
 using ReadOrder = Result<EngineOrder> (*)(CborReader &);
 
-/** In the order of EngineOrder. */
+/** Indexed by the position of the alternative in EngineOrder. */
 constexpr ReadOrder OrderReaders[] = {
     [](CborReader &) -> Result<EngineOrder> { return PollEngine{}; },
     readLoad,
@@ -115,7 +115,7 @@
             {"b", report.busyTime.count()}};
 }
 
-/** The whole numbers at @p key, at most @p highest each. */
+/** Reads the array of unsigned integers at @p key, none of which may exceed @p maximum. */
 template<typename Number>
 std::vector<Number> readNumbers(CborReader &reader, std::string_view key, std::uint64_t maximum)
 {
--- a/modules/heatherridge_protocol/engineorder.h
+++ b/modules/heatherridge_protocol/engineorder.h
@@ -11,16 +11,16 @@
 namespace Heatherridge
 {
 
-/** A step that a rank's engine will not start. */
+/** The first step that a rank's engine must not start. */
 struct StepLimit
 {
-    MapNumber map{}; ///< the switch for which it stands
-    StepNumber bound{}; ///< the first step that is not started
+    MapNumber map{}; ///< the map switch that set the limit
+    StepNumber bound{}; ///< first step that the engine does not start
 
     bool operator==(const StepLimit &) const = default;
 };
 
-/** A map that takes effect at a step to come. */
+/** A map that takes effect at a future step. */
 struct ScheduledMap
 {
     MapNumber map{};
@@ -29,43 +29,43 @@
     bool operator==(const ScheduledMap &) const = default;
 };
 
-/** The sizes of the model that a group serves. */
+/** Dimensions of the model that a group serves. */
 struct GroupModel
 {
     int layers = 0;
-    int experts = 0; ///< in each layer
+    int experts = 0; ///< number per layer
     std::uint64_t expertBytes = 0;
 
     bool operator==(const GroupModel &) const = default;
 };
 
-/** What a rank's engine says of itself, in reply to every order. */
+/** State of a rank's engine, returned in reply to every order. */
 struct EngineState
 {
-    Incarnation run{}; ///< of the engine
-    Incarnation gateRun{}; ///< the run of the gate whose orders it follows; 0 when it doesn't check
-    EpochNumber epoch{}; ///< 0 when it is in none
-    std::vector<int> ranks{}; ///< of that epoch
-    StepNumber next{}; ///< the first step it has not started
-    MapNumber map{}; ///< of the step `next`, unless one is scheduled for it
-    StepNumber mapSince{}; ///< the step from which `map` has been in use
+    Incarnation run{}; ///< current run of the engine
+    Incarnation gateRun{}; ///< run of the gate whose orders the engine accepts; 0 if it does not check orders
+    EpochNumber epoch{}; ///< 0 if the engine is in no epoch
+    std::vector<int> ranks{}; ///< the ranks of that epoch
+    StepNumber next{}; ///< first step that has not been started
+    MapNumber map{}; ///< map of the step `next`, unless another one is scheduled for that step
+    StepNumber mapSince{}; ///< first step that used `map`
     std::optional<StepLimit> limit{};
     std::optional<ScheduledMap> scheduled{};
-    std::vector<MapNumber> loaded{}; ///< maps whose weights are all there
-    MapNumber failed{}; ///< the last map whose weights could not be loaded
+    std::vector<MapNumber> loaded{}; ///< maps whose weights are completely loaded
+    MapNumber failed{}; ///< last map whose weights could not be loaded
     GroupModel model{};
-    std::optional<RankReport> load{}; ///< of the last whole window
+    std::optional<RankReport> load{}; ///< load of the last complete measurement window
 
     bool operator==(const EngineState &) const = default;
 };
 
-/** Say how you are. */
+/** Requests the engine's state without changing it. */
 struct PollEngine
 {
     bool operator==(const PollEngine &) const = default;
 };
 
-/** Load the weights of a map beside those in use. */
+/** Loads the weights of a map in addition to those in use. */
 struct LoadWeights
 {
     ExpertMap map{};
@@ -73,7 +73,7 @@
     bool operator==(const LoadWeights &) const = default;
 };
 
-/** Forget the weights of a map that is not in use. */
+/** Unloads the weights of a map that is not in use. */
 struct DropWeights
 {
     MapNumber map{};
@@ -82,9 +82,11 @@
 };
 
 /**
- * Start no step from `bound` on. Without effect when that step has been started, when another limit stands, when the
- * map's weights are not loaded, when it is in use or scheduled or its number is below that of the one in use (the order
- * comes late), or in another epoch; repeated for one map, the first bound stays.
+ * Prevents the engine from starting the step `bound` or any later one.
+ *
+ * Has no effect if that step has been started, another limit is set, the map's weights are not loaded, the map is in
+ * use or scheduled, its number is below that of the map in use (a delayed order), or the engine is in another epoch. If
+ * the order is repeated for the same map, the first bound remains in effect.
  */
 struct LimitSteps
 {
@@ -95,8 +97,8 @@
     bool operator==(const LimitSteps &) const = default;
 };
 
-/** Use a loaded map from a step on, and lift the limit that stands for it. Without effect in another epoch, and for a
- * map whose number is not above that of the one in use. */
+/** Schedules a loaded map from a step onwards and removes the limit set for it. Has no effect in another epoch or if
+ * the map's number is not above that of the map in use. */
 struct ScheduleMap
 {
     EpochNumber epoch{};
@@ -106,7 +108,7 @@
     bool operator==(const ScheduleMap &) const = default;
 };
 
-/** Lift the limit that stands for this map, if any. */
+/** Removes the limit set for this map, if there is one. */
 struct LiftLimit
 {
     MapNumber map{};
@@ -114,8 +116,8 @@
     bool operator==(const LiftLimit &) const = default;
 };
 
-/** Leave the present epoch and enter this one at its step 0. Without effect for an epoch not above the present one, and
- * before its map is loaded. */
+/** Leaves the current epoch and enters the given one at its step 0. Has no effect if the epoch's number is not above
+ * the current one or its map is not loaded. */
 struct EnterEpoch
 {
     GroupEpoch epoch{};
@@ -123,7 +125,7 @@
     bool operator==(const EnterEpoch &) const = default;
 };
 
-/** Leave the present epoch; this rank is not in the one with this number. */
+/** Leaves the current epoch; this rank is not a member of the epoch with the given number. */
 struct LeaveEpoch
 {
     EpochNumber successor{};
@@ -132,38 +134,38 @@
 };
 
 /**
- * All orders from a gate to its engine. Each is idempotent, since the reply to it can be lost.
+ * All orders from a gate to its engine. Each is idempotent, because the reply can be lost.
  *
- * An order that a dead run of the gate had sent must not take effect after the next run has read the engine's state:
- * the next run may have refused a switch because no limit stood, and a later run would take the late limit for a vote.
- * An engine that checks orders sees to it by the run that each order carries: the first order of a run unknown to it
- * ends the ones before. (A first order that comes late ends a living run; that gate then starts anew, see
- * RankGate::isReplaced(). No harm is done, since a run's first order is a poll.) One that ignores the number must
- * follow orders as they arrive, which on one host they do before the next run's first.
+ * An order sent by a terminated run of the gate must not take effect after the next run has read the engine's state:
+ * the next run may have rejected a switch because no limit was set, and a later run would mistake the delayed limit for
+ * a vote. An engine that checks orders ensures this by the gate run in each order: the first order from an unknown run
+ * invalidates all earlier runs. (A delayed first order invalidates a live run; that gate then restarts, see
+ * RankGate::isReplaced(). This is harmless, because the first order of a run is a poll.) An engine that ignores the run
+ * must execute orders in order of arrival; on a single host, they arrive before the first order of the next run.
  */
 using EngineOrder =
     std::variant<PollEngine, LoadWeights, DropWeights, LimitSteps, ScheduleMap, LiftLimit, EnterEpoch, LeaveEpoch>;
 
-/** An order and the run of the gate that gives it, as the body of a request to the engine. */
+/** The body of a request to the engine: an order and the run of the gate that sends it. */
 struct EngineOrderRequest
 {
     Incarnation run{};
     EngineOrder order{};
 };
 
-/** The CBOR of @p order. */
+/** Encodes @p order as CBOR. */
 Bytes encode(const EngineOrderRequest &order);
 
-/** Reads an order. Hostile input yields MalformedFrame. */
+/** Decodes an order. Invalid or hostile input yields MalformedFrame. */
 Result<EngineOrderRequest> decodeEngineOrderRequest(const Bytes &bytes);
 
-/** The CBOR of @p state. */
+/** Encodes @p state as CBOR. */
 Bytes encode(const EngineState &state);
 
-/** Reads a state. Hostile input yields MalformedFrame. */
+/** Decodes a state. Invalid or hostile input yields MalformedFrame. */
 Result<EngineState> decodeEngineState(const Bytes &bytes);
 
-/** The map that @p order is about, or 0. */
+/** Returns the number of the map to which @p order refers, or 0 if it refers to none. */
 MapNumber mapOf(const EngineOrder &order);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/envelope.h
+++ b/modules/heatherridge_protocol/envelope.h
@@ -9,35 +9,35 @@
 namespace Heatherridge
 {
 
-/** Bytes as they travel. */
+/** Raw bytes as sent over the network. */
 using Bytes = std::vector<std::uint8_t>;
 
-/** Which family of messages a frame belongs to; each family has its own codec. */
+/** The message family of a frame. Each family has its own codec. */
 enum class Channel : std::uint8_t {
-    Traffic = 1, ///< requests and answers, between entries and targets
+    Traffic = 1, ///< requests and answers between entries and targets
     Control = 2, ///< configuration relay, heartbeats, state offers
-    Keys = 3, ///< hand-over of idempotency keys between targets of a service
-    Group = 4, ///< lock-step groups: switches of the expert map
+    Keys = 3, ///< handover of idempotency keys between targets of a service
+    Group = 4, ///< lock-step groups: switches between expert maps
 };
 
-/** What every frame between processes carries, whatever its family. */
+/** The fields that all frames between processes have in common. */
 struct Envelope
 {
-    /** The only version spoken; a frame of another is refused. */
+    /** The only supported protocol version; frames of any other version are rejected. */
     static constexpr int CurrentVersion = 1;
 
     int version = CurrentVersion;
     Channel channel = Channel::Traffic;
-    ProcessName sender{}; ///< who sent it
-    Incarnation incarnation{}; ///< which run of the sender
-    LogOffset offset{}; ///< up to which offset of the configuration stream the sender has folded
-    Bytes payload{}; ///< the family's own CBOR
+    ProcessName sender{}; ///< the sending process
+    Incarnation incarnation{}; ///< the sender's current run
+    LogOffset offset{}; ///< offset of the configuration stream up to which the sender has applied records
+    Bytes payload{}; ///< CBOR message of the channel's codec
 };
 
-/** The frame of @p envelope as CBOR. */
+/** Encodes @p envelope as a CBOR frame. */
 Bytes encode(const Envelope &envelope);
 
-/** Reads a frame. Hostile input yields MalformedFrame, never an exception. */
+/** Decodes a frame. Invalid or hostile input yields MalformedFrame, never an exception. */
 Result<Envelope> decodeEnvelope(const Bytes &frame);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/groupmessage.cpp
+++ b/modules/heatherridge_protocol/groupmessage.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t MaxVotes = 4096;
 constexpr std::size_t MaxReportedSlots = 1U << 16U;
-/** Messages by their place in GroupMessage; the place is the tag on the wire. */
+/** Messages are tagged on the wire with their index in GroupMessage. */
 constexpr std::uint64_t MaxTag = std::variant_size_v<GroupMessage> - 1;
 
 nlohmann::json toMap(const LoadMap &message)
@@ -185,7 +185,7 @@
 
 using ReadMessage = Result<GroupMessage> (*)(CborReader &);
 
-/** In the order of GroupMessage. */
+/** Indexed by the position of the alternative in GroupMessage. */
 constexpr ReadMessage MessageReaders[] = {
     readLoadMap,           readMapReady,   readRequest<VoteRequest>, readRequest<CancelMap>, readVoteList,
     readEpochAnnouncement, readRankStatus, readStatusRequest,        readRankLoadReport};
--- a/modules/heatherridge_protocol/groupmessage.h
+++ b/modules/heatherridge_protocol/groupmessage.h
@@ -11,21 +11,21 @@
 namespace Heatherridge
 {
 
-/** Leader to gate: load the weights of this map beside those in use. */
+/** Leader to gate: load the weights of this map in addition to those in use. */
 struct LoadMap
 {
     FencingNumber leader{};
-    EpochNumber epoch{}; ///< the epoch the leader takes to be in force
-    /** The run of the gate this is meant for. A later run must not take up a proposal that an earlier one may have
-     * refused. */
+    EpochNumber epoch{}; ///< epoch that the leader considers current
+    /** The addressed run of the gate. A later run must not accept a proposal that an earlier run may have rejected. */
     Incarnation addressee{};
-    bool startsEpoch = false; ///< for the first step of an epoch to come, not for a switch of the present one
+    bool startsEpoch =
+        false; ///< true: the map is for the first step of the next epoch; false: for a switch within the current epoch
     ExpertMap map{};
 
     bool operator==(const LoadMap &) const = default;
 };
 
-/** Gate to leader: the weights are there, or can't be had. No promise. */
+/** Gate to leader: the weights are loaded, or cannot be loaded. This is not a commitment. */
 struct MapReady
 {
     int rank = 0;
@@ -35,7 +35,7 @@
     bool operator==(const MapReady &) const = default;
 };
 
-/** Leader to gate: all ranks are ready, vote. */
+/** Leader to gate: all ranks are ready; requests a vote. */
 struct VoteRequest
 {
     FencingNumber leader{};
@@ -45,7 +45,7 @@
     bool operator==(const VoteRequest &) const = default;
 };
 
-/** Leader to gate: the switch is given up; whoever hasn't voted refuses. */
+/** Leader to gate: the switch is cancelled; gates that have not voted yet vote against it. */
 struct CancelMap
 {
     FencingNumber leader{};
@@ -55,28 +55,29 @@
     bool operator==(const CancelMap &) const = default;
 };
 
-/** One rank's vote on a switch. Final. */
+/** One rank's vote on a map switch. A vote is final. */
 struct Vote
 {
     int rank = 0;
     bool agreed = false;
-    StepNumber bound{}; ///< when agreed: the rank starts no step from here on without knowing the outcome
+    StepNumber bound{}; ///< if agreed: the rank starts neither this step nor a later one before it knows the outcome
 
     bool operator==(const Vote &) const = default;
 };
 
-/** Anyone to anyone: the votes known on a switch. Facts only, so that lists can be merged in any order. */
+/** Between any two members: the known votes on a map switch. Lists contain facts only, so they can be merged in any
+ * order. */
 struct VoteList
 {
     EpochNumber epoch{};
     MapNumber map{};
     std::vector<Vote> votes{};
-    std::optional<StepNumber> committedAt{}; ///< when the sender's engine has the switch on its schedule
+    std::optional<StepNumber> committedAt{}; ///< step of the switch, if the sender's engine has scheduled it
 
     bool operator==(const VoteList &) const = default;
 };
 
-/** Anyone to anyone: an epoch that the group's stream holds. */
+/** Between any two members: an epoch that is recorded in the group's stream. */
 struct EpochAnnouncement
 {
     GroupEpoch epoch{};
@@ -84,20 +85,20 @@
     bool operator==(const EpochAnnouncement &) const = default;
 };
 
-/** Gate to leader, regularly. */
+/** Gate to leader, periodically: the state of the rank. */
 struct RankStatus
 {
     int rank = 0;
     Incarnation engine{};
     EpochNumber epoch{};
-    MapNumber map{}; ///< of the next step
+    MapNumber map{}; ///< map of the next step
     StepNumber step{}; ///< the next step
-    MapNumber pending{}; ///< the switch that is agreed to or on the schedule but not in use; 0 for none
+    MapNumber pending{}; ///< map of a switch that is agreed or scheduled but not yet in use; 0 if there is none
 
     bool operator==(const RankStatus &) const = default;
 };
 
-/** Leader to gate: I lead now; send your status. */
+/** New leader to gate: announces the leader's fencing number and requests the rank's status. */
 struct StatusRequest
 {
     FencingNumber leader{};
@@ -105,7 +106,7 @@
     bool operator==(const StatusRequest &) const = default;
 };
 
-/** Gate to leader: what the rank measured in one window. */
+/** Gate to leader: the rank's measurements of one window. */
 struct RankLoadReport
 {
     RankReport report{};
@@ -117,17 +118,17 @@
 using GroupMessage = std::variant<LoadMap, MapReady, VoteRequest, CancelMap, VoteList, EpochAnnouncement, RankStatus,
                                   StatusRequest, RankLoadReport>;
 
-/** A message and the group it belongs to. */
+/** A message with the group to which it belongs. */
 struct GroupFrame
 {
     GroupName group{};
     GroupMessage message{};
 };
 
-/** The payload of an envelope on Channel::Group. */
+/** Encodes @p frame as the payload of an envelope on Channel::Group. */
 Bytes encode(const GroupFrame &frame);
 
-/** Reads a payload. Hostile input yields MalformedFrame. */
+/** Decodes a payload. Invalid or hostile input yields MalformedFrame. */
 Result<GroupFrame> decodeGroupFrame(const Bytes &payload);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/grouprecord.cpp
+++ b/modules/heatherridge_protocol/grouprecord.cpp
@@ -49,7 +49,7 @@
     return layer;
 }
 
-/** The least shape that @p layers can be a placement on. */
+/** Returns the smallest group shape for which @p layers can be a placement. */
 GroupShape minimalShape(const std::vector<LayerPlacement> &layers)
 {
     GroupShape shape{.layers = static_cast<int>(layers.size())};
--- a/modules/heatherridge_protocol/grouprecord.h
+++ b/modules/heatherridge_protocol/grouprecord.h
@@ -12,22 +12,23 @@
 /** All records on the stream `group-<group>`. */
 using GroupRecord = std::variant<GroupClaim, GroupEpoch>;
 
-/** The payload of @p record. */
+/** Encodes @p record as the payload of a record. */
 Bytes encodeGroupRecord(const GroupRecord &record);
 
-/** Reads a payload. Hostile input yields MalformedFrame. */
+/** Decodes a payload. Invalid or hostile input yields MalformedFrame. */
 Result<GroupRecord> decodeGroupRecord(const Bytes &payload);
 
-/** The CBOR map of @p map: its number, and each layer's slots packed into one byte string. */
+/** Returns the CBOR map for @p map: its number, and one byte string per layer that holds the packed slots. */
 nlohmann::json toJson(const ExpertMap &map);
 
-/** Reads what toJson() wrote and checks all but the ranks' memory, which the sender has checked. */
+/** Reads the output of toJson() and validates everything except the ranks' memory limits, which the sender has checked.
+ */
 Result<ExpertMap> expertMapFrom(const nlohmann::json &json);
 
-/** The CBOR map of @p epoch. */
+/** Returns the CBOR map for @p epoch. */
 nlohmann::json toJson(const GroupEpoch &epoch);
 
-/** Reads what toJson() wrote. */
+/** Reads the output of toJson(). */
 Result<GroupEpoch> groupEpochFrom(const nlohmann::json &json);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/heatherridge_protocol.h
+++ b/modules/heatherridge_protocol/heatherridge_protocol.h
@@ -3,8 +3,8 @@
 /**
  * Module heatherridge_protocol.
  *
- * Purpose: the typed messages between this system's own processes and the records it keeps on the platform's log, and
- * their CBOR form. Decoding never trusts its input: each field's presence, type and bound is checked.
+ * Purpose: typed messages between the processes of this system, records that it keeps in the platform's log, and the
+ * CBOR encoding of both. Decoders treat input as untrusted and validate the presence, type and range of each field.
  *
  * Dependencies: heatherridge_state, nlohmann-json (CBOR codec).
  */
--- a/modules/heatherridge_protocol/imagepart.cpp
+++ b/modules/heatherridge_protocol/imagepart.cpp
@@ -16,7 +16,7 @@
 {
     DigestBuilder digest;
     digest.add(toNumber(part.covers)).add(toNumber(part.digest)).add(part.index).add(part.count);
-    // The bytes are only hashed; a view of them as characters is how the builder takes them.
+    // The cast is safe: the bytes are only hashed, and the builder accepts a string view.
     return digest.add(std::string_view(reinterpret_cast<const char *>(part.bytes.data()), part.bytes.size())).finish();
 }
 
--- a/modules/heatherridge_protocol/imagepart.h
+++ b/modules/heatherridge_protocol/imagepart.h
@@ -8,31 +8,31 @@
 namespace Heatherridge
 {
 
-/** One piece of an encoded ConfigImage, as snapshots on the log and state offers between processes carry it. */
+/** One part of an encoded ConfigImage, as used in snapshots in the log and in state offers between processes. */
 struct ImagePart
 {
-    LogOffset covers{}; ///< the offset of the whole image
-    Digest digest{}; ///< of the whole image
-    std::size_t index = 0; ///< which piece, from 0
-    std::size_t count = 0; ///< of how many
+    LogOffset covers{}; ///< offset of the complete image
+    Digest digest{}; ///< digest of the complete image
+    std::size_t index = 0; ///< zero-based
+    std::size_t count = 0; ///< number of parts of the image
     Bytes bytes{};
 
     bool operator==(const ImagePart &) const = default;
 };
 
-/** Longest piece, in bytes. */
+/** Maximum size of a part in bytes. */
 constexpr std::size_t MaxImagePartBytes = 64UL << 10U;
 
-/** Most pieces of one image. */
+/** Maximum number of parts of an image. */
 constexpr std::size_t MaxImageParts = 256;
 
-/** @p image in pieces; empty when it needs more than MaxImageParts. */
+/** Splits @p image into parts. Returns an empty vector if it needs more than MaxImageParts. */
 std::vector<ImagePart> splitImage(const ConfigImage &image);
 
-/** The CBOR form of @p part with a checksum over it. */
+/** Encodes @p part as CBOR, including a checksum. */
 Bytes encodeImagePart(const ImagePart &part);
 
-/** Reads a piece; one whose checksum does not fit is malformed. */
+/** Decodes a part. A wrong checksum yields MalformedFrame. */
 Result<ImagePart> decodeImagePart(const Bytes &payload);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/keymessage.h
+++ b/modules/heatherridge_protocol/keymessage.h
@@ -9,7 +9,8 @@
 namespace Heatherridge
 {
 
-/** A holder asks a witness to let it run keys created before @p until while the log is out. */
+/** Sent by a claim holder to a witness: requests permission to run keys created before `until` while the log is
+ * unavailable. */
 struct ActivateRequest
 {
     ClaimId claim{};
@@ -18,7 +19,8 @@
     bool operator==(const ActivateRequest &) const = default;
 };
 
-/** The witness's promise to refuse successors for keys created before @p until. A refusal is not answered. */
+/** The witness's promise to reject successors for keys created before `until`. A witness that declines does not reply.
+ */
 struct ActivateReply
 {
     ClaimId claim{};
@@ -27,7 +29,7 @@
     bool operator==(const ActivateReply &) const = default;
 };
 
-/** A successor asks a witness to promise nothing more for @p claim. */
+/** Sent by a successor to a witness: requests that the witness makes no further promises for `claim`. */
 struct RevokeRequest
 {
     ClaimId claim{};
@@ -35,48 +37,49 @@
     bool operator==(const RevokeRequest &) const = default;
 };
 
-/** The witness will promise nothing more. It may have promised before. */
+/** The witness makes no further promises for the claim. It may have made one before. */
 struct RevokeReply
 {
     ClaimId claim{};
-    std::optional<WallTime> activatedUntil{}; ///< what it had promised; nothing when it never did
+    std::optional<WallTime> activatedUntil{}; ///< the promise made before; empty if there was none
 
     bool operator==(const RevokeReply &) const = default;
 };
 
-/** A successor asks the holder to hand the shard over. */
+/** Sent by a successor to the holder: requests the handover of the shard. */
 struct ReleaseRequest
 {
     ClaimId claim{};
-    bool withOfflineRight = false; ///< the asker can't reach the log: it wants the right to run keys without it
+    bool withOfflineRight =
+        false; ///< the sender cannot reach the log and also requests the right to run keys without it
 
     bool operator==(const ReleaseRequest &) const = default;
 };
 
-/** The holder runs no more keys under the claim; the receiver may. */
+/** The holder has stopped running keys under the claim; the receiver may run them from now on. */
 struct ReleaseReply
 {
     LoggedClaim claim{};
-    bool withOfflineRight = false; ///< whether the right to run keys without the log passes too
-    WallTime until{}; ///< with the right: what every witness had promised at least
-    WallTime floor{}; ///< lowest creation time that the sender could decide
-    std::vector<KeyRecord> unrecorded{}; ///< runs that may not be in the log yet; the receiver writes them there
+    bool withOfflineRight = false; ///< whether the right to run keys without the log is transferred as well
+    WallTime until{}; ///< with the right: the earliest of the times promised by the witnesses
+    WallTime floor{}; ///< lowest creation time for which the sender could decide keys
+    std::vector<KeyRecord> unrecorded{}; ///< runs that may be missing from the log; the receiver appends them
     std::vector<KeyRecord> known{}; ///< with the right: all other keys of the shard
 
     bool operator==(const ReleaseReply &) const = default;
 };
 
-/** A gate tells the other gates of its service which run of its process is alive. The receiver's run is left open. */
+/** Announces a gate's current run to the other gates of its service. The receiver's run is left unspecified. */
 struct GatePresence
 {
     bool operator==(const GatePresence &) const = default;
 };
 
-/** One message between two gates of a service. */
+/** All messages between two gates of a service. */
 using KeyMessage = std::variant<ActivateRequest, ActivateReply, RevokeRequest, RevokeReply, ReleaseRequest,
                                 ReleaseReply, GatePresence>;
 
-/** A message with its address: a gate drops what is meant for another run of its process. */
+/** A message with sender and addressee. A gate discards frames that are addressed to another run of its process. */
 struct KeyFrame
 {
     ServiceName service{};
@@ -88,13 +91,13 @@
     bool operator==(const KeyFrame &) const = default;
 };
 
-/** Most records in one list of a hand-over; a holder with more refuses to hand over. */
+/** Maximum number of records in each list of a handover; a holder with more records refuses the handover. */
 inline constexpr std::size_t MaxHandOverRecords = 4096;
 
-/** @p frame as the payload of a frame of Channel::Keys. */
+/** Encodes @p frame as the payload of an envelope on Channel::Keys. */
 Bytes encode(const KeyFrame &frame);
 
-/** Reads a message. Hostile input yields MalformedFrame, never an exception. */
+/** Decodes a frame. Invalid or hostile input yields MalformedFrame, never an exception. */
 Result<KeyFrame> decodeKeyFrame(const Bytes &payload);
 
 } // namespace Heatherridge
--- a/modules/heatherridge_protocol/keyrecordcodec.cpp
+++ b/modules/heatherridge_protocol/keyrecordcodec.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t MaxNameLength = 256;
 constexpr std::size_t MaxWitnesses = 16;
 constexpr int MaxHttpStatus = 999;
-/** Highest creation time that a UUID of version 7 can carry. */
+/** Highest creation time that a version 7 UUID can represent, in milliseconds. */
 constexpr std::int64_t MaxTime = (1LL << 48) - 1;
 
 enum class RecordTag : std::uint8_t {
@@ -69,7 +69,7 @@
     return text;
 }
 
-/** Runs @p read on the map at @p key and passes a failure in it on to @p reader. */
+/** Calls @p read for the map at @p key. Marks @p reader as failed if reading it fails. */
 template<typename Read>
 auto readNested(CborReader &reader, std::string_view key, Read read)
 {
--- a/modules/heatherridge_protocol/keyrecordcodec.h
+++ b/modules/heatherridge_protocol/keyrecordcodec.h
@@ -8,18 +8,18 @@
 namespace Heatherridge
 {
 
-/** Most records in one batch; a batch with more is refused by every reader. */
+/** Maximum number of records in a batch; readers reject larger ones. */
 inline constexpr std::size_t MaxKeyRecords = 256;
 
-/** @p batch as a record of a key stream. It must hold at most MaxKeyRecords. */
+/** Encodes @p batch as a record of a key stream. It must contain at most MaxKeyRecords records. */
 Bytes encode(const KeyBatch &batch);
 
-/** Reads a record of a key stream. Damaged or hostile input yields MalformedFrame, never an exception. */
+/** Decodes a record of a key stream. Damaged or hostile input yields MalformedFrame, never an exception. */
 Result<KeyBatch> decodeKeyBatch(const Bytes &payload);
 
 class CborReader;
 
-/** The parts that messages between gates share with the records; each reads from, or writes to, one CBOR map. */
+/** Field codecs shared by key records and messages between gates. Each reads from or writes to one CBOR map. */
 namespace KeyCodec
 {
 
@@ -29,19 +29,19 @@
 nlohmann::json toJson(const LoggedClaim &claim);
 nlohmann::json toJson(const KeyRecord &record);
 
-/** Reads a gate from @p map; marks @p reader as failed when it can't. */
+/** Reads the gate at @p key. Marks @p reader as failed if it is missing or invalid. */
 GateId readGate(CborReader &reader, std::string_view key);
 
-/** Reads the name of a claim. */
+/** Reads the id of a claim at @p key. */
 ClaimId readClaimId(CborReader &reader, std::string_view key);
 
-/** Reads a claim with its place in the log. */
+/** Reads the claim at @p key together with its offset in the log. */
 LoggedClaim readLoggedClaim(CborReader &reader, std::string_view key);
 
-/** Reads a point of calendar time in milliseconds. */
+/** Reads the wall-clock time in milliseconds at @p key. */
 WallTime readTime(CborReader &reader, std::string_view key);
 
-/** Reads the array of records at @p key, at most @p most of them. */
+/** Reads the array of records at @p key, which must hold at most @p maxCount. */
 std::vector<KeyRecord> readRecords(CborReader &reader, std::string_view key, std::size_t maxCount);
 
 } // namespace KeyCodec
--- a/modules/heatherridge_protocol/rankmessage.cpp
+++ b/modules/heatherridge_protocol/rankmessage.cpp
@@ -24,13 +24,13 @@
     return value.is_null() ? std::nullopt : std::optional(static_cast<MapNumber>(value.get<std::uint64_t>()));
 }
 
-/** Bytes that spell the number of an expert. */
+/** Number of bytes that encode an expert's number. */
 constexpr unsigned OneByteExperts = 1;
 constexpr unsigned TwoByteExperts = 2;
-/** The number that the JSON library's errors want; of no meaning here. */
+/** Error id that the JSON library's exceptions require; not evaluated here. */
 constexpr int TruncatedLayoutError = 600;
 
-/** The bytes of @p set: for each rank how many experts it holds, and these. */
+/** Encodes @p set: for each rank, the number of its experts followed by their numbers. */
 std::vector<std::uint8_t> encodeSet(const SetLayout &set, unsigned width)
 {
     std::vector<std::uint8_t> bytes;
@@ -46,7 +46,7 @@
     return bytes;
 }
 
-/** Whether each rank's experts can be counted in one byte. */
+/** Returns whether the number of experts of each rank fits in one byte. */
 bool isCompact(const ExpertLayout &layout)
 {
     return std::all_of(layout.begin(), layout.end(), [](const auto &set) {
@@ -68,7 +68,8 @@
     return highest <= std::numeric_limits<std::uint8_t>::max() ? OneByteExperts : TwoByteExperts;
 }
 
-/** Layouts go to every rank of a group at each switch: a byte or two an expert. */
+/** Encodes @p layout with one or two bytes per expert, because it is sent to every rank of a group at each map switch.
+ */
 json encodeLayout(const ExpertLayout &layout)
 {
     if (!isCompact(layout)) {
@@ -82,14 +83,14 @@
     return json::array({width, std::move(sets)});
 }
 
-/** Reads the bytes of a set. Bytes that end within a rank throw as a missing field does. */
+/** Decodes a set. Throws a JSON exception, as for a missing field, if the bytes end within a rank. */
 SetLayout decodeSet(const std::vector<std::uint8_t> &bytes, unsigned width)
 {
     SetLayout set;
     for (std::size_t position = 0; position < bytes.size();) {
         const std::size_t count = bytes[position++];
         if (bytes.size() - position < count * width) {
-            throw json::other_error::create(TruncatedLayoutError, "a layout ends within a rank", nullptr);
+            throw json::other_error::create(TruncatedLayoutError, "layout ends within a rank", nullptr);
         }
         auto &experts = set.emplace_back();
         for (std::size_t index = 0; index < count; ++index, position += width) {
@@ -224,7 +225,7 @@
 {
     return decodeCbor(bytes, [](const json &value) {
         const auto number = value.get<int>();
-        // A word of a later version is as good as none.
+        // An unknown value, sent by a later version, counts as no answer.
         return number == static_cast<int>(OrderReply::Accepted) || number == static_cast<int>(OrderReply::Refused)
             ? static_cast<OrderReply>(number)
             : OrderReply::NoAnswer;
--- a/modules/heatherridge_protocol/rankmessage.h
+++ b/modules/heatherridge_protocol/rankmessage.h
@@ -10,21 +10,21 @@
 namespace Heatherridge
 {
 
-/** An order on its way to the process beside a rank. */
+/** An order sent to the sidecar process of a rank. */
 struct RankOrderMessage
 {
-    TargetName target{}; ///< the run of the engine that is meant; any other must not get it
-    std::uint64_t epoch = 0; ///< of the group, in which alone the order holds
+    TargetName target{}; ///< the addressed run of the engine; the order must not reach any other run
+    std::uint64_t epoch = 0; ///< epoch of the group; the order is valid only in this epoch
     RankOrder order{};
 };
 
-/** The CBOR of each message between a keeper of groups and the process beside a rank. */
+/** Encodes a message between a group keeper and the sidecar process of a rank as CBOR. */
 std::string encode(const RankStatus &status);
 std::string encode(const RankExperts &experts);
 std::string encode(const RankOrderMessage &message);
 std::string encode(OrderReply reply);
 
-/** Reads a message. Anything else yields MalformedFrame. */
+/** Decodes a message. Invalid input yields MalformedFrame. */
 Result<RankStatus> decodeRankStatus(std::string_view bytes);
 Result<RankExperts> decodeRankExperts(std::string_view bytes);
 Result<RankOrderMessage> decodeRankOrder(std::string_view bytes);
--- a/modules/heatherridge_protocol/trafficmessage.cpp
+++ b/modules/heatherridge_protocol/trafficmessage.cpp
@@ -17,7 +17,7 @@
 constexpr std::int64_t MinHttpStatus = 100;
 constexpr std::int64_t MaxHttpStatus = 999;
 
-/** The alternatives' place in the variant is their type number on the wire. */
+/** Message types on the wire; each value is the index of the alternative in TrafficMessage. */
 enum class MessageType : std::uint64_t { Submit, Cancel, Credit, Head, Chunk, End, Error, Load };
 
 json encodeHeaders(const std::vector<HeaderField> &headers)
--- a/modules/heatherridge_protocol/trafficmessage.h
+++ b/modules/heatherridge_protocol/trafficmessage.h
@@ -11,7 +11,7 @@
 namespace Heatherridge
 {
 
-/** One header field of a relayed request or answer. */
+/** A header field of a relayed request or answer. */
 struct HeaderField
 {
     std::string name{};
@@ -20,30 +20,32 @@
     bool operator==(const HeaderField &) const = default;
 };
 
-/** An entry hands a caller's request to the target that it chose. */
+/** Sent by an entry to submit a caller's request to the selected target. */
 struct SubmitRequest
 {
     RequestId id{};
     WorkspaceName workspace{};
     ServiceName service{};
     std::string method{};
-    std::string path{}; ///< as the back end is to see it, without the query
+    std::string path{}; ///< path sent to the back end, without the query
     std::string query{};
     std::vector<HeaderField> headers{};
     Bytes body{};
-    int priority = 0; ///< higher first
-    std::chrono::milliseconds timeLeft{0}; ///< until the caller's deadline, when the entry sent it
-    IdempotencyKey key{}; ///< empty when the caller gave none
-    bool mayRepeat = false; ///< whether running it twice does no harm, by the rule set
-    std::uint64_t cost = 1; ///< expected work in tokens; the unit of fair shares
+    int priority = 0; ///< requests with higher values are served first
+    std::chrono::milliseconds timeLeft{
+        0}; ///< time until the caller's deadline, measured when the entry sent the message
+    IdempotencyKey key{}; ///< empty if the caller sent none
+    bool mayRepeat = false; ///< whether the rule set declares that it is safe to run the request twice
+    std::uint64_t cost = 1; ///< expected work in tokens; the unit of fair sharing
     std::uint64_t uncachedPromptTokens =
-        0; ///< prompt tokens that the target is expected to compute, its cache considered
-    int attempt = 1; ///< 1 for the first try; 2 and up for retries and hedges
+        0; ///< prompt tokens that the target is expected to compute because its cache does not hold them
+    int attempt = 1; ///< 1 for the first attempt; 2 and higher for retries and hedged requests
 
     bool operator==(const SubmitRequest &) const = default;
 };
 
-/** The caller has left or the entry has given up: stop the work, if it runs, and forget it. */
+/** Sent when the caller has disconnected or the entry has abandoned the request: the target stops the work, if it is
+ * running, and discards the request. */
 struct CancelRequest
 {
     RequestId id{};
@@ -51,7 +53,7 @@
     bool operator==(const CancelRequest &) const = default;
 };
 
-/** The entry has passed on so many more bytes; the target may send as many (back pressure). */
+/** Flow control: the entry has forwarded this number of further bytes, and the target may send as many more. */
 struct GrantCredit
 {
     RequestId id{};
@@ -60,7 +62,7 @@
     bool operator==(const GrantCredit &) const = default;
 };
 
-/** Status and headers of an answer; comes before its chunks. */
+/** Status and headers of an answer; sent before its chunks. */
 struct AnswerHead
 {
     RequestId id{};
@@ -70,65 +72,67 @@
     bool operator==(const AnswerHead &) const = default;
 };
 
-/** One piece of an answer's body. */
+/** A chunk of an answer's body. */
 struct AnswerChunk
 {
     RequestId id{};
-    std::uint64_t sequence = 0; ///< counts up from 0 without gaps
+    std::uint64_t sequence = 0; ///< starts at 0 and increases without gaps
     Bytes bytes{};
 
     bool operator==(const AnswerChunk &) const = default;
 };
 
-/** The answer is whole. */
+/** Marks the answer as complete. */
 struct AnswerEnd
 {
     RequestId id{};
-    std::uint64_t chunks = 0; ///< how many chunks it had
+    std::uint64_t chunks = 0; ///< total number of chunks of the answer
 
     bool operator==(const AnswerEnd &) const = default;
 };
 
-/** There is no answer, or no whole one. */
+/** Reports that there is no answer or that the answer is incomplete. */
 struct AnswerError
 {
     RequestId id{};
     ErrorKind kind = ErrorKind::Internal;
-    Ran ran = Ran::Unknown; ///< the word of the process that could have run it
+    Ran ran = Ran::Unknown; ///< as reported by the process that may have run the request
     std::optional<std::chrono::milliseconds> retryAfter{};
     std::string detail{};
-    TargetName redirectTarget{}; ///< a target whose process may know the request's key; empty for none
+    TargetName redirectTarget{}; ///< target whose process may hold the request's key; empty if unknown
 
     bool operator==(const AnswerError &) const = default;
 };
 
-/** What a target's process tells entries about its load, unasked. */
+/** Load of a target, sent to entries by the target's process without a request. */
 struct LoadReport
 {
     TargetName target{};
-    std::uint64_t running = 0; ///< requests being worked on
-    std::uint64_t queued = 0; ///< requests waiting at the target's process
-    std::uint64_t limit = 0; ///< how many may run at a time now
-    bool draining = false; ///< takes no new work
-    double load = 0; ///< cost that runs and waits, from all entries
-    double loadOfEntry = 0; ///< the part of the entry that gets this report
-    double capacity = 0; ///< load at which the target is full; 0 while unknown
-    double pressure = 1; ///< cost offered over cost started lately
-    double pendingPrompt = 0; ///< prompt tokens started on and not yet computed
-    double warmth = 1; ///< 0 to 1: part of its share in slow start
-    std::chrono::microseconds tokenInterval{}; ///< smoothed time between tokens, or of a plain call; 0 while unknown
+    std::uint64_t running = 0; ///< running requests
+    std::uint64_t queued = 0; ///< requests queued at the target's process
+    std::uint64_t limit = 0; ///< current limit of concurrent requests
+    bool draining = false; ///< accepts no new work
+    double load = 0; ///< cost of running and waiting requests from all entries
+    double loadOfEntry = 0; ///< the part of `load` that comes from the receiving entry
+    double capacity = 0; ///< load at which the target is fully used; 0 while unknown
+    double pressure = 1; ///< cost offered divided by cost started over the last seconds
+    double pendingPrompt = 0; ///< prompt tokens of started requests that are not computed yet
+    double warmth = 1; ///< 0 to 1: fraction of its normal share during slow start
+    std::chrono::microseconds
+        tokenInterval{}; ///< smoothed time between tokens, or smoothed duration of a plain call; 0 while unknown
 
     bool operator==(const LoadReport &) const = default;
 };
 
-/** Every message of Channel::Traffic. */
+/** All messages on Channel::Traffic. */
 using TrafficMessage = std::variant<SubmitRequest, CancelRequest, GrantCredit, AnswerHead, AnswerChunk, AnswerEnd,
                                     AnswerError, LoadReport>;
 
-/** The payload of an Envelope on Channel::Traffic for @p message. */
+/** Encodes @p message as the payload of an envelope on Channel::Traffic. */
 Bytes encode(const TrafficMessage &message);
 
-/** Reads the payload of an Envelope on Channel::Traffic. Hostile input yields MalformedFrame, never an exception. */
+/** Decodes the payload of an envelope on Channel::Traffic. Invalid or hostile input yields MalformedFrame, never an
+ * exception. */
 Result<TrafficMessage> decodeTrafficMessage(const Bytes &payload);
 
 } // namespace Heatherridge
