--- a/tests/platform/logera_test.cpp
+++ b/tests/platform/logera_test.cpp
@@ -21,28 +21,28 @@
 struct EraRow
 {
     const char *name;
-    const char *previousEra; ///< told by an answer before; empty for none
+    const char *previousEra; ///< era in the previous response; empty for none
     const char *eraText;
     std::optional<std::uint64_t> eraAtCall;
     ExpectedResult result;
 };
 
 const EraRow EraRows[] = {
-    {"TheFirst", "", "4", {}, ExpectedResult::Unchanged},
-    {"TheSame", "4", "4", 4, ExpectedResult::Unchanged},
+    {"First", "", "4", {}, ExpectedResult::Unchanged},
+    {"Same", "4", "4", 4, ExpectedResult::Unchanged},
     {"Higher", "4", "5", 4, ExpectedResult::Advanced},
-    {"HigherByMore", "4", "9", 4, ExpectedResult::Advanced},
-    // Guards against a long read that began before the log came back and is answered late on an old connection.
+    {"HigherByMoreThanOne", "4", "9", 4, ExpectedResult::Advanced},
+    // Guards against a long read that started before the log was restored and is answered late on an old connection.
     {"Lower", "4", "3", 4, ExpectedResult::Outdated},
-    // Guards against an offset of the lost time in the question, though the answer is of now.
-    {"TheSameButAskedBefore", "4", "4", 3, ExpectedResult::Outdated},
-    {"AskedBeforeAnyWasTold", "4", "4", {}, ExpectedResult::Unchanged},
-    {"NoneOfALogThatTellsNone", "", "", {}, ExpectedResult::Unchanged},
+    // Guards against a request with an offset from before the restore, although the response has the current era.
+    {"SameButCalledBefore", "4", "4", 3, ExpectedResult::Outdated},
+    {"CalledBeforeTheFirstEra", "4", "4", {}, ExpectedResult::Unchanged},
+    {"NoneFromALogWithoutEras", "", "", {}, ExpectedResult::Unchanged},
     {"NoneAfterOne", "4", "", 4, ExpectedResult::Unchanged},
-    {"NoneButAskedBefore", "4", "", 3, ExpectedResult::Outdated},
-    {"NoNumber", "4", "four", 4, ExpectedResult::Malformed},
-    {"LessThanNothing", "4", "-5", 4, ExpectedResult::Malformed},
-    {"SomethingBehindIt", "4", "5 ", 4, ExpectedResult::Malformed},
+    {"NoneButCalledBefore", "4", "", 3, ExpectedResult::Outdated},
+    {"NotANumber", "4", "four", 4, ExpectedResult::Malformed},
+    {"Negative", "4", "-5", 4, ExpectedResult::Malformed},
+    {"TrailingCharacters", "4", "5 ", 4, ExpectedResult::Malformed},
     {"TooLarge", "4", "99999999999999999999999", 4, ExpectedResult::Malformed},
 };
 
@@ -60,7 +60,7 @@
 
 INSTANTIATE_TEST_SUITE_P(All, LogEras, testing::ValuesIn(EraRows), [](const auto &row) { return row.param.name; });
 
-// Guards against an era that falls, or that rises by an answer which is not believed.
+// Guards against an era that decreases, or that advances on a response that is rejected.
 RC_GTEST_PROP(LogEras, NeverDecrease, (const std::vector<std::string> &eraText))
 {
     LogEra era;
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -68,12 +68,12 @@
     {"draining", R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":12,"state":"draining"})", true, true},
     {"an unknown state", R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":12,"state":"asleep"})", false},
     {"no address", R"({"service":"s","zone":"z","slots":12,"state":"ready"})", false},
-    {"an address that is none", R"({"service":"s","address":"nowhere","zone":"z","slots":12,"state":"ready"})", false},
-    {"slots of another type", R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":"many","state":"ready"})",
-     false},
+    {"an invalid address", R"({"service":"s","address":"nowhere","zone":"z","slots":12,"state":"ready"})", false},
+    {"slots with the wrong type",
+     R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":"many","state":"ready"})", false},
     {"not an object", "[1,2]", false},
     {"not JSON", "\xff\x00{", false},
-    {"nothing", "", false},
+    {"empty document", "", false},
 };
 
 class TargetEntries : public testing::TestWithParam<EntryRow>
@@ -99,13 +99,13 @@
     static_cast<void>(decodeTargetRecord("i", bytes));
 }
 
-/** The answer to a read of @p records from the first on. */
+/** Returns a response to a read from the first record onwards that holds @p records. */
 std::string readResponse(const std::string &records)
 {
     return std::string(16, '\0') + records;
 }
 
-// Guards against copies of rules that cannot be read back, whatever bytes they hold.
+// Guards against copies of rules that cannot be read back, for arbitrary bytes.
 RC_GTEST_PROP(LogRecords, SurviveARoundTrip, (const std::vector<std::string> &values))
 {
     std::string records;
@@ -133,14 +133,14 @@
 struct CopyRow
 {
     const char *name;
-    std::size_t bytes; ///< of the rules
+    std::size_t bytes; ///< size of the rules
     std::size_t records;
 };
 
 const CopyRow CopyRows[] = {
-    {"nothing", 0, 1},
+    {"empty", 0, 1},
     {"a few routes", 60'000, 1},
-    {"more than a record holds", 300'000, 2},
+    {"more than one record can hold", 300'000, 2},
     {"many pieces", 1'900'000, 10},
 };
 
@@ -148,7 +148,7 @@
 {
 };
 
-// Guards against large rules that the log refuses, and against rules that are put together from a part of their pieces.
+// Guards against large rules that the log rejects, and against rules assembled from an incomplete set of pieces.
 TEST_P(CopyRecords, SplitRulesAndDropIncompleteVersions)
 {
     const auto &row = GetParam();
@@ -193,8 +193,8 @@
     EXPECT_FALSE(PlatformTraffic().readCaller({{"X-Heatherridge-Deadline-Ms", "soon"}}).isWellFormed);
 }
 
-// A caller names another customer's workspace, or its key reaches a target that logs it: whoever reads there acts in
-// the caller's name. Routing and identity towards targets are this process's own words.
+// A caller could name another customer's workspace, or its API key could reach a target that logs it, where a reader of
+// the log could impersonate the caller. Only this process sets the routing and identity headers sent to targets.
 TEST(ForwardedHeaders, ReplaceReservedCallerHeaders)
 {
     const auto headers = PlatformTraffic().forwarded(
@@ -225,10 +225,13 @@
     const char *header;
 };
 
-// A workspace that pays for urgent answers waits behind the others at a full engine, since nobody told the engine.
+// Without the header, a workspace that pays for a higher priority waits behind others at an engine that is full.
 const PriorityRow PriorityRows[] = {
-    {"none for a plain service", std::nullopt, ""}, {"the most urgent", 0, "0"}, {"some rank", 3, "3"},
-    {"a rank that engines don't know", 40, "9"},    {"a negative one", -2, "0"},
+    {"no priority for a plain service", std::nullopt, ""},
+    {"the highest priority", 0, "0"},
+    {"a medium priority", 3, "3"},
+    {"a priority that engines don't support", 40, "9"},
+    {"a negative priority", -2, "0"},
 };
 
 class Priorities : public testing::TestWithParam<PriorityRow>
@@ -255,10 +258,10 @@
 
 const AnswerRow AnswerRows[] = {
     {"a target's answer", 200, {{"X-Heatherridge-Response-Signature", "s"}}, true, false},
-    {"bytes from elsewhere", 200, {}, false, false},
+    {"an answer from elsewhere", 200, {}, false, false},
     {"a refusal", 503, {{"X-Heatherridge-Not-Executed", "1"}}, false, true},
-    {"another target at the address", 421, {}, false, true},
-    {"a status that promises, without the word", 503, {}, false, false},
+    {"a different target at the address", 421, {}, false, true},
+    {"a refusal status without the header", 503, {}, false, false},
 };
 
 class TargetAnswers : public testing::TestWithParam<AnswerRow>
@@ -285,14 +288,14 @@
 const LimitRow LimitRows[] = {
     {"a whole number", {"Server-Limit", "4"}, 4.0},
     {"a fraction", {"Server-Limit", "1.25"}, 1.25},
-    {"nothing at all", {"Server-Limit", "0"}, 0.0},
-    {"with the prefix of the other headers", {"X-Heatherridge-Server-Limit", "2.5"}, 2.5},
-    {"in small letters", {"server-limit", "3"}, 3.0},
+    {"zero", {"Server-Limit", "0"}, 0.0},
+    {"with the common header prefix", {"X-Heatherridge-Server-Limit", "2.5"}, 2.5},
+    {"in lower case", {"server-limit", "3"}, 3.0},
     {"another header", {"X-Heatherridge-Server-Load", "3,0,8"}, std::nullopt},
-    {"less than nothing", {"Server-Limit", "-1"}, std::nullopt},
-    {"no number", {"Server-Limit", "few"}, std::nullopt},
-    {"without an end", {"Server-Limit", "inf"}, std::nullopt},
-    {"with something behind it", {"Server-Limit", "4/s"}, std::nullopt},
+    {"a negative number", {"Server-Limit", "-1"}, std::nullopt},
+    {"not a number", {"Server-Limit", "few"}, std::nullopt},
+    {"infinity", {"Server-Limit", "inf"}, std::nullopt},
+    {"with trailing characters", {"Server-Limit", "4/s"}, std::nullopt},
 };
 
 class RequestLimits : public testing::TestWithParam<LimitRow>
--- a/tests/protocol/controlmessage_test.cpp
+++ b/tests/protocol/controlmessage_test.cpp
@@ -37,7 +37,7 @@
     const auto map = nlohmann::json::from_cbor(encodeControlMessage(GetParam()));
     for (const auto &[key, value] : map.items()) {
         if (key == "a") {
-            continue; // an age is not always known
+            continue; // the age is optional
         }
         auto incompleteMap = map;
         incompleteMap.erase(key);
--- a/tests/protocol/controlrecord_test.cpp
+++ b/tests/protocol/controlrecord_test.cpp
@@ -58,14 +58,16 @@
 };
 
 const InvalidRow InvalidRows[] = {
-    {"nothing", {}, SkipReason::Malformed},
-    {"text in place of a record", {'[', 'z', ']'}, SkipReason::Malformed},
-    {"arrays nested until the stack ends", Bytes(2'000'000, 0x81), SkipReason::Malformed},
-    {"chunked texts nested until the stack ends", Bytes(2'000'000, 0x7F), SkipReason::Malformed},
-    {"chunked bytes nested until the stack ends", Bytes(2'000'000, 0x5F), SkipReason::Malformed},
-    {"an array longer than any memory", {0x9B, 0x7F, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF}, SkipReason::Malformed},
-    {"larger than any record", Bytes(MaxControlRecordBytes + 1, 0), SkipReason::Oversized},
-    {"of a later release", toCbor({{"v", 2}, {"kind", "vote"}}), SkipReason::UnknownVersion},
+    {"empty payload", {}, SkipReason::Malformed},
+    {"text instead of a record", {'[', 'z', ']'}, SkipReason::Malformed},
+    {"arrays nested deep enough to exhaust the stack", Bytes(2'000'000, 0x81), SkipReason::Malformed},
+    {"chunked texts nested deep enough to exhaust the stack", Bytes(2'000'000, 0x7F), SkipReason::Malformed},
+    {"chunked bytes nested deep enough to exhaust the stack", Bytes(2'000'000, 0x5F), SkipReason::Malformed},
+    {"an array longer than any available memory",
+     {0x9B, 0x7F, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF},
+     SkipReason::Malformed},
+    {"larger than the maximum record size", Bytes(MaxControlRecordBytes + 1, 0), SkipReason::Oversized},
+    {"version of a later release", toCbor({{"v", 2}, {"kind", "vote"}}), SkipReason::UnknownVersion},
     {"an unknown kind", toCbor({{"v", 1}, {"kind", "vote"}}), SkipReason::Malformed},
 };
 
@@ -73,8 +75,8 @@
 {
 };
 
-// One operator's script appends something that is no record. If a reader crashed on it, every process would crash
-// at the same offset, and again after each restart: one append would take the whole system away.
+// An operator's script appends bytes that are not a valid record. If a reader crashed on them, all processes would
+// crash at the same offset, and again after each restart: a single append would take down the whole system.
 TEST_P(InvalidRecord, IsSkippedForTheExpectedReason)
 {
     const auto decoded = decodeControlRecord(GetParam().payload);
--- a/tests/protocol/countsupdate_test.cpp
+++ b/tests/protocol/countsupdate_test.cpp
@@ -11,7 +11,7 @@
 
 const TargetName RankTarget("r");
 
-/** Counts of a rank that grow as the engine works. */
+/** Simulates the counts of a rank, which increase while its engine runs. */
 class GrowingRankCounts
 {
 public:
@@ -21,7 +21,7 @@
         m_counts = {.epoch = 3, .selectionCounts = std::vector<double>(size, 0)};
     }
 
-    /** Each grows by less than @p bound. */
+    /** Increases each count by a random number below @p maxGrowth. */
     const RankCounts &grow(std::uint64_t maxGrowth)
     {
         for (auto &count : m_counts.selectionCounts) {
@@ -30,7 +30,7 @@
         return m_counts;
     }
 
-    /** The group has formed anew. */
+    /** Simulates that the group has re-formed. */
     void advanceEpoch()
     {
         ++m_counts.epoch;
@@ -41,10 +41,10 @@
     RankCounts m_counts;
 };
 
-/** What arrives of @p reading. */
-CountsUpdate encodeAndDecode(const CountsUpdate &reading)
+/** Returns @p update after an encoding and decoding round trip. */
+CountsUpdate encodeAndDecode(const CountsUpdate &update)
 {
-    auto decoded = decodeCountsUpdate(encode(reading));
+    auto decoded = decodeCountsUpdate(encode(update));
     return std::get<CountsUpdate>(std::move(decoded));
 }
 
@@ -59,22 +59,22 @@
 
 RC_GTEST_PROP(CountsUpdates, MalformedBytesAreRejected, (const std::string &bytes))
 {
-    const auto reading = decodeCountsUpdate(bytes);
-    const bool isDecodedOrRejected = errorIn(reading) == nullptr || errorIn(reading)->kind == ErrorKind::MalformedFrame;
+    const auto update = decodeCountsUpdate(bytes);
+    const bool isDecodedOrRejected = errorIn(update) == nullptr || errorIn(update)->kind == ErrorKind::MalformedFrame;
     RC_ASSERT(isDecodedOrRejected);
 }
 
 struct GrowthRow
 {
     const char *description;
-    std::uint64_t maxGrowth; ///< of what a count grows by between two readings
-    double maxError; ///< of a count as it is known after each reading
+    std::uint64_t maxGrowth; ///< upper bound of a count's increase between two updates
+    double maxError; ///< maximum difference of a decoded count after each update
 };
 
 const GrowthRow GrowthRows[] = {
-    {"what fits a byte is told exactly", 256, 0},
-    {"more is told in steps, and never adds up to an error", 4'000, 16},
-    {"an engine that has worked on alone for long", 1'000'000, 4'096},
+    {"increases that fit in a byte are exact", 256, 0},
+    {"larger increases are quantized without accumulating an error", 4'000, 16},
+    {"an engine that ran for a long time between updates", 1'000'000, 4'096},
 };
 
 class DecodedCounts : public testing::TestWithParam<GrowthRow>
@@ -87,7 +87,7 @@
     GrowingRankCounts engineCounts(5);
     CountsDeltaEncoder encoder(100);
     CountsDeltaDecoder decoder;
-    for (int reading = 0; reading < 100; ++reading) {
+    for (int round = 0; round < 100; ++round) {
         const auto &counts = engineCounts.grow(row.maxGrowth);
         const auto decoded = decoder.apply(encodeAndDecode(encoder.createUpdate(RankTarget, counts, decoder.lastId())));
         ASSERT_TRUE(decoded) << row.description;
@@ -100,8 +100,8 @@
 
 INSTANTIATE_TEST_SUITE_P(All, DecodedCounts, testing::ValuesIn(GrowthRows));
 
-// Callers' streams wait behind what their gateway reads of its engines: 192 ranks told 3,072 counts each in whole,
-// three bytes and more a count, 20 MB a second on a link of 12. What has grown since takes a byte a count.
+// Guards against counts that saturate the gateway's link and delay callers' streams: 192 ranks that sent 3,072 complete
+// counts each, at three bytes or more per count, used 20 MB/s on a link of 12 MB/s. Increases take one byte per count.
 TEST(CountsUpdates, TakeOneBytePerCount)
 {
     constexpr std::size_t size = 3'072;
@@ -129,12 +129,12 @@
 };
 
 const DisturbanceRow DisturbanceRows[] = {
-    {"an answer is lost: the next one tells since the one before", Disturbance::ResponseLost},
-    {"the process beside the rank starts anew and knows no mark", Disturbance::EncoderRestarts},
-    {"the group forms anew", Disturbance::GroupReforms},
-    {"the engine starts anew under its name: its counts begin at nothing", Disturbance::EngineRestarts},
-    {"another run of the engine is asked for", Disturbance::DifferentEngineRun},
-    {"so many others ask that the last reading is forgotten", Disturbance::ManyOtherRequests},
+    {"a response is lost: the next one is based on the update before it", Disturbance::ResponseLost},
+    {"the sidecar process restarts and recognizes no earlier id", Disturbance::EncoderRestarts},
+    {"the group re-forms in a new epoch", Disturbance::GroupReforms},
+    {"the engine restarts under the same name: its counts start at zero", Disturbance::EngineRestarts},
+    {"another run of the engine is requested", Disturbance::DifferentEngineRun},
+    {"so many other requests that the last update is evicted", Disturbance::ManyOtherRequests},
 };
 
 class DisturbedUpdates : public testing::TestWithParam<DisturbanceRow>
@@ -180,7 +180,8 @@
 
 INSTANTIATE_TEST_SUITE_P(All, DisturbedUpdates, testing::ValuesIn(DisturbanceRows));
 
-// Two answers cross: growth that adds to another reading than the last is not taken, and all counts are asked for.
+// Two responses overtake each other: an increase based on an update other than the last one is rejected, and the
+// complete counts are requested next.
 TEST(CountsUpdates, WithAnotherBaseAreRejected)
 {
     GrowingRankCounts engineCounts(9);
--- a/tests/protocol/rankmessage_test.cpp
+++ b/tests/protocol/rankmessage_test.cpp
@@ -16,17 +16,18 @@
     std::size_t ranks;
     std::size_t places;
     std::uint64_t experts;
-    std::size_t maxBytes; ///< of the order
+    std::size_t maxBytes; ///< maximum size of the encoded order
 };
 
 const LayoutRow LayoutRows[] = {
     {"a small model", 6, 8, 11, 64, 700},
-    // 96 orders of 10 kB each went through the link that carries callers' streams, at each switch of maps.
+    // Without the compact encoding, each map switch sent 96 orders of 10 kB over the link that carries callers'
+    // streams.
     {"a group of 96 ranks", 16, 96, 3, 192, 6'400},
-    {"experts beyond a byte", 2, 4, 3, 60'000, 100},
-    {"more places than a byte counts", 1, 2, 300, 400, 3'000},
-    {"ranks that hold nothing", 3, 5, 0, 1, 150},
-    {"no layout at all", 0, 0, 0, 1, 100},
+    {"expert numbers above one byte", 2, 4, 3, 60'000, 100},
+    {"more places than fit in a byte", 1, 2, 300, 400, 3'000},
+    {"ranks without experts", 3, 5, 0, 1, 150},
+    {"empty layout", 0, 0, 0, 1, 100},
 };
 
 class PrepareOrders : public testing::TestWithParam<LayoutRow>
--- a/tests/protocol/trafficmessage_test.cpp
+++ b/tests/protocol/trafficmessage_test.cpp
@@ -59,7 +59,7 @@
     EXPECT_EQ(std::get<TrafficMessage>(decoded), GetParam());
 }
 
-// A peer sends a cut frame, by fault or malice. It is refused as malformed; no read goes past its end.
+// A faulty or malicious peer sends a truncated frame. It is rejected as malformed, without reading past its end.
 TEST_P(TrafficCodec, EveryTruncationIsRejected)
 {
     const auto frame = encode(GetParam());
