--- a/modules/heatherridge_protocol/controlmessage.h
+++ b/modules/heatherridge_protocol/controlmessage.h
@@ -71,8 +71,7 @@
     /** Time since the envelope's offset was last known to be the end of the log; empty if it never was. An age rather
      * than a point in time, so that it does not depend on synchronized clocks. */
     std::optional<std::chrono::milliseconds> caughtUpAge{};
-    bool logUnreachable =
-        false; ///< the sender, or the source from which it receives records, gets no answer from the log
+    bool logUnreachable = false; ///< the sender, or its source of records, gets no answer from the log
 
     bool operator==(const Heartbeat &) const = default;
 };
@@ -80,8 +79,7 @@
 /** All messages on Channel::Control. */
 using ControlMessage = std::variant<RecordsRelay, RecordsRequest, StateRequest, StateOffer, Heartbeat>;
 
-/** Maximum size in bytes of the records in one relay message. A single larger record is sent in a message of its own.
- */
+/** Maximum size in bytes of the records in one relay message. A single larger record is sent on its own. */
 constexpr std::size_t MaxRelayBytes = 256UL << 10U;
 
 /** Encodes @p message as the payload of an envelope. */
