--- a/modules/heatherridge_protocol/imagepart.h
+++ b/modules/heatherridge_protocol/imagepart.h
@@ -13,7 +13,7 @@
 {
     LogOffset covers{}; ///< offset of the complete image
     Digest digest{}; ///< digest of the complete image
-    std::size_t index = 0; ///< zero-based
+    std::size_t index = 0; ///< position of the part, from 0
     std::size_t count = 0; ///< number of parts of the image
     Bytes bytes{};
 
