--- a/modules/heatherridge_protocol/imagepart.cpp
+++ b/modules/heatherridge_protocol/imagepart.cpp
@@ -16,7 +16,7 @@
 {
     DigestBuilder digest;
     digest.add(toNumber(part.covers)).add(toNumber(part.digest)).add(part.index).add(part.count);
-    // The bytes are only hashed; a view of them as characters is how the builder takes them.
+    // The cast is safe: the bytes are only hashed, and the builder accepts a string view.
     return digest.add(std::string_view(reinterpret_cast<const char *>(part.bytes.data()), part.bytes.size())).finish();
 }
 
@@ -58,7 +58,7 @@
 {
     nlohmann::json map;
     if (!CborReader::parse(payload, map)) {
-        return malformed("no CBOR map");
+        return malformedError("no CBOR map");
     }
     CborReader reader(map);
     ImagePart part;
@@ -78,7 +78,7 @@
         reader.fail("checksum");
     }
     if (!reader.ok()) {
-        return malformed("image part field " + reader.failedKey());
+        return malformedError("image part field " + reader.failedKey());
     }
     return part;
 }
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -23,7 +23,7 @@
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000},
  "tenants":[{"name":"t","apiKeys":["k1","k2"],"priority":1},{"name":"u","apiKeys":[]}],"somethingNew":{}})";
 
-TEST(RoutingConfigs, AreDecodedInWhole)
+TEST(RoutingConfigs, AreDecodedCompletely)
 {
     const auto decoded = decodeRoutingConfig(SampleConfig);
     ASSERT_EQ(errorIn(decoded), nullptr) << errorIn(decoded)->detail;
@@ -55,9 +55,9 @@
 
 struct EntryRow
 {
-    const char *story;
+    const char *description;
     const char *document;
-    bool isUsable;
+    bool isValid;
     bool isDraining = false;
 };
 
@@ -68,51 +68,51 @@
     {"draining", R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":12,"state":"draining"})", true, true},
     {"an unknown state", R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":12,"state":"asleep"})", false},
     {"no address", R"({"service":"s","zone":"z","slots":12,"state":"ready"})", false},
-    {"an address that is none", R"({"service":"s","address":"nowhere","zone":"z","slots":12,"state":"ready"})", false},
-    {"slots of another type", R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":"many","state":"ready"})",
-     false},
+    {"an invalid address", R"({"service":"s","address":"nowhere","zone":"z","slots":12,"state":"ready"})", false},
+    {"slots with the wrong type",
+     R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":"many","state":"ready"})", false},
     {"not an object", "[1,2]", false},
     {"not JSON", "\xff\x00{", false},
-    {"nothing", "", false},
+    {"empty document", "", false},
 };
 
 class TargetEntries : public testing::TestWithParam<EntryRow>
 {
 };
 
-TEST_P(TargetEntries, NameATargetOrNone)
+TEST_P(TargetEntries, AreDecodedOrRejected)
 {
     const auto &row = GetParam();
     const auto entry = decodeTargetRecord("i-1", row.document);
-    EXPECT_EQ(errorIn(entry) == nullptr, row.isUsable) << row.story;
-    if (row.isUsable) {
+    EXPECT_EQ(errorIn(entry) == nullptr, row.isValid) << row.description;
+    if (row.isValid) {
         EXPECT_EQ(std::get<TargetRecord>(entry).entry.id.text(), "i-1");
-        EXPECT_EQ(std::get<TargetRecord>(entry).entry.isDraining, row.isDraining) << row.story;
+        EXPECT_EQ(std::get<TargetRecord>(entry).entry.isDraining, row.isDraining) << row.description;
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(All, TargetEntries, testing::ValuesIn(EntryRows));
 
-RC_GTEST_PROP(Decoders, TakeAnyBytesWithoutHarm, (const std::string &bytes))
+RC_GTEST_PROP(Decoders, AcceptArbitraryBytes, (const std::string &bytes))
 {
     static_cast<void>(decodeRoutingConfig(bytes));
     static_cast<void>(decodeTargetRecord("i", bytes));
 }
 
-/** The answer to a read of @p records from the first on. */
-std::string readAnswer(const std::string &records)
+/** Returns a response to a read from the first record onwards that holds @p records. */
+std::string readResponse(const std::string &records)
 {
     return std::string(16, '\0') + records;
 }
 
-// Guards against copies of rules that cannot be read back, whatever bytes they hold.
-RC_GTEST_PROP(LogRecords, AreReadAsTheyWereWritten, (const std::vector<std::string> &values))
+// Guards against copies of rules that cannot be read back, for arbitrary bytes.
+RC_GTEST_PROP(LogRecords, SurviveARoundTrip, (const std::vector<std::string> &values))
 {
     std::string records;
     for (std::size_t index = 0; index < values.size(); ++index) {
         records += encodeKeyedRecord(std::to_string(index), values[index]);
     }
-    const auto page = decodeKeyedRecords(readAnswer(records), 5);
+    const auto page = decodeKeyedRecords(readResponse(records), 5);
     RC_ASSERT(errorIn(page) == nullptr);
     const auto &read = std::get<RegisterPage>(page);
     RC_ASSERT(read.changes.size() == values.size());
@@ -124,23 +124,23 @@
     }
 }
 
-RC_GTEST_PROP(LogRecords, TakeAnyBytesWithoutHarm, (const std::string &bytes))
+RC_GTEST_PROP(LogRecords, AcceptArbitraryBytes, (const std::string &bytes))
 {
     static_cast<void>(decodeKeyedRecords(bytes, 0));
-    static_cast<void>(decodeKeyedRecords(readAnswer(bytes), 0));
+    static_cast<void>(decodeKeyedRecords(readResponse(bytes), 0));
 }
 
 struct CopyRow
 {
     const char *name;
-    std::size_t bytes; ///< of the rules
+    std::size_t bytes; ///< size of the rules
     std::size_t records;
 };
 
 const CopyRow CopyRows[] = {
-    {"nothing", 0, 1},
+    {"empty", 0, 1},
     {"a few routes", 60'000, 1},
-    {"more than a record holds", 300'000, 2},
+    {"more than one record can hold", 300'000, 2},
     {"many pieces", 1'900'000, 10},
 };
 
@@ -148,31 +148,31 @@
 {
 };
 
-// Guards against large rules that the log refuses, and against rules that are put together from a part of their pieces.
-TEST_P(CopyRecords, HoldRulesInPiecesAndOnlyInWhole)
+// Guards against large rules that the log rejects, and against rules assembled from an incomplete set of pieces.
+TEST_P(CopyRecords, SplitRulesAndDropIncompleteVersions)
 {
     const auto &row = GetParam();
     std::string rules;
     for (std::size_t byte = 0; byte < row.bytes; ++byte) {
         rules.push_back(static_cast<char>('a' + byte % 23));
     }
-    auto records = copyRecords(7, rules);
+    auto records = encodeRulesCopy(7, rules);
     ASSERT_EQ(records.size(), row.records) << row.name;
     for (const auto &record : records) {
         EXPECT_LE(encodeKeyedRecord(record.key, *record.value).size(), 262'144U);
     }
     records.push_back({.key = "not a piece", .value = "x"});
-    EXPECT_EQ(copiedRules(records), (std::map<std::uint64_t, std::string>{{7, rules}}));
+    EXPECT_EQ(decodeRulesCopies(records), (std::map<std::uint64_t, std::string>{{7, rules}}));
     records.erase(records.begin());
-    EXPECT_TRUE(copiedRules(records).empty());
+    EXPECT_TRUE(decodeRulesCopies(records).empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Table, CopyRecords, testing::ValuesIn(CopyRows));
 
-TEST(LogRecords, LeaveWhatIsCutOffToTheNextRead)
+TEST(LogRecords, LeaveATruncatedRecordForTheNextRead)
 {
     const auto records = encodeKeyedRecord("a", "first") + encodeKeyedRecord("b", "second");
-    const auto page = decodeKeyedRecords(readAnswer(records.substr(0, records.size() - 1)), 0);
+    const auto page = decodeKeyedRecords(readResponse(records.substr(0, records.size() - 1)), 0);
     ASSERT_EQ(errorIn(page), nullptr);
     EXPECT_EQ(std::get<RegisterPage>(page).changes.size(), 1U);
     EXPECT_EQ(std::get<RegisterPage>(page).end, 1U);
@@ -193,9 +193,9 @@
     EXPECT_FALSE(PlatformTraffic().readCallerFields({{"X-Heatherridge-Deadline-Ms", "soon"}}).isWellFormed);
 }
 
-// A caller names another customer's workspace, or its key reaches a target that logs it: whoever reads there acts in
-// the caller's name. Routing and identity towards targets are this process's own words.
-TEST(ForwardedHeaders, CarryNothingThatOnlyThisProcessMaySay)
+// A caller could name another customer's workspace, or its API key could reach a target that logs it, where a reader of
+// the log could impersonate the caller. Only this process sets the routing and identity headers sent to targets.
+TEST(ForwardedHeaders, ReplaceReservedCallerHeaders)
 {
     const auto headers = PlatformTraffic().forwardedHeaders(
         {{"Host", "a.example"},
@@ -220,33 +220,36 @@
 
 struct PriorityRow
 {
-    const char *story;
+    const char *description;
     std::optional<int> priority;
     const char *header;
 };
 
-// A workspace that pays for urgent answers waits behind the others at a full engine, since nobody told the engine.
+// Without the header, a workspace that pays for a higher priority waits behind others at an engine that is full.
 const PriorityRow PriorityRows[] = {
-    {"none for a plain service", std::nullopt, ""}, {"the most urgent", 0, "0"}, {"some rank", 3, "3"},
-    {"a rank that engines don't know", 40, "9"},    {"a negative one", -2, "0"},
+    {"no priority for a plain service", std::nullopt, ""},
+    {"the highest priority", 0, "0"},
+    {"a medium priority", 3, "3"},
+    {"a priority that engines don't support", 40, "9"},
+    {"a negative priority", -2, "0"},
 };
 
 class Priorities : public testing::TestWithParam<PriorityRow>
 {
 };
 
-TEST_P(Priorities, AreToldToEngines)
+TEST_P(Priorities, AreSentToEngines)
 {
     const auto headers =
         PlatformTraffic().forwardedHeaders({}, {.target = TargetName("i-1"), .priority = GetParam().priority});
-    EXPECT_EQ(headerValue(headers, "X-Heatherridge-Request-Priority"), GetParam().header) << GetParam().story;
+    EXPECT_EQ(headerValue(headers, "X-Heatherridge-Request-Priority"), GetParam().header) << GetParam().description;
 }
 
 INSTANTIATE_TEST_SUITE_P(All, Priorities, testing::ValuesIn(PriorityRows));
 
 struct AnswerRow
 {
-    const char *story;
+    const char *description;
     int status;
     std::vector<HttpHeader> headers;
     bool isSigned;
@@ -255,29 +258,29 @@
 
 const AnswerRow AnswerRows[] = {
     {"a target's answer", 200, {{"X-Heatherridge-Response-Signature", "s"}}, true, false},
-    {"bytes from elsewhere", 200, {}, false, false},
+    {"an answer from elsewhere", 200, {}, false, false},
     {"a refusal", 503, {{"X-Heatherridge-Not-Executed", "1"}}, false, true},
-    {"another target at the address", 421, {}, false, true},
-    {"a status that promises, without the word", 503, {}, false, false},
+    {"a different target at the address", 421, {}, false, true},
+    {"a refusal status without the header", 503, {}, false, false},
 };
 
-class Answers : public testing::TestWithParam<AnswerRow>
+class TargetAnswers : public testing::TestWithParam<AnswerRow>
 {
 };
 
-TEST_P(Answers, SayWhoAnsweredAndWhetherItRan)
+TEST_P(TargetAnswers, IdentifyTheSenderAndWhetherTheRequestRan)
 {
     const auto &row = GetParam();
     const auto fields = PlatformTraffic().readResponseFields(row.status, row.headers);
-    EXPECT_EQ(fields.isSigned, row.isSigned) << row.story;
-    EXPECT_EQ(fields.isNotExecuted, row.isNotRun) << row.story;
+    EXPECT_EQ(fields.isSigned, row.isSigned) << row.description;
+    EXPECT_EQ(fields.isNotExecuted, row.isNotRun) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Answers, testing::ValuesIn(AnswerRows));
+INSTANTIATE_TEST_SUITE_P(All, TargetAnswers, testing::ValuesIn(AnswerRows));
 
 struct LimitRow
 {
-    const char *story;
+    const char *description;
     HttpHeader header;
     std::optional<double> limit;
 };
@@ -285,29 +288,29 @@
 const LimitRow LimitRows[] = {
     {"a whole number", {"Server-Limit", "4"}, 4.0},
     {"a fraction", {"Server-Limit", "1.25"}, 1.25},
-    {"nothing at all", {"Server-Limit", "0"}, 0.0},
-    {"with the prefix of the other headers", {"X-Heatherridge-Server-Limit", "2.5"}, 2.5},
-    {"in small letters", {"server-limit", "3"}, 3.0},
+    {"zero", {"Server-Limit", "0"}, 0.0},
+    {"with the common header prefix", {"X-Heatherridge-Server-Limit", "2.5"}, 2.5},
+    {"in lower case", {"server-limit", "3"}, 3.0},
     {"another header", {"X-Heatherridge-Server-Load", "3,0,8"}, std::nullopt},
-    {"less than nothing", {"Server-Limit", "-1"}, std::nullopt},
-    {"no number", {"Server-Limit", "few"}, std::nullopt},
-    {"without an end", {"Server-Limit", "inf"}, std::nullopt},
-    {"with something behind it", {"Server-Limit", "4/s"}, std::nullopt},
+    {"a negative number", {"Server-Limit", "-1"}, std::nullopt},
+    {"not a number", {"Server-Limit", "few"}, std::nullopt},
+    {"infinity", {"Server-Limit", "inf"}, std::nullopt},
+    {"with trailing characters", {"Server-Limit", "4/s"}, std::nullopt},
 };
 
-class Limits : public testing::TestWithParam<LimitRow>
+class RequestLimits : public testing::TestWithParam<LimitRow>
 {
 };
 
-TEST_P(Limits, AreReadFromAnswers)
+TEST_P(RequestLimits, AreReadFromTargetAnswers)
 {
     const auto &row = GetParam();
-    EXPECT_EQ(PlatformTraffic().readResponseFields(200, {row.header}).requestsPerSecond, row.limit) << row.story;
+    EXPECT_EQ(PlatformTraffic().readResponseFields(200, {row.header}).requestsPerSecond, row.limit) << row.description;
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Limits, testing::ValuesIn(LimitRows));
+INSTANTIATE_TEST_SUITE_P(All, RequestLimits, testing::ValuesIn(LimitRows));
 
-TEST(Refusals, TellWhenToComeBack)
+TEST(Refusals, CarryARetryDelay)
 {
     const auto refusal =
         PlatformTraffic().errorResponse({.kind = ErrorKind::Overloaded, .retryAfter = 250ms}, RequestId("r"));
--- a/tests/protocol/controlmessage_test.cpp
+++ b/tests/protocol/controlmessage_test.cpp
@@ -14,34 +14,34 @@
     RecordsRequest{.from = LogOffset{3}},
     StateRequest{.newerThan = LogOffset{3}},
     StateOffer{.part = {.covers = LogOffset{9}, .digest = Digest{5}, .index = 1, .count = 2, .bytes = {1, 2, 3}}},
-    Heartbeat{.digest = Digest{1}, .freshAge = std::nullopt, .logOut = true},
+    Heartbeat{.digest = Digest{1}, .caughtUpAge = std::nullopt, .logUnreachable = true},
     Heartbeat{.digest = Digest{UINT64_MAX},
               .phase = ProcessPhase::Draining,
               .open = 12,
-              .freshAge = std::chrono::milliseconds(40)},
+              .caughtUpAge = std::chrono::milliseconds(40)},
 };
 
 class EveryControlMessage : public testing::TestWithParam<ControlMessage>
 {
 };
 
-TEST_P(EveryControlMessage, ComesBackAsItWasWritten)
+TEST_P(EveryControlMessage, SurvivesARoundTrip)
 {
     const auto decoded = decodeControlMessage(encodeControlMessage(GetParam()));
     ASSERT_TRUE(std::holds_alternative<ControlMessage>(decoded));
     EXPECT_EQ(std::get<ControlMessage>(decoded), GetParam());
 }
 
-TEST_P(EveryControlMessage, IsRefusedWhenAnyFieldIsMissing)
+TEST_P(EveryControlMessage, IsRejectedWhenAnyFieldIsMissing)
 {
     const auto map = nlohmann::json::from_cbor(encodeControlMessage(GetParam()));
     for (const auto &[key, value] : map.items()) {
         if (key == "a") {
-            continue; // an age is not always known
+            continue; // the age is optional
         }
-        auto lacking = map;
-        lacking.erase(key);
-        EXPECT_NE(errorIn(decodeControlMessage(toCbor(lacking))), nullptr) << key;
+        auto incompleteMap = map;
+        incompleteMap.erase(key);
+        EXPECT_NE(errorIn(decodeControlMessage(toCbor(incompleteMap))), nullptr) << key;
     }
 }
 
