--- a/extras/heatherridge-policies/main.cpp
+++ b/extras/heatherridge-policies/main.cpp
@@ -62,9 +62,9 @@
         withPlacement("4 samples", {.samples = 4}),
         withPlacement("all samples", {.samples = 16}),
         withPlacement("zone price 100", {.zonePrice = 100}),
-        {"no reports on frames", [](auto &options) { options.frames = milliseconds(0); }},
+        {"no reports on frames", [](auto &options) { options.frameInterval = milliseconds(0); }},
         {"no cache events", [](auto &options) { options.cacheEvents = false; }},
-        {"gaps distrusted", [](auto &options) { options.entry.distrustGaps = true; }},
+        {"gaps distrusted", [](auto &options) { options.entry.dropPrefixesOnGap = true; }},
         {"no pressure", [](auto &options) { options.entry.usePressure = false; }},
         {"no slowness", [](auto &options) { options.entry.slowness = false; }},
         {"no ejection", [](auto &options) { options.entry.health = false; }},
@@ -107,10 +107,10 @@
 {
     namespace po = boost::program_options;
     int seeds = 0;
-    std::string only;
+    std::string selection;
     po::options_description description("heatherridge-policies: measures decisions under load on a virtual clock");
     description.add_options()("help", "print this")("seeds", po::value(&seeds)->default_value(5), "seeds a line")(
-        "only", po::value(&only), "sweep, mechanisms, or the name of one pattern");
+        "only", po::value(&selection), "sweep, mechanisms, or the name of one pattern");
     po::variables_map values;
     try {
         po::store(po::parse_command_line(argc, argv, description), values);
@@ -123,18 +123,18 @@
         std::cout << description;
         return seeds < 1 ? 2 : 0;
     }
-    if (only.empty() || only == "sweep") {
+    if (selection.empty() || selection == "sweep") {
         printSweep(seeds);
     }
     for (const auto &pattern : allLoadPatterns()) {
-        if (only.empty() || only == pattern.name) {
-            printTable(std::string(pattern.name) + ": " + std::string(pattern.story),
+        if (selection.empty() || selection == pattern.name) {
+            printTable(std::string(pattern.name) + ": " + std::string(pattern.summary),
                        measurementsOf(placements(), pattern.make()), seeds);
         }
     }
     for (const auto *name :
          {"steady", "hog", "slow-target", "saturation-2x", "saturation-10x", "zone-lost", "retry-storm"}) {
-        if (only.empty() || only == "mechanisms") {
+        if (selection.empty() || selection == "mechanisms") {
             printTable(std::string("mechanisms, ") + name, measurementsOf(mechanisms(), loadPattern(name)), seeds);
         }
     }
--- a/extras/heatherridge-policies/measurement.cpp
+++ b/extras/heatherridge-policies/measurement.cpp
@@ -23,14 +23,14 @@
     {"offered/s", 0, [](const Figures &f) { return f.offered; }},
     {"good/s", 1, [](const Figures &f) { return f.goodput; }},
     {"good cost/s", 0, [](const Figures &f) { return f.goodCost; }},
-    {"first p50", 0, [](const Figures &f) { return f.firstMedian; }},
-    {"first p99", 0, [](const Figures &f) { return f.first99; }},
-    {"short p99", 0, [](const Figures &f) { return f.shortFirst99; }},
-    {"gap p95", 0, [](const Figures &f) { return f.between95; }},
-    {"total p99", 0, [](const Figures &f) { return f.total99; }},
+    {"first p50", 0, [](const Figures &f) { return f.firstTokenP50; }},
+    {"first p99", 0, [](const Figures &f) { return f.firstTokenP99; }},
+    {"short p99", 0, [](const Figures &f) { return f.shortFirstTokenP99; }},
+    {"gap p95", 0, [](const Figures &f) { return f.tokenGapP95; }},
+    {"total p99", 0, [](const Figures &f) { return f.totalP99; }},
     {"share", 2, [](const Figures &f) { return f.lowestShare; }},
     {"attempts", 3, [](const Figures &f) { return f.attemptsPerRequest; }},
-    {"refused p99", 0, [](const Figures &f) { return f.refusalWait99; }},
+    {"refused p99", 0, [](const Figures &f) { return f.refusalWaitP99; }},
     {"late/s", 1, [](const Figures &f) { return f.late; }},
     {"shifts", 0, [](const Figures &f) { return f.shiftsPerMinute; }},
     {"hits", 2, [](const Figures &f) { return f.cacheHits; }},
@@ -50,13 +50,13 @@
     return figures;
 }
 
-std::string meanAndSpread(const std::vector<Figures> &figures, const Column &column)
+std::string formatMeanAndRange(const std::vector<Figures> &figures, const Column &column)
 {
     double sum = 0;
     double lowest = column.value(figures.front());
     double highest = lowest;
-    for (const auto &one : figures) {
-        const double value = column.value(one);
+    for (const auto &seedFigures : figures) {
+        const double value = column.value(seedFigures);
         sum += value;
         lowest = std::min(lowest, value);
         highest = std::max(highest, value);
@@ -70,11 +70,11 @@
 }
 
 /** Mean of each named count over the seeds; a name that a seed lacks counts as 0 there. */
-std::string counts(const std::vector<Figures> &figures, std::map<std::string, double> Figures::*member)
+std::string formatCounts(const std::vector<Figures> &figures, std::map<std::string, double> Figures::*member)
 {
     std::map<std::string, double> sums;
-    for (const auto &one : figures) {
-        for (const auto &[name, value] : one.*member) {
+    for (const auto &seedFigures : figures) {
+        for (const auto &[name, value] : seedFigures.*member) {
             sums[name] += value / static_cast<double>(figures.size());
         }
     }
@@ -103,10 +103,10 @@
         const auto figures = runSeeds(measurement.options, seeds);
         std::cout << "| " << measurement.name << " |";
         for (const auto &column : Columns) {
-            std::cout << " " << meanAndSpread(figures, column) << " |";
+            std::cout << " " << formatMeanAndRange(figures, column) << " |";
         }
-        std::cout << " " << counts(figures, &Figures::refusals) << " | " << counts(figures, &Figures::verdicts) << " |"
-                  << std::endl;
+        std::cout << " " << formatCounts(figures, &Figures::refusals) << " | "
+                  << formatCounts(figures, &Figures::verdicts) << " |" << std::endl;
     }
 }
 
--- a/extras/heatherridge-policies/model/fakeengine.cpp
+++ b/extras/heatherridge-policies/model/fakeengine.cpp
@@ -14,7 +14,7 @@
 {
 }
 
-void FakeEngine::submit(const Job &job, std::function<void(const EngineDone &)> done)
+void FakeEngine::submit(const Job &job, std::function<void(const EngineResult &)> done)
 {
     m_waiting.push_back({.job = job, .done = std::move(done), .submitted = m_loop.now()});
     if (!m_stepping) {
@@ -24,7 +24,7 @@
 
 void FakeEngine::crash()
 {
-    ++m_life;
+    ++m_generation;
     m_waiting.clear();
     m_batch.clear();
     m_cache.clear();
@@ -37,7 +37,7 @@
     m_slowness = factor;
 }
 
-bool FakeEngine::holds(int prefix) const
+bool FakeEngine::isCached(int prefix) const
 {
     return std::any_of(m_cache.begin(), m_cache.end(), [prefix](const auto &entry) { return entry.first == prefix; });
 }
@@ -54,9 +54,9 @@
     };
     std::for_each(m_batch.begin(), m_batch.end(), add);
     std::for_each(m_waiting.begin(), m_waiting.end(), add);
-    const double time = prompt * static_cast<double>(m_options.perPromptToken.count())
-        + answer * static_cast<double>(m_options.perSequence.count())
-        + longest * static_cast<double>(m_options.step.count());
+    const double time = prompt * static_cast<double>(m_options.stepTimePerPromptToken.count())
+        + answer * static_cast<double>(m_options.stepTimePerSequence.count())
+        + longest * static_cast<double>(m_options.baseStepTime.count());
     return microseconds(static_cast<long long>(time * m_slowness));
 }
 
@@ -74,7 +74,7 @@
             return;
         }
         m_memory += memory;
-        next.hadPrefix = holds(next.job.prefix);
+        next.hadPrefix = isCached(next.job.prefix);
         next.promptLeft = next.job.promptTokens - (next.hadPrefix ? next.job.prefixTokens : 0);
         touchCache(next.job.prefix, next.job.prefixTokens);
         m_batch.splice(m_batch.end(), m_waiting, m_waiting.begin());
@@ -94,13 +94,13 @@
         prompt += sequence.promptLeft;
         generating += sequence.promptLeft <= 0 ? 1 : 0;
     }
-    prompt = std::min(prompt, m_options.promptTokensAStep);
-    const double time = static_cast<double>(m_options.step.count())
-        + generating * static_cast<double>(m_options.perSequence.count())
-        + prompt * static_cast<double>(m_options.perPromptToken.count());
+    prompt = std::min(prompt, m_options.maxPromptTokensPerStep);
+    const double time = static_cast<double>(m_options.baseStepTime.count())
+        + generating * static_cast<double>(m_options.stepTimePerSequence.count())
+        + prompt * static_cast<double>(m_options.stepTimePerPromptToken.count());
     const microseconds duration(static_cast<long long>(time * m_slowness));
-    m_loop.after(duration, [this, prompt, duration, life = m_life] {
-        if (life == m_life) {
+    m_loop.after(duration, [this, prompt, duration, generation = m_generation] {
+        if (generation == m_generation) {
             finishStep(prompt, duration);
         }
     });
@@ -108,13 +108,13 @@
 
 void FakeEngine::finishStep(double promptBudget, microseconds duration)
 {
-    std::list<Sequence> ended;
+    std::list<Sequence> finished;
     for (auto sequence = m_batch.begin(); sequence != m_batch.end();) {
         const auto current = sequence++;
         if (current->promptLeft > 0) {
-            const double part = std::min(current->promptLeft, promptBudget);
-            current->promptLeft -= part;
-            promptBudget -= part;
+            const double computed = std::min(current->promptLeft, promptBudget);
+            current->promptLeft -= computed;
+            promptBudget -= computed;
             if (current->promptLeft > 0) {
                 continue;
             }
@@ -125,18 +125,18 @@
         }
         current->generated += 1;
         if (current->generated >= current->job.answerTokens) {
-            ended.splice(ended.end(), m_batch, current);
+            finished.splice(finished.end(), m_batch, current);
         }
     }
-    for (auto &sequence : ended) {
+    for (auto &sequence : finished) {
         m_memory -= sequence.job.promptTokens + sequence.job.answerTokens;
     }
     m_watcher.stepped(duration);
     scheduleStep();
-    for (const auto &sequence : ended) {
+    for (const auto &sequence : finished) {
         const auto generating = duration_cast<microseconds>(m_loop.now() - sequence.firstToken);
-        sequence.done({.first = duration_cast<microseconds>(sequence.firstToken - sequence.submitted),
-                       .between = generating / std::max(1L, static_cast<long>(sequence.generated) - 1),
+        sequence.done({.timeToFirstToken = duration_cast<microseconds>(sequence.firstToken - sequence.submitted),
+                       .tokenGap = generating / std::max(1L, static_cast<long>(sequence.generated) - 1),
                        .generated = sequence.generated,
                        .hadPrefix = sequence.hadPrefix});
     }
@@ -144,17 +144,17 @@
 
 void FakeEngine::touchCache(int prefix, double tokens)
 {
-    if (!holds(prefix)) {
+    if (!isCached(prefix)) {
         m_events.push_back({.prefix = prefix, .stored = true});
     }
     m_cache.remove_if([prefix](const auto &entry) { return entry.first == prefix; });
     m_cache.emplace_front(prefix, tokens);
-    double held = 0;
+    double cachedTokens = 0;
     for (const auto &entry : m_cache) {
-        held += entry.second;
+        cachedTokens += entry.second;
     }
-    while (held > m_options.cacheTokens && m_cache.size() > 1) {
-        held -= m_cache.back().second;
+    while (cachedTokens > m_options.cacheTokens && m_cache.size() > 1) {
+        cachedTokens -= m_cache.back().second;
         m_events.push_back({.prefix = m_cache.back().first, .stored = false});
         m_cache.pop_back();
     }
--- a/extras/heatherridge-policies/model/fakeengine.h
+++ b/extras/heatherridge-policies/model/fakeengine.h
@@ -14,19 +14,19 @@
 /** Service model of one engine. */
 struct EngineOptions
 {
-    std::chrono::microseconds step{20'000}; ///< time of a step with an empty batch
-    std::chrono::microseconds perSequence{500}; ///< more for each sequence that generates
-    std::chrono::microseconds perPromptToken{60};
-    double promptTokensAStep = 512; ///< prompts are computed in chunks, so that answers go on meanwhile
+    std::chrono::microseconds baseStepTime{20'000}; ///< time of a step with an empty batch
+    std::chrono::microseconds stepTimePerSequence{500}; ///< more for each sequence that generates
+    std::chrono::microseconds stepTimePerPromptToken{60};
+    double maxPromptTokensPerStep = 512; ///< prompts are computed in chunks, so that answers go on meanwhile
     double memoryTokens = 90'000; ///< of all sequences in the batch; beyond, requests wait inside the engine
     double cacheTokens = 24'000; ///< prompt prefixes kept, least recently used goes first
 };
 
 /** What an engine tells of one request when it has ended. */
-struct EngineDone
+struct EngineResult
 {
-    std::chrono::microseconds first{}; ///< from submit to the first token
-    std::chrono::microseconds between{}; ///< mean time between tokens
+    std::chrono::microseconds timeToFirstToken{}; ///< from submit to the first token
+    std::chrono::microseconds tokenGap{}; ///< mean time between tokens
     double generated = 0;
     bool hadPrefix = false;
 };
@@ -51,7 +51,7 @@
     FakeEngine(EngineOptions options, EventLoop &loop);
 
     /** Takes @p job in; calls @p done at its end. */
-    void submit(const Job &job, std::function<void(const EngineDone &)> done);
+    void submit(const Job &job, std::function<void(const EngineResult &)> done);
 
     /** Called at the end of each step with its duration, and with the time of submission of what gave its first token.
      */
@@ -80,7 +80,7 @@
     }
 
     /** Whether the cache holds @p prefix. */
-    bool holds(int prefix) const;
+    bool isCached(int prefix) const;
 
     /** The time that all work in the engine still takes, as only the engine can know. */
     std::chrono::microseconds trueBacklog() const;
@@ -98,7 +98,7 @@
     struct Sequence
     {
         Job job{};
-        std::function<void(const EngineDone &)> done{};
+        std::function<void(const EngineResult &)> done{};
         SteadyTime submitted{};
         SteadyTime firstToken{};
         double promptLeft = 0;
@@ -121,7 +121,7 @@
     double m_memory = 0;
     double m_slowness = 1;
     bool m_stepping = false;
-    std::uint64_t m_life = 0; ///< counts crashes, so that a step begun before one is void
+    std::uint64_t m_generation = 0; ///< counts crashes, so that a step begun before one is void
 };
 
 } // namespace Heatherridge::PolicyModel
--- a/extras/heatherridge-policies/model/fakeentry.cpp
+++ b/extras/heatherridge-policies/model/fakeentry.cpp
@@ -54,19 +54,19 @@
     place({.job = job});
 }
 
-void FakeEntry::takeReport(std::size_t target, const GateReport &report)
+void FakeEntry::receiveReport(std::size_t target, const GateReport &report)
 {
     m_links[target].report = report;
     m_links[target].reported = m_loop.now();
     m_links[target].promptSent = 0;
-    if (m_options.slowness && report.between.count() > 0) {
-        m_slowness.record(target, report.between, m_loop.now());
+    if (m_options.slowness && report.tokenGap.count() > 0) {
+        m_slowness.record(target, report.tokenGap, m_loop.now());
     }
 }
 
-void FakeEntry::takeCacheEvents(std::size_t target, const std::vector<CacheEvent> &events, bool complete)
+void FakeEntry::receiveCacheEvents(std::size_t target, const std::vector<CacheEvent> &events, bool complete)
 {
-    if (!complete && m_options.distrustGaps) {
+    if (!complete && m_options.dropPrefixesOnGap) {
         m_prefixes.removeTarget(static_cast<TargetSlot>(target));
     }
     for (const auto &event : events) {
@@ -79,10 +79,10 @@
     }
 }
 
-void FakeEntry::place(Try request)
+void FakeEntry::place(PendingRequest request)
 {
     if (m_options.oracle) {
-        fillTrueViews(request.job);
+        fillOracleViews(request.job);
     } else {
         fillViews(request);
     }
@@ -100,7 +100,7 @@
     attempt(std::move(request), target);
 }
 
-void FakeEntry::attempt(Try request, std::size_t target)
+void FakeEntry::attempt(PendingRequest request, std::size_t target)
 {
     auto &link = m_links[target];
     const std::uint64_t chain[] = {prefixHash(request.job.prefix)};
@@ -110,31 +110,32 @@
     link.promptSent += request.job.expectedFresh;
     ++link.inFlight;
     m_loop.after(delayTo(target), [this, request = std::move(request), target] {
-        m_gates[target]->offer(request.job, m_number, [this, request, target](const AttemptEnd &how) {
+        m_gates[target]->offer(request.job, m_number, [this, request, target](const AttemptResult &result) {
             const auto report = m_gates[target]->reportFor(m_number);
-            m_loop.after(delayTo(target), [this, request, target, how, report] {
-                takeReport(target, report);
-                ended(request, target, how);
+            m_loop.after(delayTo(target), [this, request, target, result, report] {
+                receiveReport(target, report);
+                handleCompletion(request, target, result);
             });
         });
     });
 }
 
-void FakeEntry::ended(const Try &request, std::size_t target, const AttemptEnd &how)
+void FakeEntry::handleCompletion(const PendingRequest &request, std::size_t target, const AttemptResult &result)
 {
     auto &link = m_links[target];
     link.load -= request.job.cost;
     --link.inFlight;
-    if (how.error) {
-        failed(request, target, *how.error);
+    if (result.error) {
+        handleFailure(request, target, *result.error);
         return;
     }
     m_health.record(nameOf(target), AttemptOutcome::Succeeded, m_loop.now());
     m_retries.recordSuccess();
-    m_recorder.recordAnswer(request.job, how.started + how.done.first + delayTo(target), m_loop.now(), how.done);
+    m_recorder.recordAnswer(request.job, result.started + result.engineResult.timeToFirstToken + delayTo(target),
+                            m_loop.now(), result.engineResult);
 }
 
-void FakeEntry::failed(Try request, std::size_t target, const Error &error)
+void FakeEntry::handleFailure(PendingRequest request, std::size_t target, const Error &error)
 {
     const bool isFault = error.kind == ErrorKind::TargetUnreachable || error.kind == ErrorKind::OutcomeUnknown;
     if (isFault) {
@@ -164,10 +165,10 @@
 void FakeEntry::refuse(Job job, const Error &error)
 {
     m_recorder.recordRefusal(job, error.kind, m_loop.now());
-    if (job.returns >= m_options.clientReturns || !error.retryAfter) {
+    if (job.clientRetries >= m_options.maxClientRetries || !error.retryAfter) {
         return;
     }
-    ++job.returns;
+    ++job.clientRetries;
     const auto allowed = job.deadline - job.arrived;
     m_loop.after(*error.retryAfter, [this, job, allowed]() mutable {
         job.arrived = m_loop.now();
@@ -176,7 +177,7 @@
     });
 }
 
-void FakeEntry::fillViews(const Try &request)
+void FakeEntry::fillViews(const PendingRequest &request)
 {
     const std::uint64_t chain[] = {prefixHash(request.job.prefix)};
     for (std::size_t target = 0; target < m_views.size(); ++target) {
@@ -187,7 +188,7 @@
         view.reportedCapacity = link.report.capacity;
         view.reportedPressure = m_options.usePressure ? link.report.pressure : 1;
         view.pendingPromptTokens = m_options.usePending ? link.report.pendingPrompt + link.promptSent : 0;
-        view.ownAtReport = link.report.ofEntry;
+        view.ownAtReport = link.report.entryLoad;
         view.reportAge = link.reported ? duration_cast<microseconds>(m_loop.now() - *link.reported) : NeverReported;
         view.ownLoad = link.load;
         view.ownInFlight = link.inFlight;
@@ -203,7 +204,7 @@
     }
 }
 
-void FakeEntry::fillTrueViews(const Job &job)
+void FakeEntry::fillOracleViews(const Job &job)
 {
     for (std::size_t target = 0; target < m_views.size(); ++target) {
         auto &view = m_views[target];
@@ -213,7 +214,7 @@
         view.pendingPromptTokens = m_options.usePending ? gate.reportFor(m_number).pendingPrompt : 0;
         view.reportedPressure = gate.reportFor(m_number).pressure;
         view.reportedCapacity = gate.reportFor(m_number).capacity;
-        view.prefixTokens = gate.engine().holds(job.prefix) ? static_cast<std::uint32_t>(job.prefixTokens) : 0;
+        view.prefixTokens = gate.engine().isCached(job.prefix) ? static_cast<std::uint32_t>(job.prefixTokens) : 0;
         view.slowness = gate.engine().slowness();
     }
 }
--- a/extras/heatherridge-policies/model/fakeentry.h
+++ b/extras/heatherridge-policies/model/fakeentry.h
@@ -17,11 +17,11 @@
     bool budget = true; ///< off: retries are bounded by the number of attempts alone
     bool health = true;
     bool slowness = true;
-    bool distrustGaps = false; ///< a gap in a target's cache events voids what was known of its cache
+    bool dropPrefixesOnGap = false; ///< a gap in a target's cache events voids what was known of its cache
     RetryOptions retry{};
     bool usePending = true; ///< whether prompts that targets still compute count in placement
     bool usePressure = true; ///< whether the share that targets refuse counts in placement
-    int clientReturns = 0; ///< how often a refused caller comes back, at the time it was told
+    int maxClientRetries = 0; ///< how often a refused caller comes back, at the time it was told
 };
 
 /** One entry with its own incomplete view of the gates. */
@@ -35,10 +35,10 @@
     void accept(const Job &job);
 
     /** A heartbeat of gate @p target arrives. */
-    void takeReport(std::size_t target, const GateReport &report);
+    void receiveReport(std::size_t target, const GateReport &report);
 
     /** Cache events of @p target arrive. @param complete false when some before them were lost */
-    void takeCacheEvents(std::size_t target, const std::vector<CacheEvent> &events, bool complete);
+    void receiveCacheEvents(std::size_t target, const std::vector<CacheEvent> &events, bool complete);
 
 private:
     struct Link
@@ -50,20 +50,20 @@
         std::uint32_t inFlight = 0;
     };
 
-    struct Try
+    struct PendingRequest
     {
         Job job{};
         int attempt = 0;
         std::set<std::size_t> refusedBy{};
     };
 
-    void place(Try request);
-    void attempt(Try request, std::size_t target);
-    void ended(const Try &request, std::size_t target, const AttemptEnd &how);
-    void failed(Try request, std::size_t target, const Error &error);
+    void place(PendingRequest request);
+    void attempt(PendingRequest request, std::size_t target);
+    void handleCompletion(const PendingRequest &request, std::size_t target, const AttemptResult &result);
+    void handleFailure(PendingRequest request, std::size_t target, const Error &error);
     void refuse(Job job, const Error &error);
-    void fillViews(const Try &request);
-    void fillTrueViews(const Job &job);
+    void fillViews(const PendingRequest &request);
+    void fillOracleViews(const Job &job);
     std::chrono::microseconds delayTo(std::size_t target) const;
     TargetName nameOf(std::size_t target) const;
 
--- a/extras/heatherridge-policies/model/fakegate.cpp
+++ b/extras/heatherridge-policies/model/fakegate.cpp
@@ -32,15 +32,15 @@
     m_queue.setLimit(m_options.adaptive ? m_limit.limit() : m_options.fixedLimit);
 }
 
-void FakeGate::offer(const Job &job, std::size_t entry, Ended ended)
+void FakeGate::offer(const Job &job, std::size_t entry, CompletionHandler onCompleted)
 {
     if (m_down) {
-        ended({.error = Error{.kind = ErrorKind::TargetUnreachable}});
+        onCompleted({.error = Error{.kind = ErrorKind::TargetUnreachable}});
         return;
     }
-    const RequestId id(std::to_string(m_next++));
+    const RequestId id(std::to_string(m_nextId++));
     const auto &customer = m_customers[job.customer];
-    m_attempts.emplace(id, AttemptOutcome{.job = job, .entry = entry, .ended = std::move(ended)});
+    m_attempts.emplace(id, ActiveAttempt{.job = job, .entry = entry, .onCompleted = std::move(onCompleted)});
     m_load += job.cost;
     m_loadOfEntry[entry] += job.cost;
     if (!m_options.admission) {
@@ -58,7 +58,7 @@
     } else if (const auto *refusal = std::get_if<Error>(&offer)) {
         end(id, {.error = *refusal});
     }
-    pump();
+    drainQueue();
 }
 
 void FakeGate::setDown(bool down)
@@ -78,14 +78,14 @@
 
 GateReport FakeGate::reportFor(std::size_t entry) const
 {
-    const auto part = m_loadOfEntry.find(entry);
+    const auto load = m_loadOfEntry.find(entry);
     return {.load = m_load,
-            .ofEntry = part == m_loadOfEntry.end() ? 0 : part->second,
+            .entryLoad = load == m_loadOfEntry.end() ? 0 : load->second,
             .capacity = m_queue.load().capacity,
             .pressure = m_queue.load().pressure,
             .pendingPrompt = m_pendingPrompt,
             .warmth = m_options.adaptive ? m_limit.warmth() : 1,
-            .between = microseconds(static_cast<long long>(m_between))};
+            .tokenGap = microseconds(static_cast<long long>(m_tokenGap))};
 }
 
 void FakeGate::start(const RequestId &id)
@@ -95,32 +95,32 @@
     attempt.started = m_loop.now();
     ++m_running;
     m_pendingPrompt += attempt.job.expectedFresh;
-    m_engine.submit(attempt.job, [this, id](const EngineDone &done) { finish(id, done); });
+    m_engine.submit(attempt.job, [this, id](const EngineResult &done) { finish(id, done); });
 }
 
-void FakeGate::finish(const RequestId &id, const EngineDone &done)
+void FakeGate::finish(const RequestId &id, const EngineResult &done)
 {
     const auto &attempt = m_attempts.at(id);
     const double actual = requestCost(attempt.job.promptTokens, done.generated);
     m_queue.finish(id, actual, m_loop.now());
     --m_running;
-    const auto between = static_cast<double>(done.between.count());
-    m_between = m_between == 0 ? between : m_between * 0.9 + between * 0.1;
-    end(id, {.done = done, .started = attempt.started});
-    pump();
+    const auto tokenGap = static_cast<double>(done.tokenGap.count());
+    m_tokenGap = m_tokenGap == 0 ? tokenGap : m_tokenGap * 0.9 + tokenGap * 0.1;
+    end(id, {.engineResult = done, .started = attempt.started});
+    drainQueue();
 }
 
-void FakeGate::end(const RequestId &id, const AttemptEnd &how)
+void FakeGate::end(const RequestId &id, const AttemptResult &result)
 {
     const auto entry = m_attempts.find(id);
-    const AttemptOutcome attempt = std::move(entry->second);
+    const ActiveAttempt attempt = std::move(entry->second);
     m_attempts.erase(entry);
     m_load -= attempt.job.cost;
     m_loadOfEntry[attempt.entry] -= attempt.job.cost;
-    attempt.ended(how);
+    attempt.onCompleted(result);
 }
 
-void FakeGate::pump()
+void FakeGate::drainQueue()
 {
     while (const auto next = m_queue.startNext(m_loop.now())) {
         start(*next);
@@ -128,10 +128,10 @@
     for (const auto &givenUp : m_queue.collectAbandoned()) {
         end(givenUp.id, {.error = givenUp.error});
     }
-    watchSweep();
+    scheduleSweep();
 }
 
-void FakeGate::watchSweep()
+void FakeGate::scheduleSweep()
 {
     const auto next = m_queue.nextSweep();
     if (!next || m_sweepAt) {
@@ -141,7 +141,7 @@
     const auto wait = std::max(duration_cast<microseconds>(*next - m_loop.now()), microseconds(0));
     m_loop.after(wait + microseconds(1), [this] {
         m_sweepAt.reset();
-        pump();
+        drainQueue();
     });
 }
 
--- a/extras/heatherridge-policies/model/fakegate.h
+++ b/extras/heatherridge-policies/model/fakegate.h
@@ -22,19 +22,19 @@
 struct GateReport
 {
     double load = 0; ///< cost that runs and waits, from all entries
-    double ofEntry = 0; ///< the asking entry's part
+    double entryLoad = 0; ///< the asking entry's part
     double capacity = 0; ///< load at which the gate is full
     double pressure = 1;
     double pendingPrompt = 0;
     double warmth = 1;
-    std::chrono::microseconds between{}; ///< smoothed time between tokens
+    std::chrono::microseconds tokenGap{}; ///< smoothed time between tokens
 };
 
 /** How one attempt ended at the gate. */
-struct AttemptEnd
+struct AttemptResult
 {
     std::optional<Error> error{};
-    EngineDone done{};
+    EngineResult engineResult{};
     SteadyTime started{};
 };
 
@@ -42,12 +42,12 @@
 class FakeGate
 {
 public:
-    using Ended = std::function<void(const AttemptEnd &)>;
+    using CompletionHandler = std::function<void(const AttemptResult &)>;
 
     FakeGate(GateOptions options, EngineOptions engine, const std::vector<Customer> &customers, EventLoop &loop);
 
     /** An attempt of @p entry arrives. @p ended is called exactly once. */
-    void offer(const Job &job, std::size_t entry, Ended ended);
+    void offer(const Job &job, std::size_t entry, CompletionHandler onCompleted);
 
     /** Stops or starts host and engine; what runs or waits fails. */
     void setDown(bool down);
@@ -58,8 +58,8 @@
     /** Whether @p entry has work here, whose answer's frames carry reports. */
     bool servesEntry(std::size_t entry) const
     {
-        const auto part = m_loadOfEntry.find(entry);
-        return part != m_loadOfEntry.end() && part->second > 0.5;
+        const auto entryLoad = m_loadOfEntry.find(entry);
+        return entryLoad != m_loadOfEntry.end() && entryLoad->second > 0.5;
     }
 
     /** The engine, for faults and for the oracle. */
@@ -81,21 +81,21 @@
     }
 
 private:
-    struct AttemptOutcome
+    struct ActiveAttempt
     {
         Job job{};
         std::size_t entry = 0;
-        Ended ended{};
+        CompletionHandler onCompleted{};
         SteadyTime started{};
         bool running = false;
     };
 
     void start(const RequestId &id);
-    void finish(const RequestId &id, const EngineDone &done);
-    void end(const RequestId &id, const AttemptEnd &how);
+    void finish(const RequestId &id, const EngineResult &done);
+    void end(const RequestId &id, const AttemptResult &result);
     void updateLimit();
-    void pump();
-    void watchSweep();
+    void drainQueue();
+    void scheduleSweep();
 
     GateOptions m_options;
     const std::vector<Customer> &m_customers;
@@ -103,13 +103,13 @@
     FakeEngine m_engine;
     AdmissionQueue m_queue;
     ConcurrencyLimit m_limit;
-    std::map<RequestId, AttemptOutcome> m_attempts;
+    std::map<RequestId, ActiveAttempt> m_attempts;
     std::map<std::size_t, double> m_loadOfEntry;
     double m_load = 0;
     double m_pendingPrompt = 0;
-    double m_between = 0;
+    double m_tokenGap = 0;
     std::size_t m_running = 0;
-    int m_next = 0;
+    int m_nextId = 0;
     bool m_down = false;
     std::optional<SteadyTime> m_sweepAt;
 };
--- a/extras/heatherridge-policies/model/figures.cpp
+++ b/extras/heatherridge-policies/model/figures.cpp
@@ -19,9 +19,9 @@
     if (values.empty()) {
         return 0;
     }
-    const auto place = values.begin() + static_cast<std::ptrdiff_t>(share * static_cast<double>(values.size() - 1));
-    std::nth_element(values.begin(), place, values.end());
-    return *place;
+    const auto position = values.begin() + static_cast<std::ptrdiff_t>(share * static_cast<double>(values.size() - 1));
+    std::nth_element(values.begin(), position, values.end());
+    return *position;
 }
 
 double sum(const std::vector<double> &values)
@@ -39,7 +39,7 @@
     : m_customers(customers)
     , m_demand(customers.size())
     , m_received(customers.size())
-    , m_sent(1, std::vector<double>(targets))
+    , m_attemptsBySecond(1, std::vector<double>(targets))
 {
 }
 
@@ -48,16 +48,17 @@
     m_from = from;
     m_until = until;
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(until - from).count();
-    m_sent.assign(static_cast<std::size_t>(std::max<long>(seconds, 1)), std::vector<double>(m_sent[0].size()));
+    m_attemptsBySecond.assign(static_cast<std::size_t>(std::max<long>(seconds, 1)),
+                              std::vector<double>(m_attemptsBySecond[0].size()));
 }
 
 void Recorder::recordArrival(const Job &job)
 {
-    if (!counts(job)) {
+    if (!isInPeriod(job)) {
         return;
     }
-    m_asked += 1;
-    if (job.returns == 0) {
+    m_submissions += 1;
+    if (job.clientRetries == 0) {
         m_arrivals += 1;
         m_demand[job.customer] += requestCost(job.promptTokens, job.answerTokens);
     }
@@ -65,49 +66,49 @@
 
 void Recorder::recordAttempt(const Job &job, std::size_t target, bool sameZone, SteadyTime now)
 {
-    if (!counts(job)) {
+    if (!isInPeriod(job)) {
         return;
     }
     m_attempts += 1;
-    m_local += sameZone ? 1 : 0;
+    m_localAttempts += sameZone ? 1 : 0;
     const auto second = static_cast<std::size_t>(milliseconds(now - m_from) / 1000);
-    if (now >= m_from && second < m_sent.size()) {
-        m_sent[second][target] += 1;
+    if (now >= m_from && second < m_attemptsBySecond.size()) {
+        m_attemptsBySecond[second][target] += 1;
     }
 }
 
 void Recorder::recordVerdict(const Job &job, RetryVerdict verdict)
 {
-    if (counts(job)) {
+    if (isInPeriod(job)) {
         m_verdicts[std::string(textFor(verdict).name)] += 1;
     }
 }
 
 void Recorder::recordRefusal(const Job &job, ErrorKind kind, SteadyTime now)
 {
-    if (counts(job)) {
+    if (isInPeriod(job)) {
         m_refusals[std::string(errorDescriptorFor(kind).name)] += 1;
         m_refusalWaits.push_back(milliseconds(now - job.arrived));
     }
 }
 
-void Recorder::recordAnswer(const Job &job, SteadyTime firstToken, SteadyTime end, const EngineDone &done)
+void Recorder::recordAnswer(const Job &job, SteadyTime firstToken, SteadyTime end, const EngineResult &done)
 {
-    if (!counts(job)) {
+    if (!isInPeriod(job)) {
         return;
     }
     m_answers += 1;
-    m_hits += done.hadPrefix ? 1 : 0;
+    m_cacheHits += done.hadPrefix ? 1 : 0;
     if (end > job.deadline) {
-        m_late += 1;
+        m_lateAnswers += 1;
         return;
     }
-    m_first.push_back(milliseconds(firstToken - job.arrived));
-    m_between.push_back(milliseconds(done.between));
+    m_firstTokenTimes.push_back(milliseconds(firstToken - job.arrived));
+    m_tokenGaps.push_back(milliseconds(done.tokenGap));
     if (!job.isLong) {
-        m_shortFirst.push_back(m_first.back());
+        m_shortFirstTokenTimes.push_back(m_firstTokenTimes.back());
     }
-    m_total.push_back(milliseconds(end - job.arrived));
+    m_totalTimes.push_back(milliseconds(end - job.arrived));
     m_received[job.customer] += requestCost(job.promptTokens, job.answerTokens);
 }
 
@@ -115,20 +116,20 @@
 {
     const double seconds = milliseconds(m_until - m_from) / 1000;
     Figures figures{.offered = m_arrivals / seconds,
-                    .goodput = static_cast<double>(m_total.size()) / seconds,
+                    .goodput = static_cast<double>(m_totalTimes.size()) / seconds,
                     .goodCost = sum(m_received) / seconds,
-                    .firstMedian = percentile(m_first, 0.5),
-                    .first99 = percentile(m_first, 0.99),
-                    .shortFirst99 = percentile(m_shortFirst, 0.99),
-                    .between95 = percentile(m_between, 0.95),
-                    .total99 = percentile(m_total, 0.99),
+                    .firstTokenP50 = percentile(m_firstTokenTimes, 0.5),
+                    .firstTokenP99 = percentile(m_firstTokenTimes, 0.99),
+                    .shortFirstTokenP99 = percentile(m_shortFirstTokenTimes, 0.99),
+                    .tokenGapP95 = percentile(m_tokenGaps, 0.95),
+                    .totalP99 = percentile(m_totalTimes, 0.99),
                     .lowestShare = lowestShare(),
-                    .attemptsPerRequest = m_asked == 0 ? 0 : m_attempts / m_asked,
-                    .refusalWait99 = percentile(m_refusalWaits, 0.99),
-                    .late = m_late / seconds,
+                    .attemptsPerRequest = m_submissions == 0 ? 0 : m_attempts / m_submissions,
+                    .refusalWaitP99 = percentile(m_refusalWaits, 0.99),
+                    .late = m_lateAnswers / seconds,
                     .shiftsPerMinute = shiftsPerMinute(),
-                    .cacheHits = m_answers == 0 ? 0 : m_hits / m_answers,
-                    .localShare = m_attempts == 0 ? 0 : m_local / m_attempts};
+                    .cacheHits = m_answers == 0 ? 0 : m_cacheHits / m_answers,
+                    .localShare = m_attempts == 0 ? 0 : m_localAttempts / m_attempts};
     for (const auto &[name, count] : m_refusals) {
         figures.refusals[name] = count / seconds;
     }
@@ -138,7 +139,7 @@
     return figures;
 }
 
-bool Recorder::counts(const Job &job) const
+bool Recorder::isInPeriod(const Job &job) const
 {
     return job.arrived >= m_from && job.arrived < m_until;
 }
@@ -146,24 +147,24 @@
 /** Due is the max-min fair division, by weight, of what was received in all: nobody is due more than it asked for. */
 double Recorder::lowestShare() const
 {
-    std::vector<double> due(m_customers.size());
-    std::vector<bool> met(m_customers.size());
-    double left = sum(m_received);
+    std::vector<double> fairShare(m_customers.size());
+    std::vector<bool> isSatisfied(m_customers.size());
+    double remaining = sum(m_received);
     for (std::size_t round = 0; round < m_customers.size(); ++round) {
         double weights = 0;
-        for (std::size_t i = 0; i < due.size(); ++i) {
-            weights += met[i] ? 0 : m_customers[i].weight;
+        for (std::size_t i = 0; i < fairShare.size(); ++i) {
+            weights += isSatisfied[i] ? 0 : m_customers[i].weight;
         }
         bool changed = false;
-        const double before = left;
-        for (std::size_t i = 0; i < due.size(); ++i) {
-            const double part = before * m_customers[i].weight / weights;
-            if (!met[i] && m_demand[i] <= part) {
-                met[i] = changed = true;
-                due[i] = m_demand[i];
-                left -= m_demand[i];
-            } else if (!met[i]) {
-                due[i] = part;
+        const double before = remaining;
+        for (std::size_t i = 0; i < fairShare.size(); ++i) {
+            const double share = before * m_customers[i].weight / weights;
+            if (!isSatisfied[i] && m_demand[i] <= share) {
+                isSatisfied[i] = changed = true;
+                fairShare[i] = m_demand[i];
+                remaining -= m_demand[i];
+            } else if (!isSatisfied[i]) {
+                fairShare[i] = share;
             }
         }
         if (!changed) {
@@ -171,9 +172,9 @@
         }
     }
     double lowest = 1;
-    for (std::size_t i = 0; i < due.size(); ++i) {
-        if (due[i] > 0) {
-            lowest = std::min(lowest, m_received[i] / due[i]);
+    for (std::size_t i = 0; i < fairShare.size(); ++i) {
+        if (fairShare[i] > 0) {
+            lowest = std::min(lowest, m_received[i] / fairShare[i]);
         }
     }
     return lowest;
@@ -182,16 +183,17 @@
 double Recorder::shiftsPerMinute() const
 {
     double shifts = 0;
-    for (std::size_t second = 1; second < m_sent.size(); ++second) {
-        const double now = sum(m_sent[second]);
-        const double before = sum(m_sent[second - 1]);
-        const double mean = 1 / static_cast<double>(m_sent[second].size());
-        for (std::size_t target = 0; now > 0 && before > 0 && target < m_sent[second].size(); ++target) {
-            const double step = m_sent[second][target] / now - m_sent[second - 1][target] / before;
+    for (std::size_t second = 1; second < m_attemptsBySecond.size(); ++second) {
+        const double now = sum(m_attemptsBySecond[second]);
+        const double before = sum(m_attemptsBySecond[second - 1]);
+        const double mean = 1 / static_cast<double>(m_attemptsBySecond[second].size());
+        for (std::size_t target = 0; now > 0 && before > 0 && target < m_attemptsBySecond[second].size(); ++target) {
+            const double step =
+                m_attemptsBySecond[second][target] / now - m_attemptsBySecond[second - 1][target] / before;
             shifts += std::abs(step) > mean / 2 ? 1 : 0;
         }
     }
-    return shifts * 60 / static_cast<double>(m_sent.size() * m_sent[0].size());
+    return shifts * 60 / static_cast<double>(m_attemptsBySecond.size() * m_attemptsBySecond[0].size());
 }
 
 } // namespace Heatherridge::PolicyModel
--- a/extras/heatherridge-policies/model/figures.h
+++ b/extras/heatherridge-policies/model/figures.h
@@ -15,14 +15,14 @@
     double offered = 0; ///< requests a second that callers asked for, returns not counted
     double goodput = 0; ///< requests a second that ended within their deadline
     double goodCost = 0; ///< the same in units of cost
-    double firstMedian = 0; ///< ms from asking to the first token, of good requests
-    double first99 = 0;
-    double shortFirst99 = 0; ///< the same without long requests
-    double between95 = 0; ///< ms between tokens, mean of a request
-    double total99 = 0; ///< ms to the whole answer
+    double firstTokenP50 = 0; ///< ms from asking to the first token, of good requests
+    double firstTokenP99 = 0;
+    double shortFirstTokenP99 = 0; ///< the same without long requests
+    double tokenGapP95 = 0; ///< ms between tokens, mean of a request
+    double totalP99 = 0; ///< ms to the whole answer
     double lowestShare = 0; ///< lowest received / due over the customers with demand
     double attemptsPerRequest = 0; ///< attempts sent by entries over requests that came in
-    double refusalWait99 = 0; ///< ms that a refused caller waited for its refusal
+    double refusalWaitP99 = 0; ///< ms that a refused caller waited for its refusal
     double late = 0; ///< requests a second that ended after their deadline
     double shiftsPerMinute = 0; ///< steps of a target's share of traffic beyond half its mean, from second to second
     double cacheHits = 0; ///< share of requests whose prefix was cached
@@ -45,35 +45,35 @@
     void recordAttempt(const Job &job, std::size_t target, bool sameZone, SteadyTime now);
     void recordVerdict(const Job &job, RetryVerdict verdict);
     void recordRefusal(const Job &job, ErrorKind kind, SteadyTime now);
-    void recordAnswer(const Job &job, SteadyTime firstToken, SteadyTime end, const EngineDone &done);
+    void recordAnswer(const Job &job, SteadyTime firstToken, SteadyTime end, const EngineResult &done);
 
     Figures figures() const;
 
 private:
-    bool counts(const Job &job) const;
+    bool isInPeriod(const Job &job) const;
     double lowestShare() const;
     double shiftsPerMinute() const;
 
     const std::vector<Customer> &m_customers;
     SteadyTime m_from{};
     SteadyTime m_until{};
-    std::vector<double> m_first;
-    std::vector<double> m_shortFirst;
-    std::vector<double> m_between;
-    std::vector<double> m_total;
+    std::vector<double> m_firstTokenTimes;
+    std::vector<double> m_shortFirstTokenTimes;
+    std::vector<double> m_tokenGaps;
+    std::vector<double> m_totalTimes;
     std::vector<double> m_refusalWaits;
     std::vector<double> m_demand; ///< cost by customer
     std::vector<double> m_received;
-    std::vector<std::vector<double>> m_sent; ///< by second, by target
+    std::vector<std::vector<double>> m_attemptsBySecond; ///< by second, by target
     std::map<std::string, double> m_refusals;
     std::map<std::string, double> m_verdicts;
     double m_arrivals = 0;
-    double m_asked = 0;
+    double m_submissions = 0;
     double m_attempts = 0;
-    double m_local = 0;
-    double m_hits = 0;
+    double m_localAttempts = 0;
+    double m_cacheHits = 0;
     double m_answers = 0;
-    double m_late = 0;
+    double m_lateAnswers = 0;
 };
 
 } // namespace Heatherridge::PolicyModel
--- a/extras/heatherridge-policies/model/loadpatterns.h
+++ b/extras/heatherridge-policies/model/loadpatterns.h
@@ -16,7 +16,7 @@
 struct LoadPattern
 {
     std::string_view name;
-    std::string_view story; ///< what happens, for the tables and for failing tests
+    std::string_view summary; ///< what happens, for the tables and for failing tests
     ScenarioOptions (*make)();
 };
 
--- a/extras/heatherridge-policies/model/scenario.cpp
+++ b/extras/heatherridge-policies/model/scenario.cpp
@@ -13,10 +13,10 @@
 constexpr double FlappingLoad = 1e5; ///< cost, far beyond what fits
 
 /** All that takes part in one run. */
-class World
+class Simulation
 {
 public:
-    explicit World(const ScenarioOptions &options)
+    explicit Simulation(const ScenarioOptions &options)
         : m_options(options)
         , m_workload(options.workload, options.seed)
         , m_recorder(options.targets, m_workload.options().customers)
@@ -40,14 +40,14 @@
     Figures run()
     {
         const auto start = m_loop.now() + m_options.warmup;
-        const auto end = start + m_options.length;
+        const auto end = start + m_options.measuredDuration;
         m_recorder.setPeriod(start, end);
-        arrive();
+        scheduleArrival();
         for (std::size_t i = 0; i < m_gates.size(); ++i) {
             // Spread over the period, as hosts that started at different times are.
-            m_loop.after(m_options.heartbeat * i / m_gates.size(), [this, i] { beat(i); });
+            m_loop.after(m_options.heartbeatInterval * i / m_gates.size(), [this, i] { sendHeartbeat(i); });
         }
-        if (m_options.frames.count() > 0) {
+        if (m_options.frameInterval.count() > 0) {
             sendFrames();
         }
         for (const auto &fault : m_options.faults) {
@@ -67,14 +67,14 @@
     }
 
 private:
-    void arrive()
+    void scheduleArrival()
     {
-        m_loop.after(m_workload.gap(m_loop.now()), [this] {
+        m_loop.after(m_workload.timeToNextArrival(m_loop.now()), [this] {
             if (m_stopped) {
                 return;
             }
-            m_entries[m_turn++ % m_entries.size()]->accept(m_workload.draw(m_loop.now()));
-            arrive();
+            m_entries[m_nextEntry++ % m_entries.size()]->accept(m_workload.draw(m_loop.now()));
+            scheduleArrival();
         });
     }
 
@@ -86,8 +86,8 @@
             const bool complete = !m_gaps[{i, target}];
             m_gaps[{i, target}] = lost;
             if (!lost) {
-                m_loop.after(m_options.reportLag, [this, i, target, events, complete] {
-                    m_entries[i]->takeCacheEvents(target, events, complete);
+                m_loop.after(m_options.reportDelay, [this, i, target, events, complete] {
+                    m_entries[i]->receiveCacheEvents(target, events, complete);
                 });
             }
         }
@@ -97,7 +97,7 @@
     {
         auto report = m_gates[target]->reportFor(entry);
         if (m_flapping) {
-            report.load = report.ofEntry + ((m_beats + target) % 2 == 0 ? 0 : FlappingLoad);
+            report.load = report.entryLoad + ((m_heartbeats + target) % 2 == 0 ? 0 : FlappingLoad);
         }
         return report;
     }
@@ -108,52 +108,53 @@
             for (std::size_t entry = 0; entry < m_entries.size(); ++entry) {
                 if (m_gates[target]->servesEntry(entry)) {
                     m_loop.after(FrameDelay, [this, target, entry, report = reportOf(target, entry)] {
-                        m_entries[entry]->takeReport(target, report);
+                        m_entries[entry]->receiveReport(target, report);
                     });
                 }
             }
         }
         if (!m_stopped) {
-            m_loop.after(m_options.frames, [this] { sendFrames(); });
+            m_loop.after(m_options.frameInterval, [this] { sendFrames(); });
         }
     }
 
-    void beat(std::size_t target)
+    void sendHeartbeat(std::size_t target)
     {
         sendCacheEvents(target);
         if (m_gates[target]->isUp()) {
             for (std::size_t i = 0; i < m_entries.size(); ++i) {
                 const auto report = reportOf(target, i);
-                m_loop.after(m_options.reportLag,
-                             [this, i, target, report] { m_entries[i]->takeReport(target, report); });
+                m_loop.after(m_options.reportDelay,
+                             [this, i, target, report] { m_entries[i]->receiveReport(target, report); });
             }
         }
-        m_beats += target == 0 ? 1 : 0;
+        m_heartbeats += target == 0 ? 1 : 0;
         if (!m_stopped) {
-            m_loop.after(m_options.heartbeat, [this, target] { beat(target); });
+            m_loop.after(m_options.heartbeatInterval, [this, target] { sendHeartbeat(target); });
         }
     }
 
-    void apply(const Fault &fault, bool begins)
+    void apply(const Fault &fault, bool isStarting)
     {
-        std::visit(
-            Visitor{
-                [&](const SlowFault &slow) { m_gates[slow.target]->engine().setSlowness(begins ? slow.factor : 1); },
-                [&](const ZoneFault &lost) {
-                    for (std::size_t i = 0; i < m_gates.size(); ++i) {
-                        if (m_zones[i] == lost.zone) {
-                            m_gates[i]->setDown(begins);
-                        }
-                    }
-                },
-                [&](const OutageFault &) {
-                    for (auto &gate : m_gates) {
-                        gate->setDown(begins);
-                    }
-                },
-                [&](const FlappingFault &) { m_flapping = begins; },
-            },
-            fault.what);
+        std::visit(Visitor{
+                       [&](const SlowFault &slow) {
+                           m_gates[slow.target]->engine().setSlowness(isStarting ? slow.factor : 1);
+                       },
+                       [&](const ZoneFault &lost) {
+                           for (std::size_t i = 0; i < m_gates.size(); ++i) {
+                               if (m_zones[i] == lost.zone) {
+                                   m_gates[i]->setDown(isStarting);
+                               }
+                           }
+                       },
+                       [&](const OutageFault &) {
+                           for (auto &gate : m_gates) {
+                               gate->setDown(isStarting);
+                           }
+                       },
+                       [&](const FlappingFault &) { m_flapping = isStarting; },
+                   },
+                   fault.type);
     }
 
     const ScenarioOptions &m_options;
@@ -165,8 +166,8 @@
     std::vector<int> m_zones;
     std::map<std::pair<std::size_t, std::size_t>, bool> m_gaps; ///< by entry and target: the last events were lost
     SeededRandom m_random;
-    std::size_t m_turn = 0;
-    std::size_t m_beats = 0;
+    std::size_t m_nextEntry = 0;
+    std::size_t m_heartbeats = 0;
     bool m_flapping = false;
     bool m_stopped = false;
 };
@@ -175,7 +176,7 @@
 
 Figures run(const ScenarioOptions &options)
 {
-    return World(options).run();
+    return Simulation(options).run();
 }
 
 } // namespace Heatherridge::PolicyModel
--- a/extras/heatherridge-policies/model/scenario.h
+++ b/extras/heatherridge-policies/model/scenario.h
@@ -35,7 +35,7 @@
 {
     std::chrono::milliseconds from{};
     std::chrono::milliseconds until{};
-    std::variant<SlowFault, ZoneFault, OutageFault, FlappingFault> what{};
+    std::variant<SlowFault, ZoneFault, OutageFault, FlappingFault> type{};
 };
 
 /** One run: who stands where, what is offered, what goes wrong. */
@@ -48,14 +48,14 @@
     std::size_t targets = 16;
     std::size_t entries = 6;
     int zones = 3;
-    std::chrono::milliseconds heartbeat{250};
-    std::chrono::milliseconds reportLag{50}; ///< of heartbeats
-    std::chrono::milliseconds frames{
+    std::chrono::milliseconds heartbeatInterval{250};
+    std::chrono::milliseconds reportDelay{50}; ///< of heartbeats
+    std::chrono::milliseconds frameInterval{
         50}; ///< how often frames of answers bring a report to entries with work; 0 for never
     bool cacheEvents = true; ///< engines' cache events reach the entries with the heartbeats
     double cacheEventsLost = 0.05; ///< share of heartbeats whose cache events are lost on the way to one entry
     std::chrono::milliseconds warmup{30'000};
-    std::chrono::milliseconds length{60'000};
+    std::chrono::milliseconds measuredDuration{60'000};
     std::vector<Fault> faults{};
     std::uint64_t seed = 1;
 };
--- a/extras/heatherridge-policies/model/workload.cpp
+++ b/extras/heatherridge-policies/model/workload.cpp
@@ -44,10 +44,10 @@
 
 Job Workload::draw(SteadyTime now)
 {
-    Job job{.number = m_next++, .arrived = now, .deadline = now + m_options.deadline};
-    double place = m_random.fraction() * m_demand;
-    while (job.customer + 1 < m_options.customers.size() && place >= m_options.customers[job.customer].demand) {
-        place -= m_options.customers[job.customer++].demand;
+    Job job{.number = m_nextNumber++, .arrived = now, .deadline = now + m_options.deadline};
+    double point = m_random.fraction() * m_demand;
+    while (job.customer + 1 < m_options.customers.size() && point >= m_options.customers[job.customer].demand) {
+        point -= m_options.customers[job.customer++].demand;
     }
     const double popularity = m_random.fraction() * m_popularity.back();
     job.prefix =
@@ -63,7 +63,7 @@
     return job;
 }
 
-std::chrono::microseconds Workload::gap(SteadyTime now)
+std::chrono::microseconds Workload::timeToNextArrival(SteadyTime now)
 {
     const bool burst = now >= m_options.burstFrom && now < m_options.burstUntil;
     const double rate = m_options.rate * (burst ? m_options.burstFactor : 1);
--- a/extras/heatherridge-policies/model/workload.h
+++ b/extras/heatherridge-policies/model/workload.h
@@ -48,7 +48,7 @@
     bool isLong = false;
     SteadyTime arrived{}; ///< when the caller first asked
     SteadyTime deadline{};
-    int returns = 0; ///< how often the caller has come back after a refusal
+    int clientRetries = 0; ///< how often the caller has come back after a refusal
 };
 
 /** Draws the offered load. */
@@ -61,7 +61,7 @@
     Job draw(SteadyTime now);
 
     /** The time to the next arrival after @p now. */
-    std::chrono::microseconds gap(SteadyTime now);
+    std::chrono::microseconds timeToNextArrival(SteadyTime now);
 
     const WorkloadOptions &options() const
     {
@@ -76,7 +76,7 @@
     SeededRandom m_random;
     std::vector<double> m_popularity; ///< cumulative
     double m_demand = 0;
-    int m_next = 0;
+    int m_nextNumber = 0;
 };
 
 /** Ten customers: two large ones and a tail, each with demand in proportion to its weight. */
--- a/tests/decisions/loadpatterns_test.cpp
+++ b/tests/decisions/loadpatterns_test.cpp
@@ -66,10 +66,10 @@
     options.seed = 20261202;
     const auto figures = run(options);
     EXPECT_GE(figures.goodput, row.minGoodput * std::min(figures.offered, PeakRate));
-    EXPECT_LE(figures.first99, row.maxFirstTokenMs);
+    EXPECT_LE(figures.firstTokenP99, row.maxFirstTokenMs);
     EXPECT_GE(figures.lowestShare, row.minShare);
     EXPECT_LE(figures.attemptsPerRequest, row.maxAttempts);
-    EXPECT_LE(figures.refusalWait99, row.maxRefusalWaitMs);
+    EXPECT_LE(figures.refusalWaitP99, row.maxRefusalWaitMs);
     EXPECT_LE(figures.shiftsPerMinute, row.maxShifts);
     // Each incoming request was answered, refused with a counted reason, or retried by its caller after a refusal.
     EXPECT_GE(figures.goodput + figures.late + sumOf(figures.refusals), figures.offered * 0.999);
@@ -101,10 +101,10 @@
 const MechanismRow MechanismRows[] = {
     {"admission", "hog", [](auto &options) { options.gate.admission = false; },
      [](const auto &without, const auto &with) {
-         return without.lowestShare < with.lowestShare - 0.3 && without.first99 > 5 * with.first99;
+         return without.lowestShare < with.lowestShare - 0.3 && without.firstTokenP99 > 5 * with.firstTokenP99;
      }},
     {"prefixes", "steady", [](auto &options) { options.entry.placement = CostPlacementOptions{.usePrefix = false}; },
-     [](const auto &without, const auto &with) { return without.first99 > 2 * with.first99; }},
+     [](const auto &without, const auto &with) { return without.firstTokenP99 > 2 * with.firstTokenP99; }},
     {"random samples", "steady",
      [](auto &options) { options.entry.placement = CostPlacementOptions{.samples = 16, .usePrefix = false}; },
      [](const auto &without, const auto &with) { return without.shiftsPerMinute > with.shiftsPerMinute; }},
