--- a/extras/heatherridge-policies/main.cpp
+++ b/extras/heatherridge-policies/main.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** Changes one thing about a scenario. */
+/** A single change to the options of a scenario. */
 struct Variation
 {
     std::string name{};
@@ -98,10 +98,11 @@
 } // namespace
 
 /**
- * Measures the decisions under load on a virtual clock and prints Markdown tables.
+ * Measures placement, admission and retry decisions under load on a virtual clock; prints Markdown tables.
  *
- * Times are in milliseconds; "share" is the lowest received over due of all workspaces; "shifts" are steps of a
- * target's part of the traffic beyond half the mean, a minute and target; spread over the seeds in brackets.
+ * Times are in milliseconds. "share" is the lowest ratio of received to fair share over all workspaces. "shifts" counts
+ * changes of a target's share of the traffic by more than half the mean share, per minute and target. The range over
+ * the seeds is in brackets.
  */
 int main(int argc, char **argv)
 {
@@ -109,8 +110,8 @@
     int seeds = 0;
     std::string selection;
     po::options_description description("heatherridge-policies: measures decisions under load on a virtual clock");
-    description.add_options()("help", "print this")("seeds", po::value(&seeds)->default_value(5), "seeds a line")(
-        "only", po::value(&selection), "sweep, mechanisms, or the name of one pattern");
+    description.add_options()("help", "print this")("seeds", po::value(&seeds)->default_value(5), "seeds per row")(
+        "only", po::value(&selection), "measure only this: sweep, mechanisms or a pattern name");
     po::variables_map values;
     try {
         po::store(po::parse_command_line(argc, argv, description), values);
--- a/extras/heatherridge-policies/measurement.cpp
+++ b/extras/heatherridge-policies/measurement.cpp
@@ -69,7 +69,7 @@
     return text.str();
 }
 
-/** Mean of each named count over the seeds; a name that a seed lacks counts as 0 there. */
+/** Formats the mean of each named count over the seeds; a name missing from a run counts as 0. */
 std::string formatCounts(const std::vector<Figures> &figures, std::map<std::string, double> Figures::*member)
 {
     std::map<std::string, double> sums;
--- a/extras/heatherridge-policies/measurement.h
+++ b/extras/heatherridge-policies/measurement.h
@@ -8,14 +8,14 @@
 namespace Heatherridge::PolicyModel
 {
 
-/** One line of a table: a scenario, run once a seed. */
+/** One row of a table: a scenario that is run once per seed. */
 struct Measurement
 {
     std::string name{};
     ScenarioOptions options{};
 };
 
-/** Runs @p measurements with seeds 1 to @p seeds, several at a time, and prints one line each: mean and spread. */
+/** Runs each measurement with seeds 1 to @p seeds concurrently and prints one row each, with mean and range. */
 void printTable(const std::string &title, const std::vector<Measurement> &measurements, int seeds);
 
 } // namespace Heatherridge::PolicyModel
--- a/extras/heatherridge-policies/model/eventloop.h
+++ b/extras/heatherridge-policies/model/eventloop.h
@@ -10,27 +10,27 @@
 namespace Heatherridge::PolicyModel
 {
 
-/** Runs functions in the order of their virtual times; equal times in the order of scheduling. */
+/** Runs functions in order of virtual time; functions due at the same time run in the order of scheduling. */
 class EventLoop
 {
 public:
-    /** The virtual time. */
+    /** Returns the current virtual time. */
     SteadyTime now() const
     {
         return m_now;
     }
 
-    /** Calls @p work after @p delay of virtual time. */
+    /** Schedules @p work to run after @p delay of virtual time. */
     void after(std::chrono::microseconds delay, std::function<void()> work)
     {
         m_events.push({.at = m_now + delay, .number = m_scheduled++, .work = std::move(work)});
     }
 
-    /** Runs all that is due up to @p end. */
+    /** Runs all functions due at or before @p end and sets the time to @p end. */
     void runUntil(SteadyTime end)
     {
         while (!m_events.empty() && m_events.top().at <= end) {
-            // The queue hands out const references only; the event is popped right after.
+            // top() returns a const reference only; the moved-from event is popped right after.
             auto event =
                 std::move(const_cast<Event &>(m_events.top())); // NOLINT(cppcoreguidelines-pro-type-const-cast)
             m_events.pop();
--- a/extras/heatherridge-policies/model/fakeengine.h
+++ b/extras/heatherridge-policies/model/fakeengine.h
@@ -11,27 +11,27 @@
 namespace Heatherridge::PolicyModel
 {
 
-/** Service model of one engine. */
+/** Service time and memory model of one engine. */
 struct EngineOptions
 {
-    std::chrono::microseconds baseStepTime{20'000}; ///< time of a step with an empty batch
-    std::chrono::microseconds stepTimePerSequence{500}; ///< more for each sequence that generates
+    std::chrono::microseconds baseStepTime{20'000}; ///< duration of a step before the additions below
+    std::chrono::microseconds stepTimePerSequence{500}; ///< added for each sequence that generates
     std::chrono::microseconds stepTimePerPromptToken{60};
-    double maxPromptTokensPerStep = 512; ///< prompts are computed in chunks, so that answers go on meanwhile
-    double memoryTokens = 90'000; ///< of all sequences in the batch; beyond, requests wait inside the engine
-    double cacheTokens = 24'000; ///< prompt prefixes kept, least recently used goes first
+    double maxPromptTokensPerStep = 512; ///< prompts are computed in chunks, so that other answers keep generating
+    double memoryTokens = 90'000; ///< limit for all sequences in the batch; requests beyond it wait inside the engine
+    double cacheTokens = 24'000; ///< capacity of the prefix cache; the least recently used prefix is evicted first
 };
 
-/** What an engine tells of one request when it has ended. */
+/** Result of a completed request. */
 struct EngineResult
 {
-    std::chrono::microseconds timeToFirstToken{}; ///< from submit to the first token
+    std::chrono::microseconds timeToFirstToken{}; ///< from submission to the first token
     std::chrono::microseconds tokenGap{}; ///< mean time between tokens
     double generated = 0;
     bool hadPrefix = false;
 };
 
-/** A prefix was stored in a cache or evicted from it. */
+/** Reports that a prefix was stored in the cache or evicted from it. */
 struct CacheEvent
 {
     int prefix = 0;
@@ -41,19 +41,20 @@
 /**
  * A model engine that batches continuously and caches prompt prefixes.
  *
- * A step takes step + perSequence * (sequences that generate) + perPromptToken * (prompt tokens computed), times the
- * slowness; it gives each generating sequence one token. Requests enter the batch in the order of submission while
- * memory lasts.
+ * A step takes baseStepTime + stepTimePerSequence * (generating sequences) + stepTimePerPromptToken * (prompt tokens
+ * computed), multiplied by the slowness, and adds one token to each generating sequence. Requests join the batch in the
+ * order of submission while memory is available.
  */
 class FakeEngine
 {
 public:
     FakeEngine(EngineOptions options, EventLoop &loop);
 
-    /** Takes @p job in; calls @p done at its end. */
+    /** Submits @p job; calls @p done when it completes. */
     void submit(const Job &job, std::function<void(const EngineResult &)> done);
 
-    /** Called at the end of each step with its duration, and with the time of submission of what gave its first token.
+    /** Callbacks for the end of each step, with its duration, and for the first token of a request, with the time of
+     * its submission.
      */
     struct Watcher
     {
@@ -61,37 +62,37 @@
         std::function<void(const Job &, SteadyTime)> firstToken{};
     };
 
-    /** Sets who watches. */
+    /** Sets the callbacks, all of which must be set before the first submission. */
     void setWatcher(Watcher watcher)
     {
         m_watcher = std::move(watcher);
     }
 
-    /** Loses all work without a word; the cache too. What failed is for the owner to know. */
+    /** Drops all requests and the cache without calling back; the owner has to fail the dropped requests. */
     void crash();
 
     /** Multiplies all step times by @p factor. */
     void setSlowness(double factor);
 
-    /** The factor of setSlowness(). */
+    /** Returns the factor set by setSlowness(). */
     double slowness() const
     {
         return m_slowness;
     }
 
-    /** Whether the cache holds @p prefix. */
+    /** Returns whether @p prefix is in the cache. */
     bool isCached(int prefix) const;
 
-    /** The time that all work in the engine still takes, as only the engine can know. */
+    /** Returns the time needed to complete all submitted requests, from their actual answer lengths. */
     std::chrono::microseconds trueBacklog() const;
 
-    /** Cache events since the last call. */
+    /** Returns the cache events since the last call. */
     std::vector<CacheEvent> collectCacheEvents()
     {
         return std::exchange(m_events, {});
     }
 
-    /** Sequences in the batch and before it. */
+    /** Returns the number of sequences in the batch and waiting for it. */
     std::size_t size() const;
 
 private:
@@ -121,7 +122,7 @@
     double m_memory = 0;
     double m_slowness = 1;
     bool m_stepping = false;
-    std::uint64_t m_generation = 0; ///< counts crashes, so that a step begun before one is void
+    std::uint64_t m_generation = 0; ///< incremented by each crash; a step scheduled before the crash is ignored
 };
 
 } // namespace Heatherridge::PolicyModel
--- a/extras/heatherridge-policies/model/fakeentry.h
+++ b/extras/heatherridge-policies/model/fakeentry.h
@@ -8,36 +8,37 @@
 namespace Heatherridge::PolicyModel
 {
 
-/** Which of the entry-side mechanisms are on. */
+/** Selects which entry-side mechanisms are enabled. */
 struct EntryOptions
 {
     PlacementRules placement{};
-    bool oracle = false; ///< knows the true state of all engines, without delay
+    bool oracle = false; ///< places requests by the actual state of all engines, without delay
     bool retries = true;
-    bool budget = true; ///< off: retries are bounded by the number of attempts alone
+    bool budget = true; ///< false: only the number of attempts limits retries
     bool health = true;
     bool slowness = true;
-    bool dropPrefixesOnGap = false; ///< a gap in a target's cache events voids what was known of its cache
+    bool dropPrefixesOnGap =
+        false; ///< whether a gap in a target's cache events removes the target from the prefix index
     RetryOptions retry{};
-    bool usePending = true; ///< whether prompts that targets still compute count in placement
-    bool usePressure = true; ///< whether the share that targets refuse counts in placement
-    int maxClientRetries = 0; ///< how often a refused caller comes back, at the time it was told
+    bool usePending = true; ///< whether placement considers prompt tokens that targets have yet to compute
+    bool usePressure = true; ///< whether placement considers the share of requests that targets refuse
+    int maxClientRetries = 0; ///< how often a refused caller repeats its request, each time after the given retry delay
 };
 
-/** One entry with its own incomplete view of the gates. */
+/** An entry with its own, incomplete view of the gates. */
 class FakeEntry
 {
 public:
     FakeEntry(std::size_t number, int zone, EntryOptions options, std::vector<FakeGate *> gates,
               std::vector<int> gateZones, EventLoop &loop, Recorder &recorder, std::uint64_t seed);
 
-    /** A caller asks. */
+    /** Accepts a request from a caller. */
     void accept(const Job &job);
 
-    /** A heartbeat of gate @p target arrives. */
+    /** Receives a report of gate @p target, from a heartbeat, an answer frame or the end of an attempt. */
     void receiveReport(std::size_t target, const GateReport &report);
 
-    /** Cache events of @p target arrive. @param complete false when some before them were lost */
+    /** Receives cache events of @p target. @param complete false if the events before them were lost */
     void receiveCacheEvents(std::size_t target, const std::vector<CacheEvent> &events, bool complete);
 
 private:
@@ -46,7 +47,7 @@
         GateReport report{};
         std::optional<SteadyTime> reported{};
         double load = 0;
-        double promptSent = 0; ///< prompt tokens to compute, sent since the last report
+        double promptSent = 0; ///< prompt tokens to be computed that were sent since the last report
         std::uint32_t inFlight = 0;
     };
 
--- a/extras/heatherridge-policies/model/fakegate.h
+++ b/extras/heatherridge-policies/model/fakegate.h
@@ -8,29 +8,29 @@
 namespace Heatherridge::PolicyModel
 {
 
-/** Which of the target-side mechanisms are on. */
+/** Selects which target-side mechanisms are enabled. */
 struct GateOptions
 {
-    bool admission = true; ///< off: the engine takes all, in the order of arrival
-    bool adaptive = true; ///< off: fixedLimit
+    bool admission = true; ///< false: the engine receives every request, in the order of arrival
+    bool adaptive = true; ///< false: fixedLimit applies
     std::size_t fixedLimit = 64;
     AdmissionOptions queue{};
     ConcurrencyOptions limit{.initialLimit = 16};
 };
 
-/** What a gate tells an entry, with each answer and each heartbeat. */
+/** State that a gate reports to an entry with each answer and each heartbeat. */
 struct GateReport
 {
-    double load = 0; ///< cost that runs and waits, from all entries
-    double entryLoad = 0; ///< the asking entry's part
-    double capacity = 0; ///< load at which the gate is full
+    double load = 0; ///< cost of running and queued requests from all entries
+    double entryLoad = 0; ///< the part of load that comes from the receiving entry
+    double capacity = 0; ///< load beyond which the gate has no free capacity
     double pressure = 1;
     double pendingPrompt = 0;
     double warmth = 1;
     std::chrono::microseconds tokenGap{}; ///< smoothed time between tokens
 };
 
-/** How one attempt ended at the gate. */
+/** Result of one attempt at the gate. */
 struct AttemptResult
 {
     std::optional<Error> error{};
@@ -46,35 +46,35 @@
 
     FakeGate(GateOptions options, EngineOptions engine, const std::vector<Customer> &customers, EventLoop &loop);
 
-    /** An attempt of @p entry arrives. @p ended is called exactly once. */
+    /** Accepts an attempt from @p entry. Calls @p onCompleted exactly once. */
     void offer(const Job &job, std::size_t entry, CompletionHandler onCompleted);
 
-    /** Stops or starts host and engine; what runs or waits fails. */
+    /** Stops or starts the host and its engine; running and queued attempts fail. */
     void setDown(bool down);
 
-    /** What this gate reports to @p entry now. */
+    /** Returns the current report for @p entry. */
     GateReport reportFor(std::size_t entry) const;
 
-    /** Whether @p entry has work here, whose answer's frames carry reports. */
+    /** Returns whether @p entry has attempts here, so that frames of their answers carry reports to it. */
     bool servesEntry(std::size_t entry) const
     {
         const auto entryLoad = m_loadOfEntry.find(entry);
         return entryLoad != m_loadOfEntry.end() && entryLoad->second > 0.5;
     }
 
-    /** The engine, for faults and for the oracle. */
+    /** Returns the engine, for fault injection and for oracle placement. */
     FakeEngine &engine()
     {
         return m_engine;
     }
 
-    /** Whether the host is up. */
+    /** Returns whether the host is up. */
     bool isUp() const
     {
         return !m_down;
     }
 
-    /** The limit in force. */
+    /** Returns the concurrency limit in effect. */
     std::size_t limit() const
     {
         return m_limit.limit();
--- a/extras/heatherridge-policies/model/figures.cpp
+++ b/extras/heatherridge-policies/model/figures.cpp
@@ -144,7 +144,7 @@
     return job.arrived >= m_from && job.arrived < m_until;
 }
 
-/** Due is the max-min fair division, by weight, of what was received in all: nobody is due more than it asked for. */
+/** The fair share is the weighted max-min fair division of the total received cost: no share exceeds its demand. */
 double Recorder::lowestShare() const
 {
     std::vector<double> fairShare(m_customers.size());
--- a/extras/heatherridge-policies/model/figures.h
+++ b/extras/heatherridge-policies/model/figures.h
@@ -9,36 +9,38 @@
 namespace Heatherridge::PolicyModel
 {
 
-/** What callers got in one run. */
+/** Results of one run as callers see them. */
 struct Figures
 {
-    double offered = 0; ///< requests a second that callers asked for, returns not counted
-    double goodput = 0; ///< requests a second that ended within their deadline
-    double goodCost = 0; ///< the same in units of cost
-    double firstTokenP50 = 0; ///< ms from asking to the first token, of good requests
+    double offered = 0; ///< requests per second sent by callers, not counting those repeated after a refusal
+    double goodput = 0; ///< requests per second answered within their deadline
+    double goodCost = 0; ///< goodput in units of cost per second
+    double firstTokenP50 = 0; ///< ms from arrival to the first token, of requests answered within their deadline
     double firstTokenP99 = 0;
-    double shortFirstTokenP99 = 0; ///< the same without long requests
-    double tokenGapP95 = 0; ///< ms between tokens, mean of a request
-    double totalP99 = 0; ///< ms to the whole answer
-    double lowestShare = 0; ///< lowest received / due over the customers with demand
-    double attemptsPerRequest = 0; ///< attempts sent by entries over requests that came in
-    double refusalWaitP99 = 0; ///< ms that a refused caller waited for its refusal
-    double late = 0; ///< requests a second that ended after their deadline
-    double shiftsPerMinute = 0; ///< steps of a target's share of traffic beyond half its mean, from second to second
-    double cacheHits = 0; ///< share of requests whose prefix was cached
-    double localShare = 0; ///< share of attempts that stayed in their zone
-    double meanLimit = 0; ///< of the concurrency limits at the end of the run
-    std::map<std::string, double> refusals{}; ///< a second, by reason
-    std::map<std::string, double> verdicts{}; ///< retry verdicts a second
+    double shortFirstTokenP99 = 0; ///< firstTokenP99 without long requests
+    double tokenGapP95 = 0; ///< ms between tokens, averaged over each request
+    double totalP99 = 0; ///< ms from arrival to the end of the answer
+    double lowestShare = 0; ///< lowest ratio of received to fair share over the workspaces with demand
+    double attemptsPerRequest = 0; ///< attempts sent by entries per incoming request
+    double refusalWaitP99 = 0; ///< ms from arrival to refusal
+    double late = 0; ///< requests per second answered after their deadline
+    double shiftsPerMinute =
+        0; ///< changes of a target's share of traffic from one second to the next by more than half the
+    ///< mean share, per minute and target
+    double cacheHits = 0; ///< share of answered requests whose prefix was cached
+    double localShare = 0; ///< share of attempts sent to a target in the zone of the entry
+    double meanLimit = 0; ///< mean of the concurrency limits at the end of the measured period
+    std::map<std::string, double> refusals{}; ///< refusals per second, by reason
+    std::map<std::string, double> verdicts{}; ///< retry verdicts per second, by verdict
 };
 
-/** Collects what happens during the measured part of a run. */
+/** Records the events of the measured period of a run. */
 class Recorder
 {
 public:
     Recorder(std::size_t targets, const std::vector<Customer> &customers);
 
-    /** Only what arrives between the two times counts. */
+    /** Sets the measured period; only requests that arrive in it are counted. */
     void setPeriod(SteadyTime from, SteadyTime until);
 
     void recordArrival(const Job &job);
@@ -62,9 +64,9 @@
     std::vector<double> m_tokenGaps;
     std::vector<double> m_totalTimes;
     std::vector<double> m_refusalWaits;
-    std::vector<double> m_demand; ///< cost by customer
+    std::vector<double> m_demand; ///< cost, by customer
     std::vector<double> m_received;
-    std::vector<std::vector<double>> m_attemptsBySecond; ///< by second, by target
+    std::vector<std::vector<double>> m_attemptsBySecond; ///< by second, then by target
     std::map<std::string, double> m_refusals;
     std::map<std::string, double> m_verdicts;
     double m_arrivals = 0;
--- a/extras/heatherridge-policies/model/loadpatterns.cpp
+++ b/extras/heatherridge-policies/model/loadpatterns.cpp
@@ -35,7 +35,7 @@
     return options;
 }
 
-/** One of the eight small workspaces sends more than all others together, which alone would fit. */
+/** One of the eight small workspaces sends more than all others together; without it, the load would fit. */
 ScenarioOptions noisyWorkspace()
 {
     auto options = atShareOfPeak(2);
@@ -51,7 +51,7 @@
     return options;
 }
 
-/** Long prompts cost about five times a short request. */
+/** A request with a long prompt costs about five times as much as a short one. */
 ScenarioOptions longAmongShort()
 {
     auto options = atShareOfPeak(0.28);
--- a/extras/heatherridge-policies/model/loadpatterns.h
+++ b/extras/heatherridge-policies/model/loadpatterns.h
@@ -8,22 +8,23 @@
 namespace Heatherridge::PolicyModel
 {
 
-/** Requests a second at which goodput peaks with the default engines and workload, as the measuring program finds it.
+/** Request rate per second at which goodput peaks with the default engines and workload, as measured by
+ * heatherridge-policies.
  */
 inline constexpr double PeakRate = 125;
 
-/** One pattern of load, on the default deployment. */
+/** A load pattern for the default deployment. */
 struct LoadPattern
 {
     std::string_view name;
-    std::string_view summary; ///< what happens, for the tables and for failing tests
+    std::string_view summary; ///< one-line description, printed in tables and by failing tests
     ScenarioOptions (*make)();
 };
 
-/** All patterns that the tests play and the measuring program measures. */
+/** Returns all patterns, which the tests run and heatherridge-policies measures. */
 std::span<const LoadPattern> allLoadPatterns();
 
-/** The options of the pattern named @p name, which must exist. */
+/** Returns the options of the pattern called @p name, which must exist. */
 ScenarioOptions loadPattern(std::string_view name);
 
 } // namespace Heatherridge::PolicyModel
--- a/extras/heatherridge-policies/model/scenario.cpp
+++ b/extras/heatherridge-policies/model/scenario.cpp
@@ -10,9 +10,9 @@
 using std::chrono::milliseconds;
 
 constexpr microseconds FrameDelay{500};
-constexpr double FlappingLoad = 1e5; ///< cost, far beyond what fits
+constexpr double FlappingLoad = 1e5; ///< cost, far beyond the capacity of a target
 
-/** All that takes part in one run. */
+/** Owns and drives all components of one run. */
 class Simulation
 {
 public:
@@ -44,7 +44,7 @@
         m_recorder.setPeriod(start, end);
         scheduleArrival();
         for (std::size_t i = 0; i < m_gates.size(); ++i) {
-            // Spread over the period, as hosts that started at different times are.
+            // Heartbeats are staggered over the interval, as those of hosts that started at different times are.
             m_loop.after(m_options.heartbeatInterval * i / m_gates.size(), [this, i] { sendHeartbeat(i); });
         }
         if (m_options.frameInterval.count() > 0) {
@@ -164,7 +164,8 @@
     std::vector<std::unique_ptr<FakeGate>> m_gates;
     std::vector<std::unique_ptr<FakeEntry>> m_entries;
     std::vector<int> m_zones;
-    std::map<std::pair<std::size_t, std::size_t>, bool> m_gaps; ///< by entry and target: the last events were lost
+    std::map<std::pair<std::size_t, std::size_t>, bool>
+        m_gaps; ///< by entry and target: whether the last cache events were lost
     SeededRandom m_random;
     std::size_t m_nextEntry = 0;
     std::size_t m_heartbeats = 0;
--- a/extras/heatherridge-policies/model/scenario.h
+++ b/extras/heatherridge-policies/model/scenario.h
@@ -7,30 +7,30 @@
 namespace Heatherridge::PolicyModel
 {
 
-/** One engine takes @p factor times as long for a while. */
+/** The engine of @p target takes @p factor times as long while the fault lasts. */
 struct SlowFault
 {
     std::size_t target = 0;
     double factor = 4;
 };
 
-/** All hosts of a zone are down for a while, with what they ran. */
+/** All hosts of a zone are down while the fault lasts; their running attempts are lost. */
 struct ZoneFault
 {
     int zone = 0;
 };
 
-/** All hosts are down for a while and come back cold. */
+/** All hosts are down while the fault lasts and restart with cold caches. */
 struct OutageFault
 {
 };
 
-/** Reports say in turn that a target is idle and that it is full. */
+/** Reports alternately claim that a target is idle and that it is full. */
 struct FlappingFault
 {
 };
 
-/** Something that goes wrong between two times, counted from the start of the run. */
+/** A fault that is active between two times, measured from the start of the run. */
 struct Fault
 {
     std::chrono::milliseconds from{};
@@ -38,7 +38,7 @@
     std::variant<SlowFault, ZoneFault, OutageFault, FlappingFault> type{};
 };
 
-/** One run: who stands where, what is offered, what goes wrong. */
+/** Options of one run: deployment, offered load and faults. */
 struct ScenarioOptions
 {
     WorkloadOptions workload{};
@@ -49,18 +49,18 @@
     std::size_t entries = 6;
     int zones = 3;
     std::chrono::milliseconds heartbeatInterval{250};
-    std::chrono::milliseconds reportDelay{50}; ///< of heartbeats
+    std::chrono::milliseconds reportDelay{50}; ///< delivery delay of heartbeats
     std::chrono::milliseconds frameInterval{
-        50}; ///< how often frames of answers bring a report to entries with work; 0 for never
-    bool cacheEvents = true; ///< engines' cache events reach the entries with the heartbeats
-    double cacheEventsLost = 0.05; ///< share of heartbeats whose cache events are lost on the way to one entry
+        50}; ///< interval at which answer frames carry a report to entries with running attempts; 0 disables them
+    bool cacheEvents = true; ///< whether heartbeats carry the engines' cache events to the entries
+    double cacheEventsLost = 0.05; ///< share of heartbeats whose cache events do not reach a given entry
     std::chrono::milliseconds warmup{30'000};
     std::chrono::milliseconds measuredDuration{60'000};
     std::vector<Fault> faults{};
     std::uint64_t seed = 1;
 };
 
-/** Runs one scenario on a virtual clock and returns what callers got. */
+/** Runs one scenario on a virtual clock and returns the figures as callers see them. */
 Figures run(const ScenarioOptions &options);
 
 } // namespace Heatherridge::PolicyModel
--- a/extras/heatherridge-policies/model/workload.cpp
+++ b/extras/heatherridge-policies/model/workload.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr double GuessSigma = 0.4; ///< spread of the entry's guess of an answer's length
+constexpr double GuessSigma = 0.4; ///< log-normal sigma of the entry's estimate of an answer's length
 constexpr double AnswerSigma = 0.7;
 
 } // namespace
--- a/extras/heatherridge-policies/model/workload.h
+++ b/extras/heatherridge-policies/model/workload.h
@@ -8,25 +8,25 @@
 namespace Heatherridge::PolicyModel
 {
 
-/** One workspace of the offered load. */
+/** A workspace that contributes to the offered load. */
 struct Customer
 {
     std::string name{};
-    double weight = 1; ///< due share
+    double weight = 1; ///< fair-share weight
     double demand = 1; ///< share of the offered requests
 };
 
-/** What is offered, as a Poisson stream. */
+/** Offered load; arrivals form a Poisson process. */
 struct WorkloadOptions
 {
-    double rate = 80; ///< requests a second, over all entries
+    double rate = 80; ///< requests per second over all entries
     std::vector<Customer> customers{};
-    int prefixes = 60; ///< shared beginnings, of Zipf popularity
-    double zipf = 1.0; ///< exponent; 0 makes all alike
+    int prefixes = 60; ///< number of shared prompt prefixes; their popularity follows a Zipf distribution
+    double zipf = 1.0; ///< Zipf exponent; 0 makes all prefixes equally popular
     double prefixTokens = 1500;
-    double freshTokens = 200; ///< mean of the prompt's own part
-    double answerTokens = 120; ///< mean; log-normal
-    double longShare = 0; ///< share of requests with a prompt of longTokens
+    double freshTokens = 200; ///< mean length of the prompt after the shared prefix
+    double answerTokens = 120; ///< mean of a log-normal distribution
+    double longShare = 0; ///< share of requests whose prompt is longer by longTokens
     double longTokens = 12'000;
     std::chrono::milliseconds deadline{60'000};
     SteadyTime burstFrom{}; ///< between these times the rate is multiplied by burstFactor
@@ -34,33 +34,33 @@
     double burstFactor = 1;
 };
 
-/** One request, with what only the engine knows before it ends. */
+/** One request, including the answer length, which only the engine knows before the request ends. */
 struct Job
 {
     int number = 0;
     std::size_t customer = 0;
     int prefix = 0;
     double prefixTokens = 0;
-    double promptTokens = 0; ///< prefix included
-    double answerTokens = 0; ///< true length
+    double promptTokens = 0; ///< including the prefix
+    double answerTokens = 0; ///< actual length
     double expectedFresh = 0; ///< prompt tokens that the entry expects the chosen target to compute
-    double cost = 0; ///< as estimated by the entry: the answer's length is guessed
+    double cost = 0; ///< the entry's estimate, based on a guessed answer length
     bool isLong = false;
-    SteadyTime arrived{}; ///< when the caller first asked
+    SteadyTime arrived{}; ///< when the caller sent the request, or last repeated it after a refusal
     SteadyTime deadline{};
-    int clientRetries = 0; ///< how often the caller has come back after a refusal
+    int clientRetries = 0; ///< how often the caller has repeated the request after a refusal
 };
 
-/** Draws the offered load. */
+/** Generates the offered load at random. */
 class Workload
 {
 public:
     Workload(WorkloadOptions options, std::uint64_t seed);
 
-    /** The next request at @p now. */
+    /** Returns a random request that arrives at @p now. */
     Job draw(SteadyTime now);
 
-    /** The time to the next arrival after @p now. */
+    /** Returns a random time from @p now to the next arrival. */
     std::chrono::microseconds timeToNextArrival(SteadyTime now);
 
     const WorkloadOptions &options() const
@@ -74,12 +74,12 @@
 
     WorkloadOptions m_options;
     SeededRandom m_random;
-    std::vector<double> m_popularity; ///< cumulative
+    std::vector<double> m_popularity; ///< cumulative popularity by prefix
     double m_demand = 0;
     int m_nextNumber = 0;
 };
 
-/** Ten customers: two large ones and a tail, each with demand in proportion to its weight. */
+/** Returns ten workspaces: two large and eight small ones, each with demand proportional to its weight. */
 std::vector<Customer> tenCustomers();
 
 } // namespace Heatherridge::PolicyModel
