--- a/extras/heatherridge-experts/loadtrace.cpp
+++ b/extras/heatherridge-experts/loadtrace.cpp
@@ -17,7 +17,7 @@
 /** Spread of the logarithm of popularity: the hottest of 64 experts then has about four times the mean. */
 constexpr double BaseSpread = 0.7;
 /** Spread that a random walk reaches within an hour. */
-constexpr double DriftAnHour = 0.5;
+constexpr double DriftPerHour = 0.5;
 /** Seasonal swing of the logarithm: at its height an expert is twice as popular as at the mean. */
 constexpr double SeasonSwing = 0.7;
 constexpr std::chrono::duration<double> SeasonPeriod = std::chrono::hours(2);
@@ -31,7 +31,7 @@
 constexpr double MicrosecondsPerToken = 10;
 
 /** A number drawn from the standard normal distribution. */
-double normal(RandomSource &random)
+double standardNormal(RandomSource &random)
 {
     const double radius = std::sqrt(-2 * std::log(1 - random.fraction()));
     return radius * std::cos(2 * std::numbers::pi * random.fraction());
@@ -66,15 +66,15 @@
     , m_random(options.seed)
 {
     const int count = options.shape.layers * options.shape.experts;
-    m_base.reserve(static_cast<std::size_t>(count));
-    m_phase.reserve(static_cast<std::size_t>(count));
+    m_logPopularity.reserve(static_cast<std::size_t>(count));
+    m_phaseTurns.reserve(static_cast<std::size_t>(count));
     for (int i = 0; i < count; ++i) {
-        m_base.push_back(BaseSpread * normal(m_random));
-        m_phase.push_back(m_random.fraction());
+        m_logPopularity.push_back(BaseSpread * standardNormal(m_random));
+        m_phaseTurns.push_back(m_random.fraction());
     }
-    m_now.shape = options.shape;
-    m_now.layers.resize(static_cast<std::size_t>(options.shape.layers));
-    for (auto &layer : m_now.layers) {
+    m_problem.shape = options.shape;
+    m_problem.layers.resize(static_cast<std::size_t>(options.shape.layers));
+    for (auto &layer : m_problem.layers) {
         layer.load.resize(static_cast<std::size_t>(options.shape.experts));
         layer.slots = options.shape.slots;
         layer.slowness.assign(options.shape.slots.size(), 1);
@@ -88,32 +88,32 @@
     ++m_window;
     const double hours = std::chrono::duration<double, std::ratio<3600>>(m_options.windowLength).count();
     if (m_options.kind == TraceKind::Drift) {
-        for (auto &base : m_base) {
+        for (auto &base : m_logPopularity) {
             // The pull back to the mean keeps the spread from growing with the trace's length.
-            base += DriftAnHour * std::sqrt(hours) * normal(m_random) - base * hours / 4;
+            base += DriftPerHour * std::sqrt(hours) * standardNormal(m_random) - base * hours / 4;
         }
     }
-    const bool middle = m_window > m_options.windows / 4 && m_window <= m_options.windows * 3 / 4;
+    const bool isMiddleHalf = m_window > m_options.windows / 4 && m_window <= m_options.windows * 3 / 4;
     for (int index = 0; index < m_options.shape.layers; ++index) {
-        auto &layer = m_now.layers[index];
-        std::vector<double> popular(layer.load.size());
+        auto &layer = m_problem.layers[index];
+        std::vector<double> popularities(layer.load.size());
         for (int expert = 0; expert < m_options.shape.experts; ++expert) {
-            popular[expert] = popularity(index, expert);
+            popularities[expert] = popularity(index, expert);
         }
-        const double total = std::accumulate(popular.begin(), popular.end(), 0.0);
-        for (std::size_t expert = 0; expert < popular.size(); ++expert) {
-            const double mean = popular[expert] / total * m_options.tokensPerLayer;
-            layer.load[expert] = std::max(0.0, mean + std::sqrt(mean) * Burstiness * normal(m_random));
+        const double total = std::accumulate(popularities.begin(), popularities.end(), 0.0);
+        for (std::size_t expert = 0; expert < popularities.size(); ++expert) {
+            const double mean = popularities[expert] / total * m_options.tokensPerLayer;
+            layer.load[expert] = std::max(0.0, mean + std::sqrt(mean) * Burstiness * standardNormal(m_random));
         }
         if (m_options.kind == TraceKind::SlowRank) {
-            layer.slowness[SlowRank % layer.slowness.size()] = middle ? SlowFactor : 1;
+            layer.slowness[SlowRank % layer.slowness.size()] = isMiddleHalf ? SlowFactor : 1;
         }
     }
 }
 
-const GroupProblem &LoadTrace::now() const
+const GroupProblem &LoadTrace::currentProblem() const
 {
-    return m_now;
+    return m_problem;
 }
 
 std::vector<RankReport> LoadTrace::reports(const ExpertMap &map, std::uint64_t window) const
@@ -127,9 +127,9 @@
     }
     for (std::size_t layer = 0; layer < map.layers().size(); ++layer) {
         for (const auto &slot : map.layers()[layer]) {
-            const double tokens = m_now.layers[layer].load[slot.expert] * slot.share / ExpertSlot::WholeShare;
+            const double tokens = m_problem.layers[layer].load[slot.expert] * slot.share / ExpertSlot::WholeShare;
             reports[slot.rank].tokens.push_back(static_cast<std::uint32_t>(std::lround(tokens)));
-            busy[slot.rank] += tokens * m_now.layers[layer].slowness[slot.rank];
+            busy[slot.rank] += tokens * m_problem.layers[layer].slowness[slot.rank];
         }
     }
     for (std::size_t rank = 0; rank < reports.size(); ++rank) {
@@ -141,16 +141,16 @@
 double LoadTrace::popularity(int layer, int expert)
 {
     const std::size_t index = static_cast<std::size_t>(layer) * m_options.shape.experts + expert;
-    double logarithm = m_base[index];
+    double logPopularity = m_logPopularity[index];
     if (m_options.kind == TraceKind::Season) {
-        const double turns = m_window * m_options.windowLength / SeasonPeriod + m_phase[index];
-        logarithm += SeasonSwing * std::sin(2 * std::numbers::pi * turns);
+        const double turns = m_window * m_options.windowLength / SeasonPeriod + m_phaseTurns[index];
+        logPopularity += SeasonSwing * std::sin(2 * std::numbers::pi * turns);
     }
-    const bool hot = m_window > m_options.windows / 3 && m_window <= m_options.windows * 2 / 3;
-    if (m_options.kind == TraceKind::HotExpert && hot && expert < HotExperts) {
-        logarithm += std::log(HotFactor);
+    const bool isHotPhase = m_window > m_options.windows / 3 && m_window <= m_options.windows * 2 / 3;
+    if (m_options.kind == TraceKind::HotExpert && isHotPhase && expert < HotExperts) {
+        logPopularity += std::log(HotFactor);
     }
-    return std::exp(logarithm);
+    return std::exp(logPopularity);
 }
 
 } // namespace Heatherridge
--- a/extras/heatherridge-experts/loadtrace.h
+++ b/extras/heatherridge-experts/loadtrace.h
@@ -48,7 +48,7 @@
     void advance();
 
     /** The tokens that really went to each expert in this window, and each rank's true speed. */
-    const GroupProblem &now() const;
+    const GroupProblem &currentProblem() const;
 
     /** What the ranks measured in this window with @p map in force. */
     std::vector<RankReport> reports(const ExpertMap &map, std::uint64_t window) const;
@@ -58,10 +58,10 @@
 
     TraceOptions m_options;
     SeededRandom m_random;
-    std::vector<double> m_base; ///< logarithm of each expert's popularity, layer by layer
-    std::vector<double> m_phase; ///< of the seasonal swing, in turns
+    std::vector<double> m_logPopularity; ///< logarithm of each expert's popularity, layer by layer
+    std::vector<double> m_phaseTurns; ///< of the seasonal swing, in turns
     int m_window = 0;
-    GroupProblem m_now;
+    GroupProblem m_problem;
 };
 
 } // namespace Heatherridge
--- a/extras/heatherridge-experts/main.cpp
+++ b/extras/heatherridge-experts/main.cpp
@@ -57,11 +57,11 @@
     int layers = 6;
     int ranks = 64;
     int slots = 2;
-    double storeMegabytes = 2000;
+    double storeMegabytesPerSecond = 2000;
     std::string trace;
 };
 
-GroupShape shapeOf(const Settings &settings)
+GroupShape makeGroupShape(const Settings &settings)
 {
     GroupShape shape{.layers = settings.layers,
                      .experts = 64,
@@ -79,13 +79,13 @@
 {
     std::vector<std::future<SimulationResult>> runs;
     for (int seed = 1; seed <= settings.seeds; ++seed) {
-        const TraceOptions trace{.shape = shapeOf(settings),
+        const TraceOptions trace{.shape = makeGroupShape(settings),
                                  .kind = kind,
                                  .seed = static_cast<std::uint64_t>(seed),
                                  .windows = static_cast<int>(settings.hours * 360)};
         runs.push_back(std::async(std::launch::async, [&settings, trace, weights, policy] {
             const SimulationOptions options{
-                .trace = trace, .weights = weights, .storeBytesPerSecond = settings.storeMegabytes * 1e6};
+                .trace = trace, .weights = weights, .storeBytesPerSecond = settings.storeMegabytesPerSecond * 1e6};
             return simulate(options, policy);
         }));
     }
@@ -105,7 +105,7 @@
     for (const auto &[name, policy] : policies()) {
         const auto mean = meanOverSeeds(settings, kind, deployment.weights, policy);
         std::printf("| %s | %.3f | %.3f | %.3f | %.0f | %d | %.1f | %.3f |\n", name, mean.meanSkew, mean.p99Skew,
-                    mean.boundSkew, mean.bytesMoved / 1e9, mean.switches, mean.stalled.count(), mean.score);
+                    mean.boundSkew, mean.bytesMoved / 1e9, mean.switches, mean.stallTime.count(), mean.score);
     }
     std::fflush(stdout);
 }
@@ -116,9 +116,9 @@
 {
     namespace options = boost::program_options;
     Settings settings;
-    options::options_description described(
+    options::options_description description(
         "heatherridge-experts: runs rebalancing policies on generated load traces\nOptions");
-    auto add = described.add_options();
+    auto add = description.add_options();
     add("help", "this text");
     add("seeds", options::value(&settings.seeds)->default_value(settings.seeds), "runs of each trace");
     add("hours", options::value(&settings.hours)->default_value(settings.hours), "length of a trace");
@@ -126,19 +126,20 @@
         "layers simulated; their experts' size makes up for the model's 60");
     add("ranks", options::value(&settings.ranks)->default_value(settings.ranks), "ranks of the group");
     add("slots", options::value(&settings.slots)->default_value(settings.slots), "experts a layer on a rank");
-    add("store-rate", options::value(&settings.storeMegabytes)->default_value(settings.storeMegabytes),
+    add("store-rate",
+        options::value(&settings.storeMegabytesPerSecond)->default_value(settings.storeMegabytesPerSecond),
         "what the weight store gives the group, MB/s");
     add("trace", options::value(&settings.trace), "only this trace: drift, season, hot-expert, slow-rank or noise");
     options::variables_map values;
     try {
-        options::store(options::parse_command_line(argc, argv, described), values);
+        options::store(options::parse_command_line(argc, argv, description), values);
         options::notify(values);
     } catch (const options::error &error) {
-        std::cerr << error.what() << '\n' << described;
+        std::cerr << error.what() << '\n' << description;
         return 2;
     }
     if (values.count("help") > 0) {
-        std::cout << described;
+        std::cout << description;
         return 0;
     }
     for (const auto kind : allTraceKinds()) {
--- a/extras/heatherridge-experts/simulation.cpp
+++ b/extras/heatherridge-experts/simulation.cpp
@@ -14,129 +14,130 @@
 {
 
 /** Loading time of one stage. */
-constexpr std::chrono::duration<double> StageLength{30};
+constexpr std::chrono::duration<double> StageDuration{30};
 /** Pause at a switch: one step of the group. */
 constexpr std::chrono::duration<double> SwitchPause{0.05};
 /** Windows by which reports lag. */
-constexpr std::size_t ReportLag = 2;
+constexpr std::size_t ReportLagWindows = 2;
 
 /** One run in progress. */
-class Run
+class Simulation
 {
 public:
-    Run(const SimulationOptions &options, const RebalancePolicy &policy)
+    Simulation(const SimulationOptions &options, const RebalancePolicy &policy)
         : m_options(options)
         , m_policy(policy)
         , m_trace(options.trace)
-        , m_loss(options.trace.seed ^ 0x5eedU)
+        , m_lossRandom(options.trace.seed ^ 0x5eedU)
         , m_estimator(options.trace.shape)
         , m_stragglers(options.trace.shape.ranks())
-        , m_map(std::get<ExpertMap>(
-              ExpertMap::create(MapNumber{1}, options.trace.shape,
-                                std::get<std::vector<LayerPlacement>>(improvePlacement(m_trace.now(), {}, {})))))
+        , m_map(std::get<ExpertMap>(ExpertMap::create(
+              MapNumber{1}, options.trace.shape,
+              std::get<std::vector<LayerPlacement>>(improvePlacement(m_trace.currentProblem(), {}, {})))))
     {
     }
 
-    SimulationResult finish()
+    SimulationResult run()
     {
         for (int window = 1; window <= m_options.trace.windows; ++window) {
             m_trace.advance();
             advanceStages();
-            measure();
-            report(static_cast<std::uint64_t>(window));
-            if (m_wanted.empty()) {
-                ask();
+            recordMetrics();
+            processReports(static_cast<std::uint64_t>(window));
+            if (m_targetLayers.empty()) {
+                requestDecision();
             }
         }
-        return result();
+        return summarize();
     }
 
 private:
-    void measure()
+    void recordMetrics()
     {
-        m_skews.push_back(stepSkew(m_trace.now(), m_map.layers()));
-        m_result.boundSkew += stepSkewLowerBound(m_trace.now());
-        m_result.meanExcess += excessTimeRatio(m_trace.now(), m_map.layers());
+        m_skews.push_back(stepSkew(m_trace.currentProblem(), m_map.layers()));
+        m_result.boundSkew += stepSkewLowerBound(m_trace.currentProblem());
+        m_result.meanExcess += excessTimeRatio(m_trace.currentProblem(), m_map.layers());
     }
 
-    void report(std::uint64_t window)
+    void processReports(std::uint64_t window)
     {
-        m_sent.push_back({m_map, m_trace.reports(m_map, window)});
-        if (m_sent.size() <= ReportLag) {
+        m_pendingReports.push_back({m_map, m_trace.reports(m_map, window)});
+        if (m_pendingReports.size() <= ReportLagWindows) {
             return;
         }
-        auto [map, reports] = std::move(m_sent.front());
-        m_sent.pop_front();
-        std::erase_if(reports, [this](const auto &) { return m_loss.fraction() < m_options.reportLoss; });
-        for (const auto &one : reports) {
-            m_estimator.addReport(one, map);
+        auto [map, reports] = std::move(m_pendingReports.front());
+        m_pendingReports.pop_front();
+        std::erase_if(reports, [this](const auto &) { return m_lossRandom.fraction() < m_options.reportLossRatio; });
+        for (const auto &rankReport : reports) {
+            m_estimator.addReport(rankReport, map);
         }
         m_stragglers.addWindow(reports);
-        m_estimator.closeWindows(window - ReportLag + PopularityEstimator::OpenWindows + 1);
+        m_estimator.closeWindows(window - ReportLagWindows + PopularityEstimator::OpenWindows + 1);
     }
 
-    GroupProblem estimate() const
+    GroupProblem estimatedProblem() const
     {
         GroupProblem problem{.shape = m_options.trace.shape, .layers = {}};
         for (int layer = 0; layer < problem.shape.layers; ++layer) {
-            LayerProblem part{.load = m_estimator.fractions(layer), .slowness = {}, .slots = problem.shape.slots};
+            LayerProblem layerProblem{
+                .load = m_estimator.fractions(layer), .slowness = {}, .slots = problem.shape.slots};
             for (int rank = 0; rank < problem.shape.ranks(); ++rank) {
-                part.slowness.push_back(m_stragglers.slowness(rank));
+                layerProblem.slowness.push_back(m_stragglers.slowness(rank));
             }
-            problem.layers.push_back(std::move(part));
+            problem.layers.push_back(std::move(layerProblem));
         }
         return problem;
     }
 
-    void ask()
+    void requestDecision()
     {
-        const auto problem = estimate();
-        auto wanted = decide(m_policy,
-                             {.problem = problem,
-                              .current = m_map.layers(),
-                              .relativeError = m_estimator.relativeError(),
-                              .sinceLastCall = m_options.trace.windowLength + m_busy,
-                              .storeBytesPerSecond = m_options.storeBytesPerSecond,
-                              .weights = m_options.weights});
-        m_busy = {};
-        if (wanted) {
-            m_wanted = std::move(*wanted);
+        const auto problem = estimatedProblem();
+        auto newLayers = decide(m_policy,
+                                {.problem = problem,
+                                 .current = m_map.layers(),
+                                 .relativeError = m_estimator.relativeError(),
+                                 .sinceLastCall = m_options.trace.windowLength + m_rebalanceTime,
+                                 .storeBytesPerSecond = m_options.storeBytesPerSecond,
+                                 .weights = m_options.weights});
+        m_rebalanceTime = {};
+        if (newLayers) {
+            m_targetLayers = std::move(*newLayers);
             startStage();
         }
     }
 
     void startStage()
     {
-        const auto budget = static_cast<std::uint64_t>(m_options.storeBytesPerSecond * StageLength.count());
-        m_stage = nextStage(estimate(), m_map.layers(), m_wanted, budget);
+        const auto budget = static_cast<std::uint64_t>(m_options.storeBytesPerSecond * StageDuration.count());
+        m_stage = nextStage(estimatedProblem(), m_map.layers(), m_targetLayers, budget);
         const auto bytes = static_cast<double>(bytesToMove(m_options.trace.shape, m_map.layers(), m_stage));
         m_result.bytesMoved += bytes;
-        m_loadLeft += std::chrono::duration<double>(bytes / m_options.storeBytesPerSecond);
-        m_result.loading += bytes / m_options.storeBytesPerSecond;
+        m_loadTimeLeft += std::chrono::duration<double>(bytes / m_options.storeBytesPerSecond);
+        m_result.loadingRatio += bytes / m_options.storeBytesPerSecond;
     }
 
     void advanceStages()
     {
-        if (m_wanted.empty()) {
-            m_loadLeft = {};
+        if (m_targetLayers.empty()) {
+            m_loadTimeLeft = {};
             return;
         }
-        m_busy += m_options.trace.windowLength;
-        m_loadLeft -= m_options.trace.windowLength;
-        while (!m_wanted.empty() && m_loadLeft.count() <= 0) {
+        m_rebalanceTime += m_options.trace.windowLength;
+        m_loadTimeLeft -= m_options.trace.windowLength;
+        while (!m_targetLayers.empty() && m_loadTimeLeft.count() <= 0) {
             m_map = std::get<ExpertMap>(
                 ExpertMap::create(MapNumber{toNumber(m_map.number()) + 1}, m_options.trace.shape, std::move(m_stage)));
             ++m_result.switches;
-            m_result.stalled += SwitchPause;
-            if (m_map.layers() == m_wanted) {
-                m_wanted.clear();
+            m_result.stallTime += SwitchPause;
+            if (m_map.layers() == m_targetLayers) {
+                m_targetLayers.clear();
             } else {
                 startStage();
             }
         }
     }
 
-    SimulationResult result()
+    SimulationResult summarize()
     {
         const int windows = m_options.trace.windows;
         const double seconds = m_options.trace.windowLength.count() * windows;
@@ -148,24 +149,24 @@
         }
         m_result.boundSkew /= windows;
         m_result.meanExcess /= windows;
-        m_result.loading /= seconds;
+        m_result.loadingRatio /= seconds;
         m_result.score = m_options.weights.skew * m_result.meanExcess
-            + m_options.weights.cost * (m_result.loading + m_result.stalled.count() / seconds);
+            + m_options.weights.cost * (m_result.loadingRatio + m_result.stallTime.count() / seconds);
         return m_result;
     }
 
     const SimulationOptions &m_options;
     RebalancePolicy m_policy;
     LoadTrace m_trace;
-    SeededRandom m_loss;
+    SeededRandom m_lossRandom;
     PopularityEstimator m_estimator;
     StragglerDetector m_stragglers;
     ExpertMap m_map;
-    std::vector<LayerPlacement> m_wanted; ///< empty when no change is under way
+    std::vector<LayerPlacement> m_targetLayers; ///< empty when no change is under way
     std::vector<LayerPlacement> m_stage;
-    std::chrono::duration<double> m_loadLeft{};
-    std::chrono::duration<double> m_busy{};
-    std::deque<std::pair<ExpertMap, std::vector<RankReport>>> m_sent;
+    std::chrono::duration<double> m_loadTimeLeft{};
+    std::chrono::duration<double> m_rebalanceTime{};
+    std::deque<std::pair<ExpertMap, std::vector<RankReport>>> m_pendingReports;
     std::vector<double> m_skews;
     SimulationResult m_result;
 };
@@ -180,8 +181,8 @@
     meanExcess += other.meanExcess;
     bytesMoved += other.bytesMoved;
     switches += other.switches;
-    stalled += other.stalled;
-    loading += other.loading;
+    stallTime += other.stallTime;
+    loadingRatio += other.loadingRatio;
     score += other.score;
     return *this;
 }
@@ -195,15 +196,15 @@
     mean.meanExcess /= runs;
     mean.bytesMoved /= runs;
     mean.switches /= runs;
-    mean.stalled /= runs;
-    mean.loading /= runs;
+    mean.stallTime /= runs;
+    mean.loadingRatio /= runs;
     mean.score /= runs;
     return mean;
 }
 
 SimulationResult simulate(const SimulationOptions &options, const RebalancePolicy &policy)
 {
-    return Run(options, policy).finish();
+    return Simulation(options, policy).run();
 }
 
 } // namespace Heatherridge
--- a/extras/heatherridge-experts/simulation.h
+++ b/extras/heatherridge-experts/simulation.h
@@ -13,7 +13,7 @@
     TraceOptions trace{};
     BalanceWeights weights{};
     double storeBytesPerSecond = 1; ///< what the weight store gives the group
-    double reportLoss = 0.1; ///< part of the reports that never arrive
+    double reportLossRatio = 0.1; ///< part of the reports that never arrive
 };
 
 /** What a run measured. */
@@ -25,8 +25,8 @@
     double meanExcess = 0; ///< step time beyond evenly spread work, as a part of the latter
     double bytesMoved = 0;
     int switches = 0;
-    std::chrono::duration<double> stalled{}; ///< pauses at switches
-    double loading = 0; ///< part of the time in which the store was loading
+    std::chrono::duration<double> stallTime{}; ///< pauses at switches
+    double loadingRatio = 0; ///< part of the time in which the store was loading
     double score = 0; ///< weighted; lower is better
 
     /** Sums up for a mean over several runs. */
@@ -39,7 +39,7 @@
  * Runs a copy of @p policy over a trace.
  *
  * What it is given: estimates from reports, one window late and partly lost. What it decides is loaded through the
- * rate-limited store in stages of StageLength, each ending in a switch; until all stages are done it is not asked
+ * rate-limited store in stages of StageDuration, each ending in a switch; until all stages are done it is not asked
  * again. The same holds for every policy. The score is weight of skew x mean excess + weight of cost x (part of the
  * time spent loading + part spent in pauses).
  */
