--- a/extras/heatherridge-experts/loadtrace.cpp
+++ b/extras/heatherridge-experts/loadtrace.cpp
@@ -14,23 +14,23 @@
 constexpr std::array Kinds{TraceKind::Drift, TraceKind::Season, TraceKind::HotExpert, TraceKind::SlowRank,
                            TraceKind::Noise};
 
-/** Spread of the logarithm of popularity: the hottest of 64 experts then has about four times the mean. */
+/** Standard deviation of the logarithm of popularity: the hottest of 64 experts has about four times the mean. */
 constexpr double BaseSpread = 0.7;
-/** Spread that a random walk reaches within an hour. */
+/** Standard deviation that the random walk reaches within an hour. */
 constexpr double DriftPerHour = 0.5;
-/** Seasonal swing of the logarithm: at its height an expert is twice as popular as at the mean. */
+/** Amplitude of the seasonal oscillation of the logarithm: at its peak an expert is twice as popular as on average. */
 constexpr double SeasonSwing = 0.7;
 constexpr std::chrono::duration<double> SeasonPeriod = std::chrono::hours(2);
 constexpr double HotFactor = 6;
 constexpr int HotExperts = 2;
 constexpr double SlowFactor = 1.4;
 constexpr int SlowRank = 5;
-/** A window's tokens scatter this much more than single independent tokens would, since prompts come in topics. */
+/** Factor by which the noise exceeds that of independently routed tokens, since tokens of a prompt share a topic. */
 constexpr double Burstiness = 3;
-/** Time a token in an expert layer; only ratios matter. */
+/** Time per token in an expert layer; only ratios matter. */
 constexpr double MicrosecondsPerToken = 10;
 
-/** A number drawn from the standard normal distribution. */
+/** Draws a number from the standard normal distribution. */
 double standardNormal(RandomSource &random)
 {
     const double radius = std::sqrt(-2 * std::log(1 - random.fraction()));
@@ -89,7 +89,7 @@
     const double hours = std::chrono::duration<double, std::ratio<3600>>(m_options.windowLength).count();
     if (m_options.kind == TraceKind::Drift) {
         for (auto &base : m_logPopularity) {
-            // The pull back to the mean keeps the spread from growing with the trace's length.
+            // Mean reversion keeps the spread from growing with the length of the trace.
             base += DriftPerHour * std::sqrt(hours) * standardNormal(m_random) - base * hours / 4;
         }
     }
--- a/extras/heatherridge-experts/loadtrace.h
+++ b/extras/heatherridge-experts/loadtrace.h
@@ -11,22 +11,22 @@
 namespace Heatherridge
 {
 
-/** What changes over a trace. */
+/** How the load changes over a trace. */
 enum class TraceKind {
-    Drift, ///< each expert's popularity walks at random
-    Season, ///< popularity swings there and back, experts out of phase
-    HotExpert, ///< at once two experts a layer get six times as popular; later they cool again
-    SlowRank, ///< one rank takes longer for the same work during the middle half
-    Noise, ///< nothing but the sampling noise that all traces have
+    Drift, ///< each expert's popularity follows a random walk
+    Season, ///< popularity oscillates, with a different phase for each expert
+    HotExpert, ///< two experts per layer suddenly become six times as popular, and later return to normal
+    SlowRank, ///< one rank takes longer for the same work during the middle half of the trace
+    Noise, ///< no change other than the sampling noise that all traces have
 };
 
-/** All kinds in the order in which they are reported. */
+/** Returns all kinds in the order in which they are reported. */
 std::span<const TraceKind> allTraceKinds();
 
-/** The word for @p kind on the command line and in tables. */
+/** Returns the name of @p kind for the command line and tables. */
 std::string_view toString(TraceKind kind);
 
-/** Sizes of a trace. */
+/** Parameters of a trace. */
 struct TraceOptions
 {
     GroupShape shape{};
@@ -34,23 +34,23 @@
     std::uint64_t seed = 1;
     int windows = 1;
     std::chrono::duration<double> windowLength{10};
-    double tokensPerLayer = 500'000; ///< routed in one window; sets the sampling noise
+    double tokensPerLayer = 500'000; ///< tokens routed in one window; determines the sampling noise
 };
 
-/** The true load of a group over time, and what its ranks would report of it. The same for the same options. */
+/** Generates the actual load of a group over time and the reports of its ranks; deterministic for given options. */
 class LoadTrace
 {
 public:
-    /** Starts before the first window. */
+    /** Creates a trace positioned before its first window. */
     explicit LoadTrace(const TraceOptions &options);
 
-    /** Goes on by one window. */
+    /** Advances to the next window. */
     void advance();
 
-    /** The tokens that really went to each expert in this window, and each rank's true speed. */
+    /** Returns the actual number of tokens routed to each expert in this window, and each rank's actual slowness. */
     const GroupProblem &currentProblem() const;
 
-    /** What the ranks measured in this window with @p map in force. */
+    /** Returns what the ranks measure in this window with @p map in effect. */
     std::vector<RankReport> reports(const ExpertMap &map, std::uint64_t window) const;
 
 private:
@@ -58,8 +58,8 @@
 
     TraceOptions m_options;
     SeededRandom m_random;
-    std::vector<double> m_logPopularity; ///< logarithm of each expert's popularity, layer by layer
-    std::vector<double> m_phaseTurns; ///< of the seasonal swing, in turns
+    std::vector<double> m_logPopularity; ///< logarithm of each expert's base popularity, layer by layer
+    std::vector<double> m_phaseTurns; ///< phase of each expert's seasonal oscillation, in turns
     int m_window = 0;
     GroupProblem m_problem;
 };
--- a/extras/heatherridge-experts/main.cpp
+++ b/extras/heatherridge-experts/main.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** Layers of the model that the sizes stand for; a run with fewer has experts as much larger. */
+/** Layers of the modelled network; a run with fewer layers has proportionally larger experts. */
 constexpr int ModelLayers = 60;
 constexpr double ExpertMegabytes = 44;
 constexpr int RanksPerHost = 8;
@@ -119,17 +119,17 @@
     options::options_description description(
         "heatherridge-experts: runs rebalancing policies on generated load traces\nOptions");
     auto add = description.add_options();
-    add("help", "this text");
-    add("seeds", options::value(&settings.seeds)->default_value(settings.seeds), "runs of each trace");
+    add("help", "print this help");
+    add("seeds", options::value(&settings.seeds)->default_value(settings.seeds), "number of seeds per trace");
     add("hours", options::value(&settings.hours)->default_value(settings.hours), "length of a trace");
     add("layers", options::value(&settings.layers)->default_value(settings.layers),
-        "layers simulated; their experts' size makes up for the model's 60");
+        "layers to simulate; with fewer than the 60 of the model, experts are proportionally larger");
     add("ranks", options::value(&settings.ranks)->default_value(settings.ranks), "ranks of the group");
-    add("slots", options::value(&settings.slots)->default_value(settings.slots), "experts a layer on a rank");
+    add("slots", options::value(&settings.slots)->default_value(settings.slots), "expert slots per layer on each rank");
     add("store-rate",
         options::value(&settings.storeMegabytesPerSecond)->default_value(settings.storeMegabytesPerSecond),
-        "what the weight store gives the group, MB/s");
-    add("trace", options::value(&settings.trace), "only this trace: drift, season, hot-expert, slow-rank or noise");
+        "load rate of the group from the weight store, MB/s");
+    add("trace", options::value(&settings.trace), "run only this trace: drift, season, hot-expert, slow-rank or noise");
     options::variables_map values;
     try {
         options::store(options::parse_command_line(argc, argv, description), values);
--- a/extras/heatherridge-experts/simulation.cpp
+++ b/extras/heatherridge-experts/simulation.cpp
@@ -13,14 +13,14 @@
 namespace
 {
 
-/** Loading time of one stage. */
+/** Time budget for loading one stage. */
 constexpr std::chrono::duration<double> StageDuration{30};
-/** Pause at a switch: one step of the group. */
+/** Pause of the group at a switch: one step. */
 constexpr std::chrono::duration<double> SwitchPause{0.05};
-/** Windows by which reports lag. */
+/** Windows for which reports are held back before they are processed. */
 constexpr std::size_t ReportLagWindows = 2;
 
-/** One run in progress. */
+/** State of one simulation run. */
 class Simulation
 {
 public:
@@ -162,7 +162,8 @@
     PopularityEstimator m_estimator;
     StragglerDetector m_stragglers;
     ExpertMap m_map;
-    std::vector<LayerPlacement> m_targetLayers; ///< empty when no change is under way
+    std::vector<LayerPlacement>
+        m_targetLayers; ///< placement being loaded in stages; empty when no change is in progress
     std::vector<LayerPlacement> m_stage;
     std::chrono::duration<double> m_loadTimeLeft{};
     std::chrono::duration<double> m_rebalanceTime{};
--- a/extras/heatherridge-experts/simulation.h
+++ b/extras/heatherridge-experts/simulation.h
@@ -7,41 +7,41 @@
 namespace Heatherridge
 {
 
-/** What a run is made with, beyond its trace and policy. */
+/** Options of a simulation run, including those of its load trace. */
 struct SimulationOptions
 {
     TraceOptions trace{};
     BalanceWeights weights{};
-    double storeBytesPerSecond = 1; ///< what the weight store gives the group
-    double reportLossRatio = 0.1; ///< part of the reports that never arrive
+    double storeBytesPerSecond = 1; ///< rate at which the group loads from the weight store
+    double reportLossRatio = 0.1; ///< share of the reports that are lost
 };
 
-/** What a run measured. */
+/** Results of a simulation run. */
 struct SimulationResult
 {
-    double meanSkew = 0; ///< slowest rank over mean, mean over windows
+    double meanSkew = 0; ///< slowest rank relative to the mean rank, averaged over windows
     double p99Skew = 0;
-    double boundSkew = 0; ///< mean over windows of what no placement can be better than
-    double meanExcess = 0; ///< step time beyond evenly spread work, as a part of the latter
+    double boundSkew = 0; ///< lower bound of the skew of any placement, averaged over windows
+    double meanExcess = 0; ///< step time in excess of that of evenly spread work, relative to the latter
     double bytesMoved = 0;
     int switches = 0;
-    std::chrono::duration<double> stallTime{}; ///< pauses at switches
-    double loadingRatio = 0; ///< part of the time in which the store was loading
+    std::chrono::duration<double> stallTime{}; ///< total of the pauses at switches
+    double loadingRatio = 0; ///< share of the time spent loading from the store
     double score = 0; ///< weighted; lower is better
 
-    /** Sums up for a mean over several runs. */
+    /** Adds the figures of @p other, to compute a mean over several runs. */
     SimulationResult &operator+=(const SimulationResult &other);
-    /** Every figure divided by @p runs. */
+    /** Returns every figure divided by @p runs. */
     SimulationResult dividedBy(int runs) const;
 };
 
 /**
  * Runs a copy of @p policy over a trace.
  *
- * What it is given: estimates from reports, one window late and partly lost. What it decides is loaded through the
- * rate-limited store in stages of StageDuration, each ending in a switch; until all stages are done it is not asked
- * again. The same holds for every policy. The score is weight of skew x mean excess + weight of cost x (part of the
- * time spent loading + part spent in pauses).
+ * The policy receives estimates from reports that arrive one window late and are partly lost. The placement that it
+ * chooses is loaded from the rate-limited store in stages of StageDuration, each of which ends in a switch; the policy
+ * is not called again until all stages are complete. These rules are the same for every policy. The score is weight of
+ * skew x mean excess + weight of cost x (share of the time spent loading + share spent in pauses).
  */
 SimulationResult simulate(const SimulationOptions &options, const RebalancePolicy &policy);
 
