--- a/benchmarks/configfold.cpp
+++ b/benchmarks/configfold.cpp
@@ -18,7 +18,7 @@
 constexpr int Repeats = 20;
 constexpr int KiBPerMiB = 1024;
 
-std::string sectionOf(int index, int concurrency)
+std::string makeTargetSection(int index, int concurrency)
 {
     const auto number = std::to_string(index);
     std::string text = "[target.chip-llm-" + number + "]\nhost = jm-south-" + number + "\nzone = zone-"
@@ -30,19 +30,19 @@
     return text;
 }
 
-std::string inventoryOf(int targets)
+std::string makeInventory(int targets)
 {
     std::string text;
     for (int zone = 0; zone < 7; ++zone) {
         text += "[zone.zone-" + std::to_string(zone) + "]\nregion = r\n";
     }
     for (int i = 0; i < targets; ++i) {
-        text += sectionOf(i, 0);
+        text += makeTargetSection(i, 0);
     }
     return text;
 }
 
-RelayedRecord record(std::uint64_t offset, DocumentContent content)
+RelayedRecord makeRecord(std::uint64_t offset, DocumentContent content)
 {
     return {.offset = static_cast<LogOffset>(offset),
             .payload = encodeControlRecord(Publish{.document = DocumentKind::Inventory,
@@ -52,7 +52,7 @@
 }
 
 template<typename Work>
-double milliseconds(const Work &work)
+double measureMilliseconds(const Work &work)
 {
     const auto begin = std::chrono::steady_clock::now();
     work();
@@ -75,28 +75,29 @@
 
 void measure(int targets)
 {
-    const auto before = residentKiB();
+    const auto residentBefore = residentKiB();
     ConfigReplica replica;
     std::uint64_t offset = 1;
-    const auto whole = record(offset, WholeDocument{inventoryOf(targets)});
-    const auto first = milliseconds([&] { replica.receive(whole); });
-    double fold = 0;
-    double digest = 0;
+    const auto wholeRecord = makeRecord(offset, WholeDocument{makeInventory(targets)});
+    const auto foldWholeMs = measureMilliseconds([&] { replica.receive(wholeRecord); });
+    double foldMs = 0;
+    double digestMs = 0;
     std::size_t changeBytes = 0;
     for (int i = 0; i < Repeats; ++i) {
-        const auto change = record(++offset, DocumentChange{sectionOf(i % targets, i + 1), {}});
-        changeBytes = change.payload.size();
-        fold += milliseconds([&] { replica.receive(change); });
-        digest += milliseconds([&] { replica.state().digest(); });
+        const auto changeRecord = makeRecord(++offset, DocumentChange{makeTargetSection(i % targets, i + 1), {}});
+        changeBytes = changeRecord.payload.size();
+        foldMs += measureMilliseconds([&] { replica.receive(changeRecord); });
+        digestMs += measureMilliseconds([&] { replica.state().digest(); });
     }
-    const auto bytes = encodeConfigImage(replica.state().image());
-    const auto load = milliseconds([&] {
-        auto image = decodeConfigImage(bytes);
-        ConfigReplica newcomer;
-        newcomer.adopt(std::get<ConfigImage>(image), replica.state().digest());
+    const auto imageBytes = encodeConfigImage(replica.state().image());
+    const auto adoptMs = measureMilliseconds([&] {
+        auto image = decodeConfigImage(imageBytes);
+        ConfigReplica newReplica;
+        newReplica.adopt(std::get<ConfigImage>(image), replica.state().digest());
     });
-    std::printf("%7d %11zu %12zu %14.1f %12.2f %10.2f %11zu %12.1f %11ld\n", targets, whole.payload.size(), changeBytes,
-                first, fold / Repeats, digest / Repeats, bytes.size(), load, (residentKiB() - before) / KiBPerMiB);
+    std::printf("%7d %11zu %12zu %14.1f %12.2f %10.2f %11zu %12.1f %11ld\n", targets, wholeRecord.payload.size(),
+                changeBytes, foldWholeMs, foldMs / Repeats, digestMs / Repeats, imageBytes.size(), adoptMs,
+                (residentKiB() - residentBefore) / KiBPerMiB);
 }
 
 } // namespace
--- a/benchmarks/configrelaysize.cpp
+++ b/benchmarks/configrelaysize.cpp
@@ -16,9 +16,9 @@
 {
 
 constexpr int ZoneCount = 7;
-constexpr std::chrono::milliseconds Step{100};
-constexpr std::chrono::seconds Settling{15};
-constexpr std::chrono::seconds Span{30};
+constexpr std::chrono::milliseconds TimeStep{100};
+constexpr std::chrono::seconds SettlingTime{15};
+constexpr std::chrono::seconds MeasuredSpan{30};
 
 /** One setting of a run. */
 struct Setting
@@ -28,7 +28,7 @@
 };
 
 /** One process's name and zone. */
-RelayMember memberOf(int index)
+RelayMember makeMember(int index)
 {
     const auto zone = index % ZoneCount;
     return {.process = ProcessName("target-" + std::to_string(index)),
@@ -37,7 +37,7 @@
 }
 
 /** A change of one target-sized section. */
-Bytes changeAfter(LogOffset last)
+Bytes makeChange(LogOffset last)
 {
     const auto number = std::to_string(toNumber(last));
     return encodeControlRecord(
@@ -59,7 +59,7 @@
     std::vector<RelayMember> members;
     members.reserve(static_cast<std::size_t>(setting.processes));
     for (int i = 0; i < setting.processes; ++i) {
-        members.push_back(memberOf(i));
+        members.push_back(makeMember(i));
     }
     std::shared_ptr<const RelayPlan> plan = std::make_shared<const RelayPlan>(members);
     for (const auto &member : members) {
@@ -67,59 +67,61 @@
                               return plan;
                           }});
     }
-    const auto run = [&](std::chrono::milliseconds span) { network.run(span, Step, [&] { log.run(network.now()); }); };
-    run(Settling);
+    const auto run = [&](std::chrono::milliseconds span) {
+        network.run(span, TimeStep, [&] { log.run(network.now()); });
+    };
+    run(SettlingTime);
     for (auto &[name, node] : network.nodes()) {
         node->sent = {};
         node->received = {};
     }
     log.counts = {};
     const auto cpuBegin = std::clock();
-    std::chrono::milliseconds slowest{0};
-    std::size_t payload = 0;
-    const auto end = network.now() + Span;
+    std::chrono::milliseconds maxDelay{0};
+    std::size_t payloadBytes = 0;
+    const auto end = network.now() + MeasuredSpan;
     for (int change = 0; change < setting.changes; ++change) {
-        auto bytes = changeAfter(log.last(ControlStream));
-        payload = bytes.size();
+        auto bytes = makeChange(log.last(ControlStream));
+        payloadBytes = bytes.size();
         const auto offset = log.put(ControlStream, std::move(bytes));
         const auto begin = network.now();
-        const auto everywhere = [&] {
+        const auto isInForceEverywhere = [&] {
             return std::all_of(network.nodes().begin(), network.nodes().end(), [offset](const auto &entry) {
                 return entry.second->agent.replica().state().offset() >= offset;
             });
         };
-        while (!everywhere()) {
-            run(Step);
+        while (!isInForceEverywhere()) {
+            run(TimeStep);
         }
-        slowest = std::max(slowest, std::chrono::duration_cast<std::chrono::milliseconds>(network.now() - begin));
-        run(Span / setting.changes - (network.now() - begin) > Step
-                ? std::chrono::duration_cast<std::chrono::milliseconds>(Span / setting.changes
+        maxDelay = std::max(maxDelay, std::chrono::duration_cast<std::chrono::milliseconds>(network.now() - begin));
+        run(MeasuredSpan / setting.changes - (network.now() - begin) > TimeStep
+                ? std::chrono::duration_cast<std::chrono::milliseconds>(MeasuredSpan / setting.changes
                                                                         - (network.now() - begin))
-                : Step);
+                : TimeStep);
     }
     if (network.now() < end) {
         run(std::chrono::duration_cast<std::chrono::milliseconds>(end - network.now()));
     }
-    const auto seconds = std::chrono::duration<double>(network.now() - (end - Span)).count();
+    const auto seconds = std::chrono::duration<double>(network.now() - (end - MeasuredSpan)).count();
     const auto cpu = static_cast<double>(std::clock() - cpuBegin) / CLOCKS_PER_SEC;
     std::uint64_t bytes = 0;
-    std::uint64_t most = 0;
+    std::uint64_t maxBytes = 0;
     std::uint64_t messages = 0;
-    std::uint64_t mostMessages = 0;
-    std::size_t mostPeers = 0;
+    std::uint64_t maxMessages = 0;
+    std::size_t maxPeers = 0;
     for (const auto &[name, node] : network.nodes()) {
-        const auto own = node->sent.bytes + node->received.bytes;
-        bytes += own;
-        most = std::max(most, own);
+        const auto nodeBytes = node->sent.bytes + node->received.bytes;
+        bytes += nodeBytes;
+        maxBytes = std::max(maxBytes, nodeBytes);
         messages += node->sent.messages + node->received.messages;
-        mostMessages = std::max(mostMessages, node->sent.messages + node->received.messages);
-        mostPeers = std::max(mostPeers, node->agent.relay().peers().size());
+        maxMessages = std::max(maxMessages, node->sent.messages + node->received.messages);
+        maxPeers = std::max(maxPeers, node->agent.relay().peers().size());
     }
     const auto count = static_cast<double>(setting.processes);
     std::printf("%9d %7d %7zu %10.0f %9.0f %8.1f %8.1f %7zu %9.2f %12.0f %8.4f\n", setting.processes, setting.changes,
-                payload, static_cast<double>(bytes) / count / seconds, static_cast<double>(most) / seconds,
-                static_cast<double>(messages) / count / seconds, static_cast<double>(mostMessages) / seconds, mostPeers,
-                static_cast<double>(log.counts.reads) / seconds, static_cast<double>(slowest.count()),
+                payloadBytes, static_cast<double>(bytes) / count / seconds, static_cast<double>(maxBytes) / seconds,
+                static_cast<double>(messages) / count / seconds, static_cast<double>(maxMessages) / seconds, maxPeers,
+                static_cast<double>(log.counts.reads) / seconds, static_cast<double>(maxDelay.count()),
                 cpu / count / seconds * 100);
 }
 
@@ -127,14 +129,14 @@
 
 int main(int argc, char **argv)
 {
-    const int most = argc > 1 ? std::atoi(argv[1]) : 1024;
-    const int least = argc > 2 ? std::atoi(argv[2]) : 0;
+    const int maxProcesses = argc > 1 ? std::atoi(argv[1]) : 1024;
+    const int minProcesses = argc > 2 ? std::atoi(argv[2]) : 0;
     std::printf("processes changes payload bytes/s/proc max bytes/s messages/s max messages/s peers log reads/s "
                 "slowest in force ms "
                 "CPU %%/proc\n");
     for (const int processes : {16, 64, 256, 1024, 5300}) {
         for (const int changes : {0, 2, 30}) {
-            if (processes <= most && processes >= least) {
+            if (processes <= maxProcesses && processes >= minProcesses) {
                 measure({.processes = processes, .changes = changes});
             }
         }
--- a/benchmarks/configrun.cpp
+++ b/benchmarks/configrun.cpp
@@ -29,10 +29,10 @@
 
 constexpr int ZoneCount = 3;
 constexpr std::chrono::milliseconds PublisherTick{5};
-constexpr std::chrono::seconds Outage{10};
+constexpr std::chrono::seconds OutageDuration{10};
 
 /** One "config-in-force" line of a process's log. */
-struct InForce
+struct ConfigInForceEvent
 {
     std::string process{};
     std::uint64_t offset = 0;
@@ -47,40 +47,40 @@
     return ((number(11, 2) * 60 + number(14, 2)) * 60 + number(17, 2)) * 1000 + number(20, 3);
 }
 
-std::int64_t nowOfDay()
+std::int64_t currentMillisecondsOfDay()
 {
     const auto now = SystemClock().wallNow().time_since_epoch();
     return now.count() % std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::hours(24)).count();
 }
 
 /** The value of @p key in a key=value line. */
-std::string valueOf(const std::string &line, const std::string &key)
+std::string fieldValue(const std::string &line, const std::string &key)
 {
     const auto at = line.find(key + "=");
     return at == std::string::npos ? "" : line.substr(at + key.size() + 1, line.find(' ', at) - at - key.size() - 1);
 }
 
-std::vector<InForce> readLog(const std::string &path)
+std::vector<ConfigInForceEvent> readLog(const std::string &path)
 {
-    std::vector<InForce> found;
+    std::vector<ConfigInForceEvent> events;
     std::ifstream file(path);
-    std::stringstream whole;
-    whole << file.rdbuf();
-    const auto text = whole.str();
+    std::stringstream contents;
+    contents << file.rdbuf();
+    const auto text = contents.str();
     // Many processes write to one file, so a line may follow another's without a line's end between them.
     for (auto at = text.find("time="); at != std::string::npos;) {
-        const auto after = text.find("time=", at + 1);
-        auto line = text.substr(at, after == std::string::npos ? after : after - at);
+        const auto next = text.find("time=", at + 1);
+        auto line = text.substr(at, next == std::string::npos ? next : next - at);
         line = line.substr(0, line.find('\n'));
-        at = after;
-        if (valueOf(line, "event") == "config-in-force") {
-            found.push_back({.process = valueOf(line, "process"),
-                             .offset = std::stoull(valueOf(line, "offset")),
-                             .milliseconds = millisecondsOfDay(valueOf(line, "time")),
-                             .confirmed = valueOf(line, "confirmed") == "yes"});
+        at = next;
+        if (fieldValue(line, "event") == "config-in-force") {
+            events.push_back({.process = fieldValue(line, "process"),
+                              .offset = std::stoull(fieldValue(line, "offset")),
+                              .milliseconds = millisecondsOfDay(fieldValue(line, "time")),
+                              .confirmed = fieldValue(line, "confirmed") == "yes"});
         }
     }
-    return found;
+    return events;
 }
 
 /** The programs of one run and how they are reached. */
@@ -94,7 +94,7 @@
         , m_random(1)
     {
         m_client = std::make_unique<HttpClient>(m_loop.context(), HttpClient::Options{});
-        m_service = std::make_unique<HttpLogService>(*m_client, HttpLogService::Options{.endpoint = log()});
+        m_service = std::make_unique<HttpLogService>(*m_client, HttpLogService::Options{.endpoint = logEndpoint()});
         m_loop.start();
         for (int i = 0; i < 2; ++i) {
             m_backends.push_back(std::make_unique<ChildProcess>(
@@ -106,9 +106,9 @@
         for (int i = 0; i < entries; ++i) {
             m_entries.push_back(std::make_unique<ChildProcess>(
                 "heatherridge-entry",
-                std::vector<std::string>{"--name", "entry-" + std::to_string(i), "--zone", zoneOf(i), "--log-service",
-                                         toString(log()), "--host-list", toString(hostList()), "--listen",
-                                         "127.0.0.1:0"}));
+                std::vector<std::string>{"--name", "entry-" + std::to_string(i), "--zone", zoneName(i), "--log-service",
+                                         toString(logEndpoint()), "--host-list", toString(hostListEndpoint()),
+                                         "--listen", "127.0.0.1:0"}));
         }
     }
 
@@ -122,23 +122,24 @@
         m_loop.stop();
     }
 
-    Endpoint log() const
+    Endpoint logEndpoint() const
     {
         return m_log.endpoints().front();
     }
 
-    Endpoint hostList() const
+    Endpoint hostListEndpoint() const
     {
         return m_hosts.endpoints().front();
     }
 
     /** Lets the log fail every call, or answer again. */
-    void setLogOut(bool out)
+    void setLogUnavailable(bool isUnavailable)
     {
-        call(log(), {.method = "POST", .path = "/faults", .body = out ? "{\"out\":1}" : "{\"out\":0}"});
+        call(logEndpoint(),
+             {.method = "POST", .path = "/faults", .body = isUnavailable ? "{\"out\":1}" : "{\"out\":0}"});
     }
 
-    std::size_t processes() const
+    std::size_t processCount() const
     {
         return m_targets.size() + m_entries.size();
     }
@@ -148,14 +149,14 @@
     {
         std::string text;
         for (int zone = 0; zone < ZoneCount; ++zone) {
-            text += "[zone." + zoneOf(zone) + "]\nregion = r\n";
+            text += "[zone." + zoneName(zone) + "]\nregion = r\n";
         }
         for (std::size_t i = 0; i < m_targets.size(); ++i) {
             const auto name = "target-" + std::to_string(i);
             // The first target has a back end of its own, so that its requests can be counted.
             const auto &backend = m_backends[i == 0 ? 0 : 1]->endpoints().front();
             text += "[target." + name + "]\nhost = host-" + std::to_string(i)
-                + "\nzone = " + zoneOf(static_cast<int>(i)) + "\nservice = yard\nkind = plain\ngate = "
+                + "\nzone = " + zoneName(static_cast<int>(i)) + "\nservice = yard\nkind = plain\ngate = "
                 + toString(m_targets[i]->endpoints().front()) + "\nbackend = " + toString(backend)
                 + (static_cast<int>(i) == withdrawn ? "\nwithdrawn = yes\n" : "\n");
         }
@@ -186,7 +187,7 @@
     }
 
     /** When the log took the record at @p offset, in milliseconds of the day. */
-    std::int64_t appendedAt(std::uint64_t offset)
+    std::int64_t appendTime(std::uint64_t offset)
     {
         std::promise<std::int64_t> time;
         m_loop.run([&] {
@@ -213,21 +214,21 @@
     }
 
     /** Waits until every process has @p offset in force; @returns the delays from its append, sorted. */
-    std::vector<std::int64_t> delays(std::uint64_t offset)
+    std::vector<std::int64_t> waitForDelays(std::uint64_t offset)
     {
-        const auto appended = appendedAt(offset);
-        std::map<std::string, std::int64_t> reached;
-        for (int round = 0; reached.size() < processes() && round < 600; ++round) {
+        const auto appended = appendTime(offset);
+        std::map<std::string, std::int64_t> inForceTimes;
+        for (int round = 0; inForceTimes.size() < processCount() && round < 600; ++round) {
             std::this_thread::sleep_for(std::chrono::milliseconds(50));
             for (const auto &line : readLog(m_logFile)) {
                 if (line.offset >= offset) {
-                    reached.try_emplace(line.process, line.milliseconds);
+                    inForceTimes.try_emplace(line.process, line.milliseconds);
                 }
             }
         }
         std::vector<std::int64_t> delays;
-        delays.reserve(reached.size());
-        for (const auto &[process, at] : reached) {
+        delays.reserve(inForceTimes.size());
+        for (const auto &[process, at] : inForceTimes) {
             delays.push_back(at - appended);
         }
         std::sort(delays.begin(), delays.end());
@@ -238,9 +239,9 @@
     {
         return std::make_unique<ChildProcess>(
             "heatherridge-target",
-            std::vector<std::string>{"--name", "target-" + std::to_string(index), "--zone", zoneOf(index),
-                                     "--log-service", toString(log()), "--host-list", toString(hostList()), "--listen",
-                                     listen, "--admin", "127.0.0.1:0"});
+            std::vector<std::string>{"--name", "target-" + std::to_string(index), "--zone", zoneName(index),
+                                     "--log-service", toString(logEndpoint()), "--host-list",
+                                     toString(hostListEndpoint()), "--listen", listen, "--admin", "127.0.0.1:0"});
     }
 
     ChildProcess &backend(std::size_t index)
@@ -264,7 +265,7 @@
     }
 
 private:
-    static std::string zoneOf(int index)
+    static std::string zoneName(int index)
     {
         return "zone-" + std::to_string(index % ZoneCount);
     }
@@ -283,19 +284,19 @@
     int m_operation = 0;
 };
 
-std::string rules(int version)
+std::string makeRules(int version)
 {
     return "[workspace.mill]\nweight = " + std::to_string(version)
         + "\n[service.yard]\nrepeatable = GET /availability/*\n";
 }
 
-void print(const char *what, const std::vector<std::int64_t> &delays, std::size_t processes)
+void printDelays(const char *label, const std::vector<std::int64_t> &delays, std::size_t processes)
 {
     if (delays.empty()) {
-        std::printf("%-44s nothing measured\n", what);
+        std::printf("%-44s nothing measured\n", label);
         return;
     }
-    std::printf("%-44s processes %zu of %zu, ms: least %lld, median %lld, 95 in 100 %lld, most %lld\n", what,
+    std::printf("%-44s processes %zu of %zu, ms: least %lld, median %lld, 95 in 100 %lld, most %lld\n", label,
                 delays.size(), processes, static_cast<long long>(delays.front()),
                 static_cast<long long>(delays[delays.size() / 2]),
                 static_cast<long long>(delays[delays.size() * 95 / 100]), static_cast<long long>(delays.back()));
@@ -303,30 +304,31 @@
 
 void measureChanges(Deployment &deployment, int changes)
 {
-    std::vector<std::int64_t> all;
+    std::vector<std::int64_t> allDelays;
     for (int change = 0; change < changes; ++change) {
-        const auto offset = deployment.publish(DocumentKind::Rules, rules(change + 2));
-        const auto delays = deployment.delays(offset);
-        all.insert(all.end(), delays.begin(), delays.end());
+        const auto offset = deployment.publish(DocumentKind::Rules, makeRules(change + 2));
+        const auto delays = deployment.waitForDelays(offset);
+        allDelays.insert(allDelays.end(), delays.begin(), delays.end());
     }
-    std::sort(all.begin(), all.end());
-    print("append to in force", all, deployment.processes() * static_cast<std::size_t>(changes));
+    std::sort(allDelays.begin(), allDelays.end());
+    printDelays("append to in force", allDelays, deployment.processCount() * static_cast<std::size_t>(changes));
 }
 
 void measureOutage(Deployment &deployment)
 {
-    deployment.setLogOut(true);
-    std::thread ends([&] {
-        std::this_thread::sleep_for(Outage);
-        deployment.setLogOut(false);
+    deployment.setLogUnavailable(true);
+    std::thread outageEnd([&] {
+        std::this_thread::sleep_for(OutageDuration);
+        deployment.setLogUnavailable(false);
     });
-    const auto offset = deployment.publish(DocumentKind::Rules, rules(1000));
-    ends.join();
-    print("append to in force after 10 s without the log", deployment.delays(offset), deployment.processes());
+    const auto offset = deployment.publish(DocumentKind::Rules, makeRules(1000));
+    outageEnd.join();
+    printDelays("append to in force after 10 s without the log", deployment.waitForDelays(offset),
+                deployment.processCount());
 }
 
 /** Calls the service without a pause, takes the first target away by @p takeAway, and times its last new request. */
-void measureLastRequest(const char *what, Deployment &deployment, const std::function<std::int64_t()> &takeAway)
+void measureLastRequest(const char *label, Deployment &deployment, const std::function<std::int64_t()> &removeTarget)
 {
     std::atomic<bool> stop{false};
     std::atomic<int> answered{0};
@@ -339,54 +341,54 @@
             ++(response.status == 200 ? answered : refused);
         }
     });
-    const auto callsOfFirst = [&deployment] {
+    const auto firstTargetCalls = [&deployment] {
         const auto body =
             deployment.call(deployment.backend(0).endpoints().front(), {.method = "GET", .path = "/counters"}).body;
         const auto at = body.find("\"lookups\":");
         return at == std::string::npos ? 0LL : std::atoll(body.c_str() + at + 10);
     };
-    const auto atStart = callsOfFirst();
+    const auto callsAtStart = firstTargetCalls();
     std::this_thread::sleep_for(std::chrono::seconds(2));
-    const auto before = callsOfFirst();
-    const auto begin = takeAway();
-    auto last = callsOfFirst();
-    auto lastAt = nowOfDay();
+    const auto callsBefore = firstTargetCalls();
+    const auto begin = removeTarget();
+    auto lastCalls = firstTargetCalls();
+    auto lastCallTime = currentMillisecondsOfDay();
     for (int round = 0; round < 600; ++round) {
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
-        const auto calls = callsOfFirst();
-        if (calls != last) {
-            last = calls;
-            lastAt = nowOfDay();
+        const auto calls = firstTargetCalls();
+        if (calls != lastCalls) {
+            lastCalls = calls;
+            lastCallTime = currentMillisecondsOfDay();
         }
     }
     stop = true;
     caller.join();
-    std::printf("%-44s ms: at most %lld; %lld calls in the 2 s before, %lld after; answered %d, refused %d\n", what,
-                static_cast<long long>(lastAt - begin), before - atStart, last - before, answered.load(),
-                refused.load());
+    std::printf("%-44s ms: at most %lld; %lld calls in the 2 s before, %lld after; answered %d, refused %d\n", label,
+                static_cast<long long>(lastCallTime - begin), callsBefore - callsAtStart, lastCalls - callsBefore,
+                answered.load(), refused.load());
 }
 
 void measureWithdrawal(Deployment &deployment)
 {
     measureLastRequest("withdrawal's append to last new request", deployment, [&deployment] {
-        return deployment.appendedAt(deployment.publish(DocumentKind::Inventory, deployment.inventory(0)));
+        return deployment.appendTime(deployment.publish(DocumentKind::Inventory, deployment.inventory(0)));
     });
 }
 
 void measureLeavingMark(Deployment &deployment)
 {
-    const auto mark = [&deployment](const std::string &state) {
+    const auto setHostState = [&deployment](const std::string &state) {
         deployment.call(
-            deployment.hostList(),
+            deployment.hostListEndpoint(),
             {.method = "PUT", .path = "/hosts", .body = R"({"hosts":[{"host":"host-0","state":")" + state + R"("}]})"});
     };
-    deployment.setLogOut(true);
-    measureLastRequest("leaving mark to last new request, log out", deployment, [&mark] {
-        mark("leaving");
-        return nowOfDay();
+    deployment.setLogUnavailable(true);
+    measureLastRequest("leaving mark to last new request, log out", deployment, [&setHostState] {
+        setHostState("leaving");
+        return currentMillisecondsOfDay();
     });
-    deployment.setLogOut(false);
-    mark("live");
+    deployment.setLogUnavailable(false);
+    setHostState("live");
     std::this_thread::sleep_for(MembershipOptions{}.hostReturnDelay + std::chrono::seconds(2));
 }
 
@@ -396,7 +398,7 @@
     for (std::size_t i = 1; i < std::min<std::size_t>(4, deployment.targetCount()); ++i) {
         const auto gate = toString(deployment.target(i)->endpoints().front());
         deployment.target(i)->kill();
-        const auto begin = nowOfDay();
+        const auto begin = currentMillisecondsOfDay();
         deployment.target(i) = deployment.startTarget(static_cast<int>(i), gate);
         const auto name = "target-" + std::to_string(i);
         for (std::int64_t ready = 0; ready == 0;) {
@@ -411,7 +413,7 @@
         }
     }
     std::sort(delays.begin(), delays.end());
-    print("start of a killed process to confirmed state", delays, delays.size());
+    printDelays("start of a killed process to confirmed state", delays, delays.size());
 }
 
 } // namespace
@@ -430,11 +432,12 @@
     std::printf("targets %d, entries %d\n", targets, entries);
     {
         Deployment deployment(targets, entries, logFile);
-        print("first inventory in force",
-              deployment.delays(deployment.publish(DocumentKind::Inventory, deployment.inventory(-1))),
-              deployment.processes());
-        print("first rules in force", deployment.delays(deployment.publish(DocumentKind::Rules, rules(1))),
-              deployment.processes());
+        printDelays("first inventory in force",
+                    deployment.waitForDelays(deployment.publish(DocumentKind::Inventory, deployment.inventory(-1))),
+                    deployment.processCount());
+        printDelays("first rules in force",
+                    deployment.waitForDelays(deployment.publish(DocumentKind::Rules, makeRules(1))),
+                    deployment.processCount());
         std::this_thread::sleep_for(std::chrono::seconds(5)); // the relay finds its sources
         measureChanges(deployment, changes);
         measureOutage(deployment);
--- a/benchmarks/decisioncost.cpp
+++ b/benchmarks/decisioncost.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-std::vector<TargetView> viewsOf(std::size_t count)
+std::vector<TargetView> makeViews(std::size_t count)
 {
     std::vector<TargetView> views;
     for (std::size_t i = 0; i < count; ++i) {
@@ -26,7 +26,7 @@
 /** One placement among state.range(0) targets; bytes touched are those of the views, each of which is read. */
 void placeOne(benchmark::State &state, const PlacementRules &rules)
 {
-    const auto views = viewsOf(static_cast<std::size_t>(state.range(0)));
+    const auto views = makeViews(static_cast<std::size_t>(state.range(0)));
     Placement placement(rules);
     SeededRandom random(1);
     std::uint64_t key = 1;
--- a/benchmarks/keycommit.cpp
+++ b/benchmarks/keycommit.cpp
@@ -22,8 +22,8 @@
 constexpr Micros LogRoundTrip{4000};
 constexpr double LogAppendsPerSecond = 400;
 constexpr Micros ServiceTime{10'000};
-constexpr Micros RunFor{20'000'000};
-constexpr Micros AppendPause{20'000};
+constexpr Micros RunDuration{20'000'000};
+constexpr Micros AppendInterval{20'000};
 constexpr int AppendBurst = 10;
 constexpr Micros TickPeriod{50'000};
 
@@ -56,17 +56,17 @@
         for (std::uint32_t number = 0; number < KeyShardCount; ++number) {
             m_shards.push_back(std::make_unique<Shard>(number));
             auto &shard = *m_shards.back();
-            perform(shard, shard.gate.placementChanged({.shouldHold = true}, wall()));
-            perform(shard, shard.gate.logAvailabilityChanged(true, wall()));
-            perform(shard, shard.gate.streamCaughtUp(wall()));
+            performActions(shard, shard.gate.placementChanged({.shouldHold = true}, wallTime()));
+            performActions(shard, shard.gate.logAvailabilityChanged(true, wallTime()));
+            performActions(shard, shard.gate.streamCaughtUp(wallTime()));
         }
     }
 
     void run()
     {
-        at(Micros(1'000'000), [this] { arrive(); });
-        at(TickPeriod, [this] { tick(); });
-        while (!m_events.empty() && m_events.top().due < RunFor) {
+        schedule(Micros(1'000'000), [this] { handleArrival(); });
+        schedule(TickPeriod, [this] { tick(); });
+        while (!m_events.empty() && m_events.top().due < RunDuration) {
             const auto event = m_events.top();
             m_events.pop();
             m_now = event.due;
@@ -88,12 +88,12 @@
         }
     };
 
-    WallTime wall() const
+    WallTime wallTime() const
     {
         return WallTime(1'000'000s) + std::chrono::duration_cast<std::chrono::milliseconds>(m_now);
     }
 
-    void at(Micros due, std::function<void()> task)
+    void schedule(Micros due, std::function<void()> task)
     {
         m_events.push({.due = due, .order = ++m_order, .task = std::move(task)});
     }
@@ -101,79 +101,81 @@
     void tick()
     {
         for (const auto &shard : m_shards) {
-            perform(*shard, shard->gate.tick(wall()));
+            performActions(*shard, shard->gate.tick(wallTime()));
         }
-        at(m_now + TickPeriod, [this] { tick(); });
+        schedule(m_now + TickPeriod, [this] { tick(); });
     }
 
-    void arrive()
+    void handleArrival()
     {
-        const auto key = Uuid7::make(wall(), m_random.draw(), m_random.draw());
+        const auto key = Uuid7::make(wallTime(), m_random.draw(), m_random.draw());
         auto &shard = *m_shards[toNumber(shardOf(key))];
-        m_arrived[key] = m_now;
-        perform(shard,
-                shard.gate.requestReceived({.attempt = {.entry = {}, .number = ++m_attempts}, .key = key}, wall()));
-        const auto gap = -std::log(1 - m_random.fraction()) / m_scenario.bookingsPerSecond;
-        at(m_now + Micros(static_cast<std::int64_t>(gap * 1e6)), [this] { arrive(); });
+        m_arrivalTimes[key] = m_now;
+        performActions(
+            shard,
+            shard.gate.requestReceived({.attempt = {.entry = {}, .number = ++m_attempts}, .key = key}, wallTime()));
+        const auto secondsToNext = -std::log(1 - m_random.fraction()) / m_scenario.bookingsPerSecond;
+        schedule(m_now + Micros(static_cast<std::int64_t>(secondsToNext * 1e6)), [this] { handleArrival(); });
     }
 
-    void perform(Shard &shard, const KeyActions &actions)
+    void performActions(Shard &shard, const KeyActions &actions)
     {
         for (const auto &action : actions) {
             if (const auto *append = std::get_if<AppendBatch>(&action)) {
-                send(shard, append->batch);
+                appendBatch(shard, append->batch);
             } else if (const auto *run = std::get_if<RunCall>(&action)) {
-                m_added.push_back(m_now - m_arrived.at(run->key));
-                at(m_now + ServiceTime, [this, &shard, key = run->key] {
-                    perform(shard, shard.gate.callCompleted(key, StoredAnswer{.status = 201, .body = "{}"}));
+                m_addedLatencies.push_back(m_now - m_arrivalTimes.at(run->key));
+                schedule(m_now + ServiceTime, [this, &shard, key = run->key] {
+                    performActions(shard, shard.gate.callCompleted(key, StoredAnswer{.status = 201, .body = "{}"}));
                 });
             }
         }
     }
 
     /** Appends a batch as one record, or, without group commit, at the price of one append a record. */
-    void send(Shard &shard, const KeyBatch &batch)
+    void appendBatch(Shard &shard, const KeyBatch &batch)
     {
         const auto appends = m_scenario.grouped ? 1 : std::max<std::size_t>(batch.records.size(), 1);
-        const auto pause = m_scenario.grouped ? AppendPause : Micros(0);
-        const auto price = Micros(static_cast<std::int64_t>(1e6 / LogAppendsPerSecond)) * static_cast<int>(appends);
-        const auto slot = std::max(shard.nextAppend, m_now - AppendBurst * pause);
-        shard.nextAppend = slot + pause;
-        const auto begin = std::max({m_now, m_logFree, slot});
-        m_logFree = begin + price;
+        const auto interval = m_scenario.grouped ? AppendInterval : Micros(0);
+        const auto appendCost =
+            Micros(static_cast<std::int64_t>(1e6 / LogAppendsPerSecond)) * static_cast<int>(appends);
+        const auto earliestStart = std::max(shard.nextAppend, m_now - AppendBurst * interval);
+        shard.nextAppend = earliestStart + interval;
+        const auto begin = std::max({m_now, m_logFreeTime, earliestStart});
+        m_logFreeTime = begin + appendCost;
         m_appends += appends;
         m_records += batch.records.size();
         m_bytes += encode(batch).size();
-        at(m_logFree + LogRoundTrip, [this, &shard, batch] {
-            perform(shard, shard.gate.appendCompleted(batch.serial, true, wall()));
-            perform(shard, shard.gate.recordRead(static_cast<LogOffset>(++shard.offset), batch, wall()));
+        schedule(m_logFreeTime + LogRoundTrip, [this, &shard, batch] {
+            performActions(shard, shard.gate.appendCompleted(batch.serial, true, wallTime()));
+            performActions(shard, shard.gate.recordRead(static_cast<LogOffset>(++shard.offset), batch, wallTime()));
         });
     }
 
     void print()
     {
-        std::sort(m_added.begin(), m_added.end());
+        std::sort(m_addedLatencies.begin(), m_addedLatencies.end());
         const auto percentile = [this](double share) {
-            const auto place = static_cast<std::size_t>(share * static_cast<double>(m_added.size() - 1));
-            return m_added.empty() ? 0.0 : static_cast<double>(m_added[place].count()) / 1000;
+            const auto index = static_cast<std::size_t>(share * static_cast<double>(m_addedLatencies.size() - 1));
+            return m_addedLatencies.empty() ? 0.0 : static_cast<double>(m_addedLatencies[index].count()) / 1000;
         };
-        const auto seconds = static_cast<double>(RunFor.count()) / 1e6 - 1;
+        const auto seconds = static_cast<double>(RunDuration.count()) / 1e6 - 1;
         std::printf("%-34s %9.0f %8s %10.1f %9.1f %9.0f %9.1f %9.1f %8.1f%%\n", m_scenario.name,
                     m_scenario.bookingsPerSecond, m_scenario.grouped ? "yes" : "no",
                     static_cast<double>(m_appends) / seconds,
                     static_cast<double>(m_records) / static_cast<double>(m_appends),
                     static_cast<double>(m_bytes) / static_cast<double>(m_records), percentile(0.5), percentile(0.99),
-                    100 * static_cast<double>(m_added.size()) / static_cast<double>(m_arrived.size()));
+                    100 * static_cast<double>(m_addedLatencies.size()) / static_cast<double>(m_arrivalTimes.size()));
     }
 
     Scenario m_scenario;
     SeededRandom m_random{1};
     std::vector<std::unique_ptr<Shard>> m_shards;
     std::priority_queue<Event> m_events;
-    std::map<Uuid7, Micros> m_arrived;
-    std::vector<Micros> m_added;
+    std::map<Uuid7, Micros> m_arrivalTimes;
+    std::vector<Micros> m_addedLatencies;
     Micros m_now{0};
-    Micros m_logFree{0};
+    Micros m_logFreeTime{0};
     std::uint64_t m_order = 0;
     std::uint64_t m_attempts = 0;
     std::uint64_t m_appends = 0;
--- a/benchmarks/pathcost.cpp
+++ b/benchmarks/pathcost.cpp
@@ -27,16 +27,16 @@
 struct Workload
 {
     std::string name{};
-    HttpRequest direct{}; ///< as the back end takes it
-    HttpRequest path{}; ///< as an entry takes it
+    HttpRequest directRequest{}; ///< as the back end takes it
+    HttpRequest entryRequest{}; ///< as an entry takes it
     Endpoint backend{};
-    std::size_t lanes = 1; ///< requests at a time
+    std::size_t maxConcurrent = 1; ///< requests at a time
     std::size_t requests = 1;
     std::size_t tokens = 0; ///< in each answer
 };
 
 /** What one run of a workload showed. */
-struct Measured
+struct Measurement
 {
     double seconds = 0;
     std::vector<double> milliseconds{}; ///< of each request, in rising order
@@ -48,10 +48,10 @@
 double processorSeconds(const std::string &id)
 {
     std::ifstream file("/proc/" + id + "/stat");
-    std::string text;
-    std::getline(file, text);
-    text.erase(0, text.rfind(')') + 1);
-    std::istringstream fields(text);
+    std::string statLine;
+    std::getline(file, statLine);
+    statLine.erase(0, statLine.rfind(')') + 1);
+    std::istringstream fields(statLine);
     std::string skipped;
     constexpr int fieldsBeforeTimes = 11;
     for (int field = 0; field < fieldsBeforeTimes; ++field) {
@@ -75,20 +75,20 @@
     {
     }
 
-    Measured run()
+    Measurement run()
     {
         const auto begin = steady_clock::now();
         m_loop.post([this] {
-            for (std::size_t lane = 0; lane < m_workload.lanes; ++lane) {
+            for (std::size_t slot = 0; slot < m_workload.maxConcurrent; ++slot) {
                 sendNext();
             }
         });
         m_loop.start();
-        m_done.get_future().wait();
-        m_measured.seconds = duration<double>(steady_clock::now() - begin).count();
+        m_completion.get_future().wait();
+        m_measurement.seconds = duration<double>(steady_clock::now() - begin).count();
         m_loop.stop();
-        std::sort(m_measured.milliseconds.begin(), m_measured.milliseconds.end());
-        return std::move(m_measured);
+        std::sort(m_measurement.milliseconds.begin(), m_measurement.milliseconds.end());
+        return std::move(m_measurement);
     }
 
 private:
@@ -102,11 +102,11 @@
         m_client.send({.endpoint = m_endpoint, .request = m_request},
                       [this, begin](const std::variant<HttpResponse, HttpClient::Failure> &result) {
                           const auto *response = std::get_if<HttpResponse>(&result);
-                          m_measured.failed += response == nullptr || response->status >= 300 ? 1 : 0;
-                          m_measured.milliseconds.push_back(
+                          m_measurement.failed += response == nullptr || response->status >= 300 ? 1 : 0;
+                          m_measurement.milliseconds.push_back(
                               duration<double, std::milli>(steady_clock::now() - begin).count());
-                          if (m_measured.milliseconds.size() == m_workload.requests) {
-                              m_done.set_value();
+                          if (m_measurement.milliseconds.size() == m_workload.requests) {
+                              m_completion.set_value();
                           } else {
                               sendNext();
                           }
@@ -119,24 +119,24 @@
     EventLoop m_loop;
     HttpClient m_client;
     std::size_t m_sent = 0;
-    Measured m_measured;
-    std::promise<void> m_done;
+    Measurement m_measurement;
+    std::promise<void> m_completion;
 };
 
-double percentile(const Measured &measured, double share)
+double percentile(const Measurement &measurement, double share)
 {
-    const auto last = static_cast<double>(measured.milliseconds.size() - 1);
-    return measured.milliseconds[static_cast<std::size_t>(last * share)];
+    const auto last = static_cast<double>(measurement.milliseconds.size() - 1);
+    return measurement.milliseconds[static_cast<std::size_t>(last * share)];
 }
 
-void printRow(const Workload &workload, const char *way, const Measured &measured)
+void printRow(const Workload &workload, const char *route, const Measurement &measurement)
 {
     const auto requests = static_cast<double>(workload.requests);
-    std::printf("| %s | %s | %zu | %zu | %zu | %.0f | %.0f | %.2f | %.2f |", workload.name.c_str(), way, workload.lanes,
-                workload.requests, measured.failed, requests / measured.seconds,
-                requests * static_cast<double>(workload.tokens) / measured.seconds, percentile(measured, 0.5),
-                percentile(measured, 0.99));
-    for (const auto &[name, seconds] : measured.coreSeconds) {
+    std::printf("| %s | %s | %zu | %zu | %zu | %.0f | %.0f | %.2f | %.2f |", workload.name.c_str(), route,
+                workload.maxConcurrent, workload.requests, measurement.failed, requests / measurement.seconds,
+                requests * static_cast<double>(workload.tokens) / measurement.seconds, percentile(measurement, 0.5),
+                percentile(measurement, 0.99));
+    for (const auto &[name, seconds] : measurement.coreSeconds) {
         std::printf(" %s %.0f/s", name.c_str(), requests / std::max(seconds, 0.01));
         if (workload.tokens > 0) {
             std::printf(" (%.0f tokens/s)", requests * static_cast<double>(workload.tokens) / std::max(seconds, 0.01));
@@ -145,7 +145,7 @@
     std::printf(" |\n");
 }
 
-HttpRequest chat(std::size_t tokens, bool stream, bool throughEntry)
+HttpRequest makeChatRequest(std::size_t tokens, bool stream, bool throughEntry)
 {
     const nlohmann::json body{{"model", "chip-llm"},
                               {"stream", stream},
@@ -158,7 +158,7 @@
     return request;
 }
 
-HttpRequest lookUp(const std::string &prefix)
+HttpRequest makeLookUpRequest(const std::string &prefix)
 {
     return {.method = "GET",
             .path = prefix + "/availability/monday",
@@ -180,31 +180,33 @@
     const auto plain = parseEndpoint(argv[3]).value();
     std::map<std::string, std::string> processes;
     for (int index = firstProcess; index < argc; ++index) {
-        const std::string word(argv[index]);
-        processes[word.substr(0, word.find('='))] = word.substr(word.find('=') + 1);
+        const std::string argument(argv[index]);
+        processes[argument.substr(0, argument.find('='))] = argument.substr(argument.find('=') + 1);
     }
     const Workload workloads[] = {
-        {"look-up, one at a time", lookUp(""), lookUp("/services/yard-app"), plain, 1, 2'000, 0},
-        {"look-up, closed loop", lookUp(""), lookUp("/services/yard-app"), plain, 32, 20'000, 0},
-        {"chat of 1 token, one at a time", chat(1, false, false), chat(1, false, true), engine, 1, 2'000, 1},
-        {"chat of 200 tokens, streamed", chat(200, true, false), chat(200, true, true), engine, 32, 1'000, 200},
+        {"look-up, one at a time", makeLookUpRequest(""), makeLookUpRequest("/services/yard-app"), plain, 1, 2'000, 0},
+        {"look-up, closed loop", makeLookUpRequest(""), makeLookUpRequest("/services/yard-app"), plain, 32, 20'000, 0},
+        {"chat of 1 token, one at a time", makeChatRequest(1, false, false), makeChatRequest(1, false, true), engine, 1,
+         2'000, 1},
+        {"chat of 200 tokens, streamed", makeChatRequest(200, true, false), makeChatRequest(200, true, true), engine,
+         32, 1'000, 200},
     };
     std::printf("| workload | way | at a time | requests | failed | requests/s | tokens/s | p50 ms | p99 ms | per core "
                 "of processor time |\n|---|---|---|---|---|---|---|---|---|---|\n");
     for (const auto &workload : workloads) {
-        const auto direct = ClosedLoop(workload.backend, workload.direct, workload).run();
+        const auto direct = ClosedLoop(workload.backend, workload.directRequest, workload).run();
         std::map<std::string, double> before;
         for (const auto &[name, id] : processes) {
             before[name] = processorSeconds(id);
         }
-        auto path = ClosedLoop(entry, workload.path, workload).run();
+        auto viaEntry = ClosedLoop(entry, workload.entryRequest, workload).run();
         for (const auto &[name, id] : processes) {
-            path.coreSeconds[name] = processorSeconds(id) - before[name];
+            viaEntry.coreSeconds[name] = processorSeconds(id) - before[name];
         }
         printRow(workload, "direct", direct);
-        printRow(workload, "entry + target", path);
-        std::printf("| | ratio | | | | %.2f | | +%.2f ms | | |\n", direct.seconds / path.seconds,
-                    percentile(path, 0.5) - percentile(direct, 0.5));
+        printRow(workload, "entry + target", viaEntry);
+        std::printf("| | ratio | | | | %.2f | | +%.2f ms | | |\n", direct.seconds / viaEntry.seconds,
+                    percentile(viaEntry, 0.5) - percentile(direct, 0.5));
     }
     return 0;
 }
--- a/benchmarks/placement.cpp
+++ b/benchmarks/placement.cpp
@@ -20,17 +20,17 @@
                                    .expertBytes = 1,
                                    .slots = std::vector<int>(static_cast<std::size_t>(ranks), slots)}};
     for (int layer = 0; layer < layers; ++layer) {
-        LayerProblem part{.slowness = std::vector<double>(static_cast<std::size_t>(ranks), 1),
-                          .slots = problem.shape.slots};
+        LayerProblem layerProblem{.slowness = std::vector<double>(static_cast<std::size_t>(ranks), 1),
+                                  .slots = problem.shape.slots};
         for (int expert = 0; expert < experts; ++expert) {
-            part.load.push_back(std::exp(2 * (random.fraction() + random.fraction() - 1)));
+            layerProblem.load.push_back(std::exp(2 * (random.fraction() + random.fraction() - 1)));
         }
-        problem.layers.push_back(std::move(part));
+        problem.layers.push_back(std::move(layerProblem));
     }
     return problem;
 }
 
-void drift(GroupProblem &problem, SeededRandom &random)
+void applyDrift(GroupProblem &problem, SeededRandom &random)
 {
     for (auto &layer : problem.layers) {
         for (auto &load : layer.load) {
@@ -65,7 +65,7 @@
     auto problem = makeProblem(static_cast<int>(state.range(0)), static_cast<int>(state.range(1)),
                                static_cast<int>(state.range(2)), random);
     const auto current = std::get<std::vector<LayerPlacement>>(improvePlacement(problem, {}, {}));
-    drift(problem, random);
+    applyDrift(problem, random);
     std::vector<LayerPlacement> layers;
     for (auto _ : state) {
         layers = std::get<std::vector<LayerPlacement>>(improvePlacement(problem, current, {.penaltyPerExpert = 0.005}));
@@ -73,7 +73,7 @@
     setCounters(state, problem, layers);
 }
 
-void sizes(benchmark::internal::Benchmark *benchmark)
+void addSizes(benchmark::internal::Benchmark *benchmark)
 {
     benchmark->ArgNames({"layers", "experts", "ranks"})->Unit(benchmark::kMillisecond);
     for (const int layers : {15, 30, 60}) {
@@ -87,8 +87,8 @@
     }
 }
 
-BENCHMARK(firstPlacement)->Apply(sizes);
-BENCHMARK(improvedPlacement)->Apply(sizes);
+BENCHMARK(firstPlacement)->Apply(addSizes);
+BENCHMARK(improvedPlacement)->Apply(addSizes);
 
 } // namespace
 
