--- a/benchmarks/configfold.cpp
+++ b/benchmarks/configfold.cpp
@@ -1,5 +1,5 @@
-// What one process pays for the agreed configuration by itself, against the number of targets: folding one change,
-// the digest, a snapshot's size, and coming up from one. Usage: configfold
+// Measures what the agreed configuration costs a single process, by number of targets: folding a change, computing the
+// digest, the size of a snapshot, and starting from a snapshot. Usage: configfold
 
 #include "heatherridge_coordination/config/configreplica.h"
 #include "heatherridge_protocol/configimagecodec.h"
@@ -59,7 +59,7 @@
     return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begin).count();
 }
 
-/** The resident memory of this process, in KiB. */
+/** Returns the resident memory of this process, in KiB. */
 long residentKiB()
 {
     std::ifstream status("/proc/self/status");
--- a/benchmarks/configrelaysize.cpp
+++ b/benchmarks/configrelaysize.cpp
@@ -1,6 +1,6 @@
-// What the relay of configuration costs each process, against the number of processes and of changes: real agents and
-// codecs, links and log in memory, virtual time. Counts frames of this system; TCP, IP and WebSocket headers are not
-// in them. Usage: configrelaysize [most processes [least processes]]
+// Measures what the configuration relay costs each process, by number of processes and changes: real agents and codecs,
+// in-memory links and log, virtual time. Counts the frames of this system, without TCP, IP and WebSocket headers.
+// Usage: configrelaysize [max processes [min processes]]
 
 #include "heatherridge_protocol/controlrecordcodec.h"
 #include "support/relaynetwork.h"
@@ -20,14 +20,14 @@
 constexpr std::chrono::seconds SettlingTime{15};
 constexpr std::chrono::seconds MeasuredSpan{30};
 
-/** One setting of a run. */
+/** Parameters of one run. */
 struct Setting
 {
     int processes = 0;
-    int changes = 0; ///< published within the span
+    int changes = 0; ///< published within MeasuredSpan
 };
 
-/** One process's name and zone. */
+/** Returns the name, zone and region of the process with the given index. */
 RelayMember makeMember(int index)
 {
     const auto zone = index % ZoneCount;
@@ -36,7 +36,7 @@
             .region = RegionName(zone < 4 ? "north" : "south")};
 }
 
-/** A change of one target-sized section. */
+/** Returns an encoded change to one section, about as large as that of a target. */
 Bytes makeChange(LogOffset last)
 {
     const auto number = std::to_string(toNumber(last));
@@ -51,7 +51,7 @@
                                           {}}});
 }
 
-/** Runs one setting and prints its line. */
+/** Runs one setting and prints its row. */
 void measure(const Setting &setting)
 {
     FakeLog log;
--- a/benchmarks/configrun.cpp
+++ b/benchmarks/configrun.cpp
@@ -1,6 +1,7 @@
-// Configuration end to end with the real programs, in one run: from an append to in force on every process, the same
-// for changes published while the log is out, from a withdrawal or a leaving mark to the last new request, and from the
-// start of a killed process to ready. Usage: configrun [targets [entries [changes]]]
+// Measures the configuration end to end with the real programs, in one run: the time from an append until it is in
+// force on every process, also for changes published while the log is unavailable; from a target's withdrawal or its
+// host's leaving mark to the last new request; and from the restart of a killed process until it is ready. Usage:
+// configrun [targets [entries [changes]]]
 
 #include "heatherridge_coordination/config/publisher.h"
 #include "heatherridge_transport/app/eventloop.h"
@@ -31,12 +32,12 @@
 constexpr std::chrono::milliseconds PublisherTick{5};
 constexpr std::chrono::seconds OutageDuration{10};
 
-/** One "config-in-force" line of a process's log. */
+/** A "config-in-force" line from the log of a process. */
 struct ConfigInForceEvent
 {
     std::string process{};
     std::uint64_t offset = 0;
-    std::int64_t milliseconds = 0; ///< of the day
+    std::int64_t milliseconds = 0; ///< since midnight UTC
     bool confirmed = false;
 };
 
@@ -53,7 +54,7 @@
     return now.count() % std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::hours(24)).count();
 }
 
-/** The value of @p key in a key=value line. */
+/** Returns the value of @p key in a line of key=value fields, or an empty string. */
 std::string fieldValue(const std::string &line, const std::string &key)
 {
     const auto at = line.find(key + "=");
@@ -67,7 +68,7 @@
     std::stringstream contents;
     contents << file.rdbuf();
     const auto text = contents.str();
-    // Many processes write to one file, so a line may follow another's without a line's end between them.
+    // Many processes write to the same file, so lines of two processes may lack a line break between them.
     for (auto at = text.find("time="); at != std::string::npos;) {
         const auto next = text.find("time=", at + 1);
         auto line = text.substr(at, next == std::string::npos ? next : next - at);
@@ -83,7 +84,7 @@
     return events;
 }
 
-/** The programs of one run and how they are reached. */
+/** Starts the programs of one run and gives access to them. */
 class Deployment
 {
 public:
@@ -132,7 +133,7 @@
         return m_hosts.endpoints().front();
     }
 
-    /** Lets the log fail every call, or answer again. */
+    /** Makes the log fail every call, or answer again. */
     void setLogUnavailable(bool isUnavailable)
     {
         call(logEndpoint(),
@@ -144,7 +145,7 @@
         return m_targets.size() + m_entries.size();
     }
 
-    /** The inventory; @p withdrawn is the number of a target that is withdrawn, or -1. */
+    /** Returns the inventory; @p withdrawn is the index of the target that is withdrawn, or -1 for none. */
     std::string inventory(int withdrawn) const
     {
         std::string text;
@@ -153,7 +154,7 @@
         }
         for (std::size_t i = 0; i < m_targets.size(); ++i) {
             const auto name = "target-" + std::to_string(i);
-            // The first target has a back end of its own, so that its requests can be counted.
+            // The first target has its own back end, so that its requests can be counted separately.
             const auto &backend = m_backends[i == 0 ? 0 : 1]->endpoints().front();
             text += "[target." + name + "]\nhost = host-" + std::to_string(i)
                 + "\nzone = " + zoneName(static_cast<int>(i)) + "\nservice = yard\nkind = plain\ngate = "
@@ -163,7 +164,7 @@
         return text;
     }
 
-    /** Publishes @p text and waits for the outcome; @returns the offset, or 0 when it was not accepted. */
+    /** Publishes @p text and waits for the result; @returns the offset, or 0 if it was not accepted. */
     std::uint64_t publish(DocumentKind document, const std::string &text)
     {
         m_loop.run([&] {
@@ -186,7 +187,7 @@
         return accepted == nullptr ? 0 : toNumber(accepted->offset);
     }
 
-    /** When the log took the record at @p offset, in milliseconds of the day. */
+    /** Returns when the log appended the record at @p offset, in milliseconds since midnight UTC. */
     std::int64_t appendTime(std::uint64_t offset)
     {
         std::promise<std::int64_t> time;
@@ -213,7 +214,8 @@
         return answer.get_future().get();
     }
 
-    /** Waits until every process has @p offset in force; @returns the delays from its append, sorted. */
+    /** Waits up to 600 polls for @p offset to be in force on every process; @returns the delays since its append,
+     * sorted. */
     std::vector<std::int64_t> waitForDelays(std::uint64_t offset)
     {
         const auto appended = appendTime(offset);
@@ -425,7 +427,7 @@
     const int changes = argc > 3 ? std::atoi(argv[3]) : 10;
     char logFile[] = "/tmp/configrun-XXXXXX";
     const int file = ::mkstemp(logFile);
-    ::dup2(file, STDERR_FILENO); // the daemons' logs, each line with its time
+    ::dup2(file, STDERR_FILENO); // collects the daemons' logs, whose lines carry timestamps
     ::fcntl(STDERR_FILENO, F_SETFL, O_APPEND);
     const auto begin = std::chrono::steady_clock::now();
     ::setvbuf(stdout, nullptr, _IOLBF, 0);
@@ -438,7 +440,7 @@
         printDelays("first rules in force",
                     deployment.waitForDelays(deployment.publish(DocumentKind::Rules, makeRules(1))),
                     deployment.processCount());
-        std::this_thread::sleep_for(std::chrono::seconds(5)); // the relay finds its sources
+        std::this_thread::sleep_for(std::chrono::seconds(5)); // lets the relay find its sources
         measureChanges(deployment, changes);
         measureOutage(deployment);
         measureRecovery(deployment, logFile);
--- a/benchmarks/decisioncost.cpp
+++ b/benchmarks/decisioncost.cpp
@@ -23,7 +23,7 @@
     return views;
 }
 
-/** One placement among state.range(0) targets; bytes touched are those of the views, each of which is read. */
+/** Places one request among state.range(0) targets; "bytes" is the size of the views, all of which are read. */
 void placeOne(benchmark::State &state, const PlacementRules &rules)
 {
     const auto views = makeViews(static_cast<std::size_t>(state.range(0)));
@@ -37,7 +37,7 @@
     state.counters["bytes"] = static_cast<double>(views.size() * sizeof(TargetView));
 }
 
-/** One request offered, started and finished while state.range(0) workspaces wait. */
+/** Offers, starts and finishes one request while requests of state.range(0) workspaces are queued. */
 void admitOne(benchmark::State &state)
 {
     const auto workspaces = state.range(0);
@@ -62,7 +62,7 @@
     }
 }
 
-/** The blocks of an 8 KB prompt, hashed and looked up in a full index. */
+/** Hashes the blocks of an 8 KB prompt and looks them up in a full index. */
 void matchPrefix(benchmark::State &state)
 {
     PrefixIndex index;
@@ -77,7 +77,7 @@
     }
 }
 
-/** The subset of one entry out of state.range(0) targets; done when the inventory changes. */
+/** Chooses the subset of one entry from state.range(0) targets, as happens when the inventory changes. */
 void chooseSubset(benchmark::State &state)
 {
     std::vector<std::uint64_t> keys;
--- a/benchmarks/keycommit.cpp
+++ b/benchmarks/keycommit.cpp
@@ -9,9 +9,9 @@
 using namespace Heatherridge;
 
 /**
- * What group commit costs and buys: one gate a shard before a log with a stated round trip and a stated bound of
- * appends a second, on a virtual clock. Prints appends a second, records an append, and the latency that reading
- * back the intent adds, with group commit and with one record an append.
+ * Measures the costs and benefits of group commit on a virtual clock: one gate per shard, and a log with a given round
+ * trip and a given limit of appends per second. Prints appends per second, records per append, and the latency added by
+ * reading back the intent, with group commit and with one record per append.
  */
 namespace
 {
@@ -34,7 +34,7 @@
     bool grouped;
 };
 
-/** One shard: a gate, and what is under way for it. */
+/** One shard: its gate and the state of its log stream. */
 struct Shard
 {
     explicit Shard(std::uint32_t number)
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Appends a batch as one record, or, without group commit, at the price of one append a record. */
+    /** Appends a batch at the cost of one append, or, without group commit, of one append per record. */
     void appendBatch(Shard &shard, const KeyBatch &batch)
     {
         const auto appends = m_scenario.grouped ? 1 : std::max<std::size_t>(batch.records.size(), 1);
--- a/benchmarks/keymemory.cpp
+++ b/benchmarks/keymemory.cpp
@@ -1,5 +1,5 @@
-// What one idempotency key costs a process that follows its shard: memory and time of the fold, against the number of
-// keys. Usage: keymemory
+// Measures the memory and fold time per idempotency key in a process that follows the key's shard, by number of keys.
+// Usage: keymemory
 
 #include "heatherridge_state/keys/keyledger.h"
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr std::size_t AnswerBytes = 200; ///< a booking's confirmation
+constexpr std::size_t AnswerBytes = 200; ///< size of a booking confirmation
 constexpr std::size_t KeysPerBatch = 10;
 constexpr std::size_t Sizes[] = {1'000, 10'000, 50'000, 100'000};
 
@@ -21,7 +21,7 @@
     return Uuid7::make(WallTime(std::chrono::milliseconds(1'000'000 + number)), number, number);
 }
 
-/** A batch of @p gate from key @p first on, with intents and outcomes as they come in practice: one of each a key. */
+/** Returns a batch of @p gate with keys from @p first on; as in practice, each key has one intent and one outcome. */
 KeyBatch makeBatch(const GateId &gate, std::uint64_t serial, std::size_t first)
 {
     KeyBatch batch{.writer = gate, .serial = serial};
--- a/benchmarks/pathcost.cpp
+++ b/benchmarks/pathcost.cpp
@@ -23,28 +23,28 @@
 using std::chrono::duration;
 using std::chrono::steady_clock;
 
-/** One kind of request, sent in a closed loop. */
+/** One kind of request, sent in a closed loop directly to the back end and through an entry. */
 struct Workload
 {
     std::string name{};
-    HttpRequest directRequest{}; ///< as the back end takes it
-    HttpRequest entryRequest{}; ///< as an entry takes it
+    HttpRequest directRequest{}; ///< request to the back end
+    HttpRequest entryRequest{}; ///< request to an entry
     Endpoint backend{};
-    std::size_t maxConcurrent = 1; ///< requests at a time
+    std::size_t maxConcurrent = 1; ///< number of concurrent requests
     std::size_t requests = 1;
-    std::size_t tokens = 0; ///< in each answer
+    std::size_t tokens = 0; ///< tokens in each answer
 };
 
-/** What one run of a workload showed. */
+/** Results of one run of a workload. */
 struct Measurement
 {
     double seconds = 0;
-    std::vector<double> milliseconds{}; ///< of each request, in rising order
+    std::vector<double> milliseconds{}; ///< latency of each request, in ascending order
     std::size_t failed = 0;
-    std::map<std::string, double> coreSeconds{}; ///< processor time of each watched process
+    std::map<std::string, double> coreSeconds{}; ///< processor time of each measured process
 };
 
-/** User and system time that process @p id has used, in seconds. */
+/** Returns the user and system time used by process @p id, in seconds. */
 double processorSeconds(const std::string &id)
 {
     std::ifstream file("/proc/" + id + "/stat");
@@ -63,7 +63,7 @@
     return (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-/** Sends a workload's requests, each lane the next one as soon as its last is answered. */
+/** Sends the requests of a workload, at a fixed concurrency: each completed request starts the next one. */
 class ClosedLoop
 {
 public:
@@ -167,7 +167,7 @@
 
 } // namespace
 
-/** usage: pathcost ENTRY ENGINE PLAIN NAME=PROCESS-ID ... */
+/** Usage: pathcost ENTRY ENGINE PLAIN NAME=PROCESS-ID ... */
 int main(int argc, char **argv)
 {
     constexpr int firstProcess = 4;
--- a/benchmarks/placement.cpp
+++ b/benchmarks/placement.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** Loads whose hottest expert has several times the mean, as on engines with skewed routing. */
+/** Returns a problem whose hottest expert has several times the mean load, as on engines with skewed routing. */
 GroupProblem makeProblem(int layers, int experts, int ranks, SeededRandom &random)
 {
     const int slots = 2 * experts / ranks > 2 ? 2 * experts / ranks : 2;
@@ -45,7 +45,7 @@
     state.counters["bound"] = stepSkewLowerBound(problem);
 }
 
-/** A first placement, from nothing. Arguments: layers, experts a layer, ranks. */
+/** Computes a placement without a current one. Arguments: layers, experts per layer, ranks. */
 void firstPlacement(benchmark::State &state)
 {
     SeededRandom random(1);
@@ -58,7 +58,7 @@
     setCounters(state, problem, layers);
 }
 
-/** The ordinary case: the placement in force, after the loads have drifted by up to a tenth. */
+/** The usual case: improves the current placement after the loads have drifted by up to a tenth. */
 void improvedPlacement(benchmark::State &state)
 {
     SeededRandom random(1);
