--- a/benchmarks/configrun.cpp
+++ b/benchmarks/configrun.cpp
@@ -329,7 +329,10 @@
                 deployment.processCount());
 }
 
-/** Calls the service without a pause, takes the first target away by @p takeAway, and times its last new request. */
+/**
+ * Calls the service continuously while @p removeTarget, which returns its start time, removes the first target; prints
+ * the delay until the last new request to that target.
+ */
 void measureLastRequest(const char *label, Deployment &deployment, const std::function<std::int64_t()> &removeTarget)
 {
     std::atomic<bool> stop{false};
